--- a/crates/balancer/src/endpoint.rs
+++ b/crates/balancer/src/endpoint.rs
@@ -31,7 +31,11 @@
 
 impl Default for MachineType {
     fn default() -> Self {
-        Self { id: 0, cores: 1.0, speed: 1.0 }
+        Self {
+            id: 0,
+            cores: 1.0,
+            speed: 1.0,
+        }
     }
 }
 
@@ -59,7 +63,12 @@
     /// A ready server, started long ago, in zone 0 and cell 0.
     pub fn ready(server: ServerId, stable_hash: u64) -> Self {
         let status = EndpointStatus::Ready;
-        Self { server, stable_hash, status, ..Self::default() }
+        Self {
+            server,
+            stable_hash,
+            status,
+            ..Self::default()
+        }
     }
 }
 
--- a/crates/balancer/src/estimators/decaying_rate.rs
+++ b/crates/balancer/src/estimators/decaying_rate.rs
@@ -20,7 +20,11 @@
 impl DecayingRate {
     /// A rate of zero that forgets half of what it saw in each `half_life` (microseconds).
     pub(crate) fn new(half_life: f64) -> Self {
-        Self { half_life, amount: 0.0, updated_at: 0 }
+        Self {
+            half_life,
+            amount: 0.0,
+            updated_at: 0,
+        }
     }
 
     /// Adds an amount that came at this moment.
--- a/crates/balancer/src/estimators/estimates.rs
+++ b/crates/balancer/src/estimators/estimates.rs
@@ -33,12 +33,17 @@
     pub(crate) fn queue_depth(&self, server: &ServerState) -> f64 {
         let load = &server.load;
         if self.settings.load_from_responses() {
-            let elsewhere = load.in_flight_elsewhere(decay(self.now, load.updated_at(), ELSEWHERE_HALF_LIFE));
+            let elsewhere =
+                load.in_flight_elsewhere(decay(self.now, load.updated_at(), ELSEWHERE_HALF_LIFE));
             return server.in_flight().len() as f64 + elsewhere + 1.0;
         }
         let age = self.now.saturating_sub(load.updated_at()) as f64;
         let freshness = (1.0 - age / (2.0 * self.latency.mean_service_time())).max(0.0);
-        let own: f64 = server.in_flight().iter().map(|attempt| attempt.relative_work).sum();
+        let own: f64 = server
+            .in_flight()
+            .iter()
+            .map(|attempt| attempt.relative_work)
+            .sum();
         own + load.in_flight_elsewhere(freshness) + 1.0
     }
 
@@ -61,13 +66,21 @@
     /// queue of a server in slow start, it is spared by how seldom it is drawn, and not twice over.
     pub(crate) fn relative_service_time(&self, server: &ServerState) -> f64 {
         let load_known = self.load_reports_trusted || self.settings.load_from_responses();
-        let slow_start = if load_known { server.slow_start.factor(self.now, self.settings) } else { 1.0 };
+        let slow_start = if load_known {
+            server.slow_start.factor(self.now, self.settings)
+        } else {
+            1.0
+        };
         self.latency_factor(server) / slow_start / (1.0 - server.failures.failure_rate())
     }
 
     /// The latency factor of a server.
     pub(crate) fn latency_factor(&self, server: &ServerState) -> f64 {
-        self.latency.latency_factor(&server.latency, self.machine_latency_factor(server), self.now)
+        self.latency.latency_factor(
+            &server.latency,
+            self.machine_latency_factor(server),
+            self.now,
+        )
     }
 
     /// The latency factor of a server's machine type; 1 where servers are asked for their load
@@ -76,7 +89,8 @@
         if self.settings.load_checks_enabled() {
             return 1.0;
         }
-        self.latency.machine_latency_factor(server.endpoint().machine_type)
+        self.latency
+            .machine_latency_factor(server.endpoint().machine_type)
     }
 
     /// True where a request would wait at a server. Guards against an estimate that rejects all and
@@ -105,7 +119,11 @@
 
     /// Priority weight of a request for its work, against that of a usual one.
     pub(crate) fn value_density(&self, request: &RequestState) -> f64 {
-        let relative_work = if self.settings.weight_by_work { 1.0 } else { request.relative_work() };
+        let relative_work = if self.settings.weight_by_work {
+            1.0
+        } else {
+            request.relative_work()
+        };
         let priority_weight = self.settings.class(request.class()).priority_weight;
         self.workload.value_density(priority_weight, relative_work)
     }
--- a/crates/balancer/src/estimators/fleet.rs
+++ b/crates/balancer/src/estimators/fleet.rs
@@ -58,7 +58,8 @@
     ) {
         let latency = now.saturating_sub(attempt.sent_at) as f64;
         if let Some(objective) = objective {
-            self.saturation.on_response((latency / objective as f64).min(1.0), now);
+            self.saturation
+                .on_response((latency / objective as f64).min(1.0), now);
         }
         // Whether reports are trusted does not bear on what a response shows.
         let estimates = Estimates {
@@ -71,7 +72,8 @@
         let service_time = estimates.observed_service_time(server, attempt, latency);
         let usual = estimates.machine_latency_factor(server);
         let machine = server.endpoint().machine_type;
-        self.latency.on_response(&mut server.latency, machine, usual, service_time, now);
+        self.latency
+            .on_response(&mut server.latency, machine, usual, service_time, now);
         self.latency_distribution.on_response(latency);
     }
 }
--- a/crates/balancer/src/estimators/latency.rs
+++ b/crates/balancer/src/estimators/latency.rs
@@ -26,7 +26,10 @@
 impl ServerLatency {
     /// A server of which only its machine type is known.
     pub(crate) fn new(machine: MachineType) -> Self {
-        Self { factor: 1.0 / machine.speed, updated_at: 0 }
+        Self {
+            factor: 1.0 / machine.speed,
+            updated_at: 0,
+        }
     }
 }
 
@@ -40,7 +43,10 @@
     /// An estimator that has seen no response; `shortest_objective` is in microseconds.
     pub(crate) fn new(shortest_objective: f64) -> Self {
         let mean_service_time = shortest_objective * INITIAL_SERVICE_TIME_SHARE;
-        Self { mean_service_time, latency_by_machine_type: BTreeMap::new() }
+        Self {
+            mean_service_time,
+            latency_by_machine_type: BTreeMap::new(),
+        }
     }
 
     /// Mean service time of a usual request on an otherwise idle server, in microseconds.
@@ -57,7 +63,10 @@
     /// balancer sends each server next to nothing: what one server shows tells of all machines like
     /// it.
     pub(crate) fn machine_latency_factor(&self, machine: MachineType) -> f64 {
-        self.latency_by_machine_type.get(&machine.id).copied().unwrap_or(1.0 / machine.speed)
+        self.latency_by_machine_type
+            .get(&machine.id)
+            .copied()
+            .unwrap_or(1.0 / machine.speed)
     }
 
     /// A server responded; `usual` is the latency factor of its machine type, `service_time` in
@@ -70,12 +79,13 @@
         service_time: f64,
         now: Micros,
     ) {
-        let factor =
-            (service_time / self.mean_service_time).clamp(1.0 / MAX_LATENCY_FACTOR, MAX_LATENCY_FACTOR);
+        let factor = (service_time / self.mean_service_time)
+            .clamp(1.0 / MAX_LATENCY_FACTOR, MAX_LATENCY_FACTOR);
         let before = self.latency_factor(server, usual, now);
         server.factor = before + SERVER_WEIGHT * (factor - before);
         server.updated_at = now;
-        self.latency_by_machine_type.insert(machine.id, usual + FLEET_WEIGHT * (factor - usual));
+        self.latency_by_machine_type
+            .insert(machine.id, usual + FLEET_WEIGHT * (factor - usual));
         let bounded = service_time.min(MAX_LATENCY_FACTOR * self.mean_service_time);
         self.mean_service_time += FLEET_WEIGHT * (bounded - self.mean_service_time);
     }
--- a/crates/balancer/src/estimators/latency_distribution.rs
+++ b/crates/balancer/src/estimators/latency_distribution.rs
@@ -21,23 +21,32 @@
 impl LatencyDistribution {
     /// A distribution that has seen no response; `shortest_objective` is in microseconds.
     pub(crate) fn new(shortest_objective: f64) -> Self {
-        Self { log_mean: (shortest_objective * INITIAL_LATENCY_SHARE).ln(), log_variance: 1.0 }
+        Self {
+            log_mean: (shortest_objective * INITIAL_LATENCY_SHARE).ln(),
+            log_variance: 1.0,
+        }
     }
 
     /// A server responded after so many microseconds.
     pub(crate) fn on_response(&mut self, latency: f64) {
         let deviation = latency.max(1.0).ln() - self.log_mean;
         self.log_mean += FLEET_WEIGHT * deviation;
-        self.log_variance = (self.log_variance + FLEET_WEIGHT * (deviation * deviation - self.log_variance))
+        self.log_variance = (self.log_variance
+            + FLEET_WEIGHT * (deviation * deviation - self.log_variance))
             .max(MIN_LOG_VARIANCE);
     }
 
     /// Negative logarithm of the chance that a sound server leaves all attempts at it without a
     /// response for so long, counted from their send or from its last response.
     pub(crate) fn silence_improbability(&self, server: &ServerState, now: Micros) -> f64 {
-        let silent_since = |attempt: &InFlightAttempt| attempt.sent_at.max(server.failures.last_served_at());
+        let silent_since =
+            |attempt: &InFlightAttempt| attempt.sent_at.max(server.failures.last_served_at());
         let silence = |attempt| now.saturating_sub(silent_since(attempt)).max(1) as f64;
-        server.in_flight().iter().map(|attempt| self.tail_improbability(silence(attempt))).sum()
+        server
+            .in_flight()
+            .iter()
+            .map(|attempt| self.tail_improbability(silence(attempt)))
+            .sum()
     }
 
     /// Negative logarithm of the chance that a response takes longer than this, in microseconds.
@@ -48,5 +57,9 @@
 
 /// Negative logarithm of the chance that a normal variable exceeds z, to within a few per cent.
 fn normal_tail_improbability(z: f64) -> f64 {
-    if z < 0.0 { 0.69 * (1.3 * z).exp() } else { 0.69 + z * (0.8 + 0.39 * z) }
+    if z < 0.0 {
+        0.69 * (1.3 * z).exp()
+    } else {
+        0.69 + z * (0.8 + 0.39 * z)
+    }
 }
--- a/crates/balancer/src/estimators/saturation/tests.rs
+++ b/crates/balancer/src/estimators/saturation/tests.rs
@@ -10,7 +10,10 @@
 
 #[test]
 fn rejection_counts_as_the_whole_objective() {
-    let (mut rejected, mut slow) = (SaturationEstimator::default(), SaturationEstimator::default());
+    let (mut rejected, mut slow) = (
+        SaturationEstimator::default(),
+        SaturationEstimator::default(),
+    );
     rejected.on_rejected(5);
     slow.on_response(1.0, 5);
     assert_eq!(rejected.saturation(5), slow.saturation(5));
--- a/crates/balancer/src/estimators/slow_start.rs
+++ b/crates/balancer/src/estimators/slow_start.rs
@@ -62,7 +62,10 @@
     /// Work was sent to the server.
     pub(crate) fn on_work_sent(&mut self, relative_work: f64, now: Micros) {
         if self.since.is_some() {
-            self.sent.push_back(SentWork { at: now, relative_work });
+            self.sent.push_back(SentWork {
+                at: now,
+                relative_work,
+            });
         }
     }
 
@@ -84,7 +87,10 @@
 impl WarmServerQuota {
     /// A quota of which nothing is known.
     pub(crate) fn new() -> Self {
-        Self { work_rate: DecayingRate::new(WORK_RATE_HALF_LIFE), per_microsecond: 0.0 }
+        Self {
+            work_rate: DecayingRate::new(WORK_RATE_HALF_LIFE),
+            per_microsecond: 0.0,
+        }
     }
 
     /// The quota, in relative work per microsecond.
@@ -99,7 +105,9 @@
 
     /// Measures the quota anew; `factors` are the slow start factors of the servers in use.
     pub(crate) fn update(&mut self, factors: impl Iterator<Item = f64>, now: Micros) {
-        let (count, warm) = factors.fold((0.0, 0.0), |(count, warm), factor| (count + 1.0, warm + factor));
+        let (count, warm) = factors.fold((0.0, 0.0), |(count, warm), factor| {
+            (count + 1.0, warm + factor)
+        });
         if warm > MIN_WARM_SHARE * count {
             self.per_microsecond = self.work_rate.per_microsecond(now) / warm;
         }
--- a/crates/balancer/src/estimators/slow_start/tests.rs
+++ b/crates/balancer/src/estimators/slow_start/tests.rs
@@ -2,7 +2,11 @@
 use crate::Settings;
 
 fn settings() -> Settings {
-    Settings { cold_capacity_share: 0.5, slow_start_time: 1_000, ..Settings::default() }
+    Settings {
+        cold_capacity_share: 0.5,
+        slow_start_time: 1_000,
+        ..Settings::default()
+    }
 }
 
 fn started_at(start: u64) -> SlowStartRecord {
--- a/crates/balancer/src/estimators/utilization.rs
+++ b/crates/balancer/src/estimators/utilization.rs
@@ -18,7 +18,9 @@
 impl UtilizationEstimator {
     /// An estimator that has seen no load report.
     pub(crate) fn new() -> Self {
-        Self { utilization: INITIAL_UTILIZATION }
+        Self {
+            utilization: INITIAL_UTILIZATION,
+        }
     }
 
     /// The share, from 0 to 1.
--- a/crates/balancer/src/estimators/workload.rs
+++ b/crates/balancer/src/estimators/workload.rs
@@ -23,26 +23,49 @@
     /// An estimator that has seen no request.
     pub(crate) fn new() -> Self {
         let request_rate = DecayingRate::new(REQUEST_RATE_HALF_LIFE);
-        Self { request_rate, mean_work: 0.0, mean_priority_weight: 0.0 }
+        Self {
+            request_rate,
+            mean_work: 0.0,
+            mean_priority_weight: 0.0,
+        }
     }
 
     /// A request arrived, with a hint of its work or 0; returns its work against that of a usual
     /// request.
-    pub(crate) fn on_request_arrived(&mut self, class: &RequestClass, work_hint: f64, now: Micros) -> f64 {
+    pub(crate) fn on_request_arrived(
+        &mut self,
+        class: &RequestClass,
+        work_hint: f64,
+        now: Micros,
+    ) -> f64 {
         if work_hint > 0.0 {
-            let mean = if self.mean_work > 0.0 { self.mean_work } else { work_hint };
+            let mean = if self.mean_work > 0.0 {
+                self.mean_work
+            } else {
+                work_hint
+            };
             self.mean_work = mean + FLEET_WEIGHT * (work_hint.min(MAX_RELATIVE_HINT * mean) - mean);
         }
         let weight = class.priority_weight;
-        let mean = if self.mean_priority_weight > 0.0 { self.mean_priority_weight } else { weight };
+        let mean = if self.mean_priority_weight > 0.0 {
+            self.mean_priority_weight
+        } else {
+            weight
+        };
         self.mean_priority_weight = mean + FLEET_WEIGHT * (weight - mean);
         self.request_rate.add(1.0, now);
-        if work_hint > 0.0 { work_hint / self.mean_work } else { 1.0 }
+        if work_hint > 0.0 {
+            work_hint / self.mean_work
+        } else {
+            1.0
+        }
     }
 
     /// Requests per microsecond, above zero.
     pub(crate) fn request_rate(&self, now: Micros) -> f64 {
-        self.request_rate.per_microsecond(now).max(f64::MIN_POSITIVE)
+        self.request_rate
+            .per_microsecond(now)
+            .max(f64::MIN_POSITIVE)
     }
 
     /// Priority weight of a request for its work, against that of a usual one: in a full fleet what
--- a/crates/balancer/src/estimators/workload/tests.rs
+++ b/crates/balancer/src/estimators/workload/tests.rs
@@ -2,7 +2,10 @@
 use crate::{Idempotency, RequestClass};
 
 fn class(priority_weight: f64) -> RequestClass {
-    RequestClass { priority_weight, ..RequestClass::new(Idempotency::Idempotent, 250_000, 600_000) }
+    RequestClass {
+        priority_weight,
+        ..RequestClass::new(Idempotency::Idempotent, 250_000, 600_000)
+    }
 }
 
 #[test]
--- a/crates/balancer/src/policy.rs
+++ b/crates/balancer/src/policy.rs
@@ -81,7 +81,11 @@
             self.on_first_event(now, actions);
         }
         match event {
-            Event::EndpointsUpdated { kind, version, endpoints } => {
+            Event::EndpointsUpdated {
+                kind,
+                version,
+                endpoints,
+            } => {
                 self.on_endpoints_updated(kind, version, endpoints, actions);
             }
             Event::RequestArrived(request) => self.on_request_arrived(&request, actions),
@@ -90,24 +94,41 @@
             Event::ClientDisconnected { request } => self.finish(request, actions),
             Event::TimerFired { token: TICK_TOKEN } => self.on_tick(actions),
             Event::TimerFired { .. } => self.on_request_timer(actions),
-            Event::HealthCheckEnded { server, outcome, load_report } => {
-                self.on_health_check_ended(server, outcome == Outcome::Served, load_report, actions);
+            Event::HealthCheckEnded {
+                server,
+                outcome,
+                load_report,
+            } => {
+                self.on_health_check_ended(
+                    server,
+                    outcome == Outcome::Served,
+                    load_report,
+                    actions,
+                );
+            }
+            Event::GossipReceived { from, message } => {
+                self.on_gossip_received(from, &message, actions)
             }
-            Event::GossipReceived { from, message } => self.on_gossip_received(from, &message, actions),
         }
     }
 
     fn on_first_event(&mut self, now: Micros, actions: &mut Actions) {
         self.started = true;
         self.schedule_first_health_check(now);
-        actions.push(Action::SetTimer { token: TICK_TOKEN, after: TICK_INTERVAL });
+        actions.push(Action::SetTimer {
+            token: TICK_TOKEN,
+            after: TICK_INTERVAL,
+        });
         if self.settings.poll_endpoints {
             self.poll_endpoints(actions);
         }
     }
 
     fn on_tick(&mut self, actions: &mut Actions) {
-        actions.push(Action::SetTimer { token: TICK_TOKEN, after: TICK_INTERVAL });
+        actions.push(Action::SetTimer {
+            token: TICK_TOKEN,
+            after: TICK_INTERVAL,
+        });
         self.update_warm_server_quota();
         for server_index in 0..self.endpoints.len() {
             self.check_suspicion(server_index, actions);
@@ -136,22 +157,38 @@
     /// Dispatches a request after this time, unless it is sent before.
     fn set_request_timer(&mut self, id: RequestId, after: Micros, actions: &mut Actions) {
         self.requests.set_timer(id, self.now + after);
-        actions.push(Action::SetTimer { token: REQUEST_TIMER_TOKEN, after });
+        actions.push(Action::SetTimer {
+            token: REQUEST_TIMER_TOKEN,
+            after,
+        });
     }
 
     /// A server responded to an attempt, or timed out although it serves others.
     fn on_response(&mut self, server_index: usize, attempt: &InFlightAttempt) {
-        let objective = self.requests.get(attempt.request).map(|request| request.objective());
+        let objective = self
+            .requests
+            .get(attempt.request)
+            .map(|request| request.objective());
         let server = &mut self.endpoints[server_index];
-        self.estimators.on_response(server, attempt, objective, self.now, &self.settings);
+        self.estimators
+            .on_response(server, attempt, objective, self.now, &self.settings);
     }
 
     /// Measures what a warm server of the subset gets.
     fn update_warm_server_quota(&mut self) {
-        let ready = self.subset_order.iter().filter(|&index| self.is_ready(&self.endpoints[index]));
+        let ready = self
+            .subset_order
+            .iter()
+            .filter(|&index| self.is_ready(&self.endpoints[index]));
         let subset: Vec<usize> = ready.take(self.subset_size()).collect();
-        let factor = |index: usize| self.endpoints[index].slow_start.factor(self.now, &self.settings);
-        self.estimators.warm_server_quota.update(subset.into_iter().map(factor), self.now);
+        let factor = |index: usize| {
+            self.endpoints[index]
+                .slow_start
+                .factor(self.now, &self.settings)
+        };
+        self.estimators
+            .warm_server_quota
+            .update(subset.into_iter().map(factor), self.now);
     }
 
     /// Estimates of load, service time and value as of now.
--- a/crates/balancer/src/policy/attempt_result.rs
+++ b/crates/balancer/src/policy/attempt_result.rs
@@ -14,7 +14,9 @@
         if let Some(server_index) = self.endpoints.find(end.server) {
             self.record_result(server_index, end, actions);
         }
-        let Some(request) = self.requests.get_mut(end.request) else { return };
+        let Some(request) = self.requests.get_mut(end.request) else {
+            return;
+        };
         request.on_attempt_ended(end.attempt, end.outcome.never_executed());
         if end.finished {
             self.finish(end.request, actions);
@@ -26,7 +28,9 @@
     fn record_result(&mut self, server_index: usize, end: &AttemptEnd, actions: &mut Actions) {
         self.on_load_report(server_index, end.load_report);
         let (now, server) = (self.now, &mut self.endpoints[server_index]);
-        let Some(attempt) = server.on_attempt_ended(end.request, end.attempt) else { return };
+        let Some(attempt) = server.on_attempt_ended(end.request, end.attempt) else {
+            return;
+        };
         let served_since = server.failures.last_served_at() > attempt.sent_at;
         let serves_others = served_since && !server.suspicion.is_suspected();
         match end.outcome {
--- a/crates/balancer/src/policy/endpoints.rs
+++ b/crates/balancer/src/policy/endpoints.rs
@@ -12,12 +12,16 @@
     /// Polls the endpoint list; without any response it is polled again in good time.
     pub(super) fn poll_endpoints(&mut self, actions: &mut Actions) {
         actions.push(Action::PollEndpoints);
-        self.poller.on_polled(self.now + self.settings.max_poll_interval * 3 / 4);
+        self.poller
+            .on_polled(self.now + self.settings.max_poll_interval * 3 / 4);
     }
 
     fn on_list_lost(&mut self, actions: &mut Actions) {
         if self.poller.is_subscribed() {
-            actions.push(Action::Log { text: "list lost".into(), server: None });
+            actions.push(Action::Log {
+                text: "list lost".into(),
+                server: None,
+            });
         }
         let backoff = self.poller.backoff().unwrap_or(INITIAL_POLL_BACKOFF);
         let next_poll_at = self.now + backoff / 2 + self.rng.u64(0..=backoff);
@@ -53,13 +57,16 @@
             let gone = server.is_removed() && server.in_flight().is_empty();
             !gone || (keep_removed && !server.suspicion.is_dead() && !server.is_drain_listed())
         });
-        self.subset_order.on_endpoints_updated(&self.endpoints, self.settings.balancer_index);
+        self.subset_order
+            .on_endpoints_updated(&self.endpoints, self.settings.balancer_index);
     }
 
     /// A stale list never restores a draining server: only a restart does.
     fn merge(&mut self, endpoints: Vec<Endpoint>, actions: &mut Actions) {
         for endpoint in endpoints {
-            let merged = self.endpoints.merge(endpoint, self.now, self.settings.slow_start_time);
+            let merged = self
+                .endpoints
+                .merge(endpoint, self.now, self.settings.slow_start_time);
             if merged.restarted {
                 self.on_restart(merged.server_index, actions);
             }
--- a/crates/balancer/src/policy/failure_detector.rs
+++ b/crates/balancer/src/policy/failure_detector.rs
@@ -34,7 +34,10 @@
     /// longer than the fleet's latencies explain. General slowness raises no suspicion.
     fn is_improbably_silent(&self, server_index: usize) -> bool {
         let server = &self.endpoints[server_index];
-        let improbability = self.estimators.latency_distribution.silence_improbability(server, self.now);
+        let improbability = self
+            .estimators
+            .latency_distribution
+            .silence_improbability(server, self.now);
         improbability > MAX_SILENCE_IMPROBABILITY
     }
 
@@ -51,13 +54,22 @@
         }
     }
 
-    fn review_suspicion(&mut self, server_index: usize, suspicion: Suspicion, actions: &mut Actions) {
+    fn review_suspicion(
+        &mut self,
+        server_index: usize,
+        suspicion: Suspicion,
+        actions: &mut Actions,
+    ) {
         let server = &mut self.endpoints[server_index];
         if !server.suspicion.is_dead() && self.now >= suspicion.since + DEAD_AFTER {
             server.suspicion.on_declared_dead();
-            actions.push(Action::Log { text: "dead".into(), server: Some(server.id()) });
+            actions.push(Action::Log {
+                text: "dead".into(),
+                server: Some(server.id()),
+            });
         }
-        let unfounded = suspicion.cause != SuspicionCause::Attempts && self.health_checks_unreliable();
+        let unfounded =
+            suspicion.cause != SuspicionCause::Attempts && self.health_checks_unreliable();
         if unfounded || !self.settings.health_checks && suspicion.has_aged(self.now) {
             self.readmit(server_index, actions);
         }
@@ -72,7 +84,8 @@
         actions: &mut Actions,
     ) -> bool {
         let unfounded = cause != SuspicionCause::Attempts && self.health_checks_unreliable();
-        let mean_pause = self.subset_size() as f64 / self.estimators.workload.request_rate(self.now);
+        let mean_pause =
+            self.subset_size() as f64 / self.estimators.workload.request_rate(self.now);
         let (now, server) = (self.now, &mut self.endpoints[server_index]);
         if server.suspicion.is_suspected() || unfounded {
             return false;
@@ -81,9 +94,23 @@
         // A balancer so quiet that it sends to the server more seldom would learn nothing from the ejection.
         let doubled = BASE_EJECTION_TIME << ejections.min(MAX_EJECTION_DOUBLINGS);
         let ejection_time = doubled.max(mean_pause as Micros).min(MAX_EJECTION_TIME);
-        server.suspicion.on_ejected(Suspicion { cause, since: now, ejection_time }, ejections);
-        actions.push(Action::Log { text: cause.text().into(), server: Some(server.id()) });
-        let stuck: Vec<RequestId> = server.in_flight().iter().map(|attempt| attempt.request).collect();
+        server.suspicion.on_ejected(
+            Suspicion {
+                cause,
+                since: now,
+                ejection_time,
+            },
+            ejections,
+        );
+        actions.push(Action::Log {
+            text: cause.text().into(),
+            server: Some(server.id()),
+        });
+        let stuck: Vec<RequestId> = server
+            .in_flight()
+            .iter()
+            .map(|attempt| attempt.request)
+            .collect();
         for request in stuck {
             self.retry(request, actions);
         }
@@ -93,14 +120,21 @@
     /// Ends the suspicion of a server, if any.
     pub(super) fn readmit(&mut self, server_index: usize, actions: &mut Actions) {
         let (now, server) = (self.now, &mut self.endpoints[server_index]);
-        let Some(suspicion) = server.suspicion.on_readmitted() else { return };
+        let Some(suspicion) = server.suspicion.on_readmitted() else {
+            return;
+        };
         server.failures.on_readmitted();
         // Guards against restarts that the list is silent about: what comes back from silence starts slowly.
-        if suspicion.cause != SuspicionCause::Attempts && now > suspicion.since + 2 * SUSPECT_CHECK_INTERVAL {
+        if suspicion.cause != SuspicionCause::Attempts
+            && now > suspicion.since + 2 * SUSPECT_CHECK_INTERVAL
+        {
             server.slow_start.on_silence_ended(now);
         }
         server.health_check.on_confirmed_alive();
-        actions.push(Action::Log { text: "cleared".into(), server: Some(server.id()) });
+        actions.push(Action::Log {
+            text: "cleared".into(),
+            server: Some(server.id()),
+        });
     }
 
     /// The list names a newer incarnation: that it is alive overrides suspicion of anything older.
--- a/crates/balancer/src/policy/gossip.rs
+++ b/crates/balancer/src/policy/gossip.rs
@@ -14,30 +14,53 @@
 impl Balancer {
     /// Asks some balancers to check a server.
     pub(super) fn request_indirect_checks(&mut self, server_index: usize, actions: &mut Actions) {
-        let message = self.endpoints[server_index].gossip(GossipKind::IndirectCheckRequest).encode();
+        let message = self.endpoints[server_index]
+            .gossip(GossipKind::IndirectCheckRequest)
+            .encode();
         let checkers = (0..INDIRECT_CHECKERS).filter_map(|_| self.random_peer());
-        actions.extend(checkers.map(|to| Action::SendGossip { to: Some(to), message: message.clone() }));
+        actions.extend(checkers.map(|to| Action::SendGossip {
+            to: Some(to),
+            message: message.clone(),
+        }));
     }
 
     /// Tells the balancers that asked for it of a successful health check; they wait no longer in any case.
-    pub(super) fn answer_requesters(&mut self, server_index: usize, succeeded: bool, actions: &mut Actions) {
+    pub(super) fn answer_requesters(
+        &mut self,
+        server_index: usize,
+        succeeded: bool,
+        actions: &mut Actions,
+    ) {
         let server = &mut self.endpoints[server_index];
         let requesters = server.health_check.take_requesters();
         let message = server.gossip(GossipKind::ConfirmedAlive);
-        let answer = |to| Action::SendGossip { to: Some(to), message: message.encode() };
+        let answer = |to| Action::SendGossip {
+            to: Some(to),
+            message: message.encode(),
+        };
         actions.extend(requesters.into_iter().filter(|_| succeeded).map(answer));
     }
 
     /// Queues the suspicion of a server for about log N datagrams, which reach all balancers.
     pub(super) fn queue_suspicion(&mut self, server_index: usize) {
         let datagrams = u32::BITS - self.settings.balancer_count.leading_zeros() + 1;
-        self.gossip.push(&self.endpoints[server_index].gossip(GossipKind::Suspected), datagrams);
+        self.gossip.push(
+            &self.endpoints[server_index].gossip(GossipKind::Suspected),
+            datagrams,
+        );
     }
 
     /// Another balancer, drawn at random.
     fn random_peer(&mut self) -> Option<u32> {
-        let peer = self.settings.has_peers().then(|| self.rng.u32(0..self.settings.balancer_count - 1))?;
-        Some(if peer >= self.settings.balancer_index { peer + 1 } else { peer })
+        let peer = self
+            .settings
+            .has_peers()
+            .then(|| self.rng.u32(0..self.settings.balancer_count - 1))?;
+        Some(if peer >= self.settings.balancer_index {
+            peer + 1
+        } else {
+            peer
+        })
     }
 
     /// One message to a random balancer with each scheduled health check, however many servers are suspected.
@@ -56,16 +79,22 @@
         }
         for message in GossipMessage::decode(datagram) {
             let named = |server: &ServerState| server.endpoint().stable_hash == message.stable_hash;
-            let Some(server_index) = self.endpoints.iter().position(named) else { continue };
+            let Some(server_index) = self.endpoints.iter().position(named) else {
+                continue;
+            };
             let health_check = &mut self.endpoints[server_index].health_check;
             match message.kind {
-                GossipKind::IndirectCheckRequest if health_check.requester_count() < INDIRECT_CHECKERS => {
+                GossipKind::IndirectCheckRequest
+                    if health_check.requester_count() < INDIRECT_CHECKERS =>
+                {
                     health_check.on_indirect_check_requested(from);
                     self.check_load(server_index, actions);
                 }
                 GossipKind::IndirectCheckRequest => {}
                 GossipKind::ConfirmedAlive => health_check.on_confirmed_alive(),
-                GossipKind::Suspected => self.on_suspicion(server_index, message.incarnation, actions),
+                GossipKind::Suspected => {
+                    self.on_suspicion(server_index, message.incarnation, actions)
+                }
             }
         }
     }
--- a/crates/balancer/src/policy/health_check.rs
+++ b/crates/balancer/src/policy/health_check.rs
@@ -20,7 +20,8 @@
 impl Balancer {
     /// The first health check comes at a random time within one interval.
     pub(super) fn schedule_first_health_check(&mut self, now: Micros) {
-        self.health_checks.on_started(now + self.rng.u64(0..MIN_HEALTH_CHECK_INTERVAL));
+        self.health_checks
+            .on_started(now + self.rng.u64(0..MIN_HEALTH_CHECK_INTERVAL));
     }
 
     /// Checks the server whose turn it is, and sends gossip along.
@@ -29,18 +30,28 @@
         self.health_checks.on_check_due(self.now, interval);
         if let Some(server_index) = self.next_server_to_check() {
             self.start_health_check(server_index, actions);
-            self.endpoints[server_index].health_check.on_full_check_requested();
+            self.endpoints[server_index]
+                .health_check
+                .on_full_check_requested();
         }
         self.send_gossip(actions);
     }
 
     /// Guards against health checks that together cost more than they tell: one schedule serves all servers.
     fn health_check_interval(&self) -> Micros {
-        let cost_per_interval = MAX_HEALTH_CHECK_COST * self.estimators.workload.request_rate(self.now);
+        let cost_per_interval =
+            MAX_HEALTH_CHECK_COST * self.estimators.workload.request_rate(self.now);
         let affordable = (self.settings.health_check_fee / cost_per_interval) as Micros;
         let interval = affordable.clamp(MIN_HEALTH_CHECK_INTERVAL, MAX_HEALTH_CHECK_INTERVAL);
-        let suspected = self.endpoints.iter().any(|server| server.suspicion.is_suspected());
-        if suspected { interval / SUSPECTED_SPEEDUP } else { interval }
+        let suspected = self
+            .endpoints
+            .iter()
+            .any(|server| server.suspicion.is_suspected());
+        if suspected {
+            interval / SUSPECTED_SPEEDUP
+        } else {
+            interval
+        }
     }
 
     /// By turns the suspect that waits longest and a server that failed, else a random ready one.
@@ -48,13 +59,18 @@
         let last_started_at = |index: &usize| self.endpoints[*index].health_check.last_started_at();
         let is_suspected = |index: &usize| self.endpoints[*index].suspicion.is_suspected();
         let is_due = |index: &usize| self.now >= last_started_at(index) + SUSPECT_CHECK_INTERVAL;
-        let suspects = (0..self.endpoints.len()).filter(|index| is_suspected(index) && is_due(index));
+        let suspects =
+            (0..self.endpoints.len()).filter(|index| is_suspected(index) && is_due(index));
         let suspect = suspects.min_by_key(last_started_at);
         // Guards against suspects that wait for ever where attempts fail all the time.
         if self.health_checks.take_suspect_turn() && suspect.is_some() {
             return suspect;
         }
-        if let Some(server_index) = self.health_checks.pop().and_then(|id| self.endpoints.find(id)) {
+        if let Some(server_index) = self
+            .health_checks
+            .pop()
+            .and_then(|id| self.endpoints.find(id))
+        {
             return Some(server_index);
         }
         let candidates = self.candidates(RetryScope::Anywhere, &[], true);
@@ -63,7 +79,8 @@
 
     /// Makes a server the next to be checked, and soon.
     pub(super) fn check_soon(&mut self, id: ServerId) {
-        self.health_checks.push(id, MIN_HEALTH_CHECK_INTERVAL / SUSPECTED_SPEEDUP, self.now);
+        self.health_checks
+            .push(id, MIN_HEALTH_CHECK_INTERVAL / SUSPECTED_SPEEDUP, self.now);
     }
 
     /// Checks a server, unless a health check of it is in progress.
@@ -71,13 +88,17 @@
         let server = &mut self.endpoints[server_index];
         if self.settings.health_checks && server.health_check.started_at().is_none() {
             server.health_check.on_started(self.now);
-            actions.push(Action::HealthCheck { server: server.id() });
+            actions.push(Action::HealthCheck {
+                server: server.id(),
+            });
         }
     }
 
     /// Checks a server out of turn. Guards against floods: a failure is not confirmed, but waits its turn.
     pub(super) fn check_load(&mut self, server_index: usize, actions: &mut Actions) {
-        self.endpoints[server_index].health_check.on_load_check_requested();
+        self.endpoints[server_index]
+            .health_check
+            .on_load_check_requested();
         self.start_health_check(server_index, actions);
     }
 
@@ -89,9 +110,13 @@
         report: Option<LoadReport>,
         actions: &mut Actions,
     ) {
-        let Some(server_index) = self.endpoints.find(id) else { return };
+        let Some(server_index) = self.endpoints.find(id) else {
+            return;
+        };
         self.on_load_report(server_index, report);
-        let load_only = self.endpoints.on_health_check_ended(server_index, succeeded);
+        let load_only = self
+            .endpoints
+            .on_health_check_ended(server_index, succeeded);
         self.answer_requesters(server_index, succeeded, actions);
         if succeeded {
             self.on_health_check_succeeded(server_index, actions);
@@ -107,7 +132,9 @@
     fn on_health_check_succeeded(&mut self, server_index: usize, actions: &mut Actions) {
         let server = &mut self.endpoints[server_index];
         server.health_check.on_succeeded();
-        let Some(suspicion) = server.suspicion.current() else { return };
+        let Some(suspicion) = server.suspicion.current() else {
+            return;
+        };
         if suspicion.cause != SuspicionCause::Attempts || suspicion.has_aged(self.now) {
             self.readmit(server_index, actions);
         }
@@ -121,7 +148,9 @@
         }
         let first = server.health_check.on_failed();
         if self.settings.has_peers() || first {
-            server.health_check.on_confirmation_scheduled(self.now + CONFIRMATION_DELAY);
+            server
+                .health_check
+                .on_confirmation_scheduled(self.now + CONFIRMATION_DELAY);
             self.request_indirect_checks(server_index, actions);
         } else {
             self.eject(server_index, SuspicionCause::HealthChecks, actions);
--- a/crates/balancer/src/policy/load_check.rs
+++ b/crates/balancer/src/policy/load_check.rs
@@ -41,11 +41,16 @@
         let server = &mut self.endpoints[server_index];
         let check_started_at = server.health_check.started_at();
         let in_flight = server.in_flight();
-        let known =
-            in_flight.iter().filter(|attempt| Some(attempt.sent_at) < check_started_at).count() as f64;
+        let known = in_flight
+            .iter()
+            .filter(|attempt| Some(attempt.sent_at) < check_started_at)
+            .count() as f64;
         let believable = |reported: &f64| from_responses || *reported + REPORT_TOLERANCE >= known;
-        let valid = |reported: &f64| reported.is_finite() && *reported >= 0.0 && believable(reported);
-        let Some(reported) = report.map(|report| report.in_flight).filter(valid) else { return };
+        let valid =
+            |reported: &f64| reported.is_finite() && *reported >= 0.0 && believable(reported);
+        let Some(reported) = report.map(|report| report.in_flight).filter(valid) else {
+            return;
+        };
         server.on_load_report(reported, from_responses, self.now);
         self.estimators.utilization.on_load_report(reported);
     }
@@ -55,11 +60,24 @@
     pub(super) fn start_load_checks(&mut self, id: RequestId, actions: &mut Actions) {
         let mut candidates = self.candidates(RetryScope::Anywhere, &[], true);
         self.rng.shuffle(&mut candidates);
-        let checks = IDLE_MISS_CHANCE.ln() / self.estimators.utilization.utilization().clamp(0.01, 0.99).ln();
+        let checks = IDLE_MISS_CHANCE.ln()
+            / self
+                .estimators
+                .utilization
+                .utilization()
+                .clamp(0.01, 0.99)
+                .ln();
         candidates.truncate(checks.clamp(MIN_LOAD_CHECKS, MAX_LOAD_CHECKS) as usize);
-        let servers: Vec<ServerId> = candidates.iter().map(|&index| self.endpoints[index].id()).collect();
-        candidates.into_iter().for_each(|server_index| self.check_load(server_index, actions));
-        let Some(request) = self.requests.get_mut(id) else { return };
+        let servers: Vec<ServerId> = candidates
+            .iter()
+            .map(|&index| self.endpoints[index].id())
+            .collect();
+        candidates
+            .into_iter()
+            .for_each(|server_index| self.check_load(server_index, actions));
+        let Some(request) = self.requests.get_mut(id) else {
+            return;
+        };
         if servers.is_empty() {
             self.dispatch(id, actions);
             return;
--- a/crates/balancer/src/policy/load_shedding.rs
+++ b/crates/balancer/src/policy/load_shedding.rs
@@ -29,13 +29,19 @@
 impl Balancer {
     /// True where a server would respond so late that its work is better spent on another request.
     pub(super) fn is_too_late(&self, server_index: usize, id: RequestId) -> bool {
-        let Some(request) = self.requests.get(id) else { return true };
-        let (class, server) = (self.settings.class(request.class()), &self.endpoints[server_index]);
+        let Some(request) = self.requests.get(id) else {
+            return true;
+        };
+        let (class, server) = (
+            self.settings.class(request.class()),
+            &self.endpoints[server_index],
+        );
         if self.settings.load_from_responses() {
             let room = !server.slow_start.is_active()
                 && self.estimators.missed_objectives.rate() < MAX_MISSED_FOR_LATE;
             let worth_late = class.late_value > 0.0 && room;
-            let in_the_end = worth_late && !self.misses(server_index, request, request.deadline_at());
+            let in_the_end =
+                worth_late && !self.misses(server_index, request, request.deadline_at());
             return !in_the_end && self.misses(server_index, request, request.objective_at());
         }
         if class.late_value > 0.0 || !self.load_reports_trusted() {
@@ -53,14 +59,17 @@
 
     /// True where responses tell of load, and a server would respond after the latency objective.
     pub(super) fn expects_miss(&self, server_index: usize, id: RequestId) -> bool {
-        let misses = |request: &RequestState| self.misses(server_index, request, request.objective_at());
+        let misses =
+            |request: &RequestState| self.misses(server_index, request, request.objective_at());
         self.settings.load_from_responses() && self.requests.get(id).is_none_or(misses)
     }
 
     fn misses(&self, server_index: usize, request: &RequestState, until: Micros) -> bool {
         let (server, estimates) = (&self.endpoints[server_index], self.estimates());
         let time_left = until.saturating_sub(self.now) as f64;
-        let scale = estimates.value_density(request).powf(IN_TIME_VALUE_EXPONENT);
+        let scale = estimates
+            .value_density(request)
+            .powf(IN_TIME_VALUE_EXPONENT);
         let share = (IN_TIME_SHARE * scale).min(MAX_IN_TIME_SHARE);
         let expected = estimates.expected_service_time(server, request.relative_work());
         estimates.has_queue(server) && expected > share * time_left
@@ -69,7 +78,9 @@
     /// Guards against queues that all balancers fill together, which none of them sees, nor counts in its own
     /// few requests: sheds at random as much as the saturation asks for.
     pub(super) fn should_shed(&mut self, id: RequestId) -> bool {
-        let Some(request) = self.requests.get(id) else { return true };
+        let Some(request) = self.requests.get(id) else {
+            return true;
+        };
         let class = self.settings.class(request.class());
         let load_known = self.load_reports_trusted() || self.settings.load_from_responses();
         if load_known || class.late_value > 0.0 {
@@ -85,17 +96,24 @@
         let class = self.settings.class(request.class());
         match class.idempotency {
             Idempotency::Idempotent => true,
-            Idempotency::IdempotencyKey if class.deduplication_scope == DeduplicationScope::All => true,
+            Idempotency::IdempotencyKey if class.deduplication_scope == DeduplicationScope::All => {
+                true
+            }
             _ => request.first_possible_execution().is_none(),
         }
     }
 
     /// Gives up on a request at once: rejects it where that is true, else fails it.
     pub(super) fn reject_or_fail(&mut self, id: RequestId, actions: &mut Actions) {
-        let Some(request) = self.requests.get(id) else { return };
+        let Some(request) = self.requests.get(id) else {
+            return;
+        };
         if self.may_reject(request) {
             let retry_after = self.retry_after();
-            actions.push(Action::Reject { request: id, retry_after });
+            actions.push(Action::Reject {
+                request: id,
+                retry_after,
+            });
         } else {
             actions.push(Action::Fail { request: id });
         }
@@ -105,9 +123,11 @@
     /// A fleet that is full throughout has no use for clients that are back at once.
     fn retry_after(&mut self) -> Option<Micros> {
         let max = self.settings.max_retry_after;
-        let wait =
-            self.estimators.latency.mean_service_time() + self.estimators.utilization.fullness() * max as f64;
+        let wait = self.estimators.latency.mean_service_time()
+            + self.estimators.utilization.fullness() * max as f64;
         let jitter = MIN_RETRY_AFTER_JITTER + RETRY_AFTER_JITTER_SPAN * self.rng.f64();
-        self.settings.retry_after.then(|| ((wait * jitter) as Micros).min(max))
+        self.settings
+            .retry_after
+            .then(|| ((wait * jitter) as Micros).min(max))
     }
 }
--- a/crates/balancer/src/policy/pick.rs
+++ b/crates/balancer/src/policy/pick.rs
@@ -17,18 +17,27 @@
         let since = request.arrived_at();
         let reported = |&index: &usize| {
             let server = &self.endpoints[index];
-            server.load.updated_at() >= since && !server.suspicion.is_suspected() && self.is_ready(server)
+            server.load.updated_at() >= since
+                && !server.suspicion.is_suspected()
+                && self.is_ready(server)
         };
         let checked = request.load_checked();
         let known = checked.iter().filter_map(|&id| self.endpoints.find(id));
         let mut servers: Vec<usize> = known.filter(reported).collect();
         let estimates = self.estimates();
         let load = |index: usize| estimates.load(&self.endpoints[index]);
-        let least = servers.iter().map(|&index| load(index)).fold(f64::MAX, f64::min);
+        let least = servers
+            .iter()
+            .map(|&index| load(index))
+            .fold(f64::MAX, f64::min);
         // Where health checks are unreliable, a server that reports to be idle is believed, but no other is
         // preferred for its silence.
         let unreliable = self.health_checks_unreliable();
-        let max_load = if unreliable { 1.0 + self.estimators.utilization.utilization() } else { f64::MAX };
+        let max_load = if unreliable {
+            1.0 + self.estimators.utilization.utilization()
+        } else {
+            f64::MAX
+        };
         servers.retain(|&index| load(index) < max_load.min(least + LOAD_TOLERANCE));
         (!checked.is_empty()).then_some(servers)
     }
@@ -56,7 +65,8 @@
         // load.
         let is_cold = |index: usize| self.endpoints[index].slow_start.is_active();
         let keep_first = !any_checked && (is_cold(first) || is_cold(second));
-        let second_is_less_loaded = !keep_first && self.compared_load(second) < self.compared_load(first);
+        let second_is_less_loaded =
+            !keep_first && self.compared_load(second) < self.compared_load(first);
         Some(if second_is_less_loaded { second } else { first })
     }
 
@@ -64,7 +74,11 @@
     fn prefer_in_time(&self, id: RequestId, candidates: Vec<usize>) -> Vec<usize> {
         let in_time = |index: &usize| !self.expects_miss(*index, id);
         let preferred: Vec<usize> = candidates.iter().copied().filter(in_time).collect();
-        if preferred.is_empty() { candidates } else { preferred }
+        if preferred.is_empty() {
+            candidates
+        } else {
+            preferred
+        }
     }
 
     /// One of the servers; without load checks, each as often as its machine can do more than others.
@@ -76,7 +90,8 @@
         let weight = |&index: &usize| {
             let server = &self.endpoints[index];
             let success_rate = 1.0 - server.failures.failure_rate();
-            let capacity = server.endpoint().machine_type.cores * success_rate.powi(SUCCESS_EXPONENT);
+            let capacity =
+                server.endpoint().machine_type.cores * success_rate.powi(SUCCESS_EXPONENT);
             capacity / estimates.latency_factor(server)
         };
         let weights: Vec<f64> = candidates.iter().map(weight).collect();
--- a/crates/balancer/src/policy/retry.rs
+++ b/crates/balancer/src/policy/retry.rs
@@ -18,7 +18,9 @@
         {
             return None;
         }
-        let Some(first) = request.first_possible_execution() else { return Some(RetryScope::Anywhere) };
+        let Some(first) = request.first_possible_execution() else {
+            return Some(RetryScope::Anywhere);
+        };
         let deduplicated_until = first.sent_at() + class.deduplication_window;
         match class.idempotency {
             Idempotency::Idempotent => Some(RetryScope::Anywhere),
@@ -34,8 +36,12 @@
 
     /// Sends a request again, as a retry or a hedge, where that is permitted, useful and affordable.
     pub(super) fn retry(&mut self, id: RequestId, actions: &mut Actions) -> bool {
-        let Some(request) = self.requests.get(id) else { return false };
-        let Some(scope) = self.retry_scope(request) else { return false };
+        let Some(request) = self.requests.get(id) else {
+            return false;
+        };
+        let Some(scope) = self.retry_scope(request) else {
+            return false;
+        };
         let may_have_executed = request.first_possible_execution().is_some();
         // Guards against attempts that end as they begin: a late response worth nothing is not waited for.
         let worthless_late = self.settings.class(request.class()).late_value == 0.0;
@@ -45,7 +51,9 @@
             return false;
         }
         let tried = request.tried_servers();
-        let Some(server_index) = self.pick(id, scope, &tried, None) else { return false };
+        let Some(server_index) = self.pick(id, scope, &tried, None) else {
+            return false;
+        };
         let server = &self.endpoints[server_index];
         let doubtful = server.suspicion.is_suspected() || server.is_possibly_draining();
         if doubtful || server.slow_start.is_active() || self.is_too_late(server_index, id) {
--- a/crates/balancer/src/policy/retry_budget.rs
+++ b/crates/balancer/src/policy/retry_budget.rs
@@ -19,7 +19,9 @@
 impl RetryBudget {
     /// A budget for the first retries.
     pub(super) fn new() -> Self {
-        Self { tokens: INITIAL_RETRY_TOKENS }
+        Self {
+            tokens: INITIAL_RETRY_TOKENS,
+        }
     }
 
     /// A request arrived, and earns a share of a retry.
@@ -38,6 +40,10 @@
     }
 
     fn cost(may_have_executed: bool) -> f64 {
-        if may_have_executed { RETRY_COST } else { NEVER_EXECUTED_RETRY_COST }
+        if may_have_executed {
+            RETRY_COST
+        } else {
+            NEVER_EXECUTED_RETRY_COST
+        }
     }
 }
--- a/crates/balancer/src/policy/subset.rs
+++ b/crates/balancer/src/policy/subset.rs
@@ -21,7 +21,8 @@
 impl Balancer {
     /// True where a server may be sent requests as far as the endpoint list tells.
     pub(super) fn is_ready(&self, server: &ServerState) -> bool {
-        let listed = server.endpoint().status == EndpointStatus::Ready || self.settings.only_draining_binds;
+        let listed =
+            server.endpoint().status == EndpointStatus::Ready || self.settings.only_draining_binds;
         listed && !server.is_drain_listed()
     }
 
@@ -36,7 +37,8 @@
             let kept = request_rate * settings.idle_timeout as f64 / REQUESTS_PER_IDLE_TIMEOUT;
             return kept.max(MIN_SUBSET_COSTLY_HANDSHAKES).min(fleet).ceil() as usize;
         }
-        let fee = (settings.connection_fee * f64::from(settings.balancer_count)).max(f64::MIN_POSITIVE);
+        let fee =
+            (settings.connection_fee * f64::from(settings.balancer_count)).max(f64::MIN_POSITIVE);
         let cost = MAX_CONNECTION_COST * CONNECTIONS_PER_FEE * fleet;
         let affordable = (cost / fee).clamp(MIN_SUBSET, MAX_SUBSET);
         let needed = request_rate * 1e6 * SERVERS_PER_REQUEST_RATE;
@@ -45,14 +47,27 @@
 
     /// The servers of the subset that may be drawn now; `trusted` leaves out those that are suspected or
     /// possibly draining.
-    pub(super) fn candidates(&mut self, scope: RetryScope, tried: &[ServerId], trusted: bool) -> Vec<usize> {
+    pub(super) fn candidates(
+        &mut self,
+        scope: RetryScope,
+        tried: &[ServerId],
+        trusted: bool,
+    ) -> Vec<usize> {
         let fits = |&index: &usize| {
             let server = &self.endpoints[index];
             let doubtful = server.suspicion.is_suspected() || server.is_possibly_draining();
             let usable = scope.contains(server.endpoint()) && self.is_ready(server);
             usable && !tried.contains(&server.id()) && !(trusted && doubtful)
         };
-        let subset: Vec<usize> = self.subset_order.iter().filter(fits).take(self.subset_size()).collect();
-        subset.into_iter().filter(|&server_index| self.admit_to_draw(server_index)).collect()
+        let subset: Vec<usize> = self
+            .subset_order
+            .iter()
+            .filter(fits)
+            .take(self.subset_size())
+            .collect();
+        subset
+            .into_iter()
+            .filter(|&server_index| self.admit_to_draw(server_index))
+            .collect()
     }
 }
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -122,19 +122,40 @@
     /// # Errors
     /// Returns the first setting that is out of range.
     pub fn validate(&self) -> Result<(), SettingsError> {
-        check(!self.classes.is_empty(), "classes", "at least one class is needed")?;
+        check(
+            !self.classes.is_empty(),
+            "classes",
+            "at least one class is needed",
+        )?;
         for (index, class) in self.classes.iter().enumerate() {
             validate_class(index, class)?;
         }
-        check(self.max_attempts > 0, "max_attempts", "at least one attempt is needed")?;
+        check(
+            self.max_attempts > 0,
+            "max_attempts",
+            "at least one attempt is needed",
+        )?;
         let share = self.cold_capacity_share > 0.0 && self.cold_capacity_share <= 1.0;
         check(share, "cold_share", "must be above 0 and at most 1")?;
         let factor = self.cold_overload_factor > 0.0 && self.cold_overload_factor.is_finite();
         check(factor, "cold_multiple", "must be finite and above 0")?;
-        let fees = [self.health_check_fee, self.handshake_fee, self.connection_fee, self.cross_zone_fee];
+        let fees = [
+            self.health_check_fee,
+            self.handshake_fee,
+            self.connection_fee,
+            self.cross_zone_fee,
+        ];
         let finite = fees.iter().all(|fee| fee.is_finite());
-        check(finite, "probe_fee, connection_fee or cross_zone_fee", "must be finite")?;
-        check(self.max_poll_interval > 0, "ask_every", "must be above zero")
+        check(
+            finite,
+            "probe_fee, connection_fee or cross_zone_fee",
+            "must be finite",
+        )?;
+        check(
+            self.max_poll_interval > 0,
+            "ask_every",
+            "must be above zero",
+        )
     }
 
     /// The class of a request that has arrived.
@@ -148,7 +169,10 @@
     /// Where a class stands between the least priority weight (0) and the greatest (1).
     pub(crate) fn priority_rank(&self, class: &RequestClass) -> f64 {
         let weights = || self.classes.iter().map(|class| class.priority_weight);
-        let (least, most) = (weights().fold(f64::MAX, f64::min), weights().fold(0.0, f64::max));
+        let (least, most) = (
+            weights().fold(f64::MAX, f64::min),
+            weights().fold(0.0, f64::max),
+        );
         (class.priority_weight - least) / (most - least).max(f64::MIN_POSITIVE)
     }
 
@@ -160,17 +184,44 @@
 
 fn validate_class(index: usize, class: &RequestClass) -> Result<(), SettingsError> {
     let weight = class.priority_weight.is_finite() && class.priority_weight >= 0.0;
-    check(weight, &format!("classes[{index}].worth"), "must be finite and not negative")?;
+    check(
+        weight,
+        &format!("classes[{index}].worth"),
+        "must be finite and not negative",
+    )?;
     let objective = class.latency_objective > 0;
-    check(objective, &format!("classes[{index}].objective"), "must be above zero")?;
+    check(
+        objective,
+        &format!("classes[{index}].objective"),
+        "must be above zero",
+    )?;
     let deadline = class.deadline >= class.latency_objective;
-    check(deadline, &format!("classes[{index}].deadline"), "must not be below the objective")?;
+    check(
+        deadline,
+        &format!("classes[{index}].deadline"),
+        "must not be below the objective",
+    )?;
     let late_value = (0.0..=1.0).contains(&class.late_value);
-    check(late_value, &format!("classes[{index}].late_value"), "must lie between 0 and 1")?;
+    check(
+        late_value,
+        &format!("classes[{index}].late_value"),
+        "must lie between 0 and 1",
+    )?;
     let growth = class.objective_per_work.is_finite() && class.objective_per_work >= 0.0;
-    check(growth, &format!("classes[{index}].stretch"), "must be finite and not negative")
+    check(
+        growth,
+        &format!("classes[{index}].stretch"),
+        "must be finite and not negative",
+    )
 }
 
 fn check(in_range: bool, setting: &str, reason: &'static str) -> Result<(), SettingsError> {
-    if in_range { Ok(()) } else { Err(SettingsError { setting: setting.to_owned(), reason }) }
+    if in_range {
+        Ok(())
+    } else {
+        Err(SettingsError {
+            setting: setting.to_owned(),
+            reason,
+        })
+    }
 }
--- a/crates/balancer/src/state/endpoint_poller.rs
+++ b/crates/balancer/src/state/endpoint_poller.rs
@@ -33,11 +33,19 @@
 
     /// A list or a change of it came.
     pub(crate) fn on_list_received(&mut self) {
-        *self = Self { subscribed: true, next_poll_at: None, backoff: None };
+        *self = Self {
+            subscribed: true,
+            next_poll_at: None,
+            backoff: None,
+        };
     }
 
     /// A poll failed or the subscription broke.
     pub(crate) fn on_list_lost(&mut self, next_poll_at: Micros, next_backoff: Micros) {
-        *self = Self { subscribed: false, next_poll_at: Some(next_poll_at), backoff: Some(next_backoff) };
+        *self = Self {
+            subscribed: false,
+            next_poll_at: Some(next_poll_at),
+            backoff: Some(next_backoff),
+        };
     }
 }
--- a/crates/balancer/src/state/endpoint_table.rs
+++ b/crates/balancer/src/state/endpoint_table.rs
@@ -56,14 +56,19 @@
 
     /// An endpoint list came after which no server is doubted any more.
     pub(crate) fn on_list_received(&mut self) {
-        self.servers.iter_mut().for_each(ServerState::on_endpoint_list_received);
+        self.servers
+            .iter_mut()
+            .for_each(ServerState::on_endpoint_list_received);
     }
 
     /// A full list came: what it does not name is removed.
     pub(crate) fn on_full_list(&mut self, endpoints: &[Endpoint]) {
         let listed: BTreeSet<ServerId> = endpoints.iter().map(|endpoint| endpoint.server).collect();
         let unlisted = |server: &&mut ServerState| !listed.contains(&server.id());
-        self.servers.iter_mut().filter(unlisted).for_each(ServerState::on_unlisted);
+        self.servers
+            .iter_mut()
+            .filter(unlisted)
+            .for_each(ServerState::on_unlisted);
     }
 
     /// Takes in an entry of a list. The entry's status is left to
@@ -76,12 +81,19 @@
     ) -> MergedEndpoint {
         if let Some(server_index) = self.find(endpoint.server) {
             let restarted = self.servers[server_index].on_listed(endpoint);
-            return MergedEndpoint { server_index, restarted };
+            return MergedEndpoint {
+                server_index,
+                restarted,
+            };
         }
         let server_index = self.servers.len();
         self.index_by_id.insert(endpoint.server, server_index);
-        self.servers.push(ServerState::new(endpoint, now, slow_start_time));
-        MergedEndpoint { server_index, restarted: false }
+        self.servers
+            .push(ServerState::new(endpoint, now, slow_start_time));
+        MergedEndpoint {
+            server_index,
+            restarted: false,
+        }
     }
 
     /// Forgets all servers but these.
@@ -89,7 +101,12 @@
         self.servers.retain(keep);
         let failed = |server: &&ServerState| server.health_check.last_failed();
         self.failed_health_checks = self.servers.iter().filter(failed).count();
-        self.index_by_id = self.servers.iter().zip(0..).map(|(server, index)| (server.id(), index)).collect();
+        self.index_by_id = self
+            .servers
+            .iter()
+            .zip(0..)
+            .map(|(server, index)| (server.id(), index))
+            .collect();
     }
 
     /// A server's health check ended; true where it was only for the load.
--- a/crates/balancer/src/state/gossip_message.rs
+++ b/crates/balancer/src/state/gossip_message.rs
@@ -65,7 +65,9 @@
 
     /// The valid records of a datagram, in order.
     pub(crate) fn decode(datagram: &[u8]) -> impl Iterator<Item = Self> + '_ {
-        datagram.chunks_exact(RECORD_LEN).filter_map(Self::decode_record)
+        datagram
+            .chunks_exact(RECORD_LEN)
+            .filter_map(Self::decode_record)
     }
 
     fn decode_record(record: &[u8]) -> Option<Self> {
--- a/crates/balancer/src/state/gossip_queue.rs
+++ b/crates/balancer/src/state/gossip_queue.rs
@@ -20,7 +20,10 @@
 impl GossipQueue {
     /// Queues a message for a number of datagrams.
     pub(crate) fn push(&mut self, message: &GossipMessage, datagrams: u32) {
-        self.records.push(QueuedRecord { bytes: message.encode(), remaining: datagrams });
+        self.records.push(QueuedRecord {
+            bytes: message.encode(),
+            remaining: datagrams,
+        });
     }
 
     /// True where nothing is to be sent.
@@ -31,8 +34,13 @@
     /// The next datagram, of at most so many records.
     pub(crate) fn next_datagram(&mut self, max_records: usize) -> Vec<u8> {
         let taken = self.records.len().min(max_records);
-        let datagram = self.records[..taken].iter().flat_map(|record| record.bytes.iter().copied()).collect();
-        self.records[..taken].iter_mut().for_each(|record| record.remaining -= 1);
+        let datagram = self.records[..taken]
+            .iter()
+            .flat_map(|record| record.bytes.iter().copied())
+            .collect();
+        self.records[..taken]
+            .iter_mut()
+            .for_each(|record| record.remaining -= 1);
         self.records.rotate_left(taken);
         self.records.retain(|record| record.remaining > 0);
         datagram
--- a/crates/balancer/src/state/gossip_queue/tests.rs
+++ b/crates/balancer/src/state/gossip_queue/tests.rs
@@ -2,11 +2,17 @@
 use crate::state::gossip_message::{GossipKind, GossipMessage};
 
 fn message(stable_hash: u64) -> GossipMessage {
-    GossipMessage { kind: GossipKind::Suspected, stable_hash, incarnation: 0 }
+    GossipMessage {
+        kind: GossipKind::Suspected,
+        stable_hash,
+        incarnation: 0,
+    }
 }
 
 fn next_hashes(queue: &mut GossipQueue, max_records: usize) -> Vec<u64> {
-    GossipMessage::decode(&queue.next_datagram(max_records)).map(|message| message.stable_hash).collect()
+    GossipMessage::decode(&queue.next_datagram(max_records))
+        .map(|message| message.stable_hash)
+        .collect()
 }
 
 #[test]
--- a/crates/balancer/src/state/request_state.rs
+++ b/crates/balancer/src/state/request_state.rs
@@ -161,12 +161,18 @@
     /// Numbers of the attempts without an end.
     pub(crate) fn in_flight_attempts(&self) -> impl Iterator<Item = u32> + '_ {
         let in_flight = |attempt: &Attempt| attempt.state == AttemptState::InFlight;
-        self.attempts.iter().zip(0..).filter(move |(attempt, _)| in_flight(attempt)).map(|(_, number)| number)
+        self.attempts
+            .iter()
+            .zip(0..)
+            .filter(move |(attempt, _)| in_flight(attempt))
+            .map(|(_, number)| number)
     }
 
     /// The first attempt that is executing or may have executed.
     pub(crate) fn first_possible_execution(&self) -> Option<&Attempt> {
-        self.attempts.iter().find(|attempt| attempt.state != AttemptState::NeverExecuted)
+        self.attempts
+            .iter()
+            .find(|attempt| attempt.state != AttemptState::NeverExecuted)
     }
 
     /// The servers of its attempts.
@@ -189,9 +195,14 @@
 
     /// An attempt ended; unknown numbers are ignored.
     pub(crate) fn on_attempt_ended(&mut self, number: u32, never_executed: bool) {
-        let Some(attempt) = self.attempts.get_mut(number as usize) else { return };
-        attempt.state =
-            if never_executed { AttemptState::NeverExecuted } else { AttemptState::MayHaveExecuted };
+        let Some(attempt) = self.attempts.get_mut(number as usize) else {
+            return;
+        };
+        attempt.state = if never_executed {
+            AttemptState::NeverExecuted
+        } else {
+            AttemptState::MayHaveExecuted
+        };
     }
 
     /// Its response started to stream.
--- a/crates/balancer/src/state/request_table/tests.rs
+++ b/crates/balancer/src/state/request_table/tests.rs
@@ -6,7 +6,12 @@
     let class = RequestClass::new(Idempotency::Idempotent, 250, 600);
     let mut table = RequestTable::default();
     for id in (0..requests).map(RequestId) {
-        let incoming = IncomingRequest { id, class: ClassId(0), time_left: 600, work_hint: None };
+        let incoming = IncomingRequest {
+            id,
+            class: ClassId(0),
+            time_left: 600,
+            work_hint: None,
+        };
         table.on_request_arrived(id, RequestState::new(&incoming, &class, 1.0, 0));
     }
     table
--- a/crates/balancer/src/state/server_state.rs
+++ b/crates/balancer/src/state/server_state.rs
@@ -82,7 +82,11 @@
 
     /// A gossip message about its current incarnation.
     pub(crate) fn gossip(&self, kind: GossipKind) -> GossipMessage {
-        GossipMessage { kind, stable_hash: self.endpoint.stable_hash, incarnation: self.incarnation() }
+        GossipMessage {
+            kind,
+            stable_hash: self.endpoint.stable_hash,
+            incarnation: self.incarnation(),
+        }
     }
 
     /// Listed as draining since its last start.
@@ -108,8 +112,15 @@
     /// The endpoint list names it again; true where it has restarted since.
     pub(crate) fn on_listed(&mut self, endpoint: Endpoint) -> bool {
         let restarted = endpoint.incarnation.unwrap_or(0) > self.incarnation();
-        let incarnation = if restarted { endpoint.incarnation } else { self.endpoint.incarnation };
-        self.endpoint = Endpoint { incarnation, ..endpoint };
+        let incarnation = if restarted {
+            endpoint.incarnation
+        } else {
+            self.endpoint.incarnation
+        };
+        self.endpoint = Endpoint {
+            incarnation,
+            ..endpoint
+        };
         restarted
     }
 
@@ -132,17 +143,23 @@
     pub(crate) fn on_restarted(&mut self, now: Micros, slow_start_time: Micros) {
         self.drain_listed = false;
         self.load.on_restarted();
-        self.slow_start.on_started(self.incarnation(), now, slow_start_time);
+        self.slow_start
+            .on_started(self.incarnation(), now, slow_start_time);
     }
 
     /// An attempt was sent to it.
     pub(crate) fn on_attempt_sent(&mut self, attempt: InFlightAttempt) {
-        self.slow_start.on_work_sent(attempt.relative_work, attempt.sent_at);
+        self.slow_start
+            .on_work_sent(attempt.relative_work, attempt.sent_at);
         self.in_flight.push(attempt);
     }
 
     /// An attempt ended; returns what was recorded of it, `None` where it is unknown.
-    pub(crate) fn on_attempt_ended(&mut self, request: RequestId, number: u32) -> Option<InFlightAttempt> {
+    pub(crate) fn on_attempt_ended(
+        &mut self,
+        request: RequestId,
+        number: u32,
+    ) -> Option<InFlightAttempt> {
         let same = |other: &InFlightAttempt| other.request == request && other.attempt == number;
         let position = self.in_flight.iter().position(same)?;
         Some(self.in_flight.swap_remove(position))
--- a/crates/balancer/src/state/subset_order.rs
+++ b/crates/balancer/src/state/subset_order.rs
@@ -24,8 +24,9 @@
     /// before any comes twice.
     pub(crate) fn on_endpoints_updated(&mut self, endpoints: &EndpointTable, balancer_index: u32) {
         let own = u64::from(balancer_index) << 32;
-        let hash =
-            |server: &ServerState| fastrand::Rng::with_seed(server.endpoint().stable_hash ^ own).u64(..);
+        let hash = |server: &ServerState| {
+            fastrand::Rng::with_seed(server.endpoint().stable_hash ^ own).u64(..)
+        };
         let mut hashed: Vec<_> = endpoints.iter().map(hash).zip(0..).collect();
         hashed.sort_unstable();
         self.order = hashed.into_iter().map(|(_, index)| index).collect();
--- a/crates/balancer/src/state/subset_order/tests.rs
+++ b/crates/balancer/src/state/subset_order/tests.rs
@@ -5,7 +5,10 @@
 fn order(servers: u32, balancer_index: u32) -> Vec<usize> {
     let mut endpoints = EndpointTable::default();
     for n in 0..servers {
-        let endpoint = Endpoint { cell: n / 4, ..Endpoint::ready(ServerId(n), u64::from(n) + 100) };
+        let endpoint = Endpoint {
+            cell: n / 4,
+            ..Endpoint::ready(ServerId(n), u64::from(n) + 100)
+        };
         endpoints.merge(endpoint, 0, 0);
     }
     let mut order = SubsetOrder::default();
--- a/crates/balancer/src/state/suspicion.rs
+++ b/crates/balancer/src/state/suspicion.rs
@@ -73,7 +73,11 @@
     /// Earlier ejections that count for one at this moment: none where the last is older than
     /// `memory`.
     pub(crate) fn ejections_before(&self, now: Micros, memory: Micros) -> u32 {
-        if now > self.last_ejected_at + memory { 0 } else { self.ejections + 1 }
+        if now > self.last_ejected_at + memory {
+            0
+        } else {
+            self.ejections + 1
+        }
     }
 
     /// True where it was ejected repeatedly, and last within `memory`.
