--- a/crates/sidecar/src/discovery/watch.rs
+++ b/crates/sidecar/src/discovery/watch.rs
@@ -1,12 +1,11 @@
 //! One watch on discovery, from the poll that opens it to its end.
 //!
-//! Hands endpoint lists to the host as they come. When to poll again is the watcher's business.
+//! Hands endpoint lists to the sink as they come. When to poll again is the watcher's business.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
 
 use arrowstand_balancer::UpdateKind;
-use arrowstand_control::list_freshness::ListFreshness;
 use arrowstand_platform::EndpointList;
 use awc::ClientResponse;
 use awc::error::PayloadError;
@@ -14,15 +13,15 @@
 use futures_util::{Stream, StreamExt as _};
 use tokio::time::{Instant, timeout};
 
+use super::endpoint_sink::EndpointSink;
 use super::line_decoder::LineDecoder;
 use super::watch_cursor::WatchCursor;
 use super::watch_error::WatchError;
-use crate::host::BalancerHost;
 use crate::limits::{DiscoveryLimits, Limits};
 
 /// Polls discovery and delivers what the watch brings until it ends; returns why it did.
 pub(super) async fn watch(
-    host: &BalancerHost,
+    sink: &EndpointSink,
     client: &awc::Client,
     discovery: SocketAddr,
     cursor: &WatchCursor,
@@ -32,11 +31,11 @@
         "http://{discovery}/v1/endpoints?stream=1&index={}",
         cursor.revision()
     );
-    host.update_list_freshness(ListFreshness::on_poll_started);
+    sink.freshness().on_poll_started();
     cursor.on_poll_started();
     match poll(client, &uri, &limits.discovery).await {
         Ok(response) => {
-            let Err(error) = deliver_lists(host, response, cursor, limits).await;
+            let Err(error) = deliver_lists(sink, response, cursor, limits).await;
             error
         }
         Err(error) => error,
@@ -62,7 +61,7 @@
 
 /// Delivers each list and heartbeat of an open watch; returns only by an error.
 async fn deliver_lists(
-    host: &BalancerHost,
+    sink: &EndpointSink,
     mut body: impl Stream<Item = Result<Bytes, PayloadError>> + Unpin,
     cursor: &WatchCursor,
     limits: &Limits,
@@ -83,43 +82,42 @@
         last_received_at = Instant::now();
         lines.push(&chunk)?;
         while let Some(object) = lines.next_object() {
-            on_object_received(host, cursor, &object, limits)?;
+            on_object_received(sink, cursor, &object, limits)?;
         }
     }
 }
 
 /// Delivers one object, or the empty line that is a heartbeat.
 fn on_object_received(
-    host: &BalancerHost,
+    sink: &EndpointSink,
     cursor: &WatchCursor,
     object: &[u8],
     limits: &Limits,
 ) -> Result<(), WatchError> {
     let text = String::from_utf8_lossy(object);
     if text.trim().is_empty() {
-        host.update_list_freshness(|freshness, _| freshness.on_watch_event());
+        sink.freshness().on_watch_event();
         return Ok(());
     }
     match EndpointList::parse(&text, limits.discovery.max_json_depth) {
         Ok(list) => {
-            on_list_received(host, cursor, &list);
+            on_list_received(sink, cursor, &list);
             Ok(())
         }
         Err(error) => {
-            host.counters.endpoint_lines_skipped.add();
+            sink.on_object_unreadable();
             cursor.on_object_unreadable();
             Err(WatchError::ObjectUnreadable(error))
         }
     }
 }
 
-fn on_list_received(host: &BalancerHost, cursor: &WatchCursor, list: &EndpointList) {
+fn on_list_received(sink: &EndpointSink, cursor: &WatchCursor, list: &EndpointList) {
     let version = cursor.on_list_received(list);
     let kind = if list.all {
         UpdateKind::Full
     } else {
         UpdateKind::Incremental
     };
-    host.update_list_freshness(|freshness, _| freshness.on_watch_event());
-    host.update_endpoints(kind, version, list);
+    sink.on_list_received(kind, version, list);
 }
--- a/crates/sidecar/src/discovery/watcher.rs
+++ b/crates/sidecar/src/discovery/watcher.rs
@@ -4,15 +4,14 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use arrowstand_balancer::{Event, UpdateKind};
 use awc::error::{ConnectError, SendRequestError};
 use tokio::sync::watch::Receiver;
 use tokio::time::sleep;
 
+use super::endpoint_sink::EndpointSink;
 use super::watch::watch;
 use super::watch_cursor::WatchCursor;
 use super::watch_error::WatchError;
-use crate::host::BalancerHost;
 use crate::limits::Limits;
 
 /// An early poll comes after at least this part of the retry delay; the rest is drawn, so that many
@@ -22,7 +21,7 @@
 /// Follows discovery for as long as the program runs. `discovery` is where it is, `revision` that
 /// of the cached endpoint list, 0 if there is none; `seed` is of the delays of early polls.
 pub(crate) async fn follow(
-    host: Rc<BalancerHost>,
+    sink: EndpointSink,
     discovery: Receiver<SocketAddr>,
     revision: u64,
     limits: Rc<Limits>,
@@ -30,13 +29,13 @@
 ) {
     let mut watcher = Watcher {
         client: http_client(&limits),
-        host,
+        sink,
         discovery,
         cursor: WatchCursor::new(revision),
         limits,
         random: fastrand::Rng::with_seed(seed),
     };
-    watcher.host.poll_requested().await;
+    watcher.sink.poll_requested().await;
     let mut reason = PollReason::Requested;
     loop {
         reason = match watcher.watch_until_interrupted(reason).await {
@@ -76,7 +75,7 @@
 }
 
 struct Watcher {
-    host: Rc<BalancerHost>,
+    sink: EndpointSink,
     client: awc::Client,
     discovery: Receiver<SocketAddr>,
     cursor: WatchCursor,
@@ -88,18 +87,18 @@
     /// Polls and watches until the watch ends or another one is to replace it.
     async fn watch_until_interrupted(&mut self, mut reason: PollReason) -> WatchExit {
         let address = *self.discovery.borrow_and_update();
-        let host = &self.host;
-        let watch = watch(host, &self.client, address, &self.cursor, &self.limits);
+        let sink = &self.sink;
+        let watch = watch(sink, &self.client, address, &self.cursor, &self.limits);
         tokio::pin!(watch);
         loop {
             tokio::select! {
                 error = &mut watch => return WatchExit::Ended(error),
                 // Guards against an early poll that loses its turn at a crowded discovery: it is
                 // the one asked for.
-                () = host.poll_requested(), if reason == PollReason::Early => {
+                () = sink.poll_requested(), if reason == PollReason::Early => {
                     reason = PollReason::Requested;
                 }
-                () = host.poll_requested(), if reason == PollReason::Requested => {
+                () = sink.poll_requested(), if reason == PollReason::Requested => {
                     return WatchExit::Superseded;
                 }
                 // Guards against changes missed while the old address goes on or fails: the watch
@@ -113,13 +112,13 @@
     async fn next_poll(&mut self) -> PollReason {
         // Guards against a backoff of the balancer's that outlasts the grace in which the list
         // still counts as fresh.
-        let needs_immediate_poll = self.host.list_freshness().needs_immediate_poll();
+        let needs_immediate_poll = self.sink.freshness().needs_immediate_poll();
         let delay =
             self.limits.discovery.poll_retry_delay.mul_f64(
                 MIN_RETRY_DELAY_FACTOR + (1.0 - MIN_RETRY_DELAY_FACTOR) * self.random.f64(),
             );
         tokio::select! {
-            () = self.host.poll_requested() => PollReason::Requested,
+            () = self.sink.poll_requested() => PollReason::Requested,
             () = relocated(&mut self.discovery) => {
                 self.on_discovery_relocated();
                 PollReason::Early
@@ -130,34 +129,28 @@
 
     fn on_watch_ended(&self, error: &WatchError) {
         tracing::warn!("discovery: {error}");
-        self.host
-            .update_list_freshness(|freshness, now| match error {
-                WatchError::WatchSilent { last_received_at } => {
-                    freshness.on_watch_silent(self.host.micros_at(*last_received_at), now);
-                }
-                WatchError::PollFailed(error) if is_connection_refused(error) => {
-                    freshness.on_poll_refused(now);
-                }
-                WatchError::PollTimedOut => freshness.on_poll_abandoned(),
-                _ => freshness.on_watch_ended(now),
-            });
-        self.host.handle_event(Event::EndpointsUpdated {
-            kind: UpdateKind::Lost,
-            version: 0,
-            endpoints: Vec::new(),
-        });
+        let freshness = self.sink.freshness();
+        match error {
+            WatchError::WatchSilent { last_received_at } => {
+                freshness.on_watch_silent(*last_received_at);
+            }
+            WatchError::PollFailed(error) if is_connection_refused(error) => {
+                freshness.on_poll_refused();
+            }
+            WatchError::PollTimedOut => freshness.on_poll_abandoned(),
+            _ => freshness.on_watch_ended(),
+        }
+        self.sink.on_watch_lost();
     }
 
     fn on_watch_superseded(&self) {
-        self.host
-            .update_list_freshness(|freshness, _| freshness.on_poll_abandoned());
+        self.sink.freshness().on_poll_abandoned();
     }
 
     /// From now on the list counts as fresh for a bounded time, whether or not a poll gets through
     /// by then.
     fn on_discovery_relocated(&self) {
-        self.host
-            .update_list_freshness(|freshness, now| freshness.on_discovery_relocated(now));
+        self.sink.freshness().on_discovery_relocated();
     }
 }
 
--- a/crates/sidecar/src/downstream/listener.rs
+++ b/crates/sidecar/src/downstream/listener.rs
@@ -18,9 +18,8 @@
 use super::http::{ConnectionService, over_capacity_service, permitted_service};
 use super::lingering_close::lingering_close;
 use super::request_handler::RequestHandler;
-use crate::host::BalancerHost;
-use crate::limits::Limits;
-use crate::upstream::Upstream;
+use super::service_context::ServiceContext;
+use crate::proxy::Proxy;
 
 /// After an accept that failed, the next one waits this long. Guards against a busy loop while
 /// descriptors are short.
@@ -28,7 +27,7 @@
 
 /// The listening side of the sidecar.
 pub(crate) struct Listener {
-    limits: Rc<Limits>,
+    context: Rc<ServiceContext>,
     handler: Rc<RequestHandler>,
     permits: Rc<ClientPermits>,
     /// Descriptors of connections that linger are wanted.
@@ -52,11 +51,12 @@
 }
 
 impl Listener {
-    /// A listener whose clients are served by that host and upstream.
-    pub(crate) fn new(host: Rc<BalancerHost>, upstream: Rc<Upstream>) -> Rc<Self> {
+    /// A listener whose clients are served by that proxy.
+    pub(crate) fn new(context: ServiceContext, proxy: Rc<Proxy>) -> Rc<Self> {
+        let context = Rc::new(context);
         Rc::new(Self {
-            limits: Rc::clone(&host.limits),
-            handler: RequestHandler::new(host, upstream),
+            context: Rc::clone(&context),
+            handler: RequestHandler::new(context, proxy),
             permits: Rc::default(),
             descriptor_wanted: Notify::new(),
             shutdown_begun: Notify::new(),
@@ -94,7 +94,10 @@
 
     /// Waits until a connection may be accepted; false if none will be.
     async fn wait_for_descriptor(&self) -> bool {
-        while self.permits.is_accept_bound_reached(&self.limits.client) {
+        while self
+            .permits
+            .is_accept_bound_reached(&self.context.limits().client)
+        {
             // Guards against a crowd at the shutdown that takes the descriptors of requests in
             // flight.
             if self.handler.is_shutting_down() {
@@ -134,7 +137,7 @@
         O: ConnectionService + 'static,
     {
         let client = ClientConnection::new(Some(stream));
-        let is_permitted = self.permits.make_room(&self.limits.client);
+        let is_permitted = self.permits.make_room(&self.context.limits().client);
         let permit = self.permits.admit(&client, is_permitted);
         let (listener, services) = (Rc::clone(self), Rc::clone(services));
         actix_rt::spawn(async move {
@@ -145,15 +148,20 @@
             }
             permit.on_served();
             if let Some(socket) = client.take_socket() {
-                lingering_close(socket, &listener.limits, &listener.descriptor_wanted).await;
+                lingering_close(
+                    socket,
+                    listener.context.limits(),
+                    &listener.descriptor_wanted,
+                )
+                .await;
             }
         });
     }
 
     /// Serves one client until its connection is to end, and leaves its socket open for that.
     async fn serve(&self, service: &impl ConnectionService, client: &Rc<ClientConnection>) {
-        let counters = &self.handler.host().counters;
-        while let Some(stream) = BoundedStream::take(client, &self.limits) {
+        let counters = self.context.counters();
+        while let Some(stream) = BoundedStream::take(client, self.context.limits()) {
             let served = async {
                 stream.first_byte().await;
                 service.call((stream, None)).await
@@ -167,7 +175,7 @@
                     }
                     return;
                 }
-                () = client.timed_out(&self.limits) => {}
+                () = client.timed_out(self.context.limits()) => {}
             }
             // Guards against a request that came as its connection was chosen for closing: nothing
             // of it was read.
--- a/crates/sidecar/src/downstream/mod.rs
+++ b/crates/sidecar/src/downstream/mod.rs
@@ -8,6 +8,7 @@
 //! - `connection`: the state of one client connection;
 //! - `bounded_stream`: its socket as the protocol reads and writes it; `lingering_close`: the
 //!   socket's end;
+//! - `service_context`: what the modules below may know of the rest of the sidecar;
 //! - `malformed_request`, `request_headers`, `request`, `response`: between HTTP and the proxy's
 //!   types;
 //! - `request_handler`: one request, from its head to its response;
@@ -29,4 +30,7 @@
 mod request_handler;
 mod request_headers;
 mod response;
+mod service_context;
 mod socket_slot;
+
+pub(crate) use service_context::ServiceContext;
--- a/crates/sidecar/src/downstream/request.rs
+++ b/crates/sidecar/src/downstream/request.rs
@@ -8,7 +8,7 @@
 use super::connection::ClientConnection;
 use super::malformed_request::MalformedRequest;
 use super::request_headers::{RequestHeaders, content_length, forwarded_headers};
-use crate::host::BalancerHost;
+use super::service_context::ServiceContext;
 use crate::message::{Payload, ProxyRequest};
 
 const METHODS: [&str; 2] = ["GET", "POST"];
@@ -18,16 +18,16 @@
 /// # Errors
 /// The first fault that is found; the rest of the request is not read then.
 pub(super) async fn read_request(
-    host: &BalancerHost,
+    context: &ServiceContext,
     mut request: Request,
     client: &ClientConnection,
 ) -> Result<ProxyRequest, MalformedRequest> {
-    let limits = &host.limits;
+    let limits = context.limits();
     // Guards against requests that pile up behind the one in flight.
     if !client.has_received_since_response() {
         return Err(MalformedRequest::Pipelined);
     }
-    let parsed = RequestHeaders::parse(host, request.headers())?;
+    let parsed = RequestHeaders::parse(context, request.headers())?;
     let method = method(&request)?;
     let target = target(&request, limits.client.max_target_chars)?;
     let announced_bytes = announced_body_bytes(&request, limits.max_body_bytes)?;
--- a/crates/sidecar/src/downstream/request_handler.rs
+++ b/crates/sidecar/src/downstream/request_handler.rs
@@ -10,32 +10,26 @@
 use super::malformed_request::MalformedRequest;
 use super::request::read_request;
 use super::response::{self, ClientResponse, plain_text};
-use crate::host::BalancerHost;
-use crate::proxy;
-use crate::upstream::Upstream;
+use super::service_context::ServiceContext;
+use crate::proxy::Proxy;
 
 /// Responds to requests; shared by all connections of a listener.
 pub(super) struct RequestHandler {
-    host: Rc<BalancerHost>,
-    upstream: Rc<Upstream>,
+    context: Rc<ServiceContext>,
+    proxy: Rc<Proxy>,
     is_shutting_down: Cell<bool>,
 }
 
 impl RequestHandler {
-    /// A handler that forwards by the upstream.
-    pub(super) fn new(host: Rc<BalancerHost>, upstream: Rc<Upstream>) -> Rc<Self> {
+    /// A handler that has the proxy run each request.
+    pub(super) fn new(context: Rc<ServiceContext>, proxy: Rc<Proxy>) -> Rc<Self> {
         Rc::new(Self {
-            host,
-            upstream,
+            context,
+            proxy,
             is_shutting_down: Cell::new(false),
         })
     }
 
-    /// What decides where requests go, and counts them.
-    pub(super) fn host(&self) -> &BalancerHost {
-        &self.host
-    }
-
     /// From now on no response leaves its connection open.
     pub(super) fn on_shutdown(&self) {
         self.is_shutting_down.set(true);
@@ -61,8 +55,8 @@
     /// Rejects a request of a client past the bound on connections. Guards against a full
     /// descriptor table: such a client gets its response at once.
     pub(super) fn reject_over_capacity(&self, request: &Request) -> ClientResponse {
-        self.host.counters.requests_over_capacity.add();
-        let response = response::over_capacity(self.host.limits.default_retry_after);
+        self.context.counters().requests_over_capacity.add();
+        let response = response::over_capacity(self.context.limits().default_retry_after);
         if let Some(client) = connection(request) {
             client.on_response_made(true);
         }
@@ -72,7 +66,7 @@
     async fn respond(&self, request: Request, client: &ClientConnection) -> ClientResponse {
         match request.path() {
             "/ready" => self.readiness(),
-            "/counters" => plain_text(StatusCode::OK, self.host.counters.to_string()),
+            "/counters" => plain_text(StatusCode::OK, self.context.counters().to_string()),
             _ => match self.forward(request, client).await {
                 Ok(response) => response,
                 Err(error) => self.reject(&error),
@@ -81,7 +75,7 @@
     }
 
     fn readiness(&self) -> ClientResponse {
-        if self.host.is_ready() {
+        if self.context.is_ready() {
             plain_text(StatusCode::OK, "ready\n")
         } else {
             plain_text(
@@ -96,13 +90,12 @@
         request: Request,
         client: &ClientConnection,
     ) -> Result<ClientResponse, MalformedRequest> {
-        let request = read_request(&self.host, request, client).await?;
-        let (host, upstream) = (Rc::clone(&self.host), Rc::clone(&self.upstream));
-        response::from_proxy(proxy::run(host, upstream, request).await)
+        let request = read_request(&self.context, request, client).await?;
+        response::from_proxy(self.proxy.run(request).await)
     }
 
     fn reject(&self, error: &MalformedRequest) -> ClientResponse {
-        self.host.counters.requests_malformed.add();
+        self.context.counters().requests_malformed.add();
         response::malformed(error)
     }
 }
--- a/crates/sidecar/src/downstream/request_headers.rs
+++ b/crates/sidecar/src/downstream/request_headers.rs
@@ -7,7 +7,7 @@
 use arrowstand_balancer::ClassId;
 
 use super::malformed_request::MalformedRequest;
-use crate::host::BalancerHost;
+use super::service_context::ServiceContext;
 use crate::message::FORWARDED_HEADERS;
 
 const REQUEST_ID: &str = "x-request-id";
@@ -41,20 +41,21 @@
     /// # Errors
     /// The first header at fault that the proxy needs.
     pub(super) fn parse(
-        host: &BalancerHost,
+        context: &ServiceContext,
         headers: &HeaderMap,
     ) -> Result<Self, MalformedRequest> {
-        let max_chars = host.limits.client.max_token_chars;
+        let classes = context.classes();
+        let max_chars = context.limits().client.max_token_chars;
         let id =
             token(headers, REQUEST_ID, max_chars)?.ok_or(MalformedRequest::RequestIdMissing)?;
         let idempotency_key = token(headers, IDEMPOTENCY_KEY, max_chars)?;
         let class = token(headers, PRIORITY_CLASS, max_chars)?
-            .and_then(|name| host.class(&name))
+            .and_then(|name| classes.id(&name))
             .ok_or(MalformedRequest::PriorityClassUnknown)?;
-        let client_timeout = client_timeout(host, headers, class);
-        let work_hint = work_hint(host, headers);
+        let client_timeout = client_timeout(context, headers, class);
+        let work_hint = work_hint(context, headers);
         // Without its key no server could drop a repeated request.
-        if host.requires_idempotency_key(class) && idempotency_key.is_none() {
+        if classes.requires_idempotency_key(class) && idempotency_key.is_none() {
             return Err(MalformedRequest::IdempotencyKeyMissing);
         }
         Ok(Self {
@@ -81,20 +82,20 @@
 }
 
 /// Guards against a rejection for a header that only helps: what cannot be read counts as absent.
-fn client_timeout(host: &BalancerHost, headers: &HeaderMap, class: ClassId) -> Duration {
+fn client_timeout(context: &ServiceContext, headers: &HeaderMap, class: ClassId) -> Duration {
     match text(headers, TIMEOUT).and_then(parse_timeout) {
-        Some(timeout) => timeout.min(host.limits.client.max_timeout),
+        Some(timeout) => timeout.min(context.limits().client.max_timeout),
         None => {
-            host.counters.timeout_headers_skipped.add();
-            host.default_client_timeout(class)
+            context.counters().timeout_headers_skipped.add();
+            context.classes().default_client_timeout(class)
         }
     }
 }
 
-fn work_hint(host: &BalancerHost, headers: &HeaderMap) -> Option<Duration> {
+fn work_hint(context: &ServiceContext, headers: &HeaderMap) -> Option<Duration> {
     let work_hint = text(headers, COST).and_then(parse_work_hint);
     if work_hint.is_none() && headers.contains_key(COST) {
-        host.counters.cost_headers_skipped.add();
+        context.counters().cost_headers_skipped.add();
     }
     work_hint
 }
--- a/crates/sidecar/src/host/balancer_host.rs
+++ b/crates/sidecar/src/host/balancer_host.rs
@@ -1,133 +1,61 @@
 //! The one balancer of the process: hands it events and executes its actions. The clock, timers,
-//! request ids, classes, servers and the queues of actions are parts with files of their own.
+//! servers and the queues of actions are parts with files of their own.
 
-use std::cell::{Cell, RefCell};
+use std::cell::RefCell;
 use std::rc::Rc;
-use std::time::Duration;
 
-use arrowstand_balancer::{
-    Action, ClassId, Event, Micros, Outcome, RequestId, ServerId, UpdateKind,
-};
+use arrowstand_balancer::{Action, Event, LoadReport, Outcome, RequestId, ServerId, UpdateKind};
 use arrowstand_control::WorkAwareBalancer;
-use arrowstand_control::list_freshness::ListFreshness;
-use tokio::sync::{mpsc, watch};
-use tokio::time::Instant;
+use tokio::sync::mpsc;
 
 use super::action_dispatch::ActionDispatcher;
-use super::class_table::ClassTable;
 use super::clock::BalancerClock;
 use super::request_action::RequestAction;
-use super::request_ids::{OpenRequestIds, RequestIdGuard};
 use super::server::Server;
 use super::server_registry::ServerRegistry;
 use super::timers::TimerQueue;
-use crate::config::Names;
 use crate::counters::Counters;
 use crate::limits::Limits;
 use arrowstand_platform::EndpointList;
 
 /// The balancer and the parts that run it. There is one, and it stays on one thread.
+///
+/// The rest of the sidecar reaches it through the interface of its side alone: discovery by its
+/// `EndpointSink`, the proxy by its `RequestAdmission`, the transport by its `ServerDirectory`, the
+/// listener by its `ServiceContext`.
 pub(crate) struct BalancerHost {
     balancer: RefCell<WorkAwareBalancer>,
     servers: RefCell<ServerRegistry>,
-    classes: ClassTable,
-    clock: BalancerClock,
+    clock: Rc<BalancerClock>,
     timers: TimerQueue,
     actions: ActionDispatcher,
-    request_ids: Rc<OpenRequestIds>,
-    /// For how long the endpoint list may be trusted.
-    freshness: Cell<ListFreshness>,
-    forced_shutdown: watch::Sender<bool>,
-    /// Every bound of the network code.
-    pub limits: Rc<Limits>,
-    /// What the process counts.
-    pub counters: Rc<Counters>,
+    limits: Rc<Limits>,
+    counters: Rc<Counters>,
 }
 
 impl BalancerHost {
     /// Hosts this balancer; the receiver yields the servers whose health is to be checked.
     pub(crate) fn new(
         balancer: WorkAwareBalancer,
-        names: Names,
+        servers: ServerRegistry,
+        clock: Rc<BalancerClock>,
         limits: Rc<Limits>,
         counters: Rc<Counters>,
     ) -> (Rc<Self>, mpsc::Receiver<ServerId>) {
         // The balancer has at most one health check in flight for each server.
         let (actions, servers_to_check) = ActionDispatcher::new(limits.upstream.max_connections);
-        let clock = BalancerClock::start();
-        let freshness = ListFreshness::new(limits.discovery.staleness, clock.unix_time_at_start());
-        let classes = ClassTable::new(&names);
         let host = Self {
             balancer: RefCell::new(balancer),
-            servers: RefCell::new(ServerRegistry::new(names.zones, names.machines)),
-            classes,
+            servers: RefCell::new(servers),
             clock,
             timers: TimerQueue::default(),
             actions,
-            request_ids: Rc::default(),
-            freshness: Cell::new(freshness),
-            forced_shutdown: watch::Sender::new(false),
             limits,
             counters,
         };
         (Rc::new(host), servers_to_check)
     }
 
-    /// The balancer's clock now, in Unix microseconds; no step of the wall clock moves it.
-    pub(crate) fn now(&self) -> Micros {
-        self.clock.now()
-    }
-
-    /// What the balancer's clock showed at an instant that is past.
-    pub(crate) fn micros_at(&self, instant: Instant) -> Micros {
-        self.clock.micros_at(instant)
-    }
-
-    /// The class of that name; `None` where the configuration has none.
-    pub(crate) fn class(&self, name: &str) -> Option<ClassId> {
-        self.classes.id(name)
-    }
-
-    /// True for a class whose requests carry an idempotency key.
-    pub(crate) fn requires_idempotency_key(&self, class: ClassId) -> bool {
-        self.classes.requires_idempotency_key(class)
-    }
-
-    /// How long a client of the class waits that does not say so.
-    pub(crate) fn default_client_timeout(&self, class: ClassId) -> Duration {
-        self.classes.default_client_timeout(class)
-    }
-
-    /// For how long servers drop retries of a request by its idempotency key; `None` for a class
-    /// without keys.
-    pub(crate) fn deduplication_window(&self, class: ClassId) -> Option<Duration> {
-        self.classes.deduplication_window(class)
-    }
-
-    /// Becomes true where the process is about to end: every request in flight gets its response at
-    /// once.
-    pub(crate) fn forced_shutdown(&self) -> watch::Receiver<bool> {
-        self.forced_shutdown.subscribe()
-    }
-
-    /// Has every request in flight get its response at once.
-    pub(crate) fn force_shutdown(&self) {
-        self.forced_shutdown.send_replace(true);
-    }
-
-    /// Records what the age of the endpoint list follows from; `update` also gets the balancer's
-    /// clock.
-    pub(crate) fn update_list_freshness(&self, update: impl FnOnce(&mut ListFreshness, Micros)) {
-        let mut freshness = self.freshness.get();
-        update(&mut freshness, self.now());
-        self.freshness.set(freshness);
-    }
-
-    /// For how long the endpoint list may be trusted.
-    pub(crate) fn list_freshness(&self) -> ListFreshness {
-        self.freshness.get()
-    }
-
     /// True once requests can be served: a list has named a server that is ready.
     pub(crate) fn is_ready(&self) -> bool {
         self.servers.borrow().has_listed_ready()
@@ -138,11 +66,6 @@
         self.servers.borrow().get(id)
     }
 
-    /// Reserves a client's request id until the guard is dropped; `None` where it is in use.
-    pub(crate) fn reserve_request_id(&self, id: &str) -> Option<RequestIdGuard> {
-        self.request_ids.reserve(id)
-    }
-
     /// Waits until the balancer wants the endpoint list polled.
     pub(crate) async fn poll_requested(&self) {
         self.actions.poll_requested().await;
@@ -173,12 +96,45 @@
         });
     }
 
+    /// The watch on discovery is lost: the balancer decides when to poll again.
+    pub(crate) fn on_watch_lost(&self) {
+        self.handle_event(Event::EndpointsUpdated {
+            kind: UpdateKind::Lost,
+            version: 0,
+            endpoints: Vec::new(),
+        });
+    }
+
+    /// A health check that the balancer requested has ended.
+    pub(crate) fn on_health_check_ended(
+        &self,
+        server: ServerId,
+        outcome: Outcome,
+        load_report: Option<LoadReport>,
+    ) {
+        self.handle_event(Event::HealthCheckEnded {
+            server,
+            outcome,
+            load_report,
+        });
+    }
+
+    /// The balancer's clock.
+    pub(super) fn clock(&self) -> &BalancerClock {
+        &self.clock
+    }
+
+    /// What the process counts.
+    pub(super) fn counters(&self) -> &Counters {
+        &self.counters
+    }
+
     /// Hands an event to the balancer and executes the actions that result.
-    pub(crate) fn handle_event(&self, event: Event) {
+    pub(super) fn handle_event(&self, event: Event) {
         let mut actions = Vec::new();
         self.balancer
             .borrow_mut()
-            .handle(self.now(), event, &mut actions);
+            .handle(self.clock.now(), event, &mut actions);
         let unsent_health_checks: Vec<ServerId> = actions
             .into_iter()
             .filter_map(|action| self.execute(action))
@@ -186,11 +142,7 @@
         // Guards against a server whose health is never checked again because the balancer waits
         // for this check.
         for server in unsent_health_checks {
-            self.handle_event(Event::HealthCheckEnded {
-                server,
-                outcome: Outcome::NotSent,
-                load_report: None,
-            });
+            self.on_health_check_ended(server, Outcome::NotSent, None);
         }
     }
 
@@ -223,7 +175,9 @@
                 retry_after,
             } => to_request(request, RequestAction::Reject { retry_after }),
             Action::Fail { request } => to_request(request, RequestAction::Fail),
-            Action::SetTimer { token, after } => self.timers.schedule(self.now() + after, token),
+            Action::SetTimer { token, after } => {
+                self.timers.schedule(self.clock.now() + after, token)
+            }
             Action::HealthCheck { server } => {
                 return (!self.actions.enqueue_health_check(server)).then_some(server);
             }
--- a/crates/sidecar/src/host/class_table.rs
+++ b/crates/sidecar/src/host/class_table.rs
@@ -15,12 +15,12 @@
 }
 
 /// The request classes in the order of the configuration, which is that of their ids.
-pub(super) struct ClassTable(Vec<Class>);
+pub(crate) struct ClassTable(Vec<Class>);
 
 impl ClassTable {
     /// Reads the classes from the configuration's names; a value that a class does not have counts
     /// as none.
-    pub(super) fn new(names: &Names) -> Self {
+    pub(crate) fn new(names: &Names) -> Self {
         let classes = names.classes.iter().enumerate();
         let class = |(index, name): (usize, &String)| Class {
             name: name.clone(),
@@ -32,19 +32,19 @@
     }
 
     /// The class of that name; `None` where the configuration has none.
-    pub(super) fn id(&self, name: &str) -> Option<ClassId> {
+    pub(crate) fn id(&self, name: &str) -> Option<ClassId> {
         let index = self.0.iter().position(|class| class.name == name)?;
         Some(ClassId(index as u16))
     }
 
     /// True for a class whose requests carry an idempotency key.
-    pub(super) fn requires_idempotency_key(&self, class: ClassId) -> bool {
+    pub(crate) fn requires_idempotency_key(&self, class: ClassId) -> bool {
         self.get(class)
             .is_some_and(|class| class.requires_idempotency_key)
     }
 
     /// How long a client of the class waits that does not say so; zero for an unknown class.
-    pub(super) fn default_client_timeout(&self, class: ClassId) -> Duration {
+    pub(crate) fn default_client_timeout(&self, class: ClassId) -> Duration {
         self.get(class)
             .map(|class| class.deadline)
             .unwrap_or_default()
@@ -52,7 +52,7 @@
 
     /// For how long servers drop retries of a request by its idempotency key; `None` for a class
     /// without keys.
-    pub(super) fn deduplication_window(&self, class: ClassId) -> Option<Duration> {
+    pub(crate) fn deduplication_window(&self, class: ClassId) -> Option<Duration> {
         self.get(class)
             .filter(|class| class.requires_idempotency_key)
             .map(|class| class.deduplication_window)
--- a/crates/sidecar/src/host/clock.rs
+++ b/crates/sidecar/src/host/clock.rs
@@ -7,14 +7,14 @@
 
 /// Gives the time in Unix microseconds. Guards against steps of the wall clock, which must not move
 /// a timer, while the start times of servers in the endpoint list can still be compared with it.
-pub(super) struct BalancerClock {
+pub(crate) struct BalancerClock {
     started_at: Instant,
     unix_time_at_start: Micros,
 }
 
 impl BalancerClock {
     /// Takes the wall clock's time now as the start; a wall clock before 1970 counts as 1970.
-    pub(super) fn start() -> Self {
+    pub(crate) fn start() -> Self {
         let unix_time = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
@@ -30,12 +30,12 @@
     }
 
     /// What the clock shows now.
-    pub(super) fn now(&self) -> Micros {
+    pub(crate) fn now(&self) -> Micros {
         self.unix_time_at_start + micros(self.started_at.elapsed())
     }
 
     /// What the clock showed at an instant that is past.
-    pub(super) fn micros_at(&self, instant: Instant) -> Micros {
+    pub(crate) fn micros_at(&self, instant: Instant) -> Micros {
         self.now().saturating_sub(micros(instant.elapsed()))
     }
 }
--- a/crates/sidecar/src/host/in_flight_request.rs
+++ b/crates/sidecar/src/host/in_flight_request.rs
@@ -47,7 +47,7 @@
             attempts_started: 0,
             has_final_response: false,
         };
-        host.counters.requests_accepted.add();
+        host.counters().requests_accepted.add();
         host.handle_event(Event::RequestArrived(IncomingRequest {
             id,
             class,
@@ -91,7 +91,7 @@
 
     /// Ends a request that the balancer has not decided by the last moment for a response.
     pub(crate) fn on_overdue(&mut self) {
-        self.host.counters.responses_overdue.add();
+        self.host.counters().responses_overdue.add();
         self.on_client_gone();
     }
 
@@ -107,19 +107,19 @@
         OpenAttempt {
             attempt,
             server,
-            started_at: self.host.now(),
+            started_at: self.host.clock().now(),
         }
     }
 
     fn report(&self, ended: &OpenAttempt, outcome: Outcome, report: Option<LoadReport>) {
-        self.host.counters.on_attempt_ended(outcome);
+        self.host.counters().on_attempt_ended(outcome);
         self.host.handle_event(Event::AttemptEnded(AttemptEnd {
             request: self.id,
             attempt: ended.attempt,
             server: ended.server,
             outcome,
             finished: self.has_final_response,
-            elapsed: self.host.now().saturating_sub(ended.started_at),
+            elapsed: self.host.clock().now().saturating_sub(ended.started_at),
             load_report: report,
         }));
     }
@@ -141,7 +141,7 @@
     /// result.
     fn drop(&mut self) {
         if !self.has_final_response {
-            self.host.counters.clients_disconnected.add();
+            self.host.counters().clients_disconnected.add();
             self.on_client_gone();
         }
         self.host.unregister_request(self.id);
--- a/crates/sidecar/src/host/server_registry.rs
+++ b/crates/sidecar/src/host/server_registry.rs
@@ -18,7 +18,7 @@
 
 /// Every server that is not forgotten, by the name that lists have for it and by its number.
 #[derive(Default)]
-pub(super) struct ServerRegistry {
+pub(crate) struct ServerRegistry {
     by_name: HashMap<String, Rc<Server>>,
     by_id: BTreeMap<ServerId, Rc<Server>>,
     /// Numbers are never used twice: a new server must not pass for one that has been removed.
@@ -31,7 +31,7 @@
 
 impl ServerRegistry {
     /// A registry without servers, with the zones and the machine types of the configuration.
-    pub(super) fn new(zones: Vec<String>, machines: MachineCatalogue) -> Self {
+    pub(crate) fn new(zones: Vec<String>, machines: MachineCatalogue) -> Self {
         Self {
             zones,
             machines,
--- a/crates/sidecar/src/proxy/exchange.rs
+++ b/crates/sidecar/src/proxy/exchange.rs
@@ -5,89 +5,70 @@
 use std::time::Duration;
 
 use arrowstand_balancer::{Micros, Outcome, ServerId};
+use tokio::sync::watch;
 use tokio::time::Instant;
 
+use super::Proxy;
 use super::attempts::{Attempts, EndedAttempt};
 use super::response::ProxyResponse;
 use super::retry_window::RetryWindow;
-use crate::host::{BalancerHost, InFlightRequest, RequestAction};
+use crate::host::{InFlightRequest, RequestAction};
 use crate::message::ProxyRequest;
-use crate::upstream::Upstream;
-
-/// Runs a request to its final response. Dropped early, when its client has disconnected, it
-/// cancels the attempts that are in flight.
-pub(crate) async fn run(
-    host: Rc<BalancerHost>,
-    upstream: Rc<Upstream>,
-    request: ProxyRequest,
-) -> ProxyResponse {
-    let Some(_id_guard) = host.reserve_request_id(&request.id) else {
-        return ProxyResponse::DuplicateId;
-    };
-    let mut forced_shutdown = host.forced_shutdown();
-    // Guards against work that starts for a client that has left, or that the end of the process
-    // would cut short.
-    if request.presence.is_disconnected() || *forced_shutdown.borrow() {
-        return ProxyResponse::Rejected {
-            retry_after: host.limits.default_retry_after,
-        };
-    }
-    let response_deadline = response_deadline(&request, host.limits.client.response_margin);
-    let mut exchange = Exchange::admit(host, upstream, request);
-    loop {
-        // Actions come first: a final one must not lose against the result of an attempt that is as
-        // ready.
-        let response = tokio::select! {
-            biased;
-            action = exchange.in_flight.next_action() => exchange.execute(action),
-            Some(ended) = exchange.attempts.next_ended() => exchange.on_attempt_ended(ended),
-            () = tokio::time::sleep_until(response_deadline) => Some(exchange.on_overdue()),
-            // Guards against a response that the end of the process would cut off: it is sent while
-            // there is time.
-            _ = forced_shutdown.wait_for(|forced| *forced) => Some(exchange.on_overdue()),
-        };
-        if let Some(response) = response {
-            return response;
-        }
-    }
-}
-
-/// When the response is sent at the latest. Guards against a response after the client has given
-/// up, should the balancer be late.
-fn response_deadline(request: &ProxyRequest, margin: Duration) -> Instant {
-    request.arrived + request.client_timeout.saturating_sub(margin)
-}
 
 /// One exchange of a request and its response: the request as the balancer knows it, and its
 /// attempts.
-struct Exchange {
+pub(super) struct Exchange<'a> {
     // Dropped before the request in flight, which reports what has not ended as cancelled.
     attempts: Attempts,
     in_flight: InFlightRequest,
     retry_window: RetryWindow,
     request: Rc<ProxyRequest>,
-    upstream: Rc<Upstream>,
-    host: Rc<BalancerHost>,
+    proxy: &'a Proxy,
 }
 
-impl Exchange {
+impl<'a> Exchange<'a> {
     /// Hands a request to the balancer.
-    fn admit(host: Rc<BalancerHost>, upstream: Rc<Upstream>, request: ProxyRequest) -> Self {
-        let elapsed = request.arrived.elapsed();
-        let time_left = request.client_timeout.saturating_sub(elapsed);
+    pub(super) fn admit(proxy: &'a Proxy, request: ProxyRequest) -> Self {
         Self {
             attempts: Attempts::default(),
-            in_flight: InFlightRequest::admit(&host, request.class, time_left, request.work_hint),
+            in_flight: proxy.admission.admit(&request),
             retry_window: RetryWindow::new(
-                host.deduplication_window(request.class),
-                host.limits.upstream.deduplication_margin,
+                proxy.admission.deduplication_window(request.class),
+                proxy.limits.upstream.deduplication_margin,
             ),
             request: Rc::new(request),
-            upstream,
-            host,
+            proxy,
         }
     }
 
+    /// Executes the balancer's actions until one of them, an attempt or the time left ends the
+    /// exchange. `forced_shutdown` becomes true where the process is about to end.
+    pub(super) async fn run(mut self, mut forced_shutdown: watch::Receiver<bool>) -> ProxyResponse {
+        let response_deadline = self.response_deadline();
+        loop {
+            // Actions come first: a final one must not lose against the result of an attempt that
+            // is as ready.
+            let response = tokio::select! {
+                biased;
+                action = self.in_flight.next_action() => self.execute(action),
+                Some(ended) = self.attempts.next_ended() => self.on_attempt_ended(ended),
+                () = tokio::time::sleep_until(response_deadline) => Some(self.on_overdue()),
+                // The response is sent while the process still has time to write it.
+                _ = forced_shutdown.wait_for(|forced| *forced) => Some(self.on_overdue()),
+            };
+            if let Some(response) = response {
+                return response;
+            }
+        }
+    }
+
+    /// When the response is sent at the latest. Should the balancer be late, its client still gets
+    /// a response before it gives up.
+    fn response_deadline(&self) -> Instant {
+        let margin = self.proxy.limits.client.response_margin;
+        self.request.arrived + self.request.client_timeout.saturating_sub(margin)
+    }
+
     /// Executes an action of the balancer's; returns the response where the action is final.
     fn execute(&mut self, action: RequestAction) -> Option<ProxyResponse> {
         match action {
@@ -111,7 +92,7 @@
         let start_before = self.retry_window.on_attempt_started(now);
         let time_left = self.request.deadline().saturating_duration_since(now);
         let timeout = timeout.map_or(time_left, |t| Duration::from_micros(t).min(time_left));
-        let upstream = Rc::clone(&self.upstream);
+        let upstream = Rc::clone(&self.proxy.upstream);
         let request = Rc::clone(&self.request);
         self.attempts.start(attempt, async move {
             upstream
@@ -122,16 +103,16 @@
 
     /// The balancer rejects the request; `retry_after` is in microseconds.
     fn on_rejected(&self, retry_after: Option<Micros>) -> ProxyResponse {
-        self.host.counters.responses_rejected.add();
+        self.proxy.counters.responses_rejected.add();
         let advised = retry_after.map(Duration::from_micros);
         ProxyResponse::Rejected {
-            retry_after: advised.unwrap_or(self.host.limits.default_retry_after),
+            retry_after: advised.unwrap_or(self.proxy.limits.default_retry_after),
         }
     }
 
     /// The balancer fails the request.
     fn on_failed(&self) -> ProxyResponse {
-        self.host.counters.responses_failed.add();
+        self.proxy.counters.responses_failed.add();
         self.failure()
     }
 
@@ -148,7 +129,7 @@
         self.in_flight
             .on_attempt_ended(attempt, outcome, result.load_report);
         let payload = result.payload?;
-        self.host.counters.responses_served.add();
+        self.proxy.counters.responses_served.add();
         Some(ProxyResponse::Served(payload))
     }
 
@@ -160,7 +141,7 @@
 
     fn failure(&self) -> ProxyResponse {
         ProxyResponse::Failed {
-            retry_after: self.host.limits.default_retry_after,
+            retry_after: self.proxy.limits.default_retry_after,
         }
     }
 }
--- a/crates/sidecar/src/host/request_ids.rs
+++ b/crates/sidecar/src/proxy/request_ids.rs
@@ -23,7 +23,7 @@
 }
 
 /// A request id that is in use until this is dropped.
-pub(crate) struct RequestIdGuard {
+pub(super) struct RequestIdGuard {
     open: Rc<OpenRequestIds>,
     id: Rc<str>,
 }
--- a/crates/sidecar/src/startup.rs
+++ b/crates/sidecar/src/startup.rs
@@ -1,6 +1,8 @@
 //! The sidecar in service: starts its parts from a configuration, in the order in which they need
 //! each other, moves to another discovery at a reload, and ends them.
 
+mod shared_parts;
+
 use std::net::SocketAddr;
 use std::rc::Rc;
 
@@ -15,13 +17,18 @@
 use crate::discovery;
 use crate::downstream::listener::Listener;
 use crate::host::BalancerHost;
+use crate::limits::Limits;
+use crate::proxy::Proxy;
 use crate::shutdown::shut_down;
 use crate::startup_error::StartupError;
 use crate::upstream::Upstream;
+use shared_parts::SharedParts;
 
 /// The sidecar in service. Its tasks run until the runtime ends.
 pub(crate) struct Sidecar {
-    host: Rc<BalancerHost>,
+    limits: Rc<Limits>,
+    counters: Rc<Counters>,
+    proxy: Rc<Proxy>,
     listener: Rc<Listener>,
     /// The task that accepts clients.
     accept: JoinHandle<()>,
@@ -37,26 +44,37 @@
     /// [`StartupError::Listen`] where the address for clients cannot be listened on.
     pub(crate) async fn start(config: Config) -> Result<Self, StartupError> {
         let balancer = WorkAwareBalancer::new(config.settings, config.seed)?;
-        let limits = Rc::new(config.limits);
-        let counters = Rc::new(Counters::default());
-        let (host, servers_to_check) =
-            BalancerHost::new(balancer, config.names, Rc::clone(&limits), counters);
-        let upstream = Upstream::new(&host);
+        let (parts, servers_to_check) = SharedParts::new(balancer, config.names, config.limits);
+        let upstream = Upstream::new(
+            parts.server_directory(),
+            Rc::clone(&parts.limits),
+            Rc::clone(&parts.counters),
+        );
         let socket = listen(config.listen).await?;
 
         let known = config.known.unwrap_or_default();
-        host.update_endpoints(UpdateKind::Cached, known.rev, &known);
-        spawn_timers(&host);
+        parts
+            .host
+            .update_endpoints(UpdateKind::Cached, known.rev, &known);
+        spawn_timers(&parts.host);
         actix_rt::spawn(Rc::clone(&upstream).run_health_checks(servers_to_check));
         actix_rt::spawn(Rc::clone(&upstream).run_pool_sweeps());
         let (discovery, address) = watch::channel(config.discovery);
-        let watcher = discovery::follow(Rc::clone(&host), address, known.rev, limits, config.seed);
-        actix_rt::spawn(watcher);
-        let listener = Listener::new(Rc::clone(&host), upstream);
+        actix_rt::spawn(discovery::follow(
+            parts.endpoint_sink(),
+            address,
+            known.rev,
+            Rc::clone(&parts.limits),
+            config.seed,
+        ));
+        let proxy = start_proxy(&parts, upstream);
+        let listener = Listener::new(parts.service_context(), Rc::clone(&proxy));
         let accept = actix_rt::spawn(Rc::clone(&listener).accept(socket));
         tracing::info!("{} listens on {}", config.name, config.listen);
         Ok(Self {
-            host,
+            limits: parts.limits,
+            counters: parts.counters,
+            proxy,
             listener,
             accept,
             discovery,
@@ -75,7 +93,9 @@
 
     /// Ends in order; what has been accepted gets its response before.
     pub(crate) async fn shut_down(self) {
-        shut_down(&self.host, &self.listener, self.accept).await;
+        let limits = &self.limits.shutdown;
+        shut_down(&self.proxy, &self.listener, self.accept, limits).await;
+        tracing::info!("stopped\n{}", self.counters);
     }
 
     fn on_reloaded(&self, new_address: SocketAddr) {
@@ -89,6 +109,15 @@
     }
 }
 
+fn start_proxy(parts: &SharedParts, upstream: Rc<Upstream>) -> Rc<Proxy> {
+    Proxy::new(
+        parts.request_admission(),
+        upstream,
+        Rc::clone(&parts.limits),
+        Rc::clone(&parts.counters),
+    )
+}
+
 async fn listen(address: SocketAddr) -> Result<TcpListener, StartupError> {
     TcpListener::bind(address)
         .await
--- a/crates/sidecar/src/upstream/attempt.rs
+++ b/crates/sidecar/src/upstream/attempt.rs
@@ -12,8 +12,10 @@
 
 use super::connection_pool::ConnectionPools;
 use super::exchange::{CompleteResponse, ExchangeFailed, exchange, outcome_without_response};
+use super::server_directory::ServerDirectory;
 use super::write_progress::{SendGuard, WriteProgress};
-use crate::host::{BalancerHost, Server};
+use crate::host::Server;
+use crate::limits::Limits;
 use crate::message::{AttemptResult, FORWARDED_HEADERS, Payload, ProxyRequest};
 
 /// The client's id of the request.
@@ -30,8 +32,10 @@
 
 /// An attempt that is about to be made.
 pub(super) struct Attempt<'a> {
-    /// Knows the clock, the limits and how fresh the endpoint list is.
-    pub host: &'a Rc<BalancerHost>,
+    /// Learns what the server has served.
+    pub servers: &'a ServerDirectory,
+    /// Every bound of the network code.
+    pub limits: &'a Limits,
     /// Where the connection comes from.
     pub pools: &'a ConnectionPools,
     /// The server that it goes to.
@@ -52,7 +56,7 @@
         };
         let body = self.request.payload.body.clone();
         let progress = WriteProgress::new(Some(self.send_guard()), body.len());
-        let max_body_bytes = self.host.limits.max_body_bytes;
+        let max_body_bytes = self.limits.max_body_bytes;
         let exchange = exchange(self.pools, http_request, body, &progress, max_body_bytes);
         match time::timeout(self.timeout, exchange).await {
             Ok(Ok(response)) => self.on_response(response, &progress),
@@ -81,7 +85,7 @@
 
     fn send_guard(&self) -> SendGuard {
         SendGuard {
-            host: Rc::clone(self.host),
+            list_freshness: self.servers.list_freshness(),
             server: Rc::clone(&self.server),
             address: self.server.address(),
             presence: self.request.presence.clone(),
@@ -110,8 +114,7 @@
         progress: &WriteProgress,
     ) -> AttemptResult {
         if let Some(started_at) = progress.started_at() {
-            let started_at = self.host.micros_at(started_at);
-            self.server.on_request_served(started_at);
+            self.servers.on_request_served(&self.server, started_at);
         }
         let headers = FORWARDED_HEADERS
             .into_iter()
--- a/crates/sidecar/src/upstream/health_check.rs
+++ b/crates/sidecar/src/upstream/health_check.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use arrowstand_balancer::{Event, LoadReport, Outcome, ServerId};
+use arrowstand_balancer::{LoadReport, Outcome, ServerId};
 use arrowstand_platform::load_report::read_report;
 use awc::http::StatusCode;
 use bytes::Bytes;
@@ -11,8 +11,11 @@
 
 use super::connection_pool::ConnectionPools;
 use super::exchange::{CompleteResponse, ExchangeFailed, exchange, outcome_without_response};
+use super::server_directory::ServerDirectory;
 use super::write_progress::WriteProgress;
-use crate::host::{BalancerHost, Server};
+use crate::counters::Counters;
+use crate::host::Server;
+use crate::limits::Limits;
 
 /// Where a server reports its load.
 const LOAD_PATH: &str = "/status/load";
@@ -35,21 +38,33 @@
 /// Executes health checks and reports how they ended: exactly once for each that the balancer
 /// requests, since it waits for that before it checks the server again.
 pub(super) struct HealthChecker {
-    host: Rc<BalancerHost>,
+    servers: Rc<ServerDirectory>,
     pools: Rc<ConnectionPools>,
+    limits: Rc<Limits>,
+    counters: Rc<Counters>,
 }
 
 impl HealthChecker {
-    /// Reports to `host`; takes connections from `pools`.
-    pub(super) fn new(host: Rc<BalancerHost>, pools: Rc<ConnectionPools>) -> Rc<Self> {
-        Rc::new(Self { host, pools })
+    /// Reports to `servers`; takes connections from `pools`.
+    pub(super) fn new(
+        servers: Rc<ServerDirectory>,
+        pools: Rc<ConnectionPools>,
+        limits: Rc<Limits>,
+        counters: Rc<Counters>,
+    ) -> Rc<Self> {
+        Rc::new(Self {
+            servers,
+            pools,
+            limits,
+            counters,
+        })
     }
 
     /// Starts each health check as it is requested, without waiting for the ones before, until the
     /// channel is closed.
     pub(super) async fn run(self: Rc<Self>, mut requested: mpsc::Receiver<ServerId>) {
         while let Some(id) = requested.recv().await {
-            match self.host.server(id) {
+            match self.servers.find(id) {
                 Some(server) => Rc::clone(&self).start(server),
                 None => self.report(id, HealthCheckResult::without_report(Outcome::NotSent)),
             }
@@ -57,11 +72,11 @@
     }
 
     fn start(self: Rc<Self>, server: Rc<Server>) {
-        self.host.counters.health_checks_sent.add();
+        self.counters.health_checks_sent.add();
         actix_rt::spawn(async move {
             let result = self.check(&server).await;
             if result.outcome != Outcome::Served {
-                self.host.counters.health_checks_failed.add();
+                self.counters.health_checks_failed.add();
             }
             self.report(server.id, result);
         });
@@ -72,7 +87,7 @@
         let request = self.pools.client_for(server).get(uri);
         // No guard: a health check is no work, and may go to a draining server.
         let progress = WriteProgress::new(None, 0);
-        let limits = &self.host.limits;
+        let limits = &self.limits;
         let max_body_bytes = limits.max_body_bytes;
         let exchange = exchange(
             &self.pools,
@@ -92,7 +107,7 @@
         let text = std::str::from_utf8(&response.body).unwrap_or_default();
         let load_report = read_report(text);
         if load_report.is_none() && !text.trim().is_empty() {
-            self.host.counters.load_reports_skipped.add();
+            self.counters.load_reports_skipped.add();
         }
         let outcome = match response.status {
             StatusCode::OK => Outcome::Served,
@@ -105,11 +120,8 @@
     }
 
     fn report(&self, server: ServerId, result: HealthCheckResult) {
-        self.host.handle_event(Event::HealthCheckEnded {
-            server,
-            outcome: result.outcome,
-            load_report: result.load_report,
-        });
+        self.servers
+            .on_health_check_ended(server, result.outcome, result.load_report);
     }
 }
 
--- a/crates/sidecar/src/upstream/mod.rs
+++ b/crates/sidecar/src/upstream/mod.rs
@@ -7,10 +7,9 @@
 //! execution. Which server, whether to retry, and what the client gets is decided elsewhere:
 //! nothing here sends a request twice.
 //!
-//! Imports run one way, each file using only those ahead of it: `send_guard`, `write_progress`,
+//! Imports run one way, each file using only those ahead of it: `server_directory`, `send_guard`, `write_progress`,
 //! `response_head`, `response_framing`, `connection_limiter`, `tracked_stream`, `connector`,
 //! `reuse_delay`, `connection_pool`, `exchange`, then `attempt` and `health_check`, then this one.
-//! `load_report` stands by itself.
 
 mod attempt;
 mod connection_limiter;
@@ -22,6 +21,7 @@
 mod response_head;
 mod reuse_delay;
 mod send_guard;
+mod server_directory;
 mod tracked_stream;
 mod write_progress;
 
@@ -32,26 +32,36 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-use crate::host::BalancerHost;
+use crate::counters::Counters;
+use crate::limits::Limits;
 use crate::message::{AttemptResult, ProxyRequest};
 use attempt::Attempt;
-
 use connection_pool::ConnectionPools;
 use health_check::HealthChecker;
 
+pub(crate) use server_directory::ServerDirectory;
+
 /// Sends requests to servers.
 pub(crate) struct Upstream {
-    host: Rc<BalancerHost>,
+    servers: Rc<ServerDirectory>,
+    limits: Rc<Limits>,
+    counters: Rc<Counters>,
     pools: Rc<ConnectionPools>,
 }
 
 impl Upstream {
-    /// An upstream without a connection, with the limits and counters of its host.
-    pub(crate) fn new(host: &Rc<BalancerHost>) -> Rc<Self> {
-        let (limits, counters) = (Rc::clone(&host.limits), Rc::clone(&host.counters));
+    /// An upstream without a connection.
+    pub(crate) fn new(
+        servers: ServerDirectory,
+        limits: Rc<Limits>,
+        counters: Rc<Counters>,
+    ) -> Rc<Self> {
+        let pools = ConnectionPools::new(Rc::clone(&limits), Rc::clone(&counters));
         Rc::new(Self {
-            host: Rc::clone(host),
-            pools: Rc::new(ConnectionPools::new(limits, counters)),
+            servers: Rc::new(servers),
+            pools: Rc::new(pools),
+            limits,
+            counters,
         })
     }
 
@@ -65,12 +75,13 @@
         timeout: Duration,
         start_before: Option<Instant>,
     ) -> AttemptResult {
-        let Some(server) = self.host.server(server) else {
+        let Some(server) = self.servers.find(server) else {
             return AttemptResult::without_response(Outcome::NotSent);
         };
-        self.host.counters.attempts_started.add();
+        self.counters.attempts_started.add();
         let attempt = Attempt {
-            host: &self.host,
+            servers: &self.servers,
+            limits: &self.limits,
             pools: &self.pools,
             server,
             request,
@@ -82,7 +93,12 @@
 
     /// Executes the health checks that the balancer requests, until the channel is closed.
     pub(crate) async fn run_health_checks(self: Rc<Self>, requested: mpsc::Receiver<ServerId>) {
-        let checker = HealthChecker::new(Rc::clone(&self.host), Rc::clone(&self.pools));
+        let checker = HealthChecker::new(
+            Rc::clone(&self.servers),
+            Rc::clone(&self.pools),
+            Rc::clone(&self.limits),
+            Rc::clone(&self.counters),
+        );
         checker.run(requested).await;
     }
 
--- a/crates/sidecar/src/upstream/write_progress.rs
+++ b/crates/sidecar/src/upstream/write_progress.rs
@@ -12,7 +12,7 @@
 use tokio::time::Instant;
 
 use super::send_guard::{SendConditions, check};
-use crate::host::{BalancerHost, Server};
+use crate::host::{EndpointListFreshness, Server};
 use crate::limits::Limits;
 use crate::message::{ClientPresence, SendBlocked};
 
@@ -59,8 +59,8 @@
 /// What [`check`] looks at before an attempt's first byte. Health checks have none: they are no
 /// work, and may go to a draining server.
 pub(super) struct SendGuard {
-    /// Knows the clock and how fresh the endpoint list is.
-    pub host: Rc<BalancerHost>,
+    /// For how long the endpoint list may be trusted.
+    pub list_freshness: Rc<EndpointListFreshness>,
     /// The server that the attempt goes to.
     pub server: Rc<Server>,
     /// The server's address when the attempt was made.
@@ -81,17 +81,13 @@
     fn conditions(&self) -> SendConditions {
         let now = Instant::now();
         let time_until = |instant: Instant| instant.saturating_duration_since(now);
-        let trusted_until = self
-            .host
-            .list_freshness()
-            .trusted_until(self.server.last_served_start());
         SendConditions {
             client_left: self.presence.is_disconnected(),
             time_left: time_until(self.attempt_deadline),
             retry_window_left: self.start_before.map(time_until),
             drain_age: self.server.drain_age(),
             server_moved: self.server.address() != self.address,
-            list_stale: trusted_until.is_some_and(|until| self.host.now() >= until),
+            list_stale: self.list_freshness.is_stale_for(&self.server),
         }
     }
 }
--- a/crates/sidecar/src/upstream/write_progress/tests.rs
+++ b/crates/sidecar/src/upstream/write_progress/tests.rs
@@ -1,73 +1,86 @@
+use std::time::Duration;
+
 use arrowstand_balancer::{EndpointStatus, ServerId};
-use arrowstand_control::WorkAwareBalancer;
 
 use super::*;
-use crate::config::Names;
+use crate::host::BalancerClock;
+use crate::limits::LimitInputs;
+
+/// What a request's first byte is checked against.
+struct Fixture {
+    limits: Rc<Limits>,
+    clock: Rc<BalancerClock>,
+    list_freshness: Rc<EndpointListFreshness>,
+}
 
-fn host(drain_grace: std::time::Duration) -> Rc<BalancerHost> {
-    let inputs = crate::limits::LimitInputs {
-        sockets: 64,
-        drain_grace,
-        ..Default::default()
-    };
-    let limits = Rc::new(Limits::derive(&inputs));
-    let settings = arrowstand_balancer::Settings {
-        classes: vec![arrowstand_balancer::RequestClass::new(
-            arrowstand_balancer::Idempotency::Idempotent,
-            1,
-            1,
-        )],
-        ..Default::default()
-    };
-    let balancer = WorkAwareBalancer::new(settings, 1).expect("settings");
-    BalancerHost::new(balancer, Names::default(), limits, Rc::default()).0
+impl Fixture {
+    fn new(drain_grace: Duration) -> Self {
+        let limits = Limits::derive(&LimitInputs {
+            sockets: 64,
+            drain_grace,
+            ..Default::default()
+        });
+        let clock = Rc::new(BalancerClock::start());
+        let staleness = limits.discovery.staleness;
+        let list_freshness = EndpointListFreshness::new(staleness, Rc::clone(&clock));
+        Self {
+            limits: Rc::new(limits),
+            clock,
+            list_freshness: Rc::new(list_freshness),
+        }
+    }
+
+    /// The progress of an attempt to the server that has just been made.
+    fn progress_to(&self, server: &Rc<Server>) -> Rc<WriteProgress> {
+        let guard = SendGuard {
+            list_freshness: Rc::clone(&self.list_freshness),
+            server: Rc::clone(server),
+            address: server.address(),
+            presence: ClientPresence::default(),
+            attempt_deadline: Instant::now() + Duration::from_secs(9),
+            start_before: None,
+        };
+        WriteProgress::new(Some(guard), 2)
+    }
 }
 
-/// The progress of an attempt to the server that has just been made.
-fn progress_to(host: &Rc<BalancerHost>, server: &Rc<Server>) -> Rc<WriteProgress> {
-    let guard = SendGuard {
-        host: Rc::clone(host),
-        server: Rc::clone(server),
-        address: server.address(),
-        presence: ClientPresence::default(),
-        attempt_deadline: Instant::now() + std::time::Duration::from_secs(9),
-        start_before: None,
-    };
-    WriteProgress::new(Some(guard), 2)
+fn server(number: u32) -> Rc<Server> {
+    let address = SocketAddr::from(([127, 0, 0, 1], 9));
+    Rc::new(Server::new(ServerId(number), address))
 }
 
 /// A drain that is notified between the decision and a slow connect: loopback connects too fast to
 /// record it.
 #[test]
 fn a_drain_blocks_the_first_byte_but_no_later_one() {
-    let host = host(std::time::Duration::ZERO);
-    let server = Rc::new(Server::new(
-        ServerId(0),
-        SocketAddr::from(([127, 0, 0, 1], 9)),
-    ));
-    let (blocked, started) = (progress_to(&host, &server), progress_to(&host, &server));
+    let fixture = Fixture::new(Duration::ZERO);
+    let server = server(0);
+    let blocked = fixture.progress_to(&server);
+    let started = fixture.progress_to(&server);
     started.on_written(b"POST / HTTP/1.1\r\n\r");
     server.on_listed(EndpointStatus::Draining, 0.0);
     assert_eq!(
-        blocked.check_first_byte(&host.limits),
+        blocked.check_first_byte(&fixture.limits),
         Err(SendBlocked::ServerDraining)
     );
     assert!(
         blocked.is_not_sent()
-            && started.check_first_byte(&host.limits).is_ok()
+            && started.check_first_byte(&fixture.limits).is_ok()
             && !started.is_complete()
     );
     started.on_written(b"\nab");
     assert!(started.is_complete() && !started.is_not_sent());
     server.on_listed(EndpointStatus::Ready, 0.0);
     assert_eq!(
-        blocked.check_first_byte(&host.limits),
+        blocked.check_first_byte(&fixture.limits),
         Err(SendBlocked::ServerDraining),
         "an old list ends no drain"
     );
     server.on_listed(EndpointStatus::Ready, 1.0);
     assert_eq!(
-        progress_to(&host, &server).check_first_byte(&host.limits),
+        fixture
+            .progress_to(&server)
+            .check_first_byte(&fixture.limits),
         Ok(())
     );
 }
@@ -76,32 +89,38 @@
 /// to be draining.
 #[test]
 fn a_stale_list_blocks_servers_that_have_served_nothing_since() {
-    let host = host(std::time::Duration::from_secs(2));
-    let server = Rc::new(Server::new(
-        ServerId(0),
-        SocketAddr::from(([127, 0, 0, 1], 9)),
-    ));
-    host.update_list_freshness(|list, now| list.on_watch_silent(now, now));
+    let fixture = Fixture::new(Duration::from_secs(2));
+    let server = server(0);
+    fixture.list_freshness.on_watch_silent(Instant::now());
     assert_eq!(
-        progress_to(&host, &server).check_first_byte(&host.limits),
+        fixture
+            .progress_to(&server)
+            .check_first_byte(&fixture.limits),
         Ok(()),
         "the list is not stale yet"
     );
-    host.update_list_freshness(|list, now| list.on_watch_silent(now - 9_000_000, now));
-    server.on_request_served(host.now() - host.limits.discovery.staleness.drain_slack);
+    let last_received_at = Instant::now() - Duration::from_secs(9);
+    fixture.list_freshness.on_watch_silent(last_received_at);
+    let drain_slack = fixture.limits.discovery.staleness.drain_slack;
+    server.on_request_served(fixture.clock.now() - drain_slack);
     assert_eq!(
-        progress_to(&host, &server).check_first_byte(&host.limits),
+        fixture
+            .progress_to(&server)
+            .check_first_byte(&fixture.limits),
         Err(SendBlocked::ListStale)
     );
-    server.on_request_served(host.now());
+    server.on_request_served(fixture.clock.now());
     assert_eq!(
-        progress_to(&host, &server).check_first_byte(&host.limits),
+        fixture
+            .progress_to(&server)
+            .check_first_byte(&fixture.limits),
         Ok(())
     );
-    host.update_list_freshness(|list, _| list.on_watch_event());
+    fixture.list_freshness.on_watch_event();
     assert_eq!(
-        progress_to(&host, &Rc::new(Server::new(ServerId(1), server.address())))
-            .check_first_byte(&host.limits),
+        fixture
+            .progress_to(&self::server(1))
+            .check_first_byte(&fixture.limits),
         Ok(())
     );
 }
@@ -154,7 +173,7 @@
     progress.on_connection_ended();
     assert_eq!(observed(&progress), NOT_SENT);
     assert_eq!(
-        progress.check_first_byte(&host(std::time::Duration::ZERO).limits),
+        progress.check_first_byte(&Fixture::new(Duration::ZERO).limits),
         Ok(())
     );
     assert_eq!(
@@ -166,19 +185,16 @@
 
 #[test]
 fn a_blocked_request_stays_not_sent() {
-    let host = host(std::time::Duration::ZERO);
-    let server = Rc::new(Server::new(
-        ServerId(0),
-        SocketAddr::from(([127, 0, 0, 1], 9)),
-    ));
-    let progress = progress_to(&host, &server);
+    let fixture = Fixture::new(Duration::ZERO);
+    let server = server(0);
+    let progress = fixture.progress_to(&server);
     server.on_listed(EndpointStatus::Draining, 0.0);
-    assert!(progress.check_first_byte(&host.limits).is_err());
+    assert!(progress.check_first_byte(&fixture.limits).is_err());
     assert_eq!(observed(&progress), NOT_SENT);
     progress.on_connection_ended();
     assert_eq!(observed(&progress), NOT_SENT);
     server.on_listed(EndpointStatus::Ready, 1.0);
-    assert_eq!(progress.check_first_byte(&host.limits), Ok(()));
+    assert_eq!(progress.check_first_byte(&fixture.limits), Ok(()));
     assert_eq!(
         observed(&progress),
         NOT_SENT,
