--- a/crates/sidecar/src/downstream/bounded_stream.rs
+++ b/crates/sidecar/src/downstream/bounded_stream.rs
@@ -36,7 +36,7 @@
     /// Takes the client's socket for the protocol; none where the connection is at its end.
     pub(super) fn take(client: &Rc<ClientConnection>, limits: &Rc<Limits>) -> Option<Self> {
         Some(Self {
-            socket: Some(client.take_socket()?),
+            socket: Some(client.socket().take()?),
             client: Rc::clone(client),
             limits: Rc::clone(limits),
             chunk_bytes: 0,
@@ -69,7 +69,7 @@
     fn poll_chunk(&mut self, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         if self.chunk_bytes == 0 {
             let limits = &self.limits.client;
-            let body_bytes = self.client.announced_body_bytes();
+            let body_bytes = self.client.input().announced_body_bytes();
             self.max_chunk_bytes =
                 limits.read_chunk_bytes + body_bytes.min(limits.body_chunk_bytes);
         }
@@ -119,11 +119,11 @@
         let bytes = buf.filled().len() - filled_before;
         match read {
             Poll::Pending => {
-                self.client.on_input_drained();
+                self.client.input().on_drained();
                 return Poll::Pending;
             }
             Poll::Ready(Ok(())) if bytes > 0 => self.client.on_received(bytes),
-            Poll::Ready(_) => self.client.on_disconnected(),
+            Poll::Ready(_) => self.client.presence().mark_disconnected(),
         }
         ready!(read)?;
         Poll::Ready(Ok(bytes))
@@ -150,7 +150,7 @@
 
 impl Drop for BoundedStream {
     fn drop(&mut self) {
-        self.client.on_socket_returned(self.socket.take());
+        self.client.socket().put_back(self.socket.take());
     }
 }
 
@@ -162,11 +162,11 @@
     ) -> Poll<io::Result<()>> {
         // Guards against a request that is read behind the last response: to the protocol it is the
         // end of file.
-        if self.client.sent_last_response() {
+        if self.client.close_state().sent_last_response() {
             return Poll::Ready(Ok(()));
         }
         if self.client.is_pipeline_full(&self.limits) {
-            self.client.on_input_discarded();
+            self.client.input().on_discarded();
             return self.poll_discard(cx);
         }
         self.poll_chunk(cx, buf)
@@ -185,7 +185,7 @@
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let flushed = self.socket()?.poll_flush(cx);
         if flushed.is_ready() {
-            self.client.on_response_written();
+            self.client.close_state().on_response_written();
         }
         flushed
     }
--- a/crates/sidecar/src/downstream/client_permits.rs
+++ b/crates/sidecar/src/downstream/client_permits.rs
@@ -26,30 +26,13 @@
         self.open_connections.get() >= limits.max_accepted_connections
     }
 
-    /// True where a new client gets a permit. Guards against silent clients that fill all permits:
-    /// the new one gets that of the idlest, which is closed.
-    pub(super) fn make_room(&self, limits: &ClientLimits) -> bool {
-        let mut permitted = self.permitted.borrow_mut();
-        if permitted.len() < limits.max_connections {
-            return true;
-        }
-        let idlest = permitted
-            .iter()
-            .filter_map(|(&number, client)| Some((client.idle_rank()?, number)))
-            .min();
-        let Some(client) = idlest.and_then(|(_, number)| permitted.remove(&number)) else {
-            return false;
-        };
-        client.begin_close();
-        true
-    }
-
-    /// Counts a connection, which is served if it is permitted and rejected otherwise.
+    /// Counts a new connection, and gives it a permit where there is one.
     pub(super) fn admit(
         self: &Rc<Self>,
         client: &Rc<ClientConnection>,
-        is_permitted: bool,
+        limits: &ClientLimits,
     ) -> ClientPermit {
+        let is_permitted = self.make_room(limits);
         let number = self.next_number.get();
         self.next_number.set(number + 1);
         self.open_connections.set(self.open_connections.get() + 1);
@@ -61,7 +44,26 @@
         ClientPermit {
             permits: Rc::clone(self),
             number,
+            is_permitted,
+        }
+    }
+
+    /// True where a new client gets a permit. Where silent clients hold them all, it gets that of
+    /// the idlest, which is closed.
+    fn make_room(&self, limits: &ClientLimits) -> bool {
+        let mut permitted = self.permitted.borrow_mut();
+        if permitted.len() < limits.max_connections {
+            return true;
         }
+        let idlest = permitted
+            .iter()
+            .filter_map(|(&number, client)| Some((client.idle_rank()?, number)))
+            .min();
+        let Some(client) = idlest.and_then(|(_, number)| permitted.remove(&number)) else {
+            return false;
+        };
+        client.close_state().begin();
+        true
     }
 
     /// Closes the connections on which no request is begun and no response unwritten.
@@ -70,7 +72,7 @@
             .borrow()
             .values()
             .filter(|client| client.idle_rank().is_some())
-            .for_each(|client| client.begin_close());
+            .for_each(|client| client.close_state().begin());
     }
 
     /// Waits for the next connection that closes.
@@ -90,9 +92,15 @@
 pub(super) struct ClientPermit {
     permits: Rc<ClientPermits>,
     number: u64,
+    is_permitted: bool,
 }
 
 impl ClientPermit {
+    /// True where the client is served; false where it is only told that there are too many.
+    pub(super) fn is_permitted(&self) -> bool {
+        self.is_permitted
+    }
+
     /// The connection takes no more requests: another client may get its permit.
     pub(super) fn on_served(&self) {
         self.permits.permitted.borrow_mut().remove(&self.number);
--- a/crates/sidecar/src/downstream/close_state.rs
+++ b/crates/sidecar/src/downstream/connection/close_state.rs
@@ -7,9 +7,18 @@
 
 use tokio::sync::Notify;
 
+/// What becomes of a connection behind a response.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(in crate::downstream) enum AfterResponse {
+    /// It may carry further requests.
+    KeepOpen,
+    /// The response is its last.
+    Close,
+}
+
 /// A connection's way to its end.
 #[derive(Default)]
-pub(super) struct CloseState {
+pub(in crate::downstream) struct CloseState {
     /// Bytes of a response are still to be written.
     response_unwritten: Cell<bool>,
     /// The next response is the last, and the connection closes once nothing is unwritten.
@@ -21,31 +30,34 @@
 
 impl CloseState {
     /// The connection is to close as soon as no request is in flight and nothing is unwritten.
-    pub(super) fn begin(&self) {
+    pub(in crate::downstream) fn begin(&self) {
         self.is_closing.set(true);
         self.close_requested.notify_one();
     }
 
-    /// A response was made; the last where it says so. Closes behind it where no further request
-    /// can be read.
-    pub(super) fn on_response_made(&self, last: bool, input_unreadable: bool) {
+    /// A response was made, and this becomes of the connection behind it.
+    pub(super) fn on_response_made(&self, then: AfterResponse) {
         self.response_unwritten.set(true);
-        self.sent_last_response
-            .set(self.sent_last_response.get() || last);
-        if input_unreadable {
-            self.is_closing.set(true);
+        if then == AfterResponse::Close {
+            self.sent_last_response.set(true);
         }
     }
 
+    /// No further request can be read: the connection closes behind the response that was just
+    /// made.
+    pub(super) fn close_after_response(&self) {
+        self.is_closing.set(true);
+    }
+
     /// All that was to be written is with the operating system.
-    pub(super) fn on_response_written(&self) {
+    pub(in crate::downstream) fn on_response_written(&self) {
         if self.response_unwritten.replace(false) && self.is_closing.get() {
             self.close_requested.notify_one();
         }
     }
 
     /// Waits until the connection may be able to close.
-    pub(super) async fn requested(&self) {
+    pub(in crate::downstream) async fn requested(&self) {
         self.close_requested.notified().await;
     }
 
@@ -55,12 +67,12 @@
     }
 
     /// True where the next response is the last.
-    pub(super) fn is_closing(&self) -> bool {
+    pub(in crate::downstream) fn is_closing(&self) -> bool {
         self.is_closing.get()
     }
 
     /// True once the last response was made.
-    pub(super) fn sent_last_response(&self) -> bool {
+    pub(in crate::downstream) fn sent_last_response(&self) -> bool {
         self.sent_last_response.get()
     }
 }
--- a/crates/sidecar/src/downstream/input_accounting.rs
+++ b/crates/sidecar/src/downstream/connection/input_accounting.rs
@@ -4,7 +4,7 @@
 
 /// The bytes that came from a client, by what bounds them.
 #[derive(Default)]
-pub(super) struct InputAccounting {
+pub(in crate::downstream) struct InputAccounting {
     /// Bytes since there was last nothing to read.
     burst_bytes: Cell<usize>,
     /// Bytes that came behind the request in flight.
@@ -16,23 +16,25 @@
 }
 
 impl InputAccounting {
-    /// Bytes came, behind a request in flight or not.
-    pub(super) fn on_received(&self, bytes: usize, behind_request: bool) {
+    /// Bytes came.
+    pub(super) fn on_received(&self, bytes: usize) {
         self.burst_bytes.set(self.burst_bytes.get() + bytes);
         self.announced_body_bytes
             .set(self.announced_body_bytes.get().saturating_sub(bytes));
-        if behind_request {
-            self.pipelined_bytes.set(self.pipelined_bytes.get() + bytes);
-        }
+    }
+
+    /// So many of the bytes received came behind the request in flight.
+    pub(super) fn on_pipelined(&self, bytes: usize) {
+        self.pipelined_bytes.set(self.pipelined_bytes.get() + bytes);
     }
 
     /// There is nothing more to read for now.
-    pub(super) fn on_drained(&self) {
+    pub(in crate::downstream) fn on_drained(&self) {
         self.burst_bytes.set(0);
     }
 
     /// A request's head announced a body of so many bytes.
-    pub(super) fn on_body_announced(&self, bytes: usize) {
+    pub(in crate::downstream) fn on_body_announced(&self, bytes: usize) {
         self.announced_body_bytes.set(bytes);
     }
 
@@ -43,7 +45,7 @@
     }
 
     /// Input is thrown away.
-    pub(super) fn on_discarded(&self) {
+    pub(in crate::downstream) fn on_discarded(&self) {
         self.is_discarded.set(true);
     }
 
@@ -58,7 +60,7 @@
     }
 
     /// Bytes of a body that are announced and have not come.
-    pub(super) fn announced_body_bytes(&self) -> usize {
+    pub(in crate::downstream) fn announced_body_bytes(&self) -> usize {
         self.announced_body_bytes.get()
     }
 
--- a/crates/sidecar/src/downstream/socket_slot.rs
+++ b/crates/sidecar/src/downstream/connection/socket_slot.rs
@@ -7,7 +7,7 @@
 use tokio::net::TcpStream;
 
 /// A client's socket, or none while the protocol has it and after its end.
-pub(super) struct SocketSlot(RefCell<Option<TcpStream>>);
+pub(in crate::downstream) struct SocketSlot(RefCell<Option<TcpStream>>);
 
 impl SocketSlot {
     /// A slot with that socket in it.
@@ -16,12 +16,12 @@
     }
 
     /// Takes the socket out.
-    pub(super) fn take(&self) -> Option<TcpStream> {
+    pub(in crate::downstream) fn take(&self) -> Option<TcpStream> {
         self.0.borrow_mut().take()
     }
 
     /// Puts the socket back.
-    pub(super) fn put_back(&self, socket: Option<TcpStream>) {
+    pub(in crate::downstream) fn put_back(&self, socket: Option<TcpStream>) {
         *self.0.borrow_mut() = socket;
     }
 
--- a/crates/sidecar/src/downstream/connection/tests.rs
+++ b/crates/sidecar/src/downstream/connection/tests.rs
@@ -10,6 +10,7 @@
 
 use model::{BODY_BYTES, Combination, Effect, Model, RECEIVED_BYTES, STEPS, Step};
 
+use super::super::connection_timeout::timed_out;
 use super::*;
 use crate::limits::LimitInputs;
 
@@ -33,16 +34,17 @@
     let mut request_complete = None;
     match step {
         Step::Received => client.on_received(RECEIVED_BYTES),
-        Step::InputDrained => client.on_input_drained(),
+        Step::InputDrained => client.input().on_drained(),
         Step::RequestRead => request_complete = client.on_request_read(limits).now_or_never(),
-        Step::ResponseMade { last } => client.on_response_made(last),
-        Step::ResponseWritten => client.on_response_written(),
-        Step::BeginClose => client.begin_close(),
-        Step::Disconnected => client.on_disconnected(),
+        Step::ResponseMade { last: true } => client.on_response_made(AfterResponse::Close),
+        Step::ResponseMade { last: false } => client.on_response_made(AfterResponse::KeepOpen),
+        Step::ResponseWritten => client.close_state().on_response_written(),
+        Step::BeginClose => client.close_state().begin(),
+        Step::Disconnected => client.presence().mark_disconnected(),
     }
     Effect {
         request_complete,
-        close_requested: client.close.requested().now_or_never().is_some(),
+        close_requested: client.close_state().requested().now_or_never().is_some(),
     }
 }
 
@@ -61,20 +63,26 @@
         client.has_received_since_response(),
         model.received_since_response
     );
-    assert_eq!(client.is_closing(), model.closing);
-    assert_eq!(client.sent_last_response(), model.sent_last_response);
-    assert_eq!(client.announced_body_bytes(), model.announced_body_bytes);
+    assert_eq!(client.close_state().is_closing(), model.closing);
+    assert_eq!(
+        client.close_state().sent_last_response(),
+        model.sent_last_response
+    );
+    assert_eq!(
+        client.input().announced_body_bytes(),
+        model.announced_body_bytes
+    );
     assert_eq!(client.presence().is_disconnected(), model.disconnected);
     let free = model.request_started.is_none() && !model.response_unwritten;
     let rank = client.idle_rank();
     let rank_step = model.idle_since.filter(|_| free);
     assert_set_at(
-        rank.map(|(_, since)| since),
+        rank.map(|rank| rank.idle_since),
         rank_step,
         Duration::ZERO,
         times,
     );
-    assert!(rank.is_none_or(|(first, _)| first != model.has_had_response));
+    assert!(rank.is_none_or(|rank| rank.awaits_first_request != model.has_had_response));
     let (set_by, timeout) = match model.request_started {
         None => (model.idle_since, limits.client.idle_timeout),
         started if model.has_had_response => (started, limits.client.request_read_timeout),
@@ -85,7 +93,7 @@
     let is_pipeline_full = client.is_pipeline_full(limits);
     assert_eq!(is_pipeline_full, model.is_pipeline_full(limits));
     if is_pipeline_full {
-        client.on_input_discarded();
+        client.input().on_discarded();
     }
 }
 
@@ -94,7 +102,7 @@
     let mut times = Times::new();
     let before = Instant::now();
     let client = ClientConnection::new(None);
-    client.on_body_announced(BODY_BYTES);
+    client.input().on_body_announced(BODY_BYTES);
     times.push((before, Instant::now()));
     let mut model = Model::NEW;
     assert_same(&client, &mut model, limits, &times);
@@ -150,26 +158,26 @@
 fn unwritten_response_goes_with_idle_and_reading_and_in_flight() {
     let limits = limits();
     let client = ClientConnection::new(None);
-    client.on_response_made(false);
+    client.on_response_made(AfterResponse::KeepOpen);
     assert!(client.idle_rank().is_none(), "idle, its response unwritten");
     client.on_received(RECEIVED_BYTES);
     assert!(client.deadline(&limits).is_some(), "reading");
-    client.on_input_drained();
+    client.input().on_drained();
     assert_eq!(client.on_request_read(&limits).now_or_never(), Some(true));
     assert!(client.deadline(&limits).is_none(), "in flight");
-    client.begin_close();
-    let _ = client.close.requested().now_or_never();
-    client.on_response_written();
+    client.close_state().begin();
+    let _ = client.close_state().requested().now_or_never();
+    client.close_state().on_response_written();
     assert!(
-        client.close.requested().now_or_never().is_some(),
+        client.close_state().requested().now_or_never().is_some(),
         "its earlier response was unwritten until now"
     );
-    assert!(client.is_closing() && !client.sent_last_response());
+    assert!(client.close_state().is_closing() && !client.close_state().sent_last_response());
 }
 
 /// True where the connection is to end within a moment.
 async fn times_out(client: &ClientConnection, limits: &Limits) -> bool {
-    tokio::time::timeout(Duration::from_millis(50), client.timed_out(limits))
+    tokio::time::timeout(Duration::from_millis(50), timed_out(client, limits))
         .await
         .is_ok()
 }
@@ -181,24 +189,24 @@
         ..Default::default()
     });
     let client = ClientConnection::new(None);
-    client.begin_close();
+    client.close_state().begin();
     assert!(times_out(&client, &limits).await, "idle");
-    client.begin_close();
+    client.close_state().begin();
     client.on_received(1);
     assert!(!times_out(&client, &limits).await, "a request has begun");
-    client.on_input_drained();
+    client.input().on_drained();
     assert!(
         client.on_request_read(&limits).await,
         "nothing more is to be read"
     );
-    client.begin_close();
+    client.close_state().begin();
     assert!(!times_out(&client, &limits).await, "a request is in flight");
-    client.on_response_made(false);
-    client.begin_close();
+    client.on_response_made(AfterResponse::KeepOpen);
+    client.close_state().begin();
     assert!(
         !times_out(&client, &limits).await,
         "its response is not written"
     );
-    client.on_response_written();
+    client.close_state().on_response_written();
     assert!(times_out(&client, &limits).await, "its response is written");
 }
--- a/crates/sidecar/src/downstream/http.rs
+++ b/crates/sidecar/src/downstream/http.rs
@@ -32,7 +32,7 @@
         async move { Ok::<_, Infallible>(handler.handle(request).await) }
     };
     HttpService::build()
-        // The client's own bounds, `ClientConnection::timed_out`, cover each request, not just the
+        // The client's own bounds, `connection_timeout`, cover each request, not just the
         // first.
         .keep_alive(KeepAlive::Os)
         .client_request_timeout(Duration::ZERO)
--- a/crates/sidecar/src/downstream/listener.rs
+++ b/crates/sidecar/src/downstream/listener.rs
@@ -15,6 +15,7 @@
 use super::bounded_stream::BoundedStream;
 use super::client_permits::ClientPermits;
 use super::connection::ClientConnection;
+use super::connection_timeout::timed_out;
 use super::http::{ConnectionService, over_capacity_service, permitted_service};
 use super::lingering_close::lingering_close;
 use super::request_handler::RequestHandler;
@@ -137,17 +138,17 @@
         O: ConnectionService + 'static,
     {
         let client = ClientConnection::new(Some(stream));
-        let is_permitted = self.permits.make_room(&self.context.limits().client);
-        let permit = self.permits.admit(&client, is_permitted);
-        let (listener, services) = (Rc::clone(self), Rc::clone(services));
+        let permit = self.permits.admit(&client, &self.context.limits().client);
+        let listener = Rc::clone(self);
+        let services = Rc::clone(services);
         actix_rt::spawn(async move {
-            if is_permitted {
+            if permit.is_permitted() {
                 listener.serve(&services.permitted, &client).await;
             } else {
                 listener.serve(&services.over_capacity, &client).await;
             }
             permit.on_served();
-            if let Some(socket) = client.take_socket() {
+            if let Some(socket) = client.socket().take() {
                 lingering_close(
                     socket,
                     listener.context.limits(),
@@ -175,7 +176,7 @@
                     }
                     return;
                 }
-                () = client.timed_out(self.context.limits()) => {}
+                () = timed_out(client, self.context.limits()) => {}
             }
             // Guards against a request that came as its connection was chosen for closing: nothing
             // of it was read.
--- a/crates/sidecar/src/downstream/mod.rs
+++ b/crates/sidecar/src/downstream/mod.rs
@@ -3,9 +3,8 @@
 //!
 //! What a request means and where it is forwarded to is not decided here. Modules use those above
 //! them only:
-//! - `lifecycle`, `input_accounting`, `close_state`, `socket_slot`: one concern of a connection
-//!   each;
-//! - `connection`: the state of one client connection;
+//! - `connection`: the state of one client connection, a part for each concern;
+//!   `connection_timeout`: until when it may go on;
 //! - `bounded_stream`: its socket as the protocol reads and writes it; `lingering_close`: the
 //!   socket's end;
 //! - `service_context`: what the modules below may know of the rest of the sidecar;
@@ -18,11 +17,9 @@
 
 mod bounded_stream;
 mod client_permits;
-mod close_state;
 mod connection;
+mod connection_timeout;
 mod http;
-mod input_accounting;
-mod lifecycle;
 mod lingering_close;
 pub(crate) mod listener;
 mod malformed_request;
@@ -31,6 +28,5 @@
 mod request_headers;
 mod response;
 mod service_context;
-mod socket_slot;
 
 pub(crate) use service_context::ServiceContext;
--- a/crates/sidecar/src/downstream/request.rs
+++ b/crates/sidecar/src/downstream/request.rs
@@ -32,7 +32,7 @@
     let target = target(&request, limits.client.max_target_chars)?;
     let announced_bytes = announced_body_bytes(&request, limits.max_body_bytes)?;
     let headers = forwarded_headers(request.headers());
-    client.on_body_announced(announced_bytes);
+    client.input().on_body_announced(announced_bytes);
     let body = read_body(
         request.take_payload(),
         announced_bytes,
@@ -52,7 +52,7 @@
         arrived: Instant::now(),
         client_timeout: parsed.client_timeout,
         work_hint: parsed.work_hint,
-        presence: client.presence(),
+        presence: client.presence().clone(),
     })
 }
 
--- a/crates/sidecar/src/downstream/request_handler.rs
+++ b/crates/sidecar/src/downstream/request_handler.rs
@@ -6,7 +6,7 @@
 
 use actix_http::{ConnectionType, Request, StatusCode};
 
-use super::connection::ClientConnection;
+use super::connection::{AfterResponse, ClientConnection};
 use super::malformed_request::MalformedRequest;
 use super::request::read_request;
 use super::response::{self, ClientResponse, plain_text};
@@ -44,11 +44,14 @@
     pub(super) async fn handle(&self, request: Request) -> ClientResponse {
         let client = connection(&request).unwrap_or_else(|| ClientConnection::new(None));
         let mut response = self.respond(request, &client).await;
-        if self.is_shutting_down() || client.is_closing() {
+        if self.is_shutting_down() || client.close_state().is_closing() {
             response = response::last_on_connection(response);
         }
-        let is_last = response.head().connection_type() == ConnectionType::Close;
-        client.on_response_made(is_last);
+        let then = match response.head().connection_type() {
+            ConnectionType::Close => AfterResponse::Close,
+            ConnectionType::KeepAlive | ConnectionType::Upgrade => AfterResponse::KeepOpen,
+        };
+        client.on_response_made(then);
         response
     }
 
@@ -58,7 +61,7 @@
         self.context.counters().requests_over_capacity.add();
         let response = response::over_capacity(self.context.limits().default_retry_after);
         if let Some(client) = connection(request) {
-            client.on_response_made(true);
+            client.on_response_made(AfterResponse::Close);
         }
         response
     }
