--- a/crates/sidecar/src/discovery/mod.rs
+++ b/crates/sidecar/src/discovery/mod.rs
@@ -11,4 +11,4 @@
 mod watcher;
 
 pub(crate) use endpoint_sink::EndpointSink;
-pub(crate) use watcher::follow;
+pub(crate) use watcher::Watcher;
--- a/crates/sidecar/src/discovery/watcher.rs
+++ b/crates/sidecar/src/discovery/watcher.rs
@@ -18,43 +18,6 @@
 /// sidecars do not poll in step.
 const MIN_RETRY_DELAY_FACTOR: f64 = 0.25;
 
-/// Follows discovery for as long as the program runs. `discovery` is where it is, `revision` that
-/// of the cached endpoint list, 0 if there is none; `seed` is of the delays of early polls.
-pub(crate) async fn follow(
-    sink: EndpointSink,
-    discovery: Receiver<SocketAddr>,
-    revision: u64,
-    limits: Rc<Limits>,
-    seed: u64,
-) {
-    let mut watcher = Watcher {
-        client: http_client(&limits),
-        sink,
-        discovery,
-        cursor: WatchCursor::new(revision),
-        limits,
-        random: fastrand::Rng::with_seed(seed),
-    };
-    watcher.sink.poll_requested().await;
-    let mut reason = PollReason::Requested;
-    loop {
-        reason = match watcher.watch_until_interrupted(reason).await {
-            WatchExit::Ended(error) => {
-                watcher.on_watch_ended(&error);
-                watcher.next_poll().await
-            }
-            WatchExit::Superseded => {
-                watcher.on_watch_superseded();
-                PollReason::Requested
-            }
-            WatchExit::Relocated => {
-                watcher.on_discovery_relocated();
-                PollReason::Requested
-            }
-        };
-    }
-}
-
 /// Why discovery is polled.
 #[derive(Clone, Copy, PartialEq)]
 enum PollReason {
@@ -74,7 +37,8 @@
     Relocated,
 }
 
-struct Watcher {
+/// Follows discovery, from one watch to the next.
+pub(crate) struct Watcher {
     sink: EndpointSink,
     client: awc::Client,
     discovery: Receiver<SocketAddr>,
@@ -84,6 +48,54 @@
 }
 
 impl Watcher {
+    /// A watcher of the discovery at `discovery`. `revision` is that of the cached endpoint list, 0
+    /// if there is none; `seed` is of the delays of early polls.
+    pub(crate) fn new(
+        sink: EndpointSink,
+        discovery: Receiver<SocketAddr>,
+        revision: u64,
+        limits: Rc<Limits>,
+        seed: u64,
+    ) -> Self {
+        Self {
+            client: http_client(&limits),
+            sink,
+            discovery,
+            cursor: WatchCursor::new(revision),
+            limits,
+            random: fastrand::Rng::with_seed(seed),
+        }
+    }
+
+    /// Follows discovery for as long as the program runs, from the balancer's first request for a
+    /// poll.
+    pub(crate) async fn run(mut self) {
+        self.sink.poll_requested().await;
+        let mut reason = PollReason::Requested;
+        loop {
+            let exit = self.watch_until_interrupted(reason).await;
+            reason = self.on_watch_exit(exit).await;
+        }
+    }
+
+    /// Records how a watch ended, and waits until the next poll is due where that is not now.
+    async fn on_watch_exit(&mut self, exit: WatchExit) -> PollReason {
+        match exit {
+            WatchExit::Ended(error) => {
+                self.on_watch_ended(&error);
+                self.next_poll().await
+            }
+            WatchExit::Superseded => {
+                self.sink.freshness().on_poll_abandoned();
+                PollReason::Requested
+            }
+            WatchExit::Relocated => {
+                self.on_discovery_relocated();
+                PollReason::Requested
+            }
+        }
+    }
+
     /// Polls and watches until the watch ends or another one is to replace it.
     async fn watch_until_interrupted(&mut self, mut reason: PollReason) -> WatchExit {
         let address = *self.discovery.borrow_and_update();
@@ -143,10 +155,6 @@
         self.sink.on_watch_lost();
     }
 
-    fn on_watch_superseded(&self) {
-        self.sink.freshness().on_poll_abandoned();
-    }
-
     /// From now on the list counts as fresh for a bounded time, whether or not a poll gets through
     /// by then.
     fn on_discovery_relocated(&self) {
--- a/crates/sidecar/src/downstream/request.rs
+++ b/crates/sidecar/src/downstream/request.rs
@@ -9,10 +9,42 @@
 use super::malformed_request::MalformedRequest;
 use super::request_headers::{RequestHeaders, content_length, forwarded_headers};
 use super::service_context::ServiceContext;
-use crate::message::{Payload, ProxyRequest};
+use crate::message::{ClientPresence, Payload, ProxyRequest};
 
 const METHODS: [&str; 2] = ["GET", "POST"];
 
+/// What stands ahead of a request's body.
+struct RequestHead {
+    headers: RequestHeaders,
+    method: String,
+    target: String,
+    /// The body's length as announced, 0 if it is not.
+    announced_bytes: usize,
+    /// The headers that go to the server with the body.
+    forwarded: Vec<(&'static str, String)>,
+}
+
+impl RequestHead {
+    /// The request that arrives now, with its body complete.
+    fn into_request(self, body: Bytes, presence: ClientPresence) -> ProxyRequest {
+        ProxyRequest {
+            method: self.method,
+            target: self.target,
+            id: self.headers.id,
+            idempotency_key: self.headers.idempotency_key,
+            class: self.headers.class,
+            payload: Payload {
+                body,
+                headers: self.forwarded,
+            },
+            arrived: Instant::now(),
+            client_timeout: self.headers.client_timeout,
+            work_hint: self.headers.work_hint,
+            presence,
+        }
+    }
+}
+
 /// Reads a request to its last byte and checks it.
 ///
 /// # Errors
@@ -23,36 +55,29 @@
     client: &ClientConnection,
 ) -> Result<ProxyRequest, MalformedRequest> {
     let limits = context.limits();
-    // Guards against requests that pile up behind the one in flight.
+    // A request of which nothing came since the last response was sent behind the one before it.
     if !client.has_received_since_response() {
         return Err(MalformedRequest::Pipelined);
     }
-    let parsed = RequestHeaders::parse(context, request.headers())?;
-    let method = method(&request)?;
-    let target = target(&request, limits.client.max_target_chars)?;
-    let announced_bytes = announced_body_bytes(&request, limits.max_body_bytes)?;
-    let headers = forwarded_headers(request.headers());
-    client.input().on_body_announced(announced_bytes);
-    let body = read_body(
-        request.take_payload(),
-        announced_bytes,
-        limits.max_body_bytes,
-    )
-    .await?;
+    let head = read_head(context, &request)?;
+    let max_bytes = limits.max_body_bytes;
+    client.input().on_body_announced(head.announced_bytes);
+    let body = read_body(request.take_payload(), head.announced_bytes, max_bytes).await?;
     if !client.on_request_read(limits).await {
         return Err(MalformedRequest::Pipelined);
     }
-    Ok(ProxyRequest {
-        method,
-        target,
-        id: parsed.id,
-        idempotency_key: parsed.idempotency_key,
-        class: parsed.class,
-        payload: Payload { body, headers },
-        arrived: Instant::now(),
-        client_timeout: parsed.client_timeout,
-        work_hint: parsed.work_hint,
-        presence: client.presence().clone(),
+    Ok(head.into_request(body, client.presence().clone()))
+}
+
+/// Reads and checks what stands ahead of the body.
+fn read_head(context: &ServiceContext, request: &Request) -> Result<RequestHead, MalformedRequest> {
+    let limits = context.limits();
+    Ok(RequestHead {
+        headers: RequestHeaders::parse(context, request.headers())?,
+        method: method(request)?,
+        target: target(request, limits.client.max_target_chars)?,
+        announced_bytes: announced_body_bytes(request, limits.max_body_bytes)?,
+        forwarded: forwarded_headers(request.headers()),
     })
 }
 
--- a/crates/sidecar/src/startup.rs
+++ b/crates/sidecar/src/startup.rs
@@ -6,15 +6,15 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use arrowstand_balancer::UpdateKind;
+use arrowstand_balancer::{ServerId, UpdateKind};
 use arrowstand_control::WorkAwareBalancer;
 use tokio::net::TcpListener;
-use tokio::sync::watch;
+use tokio::sync::{mpsc, watch};
 use tokio::task::JoinHandle;
 
 use crate::config::Config;
 use crate::counters::Counters;
-use crate::discovery;
+use crate::discovery::Watcher;
 use crate::downstream::listener::Listener;
 use crate::host::BalancerHost;
 use crate::limits::Limits;
@@ -37,7 +37,8 @@
 }
 
 impl Sidecar {
-    /// Starts to serve clients.
+    /// Starts to serve clients. Somewhat long on purpose: the order in which the parts start can be
+    /// read in one place.
     ///
     /// # Errors
     /// [`StartupError::Settings`] where the balancer does not take its settings,
@@ -45,29 +46,25 @@
     pub(crate) async fn start(config: Config) -> Result<Self, StartupError> {
         let balancer = WorkAwareBalancer::new(config.settings, config.seed)?;
         let (parts, servers_to_check) = SharedParts::new(balancer, config.names, config.limits);
-        let upstream = Upstream::new(
-            parts.server_directory(),
-            Rc::clone(&parts.limits),
-            Rc::clone(&parts.counters),
-        );
+        let upstream = new_upstream(&parts);
         let socket = listen(config.listen).await?;
 
         let known = config.known.unwrap_or_default();
         parts
             .host
             .update_endpoints(UpdateKind::Cached, known.rev, &known);
-        spawn_timers(&parts.host);
-        actix_rt::spawn(Rc::clone(&upstream).run_health_checks(servers_to_check));
-        actix_rt::spawn(Rc::clone(&upstream).run_pool_sweeps());
+        spawn_tasks(&parts.host, &upstream, servers_to_check);
         let (discovery, address) = watch::channel(config.discovery);
-        actix_rt::spawn(discovery::follow(
+        let limits = Rc::clone(&parts.limits);
+        let watcher = Watcher::new(
             parts.endpoint_sink(),
             address,
             known.rev,
-            Rc::clone(&parts.limits),
+            limits,
             config.seed,
-        ));
-        let proxy = start_proxy(&parts, upstream);
+        );
+        actix_rt::spawn(watcher.run());
+        let proxy = new_proxy(&parts, upstream);
         let listener = Listener::new(parts.service_context(), Rc::clone(&proxy));
         let accept = actix_rt::spawn(Rc::clone(&listener).accept(socket));
         tracing::info!("{} listens on {}", config.name, config.listen);
@@ -109,7 +106,15 @@
     }
 }
 
-fn start_proxy(parts: &SharedParts, upstream: Rc<Upstream>) -> Rc<Proxy> {
+fn new_upstream(parts: &SharedParts) -> Rc<Upstream> {
+    Upstream::new(
+        parts.server_directory(),
+        Rc::clone(&parts.limits),
+        Rc::clone(&parts.counters),
+    )
+}
+
+fn new_proxy(parts: &SharedParts, upstream: Rc<Upstream>) -> Rc<Proxy> {
     Proxy::new(
         parts.request_admission(),
         upstream,
@@ -124,7 +129,14 @@
         .map_err(|source| StartupError::Listen { address, source })
 }
 
-fn spawn_timers(host: &Rc<BalancerHost>) {
+/// Spawns what runs beside the requests: timers, health checks and the sweeps of the pools.
+fn spawn_tasks(
+    host: &Rc<BalancerHost>,
+    upstream: &Rc<Upstream>,
+    servers_to_check: mpsc::Receiver<ServerId>,
+) {
     let host = Rc::clone(host);
     actix_rt::spawn(async move { host.run_timers().await });
+    actix_rt::spawn(Rc::clone(upstream).run_health_checks(servers_to_check));
+    actix_rt::spawn(Rc::clone(upstream).run_pool_sweeps());
 }
--- a/crates/sidecar/src/upstream/response_head.rs
+++ b/crates/sidecar/src/upstream/response_head.rs
@@ -7,6 +7,8 @@
 
 /// Headers that a response may have; one with more cannot be read.
 const MAX_RESPONSE_HEADERS: usize = 64;
+/// The minor version that [`httparse`] gives for HTTP/1.1, the first version with chunks.
+const HTTP_1_1: u8 = 1;
 
 /// How the body of a final response ends.
 #[derive(Clone, Copy)]
@@ -108,26 +110,30 @@
     };
     let mut lengths = named("content-length");
     let mut codings = named("transfer-encoding");
-    let (coding, further_coding) = (codings.next(), codings.next());
-    match (lengths.next(), lengths.next(), coding) {
+    match (lengths.next(), lengths.next(), codings.next()) {
         (Some(length), None, None) => {
             content_length(length.value, limits.max_body_bytes).map(BodyEnd::Length)
         }
         (None, None, None) if matches!(response.code, Some(204 | 304)) => Ok(BodyEnd::Length(0)),
         (None, None, None) => Ok(BodyEnd::ConnectionClose),
         (None, None, Some(coding)) => {
-            // Guards against an end that only one side sees: HTTP/1.0 has no chunks, and no other
-            // coding is undone.
-            let chunked = coding.value.trim_ascii().eq_ignore_ascii_case(b"chunked");
-            if !chunked || further_coding.is_some() || response.version != Some(1) {
-                return Err(MalformedResponse::UnsupportedCoding);
+            let is_only_coding = codings.next().is_none();
+            if is_only_coding && is_chunked(coding) && response.version == Some(HTTP_1_1) {
+                Ok(BodyEnd::Chunks)
+            } else {
+                Err(MalformedResponse::UnsupportedCoding)
             }
-            Ok(BodyEnd::Chunks)
         }
         _ => Err(MalformedResponse::AmbiguousLength),
     }
 }
 
+/// True for the one transfer coding that is undone here. With another one, as with chunks in
+/// HTTP/1.0, server and sidecar would not see the body end at the same byte.
+fn is_chunked(coding: &httparse::Header<'_>) -> bool {
+    coding.value.trim_ascii().eq_ignore_ascii_case(b"chunked")
+}
+
 fn content_length(value: &[u8], max_length: usize) -> Result<usize, MalformedResponse> {
     let only_digits = value.iter().all(u8::is_ascii_digit);
     std::str::from_utf8(value)
