--- a/crates/sidecar/src/downstream/bounded_stream.rs
+++ b/crates/sidecar/src/downstream/bounded_stream.rs
@@ -1,8 +1,28 @@
-//! A client's socket as the protocol uses it: it reports to the connection what comes in, and
-//! passes on no more at a time than the protocol can buffer.
+//! A client's socket as the protocol (actix-http) uses it.
 //!
-//! Returns the socket to the connection when dropped, so that no library closes it over unread
-//! bytes.
+//! # Invariant
+//! While the protocol runs, the socket is always being read, every byte is reported to the
+//! [`ClientConnection`] before the protocol sees it, and the protocol holds little more than one
+//! request of it. Input that no request can use any more is thrown away, not left in the socket: the
+//! end of file lies behind it, and only by reading that far is it known that the client has left.
+//! Behind the last response the protocol reads the end of file, whatever the socket holds. However
+//! the protocol ends, the socket goes back to the connection, and only `lingering_close` closes it.
+//!
+//! # How it breaks, and what shows it
+//! - A read that is not reported, or a socket that is empty and not reported as such: requests are
+//!   rejected with "one request at a time" (`requests_malformed` rises), or wait without end in
+//!   [`ClientConnection::on_request_read`] (`requests_accepted` stands still while clients connect).
+//! - Reading that pauses while a request is in flight: clients leave unnoticed.
+//!   `clients_disconnected` and `attempts_blocked_client_left` stay low, and servers work for
+//!   clients that are gone.
+//! - A chunk that is not bounded: the process grows with the number of clients that send without
+//!   waiting, up to its memory limit.
+//! - A socket that is dropped here: a close over unread bytes is a reset, so clients report
+//!   "connection reset" where the sidecar counts a response. An upgrade of actix-http that shuts
+//!   sockets by itself would do this; `poll_shutdown` does nothing for that reason.
+//!
+//! `tests/floods.rs` and the recordings of pipelined requests and of clients that disconnect hold
+//! this.
 
 use std::io;
 use std::pin::Pin;
--- a/crates/sidecar/src/upstream/tracked_stream.rs
+++ b/crates/sidecar/src/upstream/tracked_stream.rs
@@ -1,9 +1,27 @@
-//! A connection to a server as awc sees it: writes are counted for the request, reads end with its
-//! response.
+//! A connection to a server as awc sees it: one socket, whose writes are counted for the request
+//! and whose reads end with its response.
 //!
-//! Owns one socket. Guards against bytes that belong to no response, and against the reuse of a
-//! connection on which some may still come: the next request finds such a connection closed, and
-//! gets another one from the pool.
+//! # Invariant
+//! Every byte that awc reads belongs to the response to the request that the current task sends, and
+//! every byte that the socket accepts is recorded in that request's `WriteProgress` before awc
+//! learns of it. A connection that may still bring something else is not used again: awc's read
+//! ahead of the next request finds it closed, and the pool takes another one. The permit is held for
+//! as long as the descriptor is.
+//!
+//! # How it breaks, and what shows it
+//! - A connection is used again though a second response is on its way, because the reuse delay is
+//!   too short or [`TrackedStream::is_reusable`] is not asked: a client gets another request's body.
+//!   No counter shows that, only the client's complaint; ask it for both request ids, and compare
+//!   the delay with what the server sends (`reuse_delay`).
+//! - A write that is not recorded: a request that was sent and got no response counts as one that
+//!   was never sent. `attempts_connect_failed` rises in place of `attempts_reset`, and requests that
+//!   must not be repeated are. This is what happens should awc move a connection to a task of its
+//!   own, where [`CURRENT_WRITE`] is not set: look here first after an upgrade of awc.
+//! - A connection that is never found reusable: `connections_opened` rises as fast as
+//!   `attempts_started`. One that is reused after the server's idle timeout: `attempts_reset` rises
+//!   for requests behind a pause.
+//!
+//! The recordings of second, late and trailing responses and of reused connections hold this.
 
 use std::io;
 use std::pin::Pin;
--- a/crates/sidecar/src/upstream/write_progress.rs
+++ b/crates/sidecar/src/upstream/write_progress.rs
@@ -4,6 +4,26 @@
 //! that ended before a response like one that never came up. The connection's stream reports what
 //! the socket has accepted through [`CURRENT_WRITE`]; whoever sends the request reads the result
 //! from its [`WriteProgress`].
+//!
+//! # Invariant
+//! A request that is not [complete](WriteProgress::is_complete) cannot have been executed: its last
+//! byte is not with the operating system. A request that is may have been. The phase moves forward
+//! only, and what the sidecar did not let out stays not sent, whatever is reported later. The first
+//! byte is written only if [`SendGuard`] allows it at that moment; later bytes are never held back,
+//! since half a request helps nobody.
+//!
+//! # How it breaks, and what shows it
+//! - The bytes that awc writes are not the head and then `body_length` bytes of body, for instance
+//!   because it came to use chunks. If the count ends too late, requests that were executed count as
+//!   `attempts_connect_failed` and are sent again: servers see one request id twice outside its
+//!   class. If it ends too early, requests that were cut off count as `attempts_reset` and
+//!   `attempts_timed_out`, and those that may not be repeated fail (`responses_failed` rises) though
+//!   nothing ran.
+//! - The check is skipped or made too early, before the connect: servers report work after the grace
+//!   of their drain, and the `attempts_blocked_*` counters stay at zero through drains and moves.
+//! - A check that refuses too much shows as the one `attempts_blocked_*` counter that rises;
+//!   `attempts_blocked_list_stale` for all servers at once means that discovery is silent, not that
+//!   this file is wrong.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
