--- a/crates/sidecar/src/config.rs
+++ b/crates/sidecar/src/config.rs
@@ -21,7 +21,7 @@
 pub(crate) use error::ConfigError;
 pub(crate) use names::Names;
 
-/// Bound on the nesting of the file's JSON; guards the stack.
+/// Bound on the nesting of the file's JSON, which is read recursively.
 const MAX_JSON_DEPTH: usize = 64;
 /// File descriptors where the file names no number: the usual soft limit of a process.
 const DEFAULT_SOCKETS: f64 = 1_024.0;
@@ -138,7 +138,8 @@
     settings.gossip = false;
     // `permissions.retry-after` says whether the simulator hands its clients the Retry-After of a
     // rejection. On sockets the header is part of the response regardless, and it keeps a
-    // client from retrying at once, so the balancer is always asked for it; see the README.
+    // client from retrying at once, so the balancer is always asked for it; docs/operations.md,
+    // "Retry-After", has more.
     settings.retry_after = true;
     // Discovery answers only when polled.
     settings.poll_endpoints = true;
--- a/crates/sidecar/src/discovery/line_decoder.rs
+++ b/crates/sidecar/src/discovery/line_decoder.rs
@@ -65,8 +65,9 @@
         Ok(())
     }
 
-    /// Guards against half an object that swallows all that follows it: an indented line belongs to
-    /// it, the start of the next object and an empty line do not.
+    /// True where the open object ends without having been closed: an indented line continues it,
+    /// the start of the next object and an empty line do not. Otherwise half an object would take
+    /// in all that follows it.
     fn is_object_cut_off_at(&self, line_end: usize) -> bool {
         let is_blank = self.undecoded[..line_end].trim_ascii().is_empty();
         !self.open_object.is_empty() && (is_blank || self.undecoded[0] == b'{')
--- a/crates/sidecar/src/discovery/watch.rs
+++ b/crates/sidecar/src/discovery/watch.rs
@@ -73,7 +73,7 @@
         limits.discovery.max_json_depth,
     );
     loop {
-        // Guards against a watch whose other end has vanished: not even its heartbeat comes.
+        // A peer that has vanished closes nothing; that its heartbeats stop is the only sign of it.
         let chunk = timeout(silence_timeout, body.next())
             .await
             .map_err(|_| WatchError::WatchSilent { last_received_at })?
--- a/crates/sidecar/src/discovery/watch_cursor.rs
+++ b/crates/sidecar/src/discovery/watch_cursor.rs
@@ -36,9 +36,9 @@
 
     /// A list came; returns its version for the balancer.
     pub(super) fn on_list_received(&self, list: &EndpointList) -> u64 {
-        // Guards against a discovery that counts from lower down, a new one or one that was
-        // restarted: it was polled for changes after the cursor and sent the whole list instead, so
-        // that list is no old one.
+        // A discovery that is new, or was restarted, may count from lower down. It was polled for
+        // changes after the cursor and sent the whole list instead, so the list is not an old one
+        // although its revision is lower.
         let is_first = self.awaiting_first_list.replace(false);
         if is_first && list.all && list.rev < self.revision.get() {
             self.version_offset
@@ -48,8 +48,8 @@
         self.version_offset.get() + list.rev
     }
 
-    /// An object was unreadable. Guards against changes that are lost with it: the next list would
-    /// move the cursor past them, so the next poll asks for the whole list.
+    /// An object was unreadable. The next list would move the cursor past the changes in it, so the
+    /// next poll asks for the whole list.
     pub(super) fn on_object_unreadable(&self) {
         self.revision.set(0);
     }
--- a/crates/sidecar/src/discovery/watcher.rs
+++ b/crates/sidecar/src/discovery/watcher.rs
@@ -105,16 +105,15 @@
         loop {
             tokio::select! {
                 error = &mut watch => return WatchExit::Ended(error),
-                // Guards against an early poll that loses its turn at a crowded discovery: it is
-                // the one asked for.
+                // The poll that the balancer asks for is already under way. A new one would be
+                // queued again behind those of other sidecars.
                 () = sink.poll_requested(), if reason == PollReason::Early => {
                     reason = PollReason::Requested;
                 }
                 () = sink.poll_requested(), if reason == PollReason::Requested => {
                     return WatchExit::Superseded;
                 }
-                // Guards against changes missed while the old address goes on or fails: the watch
-                // moves at once.
+                // The old address may go on to answer, without the changes that the new one has.
                 () = relocated(&mut self.discovery) => return WatchExit::Relocated,
             }
         }
@@ -122,8 +121,7 @@
 
     /// Waits until discovery is to be polled again after a watch has ended.
     async fn next_poll(&mut self) -> PollReason {
-        // Guards against a backoff of the balancer's that outlasts the grace in which the list
-        // still counts as fresh.
+        // The balancer's backoff may outlast the time for which the list still counts as fresh.
         let needs_immediate_poll = self.sink.freshness().needs_immediate_poll();
         let delay =
             self.limits.discovery.poll_retry_delay.mul_f64(
--- a/crates/sidecar/src/downstream/bounded_stream.rs
+++ b/crates/sidecar/src/downstream/bounded_stream.rs
@@ -3,15 +3,17 @@
 //! # Invariant
 //! While the protocol runs, the socket is always being read, every byte is reported to the
 //! [`ClientConnection`] before the protocol sees it, and the protocol holds little more than one
-//! request of it. Input that no request can use any more is thrown away, not left in the socket: the
-//! end of file lies behind it, and only by reading that far is it known that the client has left.
-//! Behind the last response the protocol reads the end of file, whatever the socket holds. However
-//! the protocol ends, the socket goes back to the connection, and only `lingering_close` closes it.
+//! request of it. Input that no request can use any more is thrown away, not left in the socket:
+//! the end of file lies behind it, and only by reading that far is it known that the client has
+//! left. Behind the last response the protocol reads the end of file, whatever the socket holds.
+//! However the protocol ends, the socket goes back to the connection, and only `lingering_close`
+//! closes it.
 //!
 //! # How it breaks, and what shows it
 //! - A read that is not reported, or a socket that is empty and not reported as such: requests are
 //!   rejected with "one request at a time" (`requests_malformed` rises), or wait without end in
-//!   [`ClientConnection::on_request_read`] (`requests_accepted` stands still while clients connect).
+//!   [`ClientConnection::on_request_read`] (`requests_accepted` stands still while clients
+//!   connect).
 //! - Reading that pauses while a request is in flight: clients leave unnoticed.
 //!   `clients_disconnected` and `attempts_blocked_client_left` stay low, and servers work for
 //!   clients that are gone.
@@ -69,8 +71,8 @@
         &self.client
     }
 
-    /// Waits for the first byte, or the end. Guards against memory that the protocol takes for
-    /// clients that send nothing.
+    /// Waits for the first byte, or the end. The protocol allocates its buffers as soon as it runs,
+    /// so it does not for clients that send nothing.
     pub(super) async fn first_byte(&self) {
         if let Some(socket) = &self.socket {
             let _ = socket.readable().await;
@@ -106,9 +108,9 @@
         read.map_ok(drop)
     }
 
-    /// Throws input away. Guards against a flood behind a request in flight: the protocol would
-    /// stop reading, and not see the client leave. What is over the bound is of no request that can
-    /// be served.
+    /// Throws input away. Behind a request in flight the protocol would stop reading at some point,
+    /// and would not see the client leave. What is over the bound is of no request that can be
+    /// served.
     fn poll_discard(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let mut discarded = [0; DISCARD_BUFFER_BYTES];
         for _ in 0..DISCARD_READS_PER_POLL {
@@ -120,7 +122,8 @@
         self.yield_to_other_tasks(cx)
     }
 
-    /// Guards against a client that sends without end and gets all the time there is.
+    /// Ends this task's turn, though there is more to read: a client that sends without end would
+    /// keep the thread to itself.
     fn yield_to_other_tasks(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         self.chunk_bytes = 0;
         cx.waker().wake_by_ref();
@@ -180,8 +183,8 @@
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        // Guards against a request that is read behind the last response: to the protocol it is the
-        // end of file.
+        // A request behind the last response would get no response, so the protocol sees the end of
+        // file instead.
         if self.client.close_state().sent_last_response() {
             return Poll::Ready(Ok(()));
         }
--- a/crates/sidecar/src/downstream/connection_timeout.rs
+++ b/crates/sidecar/src/downstream/connection_timeout.rs
@@ -9,8 +9,9 @@
 /// idle timeout.
 const DEADLINE_CHECKS_PER_IDLE_TIMEOUT: u32 = 4;
 
-/// Waits until the connection is to end: its deadline has passed, or it is closing and idle. Without
-/// this a client that sends nothing, or never ends what it sends, would hold its permit for ever.
+/// Waits until the connection is to end: its deadline has passed, or it is closing and idle.
+/// Without this a client that sends nothing, or never ends what it sends, would hold its permit for
+/// ever.
 pub(super) async fn timed_out(client: &ClientConnection, limits: &Limits) {
     let recheck = limits.client.idle_timeout / DEADLINE_CHECKS_PER_IDLE_TIMEOUT;
     loop {
--- a/crates/sidecar/src/downstream/http.rs
+++ b/crates/sidecar/src/downstream/http.rs
@@ -36,7 +36,8 @@
         // first.
         .keep_alive(KeepAlive::Os)
         .client_request_timeout(Duration::ZERO)
-        // Guards against requests that run on for a client that has left.
+        // A client that ends its side has left: its requests are dropped, and their attempts with
+        // them.
         .h1_allow_half_closed(false)
         .on_connect_ext(attach_connection)
         .h1(fn_service(respond))
--- a/crates/sidecar/src/downstream/lingering_close.rs
+++ b/crates/sidecar/src/downstream/lingering_close.rs
@@ -13,9 +13,9 @@
 /// Bytes that are thrown away by one read.
 const DISCARD_BUFFER_BYTES: usize = 4096;
 
-/// Closes a socket. Guards against a close over unread bytes: that is a reset, which takes the end
-/// of the last response with it. `descriptor_wanted` ends it early, where a new client needs the
-/// descriptor.
+/// Closes a socket once there is nothing left to read. A close over unread bytes is a reset, and
+/// that takes the end of the last response with it. `descriptor_wanted` ends the wait early, where
+/// a new client needs the descriptor.
 pub(super) async fn lingering_close(
     mut socket: TcpStream,
     limits: &Limits,
@@ -31,8 +31,8 @@
     }
 }
 
-/// Reads up to the end of file, or to more than so many bytes. Guards against a flood that is read
-/// for nothing until the time is over.
+/// Reads up to the end of file, or to more than so many bytes: a client that floods the connection
+/// is not worth reading until the time is over.
 async fn discard_input(socket: &mut TcpStream, max_bytes: usize) {
     let mut remaining_bytes = max_bytes;
     let mut buffer = vec![0; DISCARD_BUFFER_BYTES];
--- a/crates/sidecar/src/downstream/listener.rs
+++ b/crates/sidecar/src/downstream/listener.rs
@@ -22,8 +22,8 @@
 use super::service_context::ServiceContext;
 use crate::proxy::Proxy;
 
-/// After an accept that failed, the next one waits this long. Guards against a busy loop while
-/// descriptors are short.
+/// After an accept that failed, the next one waits this long: while descriptors are short, each
+/// fails at once.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 /// The listening side of the sidecar.
@@ -99,8 +99,7 @@
             .permits
             .is_accept_bound_reached(&self.context.limits().client)
         {
-            // Guards against a crowd at the shutdown that takes the descriptors of requests in
-            // flight.
+            // At the shutdown the descriptors are left to the requests in flight.
             if self.handler.is_shutting_down() {
                 return false;
             }
@@ -113,8 +112,8 @@
         true
     }
 
-    /// Guards against requests on connections that the operating system has accepted and this
-    /// program has not: the last of them are accepted before the listener goes.
+    /// Waits for a connection. At the shutdown the operating system may have accepted some that
+    /// this program has not, with requests on them: they are accepted before the listener goes.
     async fn accept_next(&self, listener: &TcpListener) -> Accepted {
         let is_shutting_down = self.handler.is_shutting_down();
         tokio::select! {
@@ -178,8 +177,8 @@
                 }
                 () = timed_out(client, self.context.limits()) => {}
             }
-            // Guards against a request that came as its connection was chosen for closing: nothing
-            // of it was read.
+            // A request may have come as its connection was chosen for closing. Nothing of it was
+            // read, so the protocol starts again and serves it.
             if !client.has_unread_request() {
                 counters.clients_timed_out.add();
                 return;
--- a/crates/sidecar/src/downstream/request.rs
+++ b/crates/sidecar/src/downstream/request.rs
@@ -89,7 +89,8 @@
     Ok(method.to_owned())
 }
 
-/// Guards against a target that cannot be written to a server: each attempt would fail unsent.
+/// The path and query. Other targets (`*`, an authority) cannot be written to a server: each
+/// attempt would fail unsent.
 fn target(request: &Request, max_chars: usize) -> Result<String, MalformedRequest> {
     let target = request
         .uri()
@@ -103,7 +104,8 @@
     Ok(target.to_owned())
 }
 
-/// The body's length as announced, 0 if it is not. Guards against reading what is to be rejected.
+/// The body's length as announced, 0 if it is not. A body that is too large is rejected before any
+/// of it is read.
 fn announced_body_bytes(request: &Request, max_bytes: usize) -> Result<usize, MalformedRequest> {
     let bytes = content_length(request.headers()).unwrap_or_default();
     if bytes > max_bytes as u64 {
--- a/crates/sidecar/src/downstream/request_handler.rs
+++ b/crates/sidecar/src/downstream/request_handler.rs
@@ -55,8 +55,8 @@
         response
     }
 
-    /// Rejects a request of a client past the bound on connections. Guards against a full
-    /// descriptor table: such a client gets its response at once.
+    /// Rejects a request of a client past the bound on connections, at once: what such clients hold
+    /// meanwhile are the last descriptors.
     pub(super) fn reject_over_capacity(&self, request: &Request) -> ClientResponse {
         self.context.counters().requests_over_capacity.add();
         let response = response::over_capacity(self.context.limits().default_retry_after);
--- a/crates/sidecar/src/downstream/request_headers.rs
+++ b/crates/sidecar/src/downstream/request_headers.rs
@@ -81,7 +81,8 @@
         .collect()
 }
 
-/// Guards against a rejection for a header that only helps: what cannot be read counts as absent.
+/// How long the client waits. The header only helps, so one that cannot be read counts as absent
+/// and does not cost the client its request.
 fn client_timeout(context: &ServiceContext, headers: &HeaderMap, class: ClassId) -> Duration {
     match text(headers, TIMEOUT).and_then(parse_timeout) {
         Some(timeout) => timeout.min(context.limits().client.max_timeout),
--- a/crates/sidecar/src/host/balancer_host.rs
+++ b/crates/sidecar/src/host/balancer_host.rs
@@ -139,8 +139,7 @@
             .into_iter()
             .filter_map(|action| self.execute(action))
             .collect();
-        // Guards against a server whose health is never checked again because the balancer waits
-        // for this check.
+        // The balancer requests no further check of a server while it waits for this one.
         for server in unsent_health_checks {
             self.on_health_check_ended(server, Outcome::NotSent, None);
         }
--- a/crates/sidecar/src/host/clock.rs
+++ b/crates/sidecar/src/host/clock.rs
@@ -5,8 +5,9 @@
 use arrowstand_balancer::Micros;
 use tokio::time::Instant;
 
-/// Gives the time in Unix microseconds. Guards against steps of the wall clock, which must not move
-/// a timer, while the start times of servers in the endpoint list can still be compared with it.
+/// Gives the time in Unix microseconds, so that the start times of servers in the endpoint list can
+/// be compared with it. After the start it follows the monotonic clock: a step of the wall clock
+/// moves no timer.
 pub(crate) struct BalancerClock {
     started_at: Instant,
     unix_time_at_start: Micros,
--- a/crates/sidecar/src/host/in_flight_request.rs
+++ b/crates/sidecar/src/host/in_flight_request.rs
@@ -136,9 +136,8 @@
 }
 
 impl Drop for InFlightRequest {
-    /// Guards against a balancer that waits for results of a request that is over: its client may
-    /// disconnect at any point, which drops the request, and each send must still get its one
-    /// result.
+    /// The client may disconnect at any point, which drops the request. The balancer still waits
+    /// for one result of each send, so what is open is reported here.
     fn drop(&mut self) {
         if !self.has_final_response {
             self.host.counters().clients_disconnected.add();
--- a/crates/sidecar/src/host/server.rs
+++ b/crates/sidecar/src/host/server.rs
@@ -27,8 +27,9 @@
         }
     }
 
-    /// What a list entry makes of it. Guards against an old list that takes a drain back while a
-    /// connection comes up: only a later incarnation, or a removal in between, ends a drain.
+    /// What a list entry makes of it. Only a later incarnation, or a removal in between, ends a
+    /// drain: an old list that still has the server as ready must not take the drain back while a
+    /// connection to it comes up.
     fn after_listing(self, status: EndpointStatus, is_newer_incarnation: bool) -> Self {
         let notified_at = || self.drain_notified_at().unwrap_or_else(Instant::now);
         match (self, status) {
--- a/crates/sidecar/src/host/server_registry.rs
+++ b/crates/sidecar/src/host/server_registry.rs
@@ -81,8 +81,8 @@
         endpoints
     }
 
-    /// Guards against names and numbers that grow without end where servers are replaced all the
-    /// time.
+    /// Forgets the servers that have been gone for long enough. Where servers are replaced all the
+    /// time, the registry would otherwise grow for as long as the process runs.
     fn forget_removed(&mut self, retention: Duration) {
         self.by_name.retain(|_, server| {
             let is_over = server.drain_age().is_some_and(|age| age >= retention);
--- a/crates/sidecar/src/limits/client.rs
+++ b/crates/sidecar/src/limits/client.rs
@@ -24,7 +24,7 @@
 const REQUEST_READ_TIMEOUT: Duration = Duration::from_secs(2);
 /// With [`IDLE_TIMEOUT`], a client that sends half a request is closed within 3 s of connecting.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(800);
-/// Far longer than any deadline; guards the clock against overflow.
+/// Far longer than any deadline, and short enough to add to any instant without an overflow.
 const MAX_TIMEOUT: Duration = Duration::from_secs(600);
 /// Input that the protocol gets at a time, in bytes: small, so that a flood is noticed early.
 const READ_CHUNK_BYTES: usize = 1024;
@@ -78,8 +78,8 @@
 }
 
 impl ClientLimits {
-    /// Guards against the operator's limits: well under a full table of file descriptors, and a
-    /// memory limit that has room for the bodies of each connection in half of it.
+    /// The smaller of two bounds counts: clients get three eighths of the file descriptors, and the
+    /// bodies of all connections fit into half of the memory.
     pub(super) fn derive(inputs: &LimitInputs) -> Self {
         let bodies_bytes = inputs.memory_mib * BYTES_PER_MIB / 2;
         let by_memory = (bodies_bytes / (BODIES_PER_CONNECTION * MAX_BODY_BYTES))
--- a/crates/sidecar/src/limits/discovery.rs
+++ b/crates/sidecar/src/limits/discovery.rs
@@ -17,9 +17,9 @@
 /// The balancer's longest first backoff before it polls again (one and a half of its `REASK`), and
 /// what a busy machine adds to it.
 pub(super) const MAX_POLL_PAUSE: Duration = Duration::from_millis(500);
-/// Bytes of one line: guards memory against an object that does not end.
+/// Bytes of one line. An object that does not end would otherwise fill the memory.
 const MAX_LINE_BYTES: usize = 512 * 1024;
-/// Deeper than any list; guards the stack.
+/// Deeper than any list. JSON is read recursively, so its depth bounds the stack.
 const MAX_JSON_DEPTH: usize = 32;
 /// Shortest and longest pause between polls for a list that is late.
 const POLL_RETRY_DELAYS: (Duration, Duration) =
@@ -30,12 +30,12 @@
 pub(crate) struct DiscoveryLimits {
     /// Bytes of one line.
     pub(crate) max_line_bytes: usize,
-    /// Nesting of JSON that is read; guards the stack.
+    /// Nesting of JSON that is read.
     pub(crate) max_json_depth: usize,
-    /// The head of the response must come within this. Guards against a drain that is learnt too
-    /// late to be kept: from the last event of a watch that dies to the end of the call that
-    /// replaces it, no more passes than the time after which a change counts as notified and the
-    /// grace of a drain.
+    /// The head of the response must come within this. A drain that is learnt later cannot be kept
+    /// any more: from the last event of a watch that dies to the end of the call that replaces it,
+    /// no more passes than the time after which a change counts as notified and the grace of a
+    /// drain.
     pub(crate) poll_timeout: Duration,
     /// A watch that is silent for this long is lost.
     pub(crate) watch_silence_timeout: Duration,
--- a/crates/sidecar/src/limits/upstream.rs
+++ b/crates/sidecar/src/limits/upstream.rs
@@ -9,7 +9,7 @@
 const MIN_CONNECTIONS: usize = 8;
 /// More than the head of any response, in bytes.
 const MAX_RESPONSE_HEAD_BYTES: usize = 16 * 1024;
-/// More interim responses than any server sends; guards against one that sends no other.
+/// More interim responses than any server sends ahead of the final one.
 const MAX_INTERIM_RESPONSES: usize = 8;
 /// A body whose length is not announced, with its framing, in bytes: as much again for the framing.
 const MAX_UNSIZED_RESPONSE_BYTES: usize = 2 * MAX_BODY_BYTES;
--- a/crates/sidecar/src/logging.rs
+++ b/crates/sidecar/src/logging.rs
@@ -10,7 +10,8 @@
 /// # Panics
 /// Where a logger is set already: it is called once, at the start.
 pub(crate) fn init() {
-    // Guards against bad clients that fill the log: actix-http reports each of them as an error.
+    // actix-http reports each client that breaks the protocol as an error: any of them could fill
+    // the log. `requests_malformed` counts them.
     let filter = Targets::new()
         .with_default(LevelFilter::INFO)
         .with_target("actix_http", LevelFilter::OFF);
--- a/crates/sidecar/src/machine_table.rs
+++ b/crates/sidecar/src/machine_table.rs
@@ -12,7 +12,7 @@
 
 /// Cores or speed of this much are taken for a typing error.
 const CAPACITY_BOUND: f64 = 10_000.0;
-/// Bound on the nesting of the table's JSON; guards the stack.
+/// Bound on the nesting of the table's JSON, which is read recursively.
 const MAX_JSON_DEPTH: usize = 8;
 
 /// A machine table that cannot be used. The message is one line that names file, entry and key.
@@ -55,7 +55,7 @@
 fn read(text: &str) -> Result<MachineCatalogue, ReadError> {
     let value = json::parse(text, MAX_JSON_DEPTH)?;
     let machines = Node::root(&value).at("machines");
-    // Guards against a table whose one key is misspelt and that would count as empty.
+    // With its one key misspelt a table would pass for one without machines.
     if !machines.is_present() {
         return Err(machines.error(KeyProblem::Missing).into());
     }
--- a/crates/sidecar/src/main.rs
+++ b/crates/sidecar/src/main.rs
@@ -41,9 +41,9 @@
     runtime.block_on(serve())
 }
 
-/// Serves until SIGTERM or SIGINT; SIGHUP reloads the configuration. Guards against a start that a
-/// new configuration ends: signals are listened for before anything is read, and are followed once
-/// the sidecar serves.
+/// Serves until SIGTERM or SIGINT; SIGHUP reloads the configuration. Signals are listened for
+/// before anything is read and followed once the sidecar serves: by default a SIGHUP during the
+/// start, for a new configuration, would end the process.
 async fn serve() -> Result<(), StartupError> {
     let mut signals = Signals::listen()?;
     let config = Config::from_environment()?;
--- a/crates/sidecar/src/proxy/request_ids.rs
+++ b/crates/sidecar/src/proxy/request_ids.rs
@@ -10,8 +10,8 @@
 pub(super) struct OpenRequestIds(RefCell<HashSet<Rc<str>>>);
 
 impl OpenRequestIds {
-    /// Reserves an id until the guard is dropped; `None` where it is in use. Guards against two
-    /// requests that servers cannot tell apart: one would pass for a retry of the other.
+    /// Reserves an id until the guard is dropped; `None` where it is in use. Servers could not tell
+    /// two requests of one id apart: one would pass for a retry of the other.
     pub(super) fn reserve(self: &Rc<Self>, id: &str) -> Option<RequestIdGuard> {
         let id: Rc<str> = id.into();
         let is_new = self.0.borrow_mut().insert(Rc::clone(&id));
--- a/crates/sidecar/src/startup.rs
+++ b/crates/sidecar/src/startup.rs
@@ -83,7 +83,7 @@
     pub(crate) fn reload(&self) {
         match Config::reload() {
             Ok(config) => self.on_reloaded(config.discovery),
-            // Guards against a bad file that ends a process in service: the old settings stay.
+            // A mistake in the file is no reason to end a process in service.
             Err(error) => tracing::error!("not reloaded: {error}"),
         }
     }
@@ -97,7 +97,7 @@
 
     fn on_reloaded(&self, new_address: SocketAddr) {
         tracing::info!("reloaded: discovery is at {new_address}");
-        // Guards against a watch that is closed and opened again though discovery has not moved.
+        // A watch need not be opened again where discovery has not moved.
         self.discovery.send_if_modified(|address| {
             let has_moved = *address != new_address;
             *address = new_address;
--- a/crates/sidecar/src/upstream/attempt.rs
+++ b/crates/sidecar/src/upstream/attempt.rs
@@ -144,7 +144,8 @@
     AttemptResult::without_response(outcome_without_response(progress, Outcome::Reset))
 }
 
-/// Guards against a panic: a value that cannot be a header's is left out.
+/// Sets a header, or leaves it out where its value cannot be one: what came from a client may not
+/// make the sidecar panic.
 fn insert_header(request: &mut ClientRequest, name: &'static str, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         request
--- a/crates/sidecar/src/upstream/connection_limiter.rs
+++ b/crates/sidecar/src/upstream/connection_limiter.rs
@@ -1,6 +1,5 @@
-//! How many connections to servers are open, busy and idle ones alike.
-//!
-//! Guards against running out of file descriptors.
+//! How many connections to servers are open, busy and idle ones alike: each takes one of the
+//! process's file descriptors, which clients and discovery need as well.
 
 use std::cell::Cell;
 use std::rc::Rc;
--- a/crates/sidecar/src/upstream/connection_pool.rs
+++ b/crates/sidecar/src/upstream/connection_pool.rs
@@ -52,7 +52,7 @@
         let pool = pools
             .entry(server.id)
             .or_insert_with(|| self.open_pool(address, now));
-        // Guards against connections kept for an address that the server has left.
+        // Connections to the address that the server has left are of no use to it.
         if pool.address != address {
             *pool = self.open_pool(address, now);
         }
@@ -77,8 +77,8 @@
     /// Closes idle connections of servers that get no requests any more, for as long as the program
     /// runs.
     ///
-    /// Guards against descriptors held for them: awc looks at an idle connection only when it wants
-    /// one, so they are closed with their pool.
+    /// awc looks at an idle connection only when it wants one. Those that nobody wants would hold
+    /// their descriptors for ever, so the whole pool is dropped.
     pub(super) async fn run_sweeps(&self) {
         loop {
             tokio::time::sleep(self.idle_timeout).await;
--- a/crates/sidecar/src/upstream/exchange.rs
+++ b/crates/sidecar/src/upstream/exchange.rs
@@ -50,8 +50,8 @@
         let mut response = send(request, body).await?;
         let length = announced_length(&response);
         let body = read_body(&mut response, length, max_body_bytes).await?;
-        // Guards against a part of a response passed on as the whole: awc ends a body at the end of
-        // its connection without an error, however much of it was announced.
+        // awc ends a body at the end of its connection without an error, however much of it was
+        // announced; a part must not reach the client as the whole.
         if is_end_announced(&response) && progress.connection_ended() {
             return Err(ExchangeFailed);
         }
@@ -91,7 +91,7 @@
             break;
         };
         let chunk = chunk.map_err(|_| ExchangeFailed)?;
-        // Guards against memory taken by a response that is larger than the protocol allows.
+        // The length may not have been announced, so it is bounded as the body comes.
         if body.len() + chunk.len() > max_body_bytes {
             return Err(ExchangeFailed);
         }
--- a/crates/sidecar/src/upstream/mod.rs
+++ b/crates/sidecar/src/upstream/mod.rs
@@ -7,9 +7,10 @@
 //! execution. Which server, whether to retry, and what the client gets is decided elsewhere:
 //! nothing here sends a request twice.
 //!
-//! Imports run one way, each file using only those ahead of it: `server_directory`, `send_guard`, `write_progress`,
-//! `response_head`, `response_framing`, `connection_limiter`, `tracked_stream`, `connector`,
-//! `reuse_delay`, `connection_pool`, `exchange`, then `attempt` and `health_check`, then this one.
+//! Imports run one way, each file using only those ahead of it: `server_directory`, `send_guard`,
+//! `write_progress`, `response_head`, `response_framing`, `connection_limiter`, `tracked_stream`,
+//! `connector`, `reuse_delay`, `connection_pool`, `exchange`, then `attempt` and `health_check`,
+//! then this one.
 
 mod attempt;
 mod connection_limiter;
--- a/crates/sidecar/src/upstream/response_framing.rs
+++ b/crates/sidecar/src/upstream/response_framing.rs
@@ -6,17 +6,18 @@
 //! head to the last of its body. Interim responses ahead of it and bytes behind it are not. A head
 //! whose end, or whose body's end, is in doubt passes on nothing, and no head or body is read past
 //! its limit. [`ResponseFraming::is_idle`] holds exactly while no byte is awaited, so a connection
-//! that brings more than its response is known and is not reused. awc does none of this: it takes an
-//! interim response for the final one and puts a connection with bytes left over back into its pool.
+//! that brings more than its response is known and is not reused. awc does none of this: it takes
+//! an interim response for the final one and puts a connection with bytes left over back into its
+//! pool.
 //!
 //! # How it breaks, and what shows it
 //! - This file and awc disagree on where a body ends, for one kind of response (chunks, no length,
 //!   status 204 or 304). If this file ends it first, what lies behind is dropped with the
-//!   connection, and the attempt counts as `attempts_reset` although its server has answered. If awc
-//!   ends it first, the connection returns to the pool as if more of the body were to come, without
-//!   its reuse delay.
-//! - A server that sends what is refused here ([`MalformedResponse`]) shows as `attempts_reset`, and
-//!   as `health_checks_failed` where it answers those alike, though it reports to have served.
+//!   connection, and the attempt counts as `attempts_reset` although its server has answered. If
+//!   awc ends it first, the connection returns to the pool as if more of the body were to come,
+//!   without its reuse delay.
+//! - A server that sends what is refused here ([`MalformedResponse`]) shows as `attempts_reset`,
+//!   and as `health_checks_failed` where it answers those alike, though it reports to have served.
 //!   Nothing is logged for each response: take a capture of one exchange and read its head.
 //! - A response whose end is missed leaves bytes for the next one. See `tracked_stream` for what a
 //!   client then gets.
--- a/crates/sidecar/src/upstream/reuse_delay.rs
+++ b/crates/sidecar/src/upstream/reuse_delay.rs
@@ -1,9 +1,9 @@
 //! Connections whose response has just been read: the pool gets each back only after the reuse
 //! delay.
 //!
-//! Guards against a second response to the same request, which may come some milliseconds late and
-//! would be taken for the response to the next request on that connection. The delay's length is
-//! set by the limits.
+//! Some servers send a second response to the same request, some milliseconds late. On a connection
+//! that is in use again it would be taken for the response to the next request. The delay's length
+//! is set by the limits.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
--- a/crates/sidecar/src/upstream/tracked_stream.rs
+++ b/crates/sidecar/src/upstream/tracked_stream.rs
@@ -2,21 +2,21 @@
 //! and whose reads end with its response.
 //!
 //! # Invariant
-//! Every byte that awc reads belongs to the response to the request that the current task sends, and
-//! every byte that the socket accepts is recorded in that request's `WriteProgress` before awc
+//! Every byte that awc reads belongs to the response to the request that the current task sends,
+//! and every byte that the socket accepts is recorded in that request's `WriteProgress` before awc
 //! learns of it. A connection that may still bring something else is not used again: awc's read
-//! ahead of the next request finds it closed, and the pool takes another one. The permit is held for
-//! as long as the descriptor is.
+//! ahead of the next request finds it closed, and the pool takes another one. The permit is held
+//! for as long as the descriptor is.
 //!
 //! # How it breaks, and what shows it
 //! - A connection is used again though a second response is on its way, because the reuse delay is
-//!   too short or [`TrackedStream::is_reusable`] is not asked: a client gets another request's body.
-//!   No counter shows that, only the client's complaint; ask it for both request ids, and compare
-//!   the delay with what the server sends (`reuse_delay`).
+//!   too short or [`TrackedStream::is_reusable`] is not asked: a client gets another request's
+//!   body. No counter shows that, only the client's complaint; ask it for both request ids, and
+//!   compare the delay with what the server sends (`reuse_delay`).
 //! - A write that is not recorded: a request that was sent and got no response counts as one that
-//!   was never sent. `attempts_connect_failed` rises in place of `attempts_reset`, and requests that
-//!   must not be repeated are. This is what happens should awc move a connection to a task of its
-//!   own, where [`CURRENT_WRITE`] is not set: look here first after an upgrade of awc.
+//!   was never sent. `attempts_connect_failed` rises in place of `attempts_reset`, and requests
+//!   that must not be repeated are. This is what happens should awc move a connection to a task of
+//!   its own, where [`CURRENT_WRITE`] is not set: look here first after an upgrade of awc.
 //! - A connection that is never found reusable: `connections_opened` rises as fast as
 //!   `attempts_started`. One that is reused after the server's idle timeout: `attempts_reset` rises
 //!   for requests behind a pause.
@@ -80,10 +80,11 @@
 
     /// Whether the next request may be written to the connection.
     ///
-    /// Guards against another request's response: whether more came behind a body without a length
-    /// is not known here, and within the reuse delay a second response may still be on its way.
-    /// Guards against a server that closes the connection as idle, too: the pool counts from the
-    /// time at which it got the connection back.
+    /// After a body without an announced length it is not known here whether more came behind it,
+    /// and within the reuse delay a second response may still be on its way: the next request would
+    /// get it as its own. A connection that was idle for too long is one that the server may be
+    /// closing just now; the pool does not know, since it counts from when it got the connection
+    /// back.
     fn is_reusable(&self) -> bool {
         let upstream = &self.limits.upstream;
         let too_early_or_late = self.response_ended_at.is_some_and(|ended_at| {
--- a/crates/sidecar/src/upstream/write_progress.rs
+++ b/crates/sidecar/src/upstream/write_progress.rs
@@ -14,13 +14,14 @@
 //!
 //! # How it breaks, and what shows it
 //! - The bytes that awc writes are not the head and then `body_length` bytes of body, for instance
-//!   because it came to use chunks. If the count ends too late, requests that were executed count as
-//!   `attempts_connect_failed` and are sent again: servers see one request id twice outside its
+//!   because it came to use chunks. If the count ends too late, requests that were executed count
+//!   as `attempts_connect_failed` and are sent again: servers see one request id twice outside its
 //!   class. If it ends too early, requests that were cut off count as `attempts_reset` and
-//!   `attempts_timed_out`, and those that may not be repeated fail (`responses_failed` rises) though
-//!   nothing ran.
-//! - The check is skipped or made too early, before the connect: servers report work after the grace
-//!   of their drain, and the `attempts_blocked_*` counters stay at zero through drains and moves.
+//!   `attempts_timed_out`, and those that may not be repeated fail (`responses_failed` rises)
+//!   though nothing ran.
+//! - The check is skipped or made too early, before the connect: servers report work after the
+//!   grace of their drain, and the `attempts_blocked_*` counters stay at zero through drains and
+//!   moves.
 //! - A check that refuses too much shows as the one `attempts_blocked_*` counter that rises;
 //!   `attempts_blocked_list_stale` for all servers at once means that discovery is silent, not that
 //!   this file is wrong.
