--- a/crates/sidecar/src/config.rs
+++ b/crates/sidecar/src/config.rs
@@ -150,11 +150,8 @@
 }
 
 fn read_limits(own: &Node, conf: &Node, settings: &Settings) -> Result<Limits, KeyError> {
-    let number_or = |key: &str, default: f64| -> Result<usize, KeyError> {
-        Ok(own.at(key).optional_number()?.unwrap_or(default) as usize)
-    };
-    let sockets = number_or("sockets", DEFAULT_SOCKETS)?;
-    let memory_mib = number_or("memory_mb", DEFAULT_MEMORY_MIB)?;
+    let sockets = read_count(&own.at("sockets"), DEFAULT_SOCKETS)?;
+    let memory_mib = read_count(&own.at("memory_mb"), DEFAULT_MEMORY_MIB)?;
     let transport = TransportSettings::read(conf)?;
     if sockets < MIN_SOCKETS {
         let problem = KeyProblem::TooSmall { min: MIN_SOCKETS };
@@ -165,6 +162,11 @@
     Ok(Limits::derive(&inputs))
 }
 
+/// A number of things; a fraction of one is dropped.
+fn read_count(node: &Node, default: f64) -> Result<usize, KeyError> {
+    Ok(node.optional_number()?.unwrap_or(default) as usize)
+}
+
 fn read_known(node: &Node) -> Result<Option<EndpointList>, KeyError> {
     if !node.is_present() {
         return Ok(None);
--- a/crates/sidecar/src/discovery/line_decoder/tests.rs
+++ b/crates/sidecar/src/discovery/line_decoder/tests.rs
@@ -3,7 +3,9 @@
 use super::*;
 
 fn all(text: &[u8], sizes: &[usize]) -> Vec<String> {
-    let (mut lines, mut found, mut at) = (LineDecoder::new(100_000, 8), Vec::new(), 0);
+    let mut lines = LineDecoder::new(100_000, 8);
+    let mut found = Vec::new();
+    let mut at = 0;
     let mut sizes = sizes.iter().cycle();
     while at < text.len() {
         let end = (at + sizes.next().copied().unwrap_or(1).max(1)).min(text.len());
--- a/crates/sidecar/src/downstream/request.rs
+++ b/crates/sidecar/src/downstream/request.rs
@@ -108,10 +108,10 @@
 /// of it is read.
 fn announced_body_bytes(request: &Request, max_bytes: usize) -> Result<usize, MalformedRequest> {
     let bytes = content_length(request.headers()).unwrap_or_default();
-    if bytes > max_bytes as u64 {
-        return Err(MalformedRequest::BodyTooLarge);
-    }
-    Ok(bytes as usize)
+    usize::try_from(bytes)
+        .ok()
+        .filter(|&bytes| bytes <= max_bytes)
+        .ok_or(MalformedRequest::BodyTooLarge)
 }
 
 async fn read_body(
--- a/crates/sidecar/src/downstream/request_headers.rs
+++ b/crates/sidecar/src/downstream/request_headers.rs
@@ -126,7 +126,7 @@
         Some(number) => number.parse::<f64>().ok()?,
         None => text.strip_suffix('m')?.parse::<f64>().ok()? * MICROS_PER_MILLISECOND,
     };
-    (micros.is_finite() && micros >= 0.0).then(|| Duration::from_micros(micros as u64))
+    (micros.is_finite() && micros >= 0.0).then(|| whole_micros(micros))
 }
 
 /// Microseconds, with or without a fraction, within the bounds.
@@ -134,7 +134,12 @@
     let micros = text.trim().parse::<f64>().ok()?;
     WORK_HINT_MICROS
         .contains(&micros)
-        .then(|| Duration::from_micros(micros as u64))
+        .then(|| whole_micros(micros))
+}
+
+/// A number of microseconds that is not negative, without its fraction.
+fn whole_micros(micros: f64) -> Duration {
+    Duration::from_micros(micros as u64)
 }
 
 #[cfg(test)]
--- a/crates/sidecar/src/host/class_table.rs
+++ b/crates/sidecar/src/host/class_table.rs
@@ -34,7 +34,7 @@
     /// The class of that name; `None` where the configuration has none.
     pub(crate) fn id(&self, name: &str) -> Option<ClassId> {
         let index = self.0.iter().position(|class| class.name == name)?;
-        Some(ClassId(index as u16))
+        u16::try_from(index).ok().map(ClassId)
     }
 
     /// True for a class whose requests carry an idempotency key.
--- a/crates/sidecar/src/host/class_table/tests.rs
+++ b/crates/sidecar/src/host/class_table/tests.rs
@@ -21,11 +21,13 @@
 
 #[test]
 fn only_a_class_with_keys_has_a_deduplication_window() {
-    let (table, query, payment) = (table(), ClassId(0), ClassId(1));
-    assert!(!table.requires_idempotency_key(query));
-    assert_eq!(table.deduplication_window(query), None);
-    assert!(table.requires_idempotency_key(payment));
-    assert_eq!(table.deduplication_window(payment), Some(4 * SECOND));
+    const QUERY: ClassId = ClassId(0);
+    const PAYMENT: ClassId = ClassId(1);
+    let table = table();
+    assert!(!table.requires_idempotency_key(QUERY));
+    assert_eq!(table.deduplication_window(QUERY), None);
+    assert!(table.requires_idempotency_key(PAYMENT));
+    assert_eq!(table.deduplication_window(PAYMENT), Some(4 * SECOND));
 }
 
 #[test]
--- a/crates/sidecar/src/host/clock.rs
+++ b/crates/sidecar/src/host/clock.rs
@@ -1,10 +1,12 @@
 //! The balancer's clock: Unix time at the start, and monotonic from there. Owns no timer.
 
-use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use std::time::{SystemTime, UNIX_EPOCH};
 
 use arrowstand_balancer::Micros;
 use tokio::time::Instant;
 
+use crate::units::micros;
+
 /// Gives the time in Unix microseconds, so that the start times of servers in the endpoint list can
 /// be compared with it. After the start it follows the monotonic clock: a step of the wall clock
 /// moves no timer.
@@ -40,8 +42,3 @@
         self.now().saturating_sub(micros(instant.elapsed()))
     }
 }
-
-/// A duration in the balancer's unit.
-pub(super) fn micros(duration: Duration) -> Micros {
-    duration.as_micros() as Micros
-}
--- a/crates/sidecar/src/host/in_flight_request.rs
+++ b/crates/sidecar/src/host/in_flight_request.rs
@@ -10,8 +10,8 @@
 use tokio::sync::mpsc;
 
 use super::balancer_host::BalancerHost;
-use super::clock::micros;
 use super::request_action::RequestAction;
+use crate::units::micros;
 
 struct OpenAttempt {
     attempt: u32,
--- a/crates/sidecar/src/host/server/tests.rs
+++ b/crates/sidecar/src/host/server/tests.rs
@@ -51,7 +51,8 @@
             Availability::Ready,
             "before any list"
         );
-        let (mut rest, mut highest_incarnation_ms) = (sequence, 0.0_f64);
+        let mut rest = sequence;
+        let mut highest_incarnation_ms = 0.0_f64;
         for _ in 0..SEQUENCE_LENGTH {
             let (status, incarnation_ms) = entries[rest % entries.len()];
             rest /= entries.len();
--- a/crates/sidecar/src/host/server_registry.rs
+++ b/crates/sidecar/src/host/server_registry.rs
@@ -120,7 +120,7 @@
             self.zones.push(name.to_owned());
             self.zones.len() - 1
         });
-        index as u32
+        u32::try_from(index).unwrap_or(u32::MAX)
     }
 }
 
--- a/crates/sidecar/src/host/server_registry/tests.rs
+++ b/crates/sidecar/src/host/server_registry/tests.rs
@@ -23,7 +23,8 @@
 /// A day of replaced servers, each at the address of the one before: too long to record.
 #[test]
 fn a_removed_server_is_forgotten_and_its_number_is_not_used_again() {
-    let (mut registry, mut numbers) = (ServerRegistry::default(), Vec::new());
+    let mut registry = ServerRegistry::default();
+    let mut numbers = Vec::new();
     for n in 1..100 {
         let list = list(vec![
             entry(n - 1, EndpointStatus::Removed),
--- a/crates/sidecar/src/limits/discovery.rs
+++ b/crates/sidecar/src/limits/discovery.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use arrowstand_balancer::Micros;
 use arrowstand_control::list_freshness::StalenessBounds;
 
 use super::inputs::LimitInputs;
+use crate::units::micros;
 
 /// A change of the endpoint list counts as notified after this long, whether or not it arrived (the
 /// protocol page).
@@ -67,7 +67,3 @@
         }
     }
 }
-
-fn micros(duration: Duration) -> Micros {
-    duration.as_micros() as Micros
-}
--- a/crates/sidecar/src/main.rs
+++ b/crates/sidecar/src/main.rs
@@ -15,6 +15,7 @@
 mod signals;
 mod startup;
 mod startup_error;
+mod units;
 mod upstream;
 
 use std::process::ExitCode;
--- a/crates/sidecar/src/upstream/connector.rs
+++ b/crates/sidecar/src/upstream/connector.rs
@@ -71,7 +71,8 @@
         self.counters.connections_opened.add();
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
-        let (limits, counters) = (Rc::clone(&self.limits), Rc::clone(&self.counters));
+        let limits = Rc::clone(&self.limits);
+        let counters = Rc::clone(&self.counters);
         Ok(TrackedStream::new(stream, permit, limits, counters))
     }
 }
--- a/crates/sidecar/src/upstream/write_progress/tests.rs
+++ b/crates/sidecar/src/upstream/write_progress/tests.rs
@@ -216,7 +216,8 @@
         let end = head.find("\r\n\r\n").unwrap_or_default() + 4;
         let request = [&head.as_bytes()[..end], &vec![b'\r'; body]].concat();
         let progress = WriteProgress::new(None, body);
-        let (mut written, mut ended) = (0, false);
+        let mut written = 0;
+        let mut ended = false;
         for (length, connection_ends) in chunks {
             let next = (written + length).min(request.len());
             progress.on_written(&request[written..next]);
