--- a/crates/sidecar/src/discovery/watch_error.rs
+++ b/crates/sidecar/src/discovery/watch_error.rs
@@ -7,7 +7,7 @@
 
 use super::line_decoder::ObjectTooLong;
 
-/// Why a poll or a watch ended. Each variant's message is a line of the log.
+/// Why a poll or a watch ended. The message is the `error` field of the log line.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum WatchError {
     /// The poll could not be sent or its response not be read; nobody may be listening there.
--- a/crates/sidecar/src/discovery/watcher.rs
+++ b/crates/sidecar/src/discovery/watcher.rs
@@ -138,7 +138,7 @@
     }
 
     fn on_watch_ended(&self, error: &WatchError) {
-        tracing::warn!("discovery: {error}");
+        tracing::warn!(%error, "discovery watch ended");
         let freshness = self.sink.freshness();
         match error {
             WatchError::WatchSilent { last_received_at } => {
--- a/crates/sidecar/src/downstream/listener.rs
+++ b/crates/sidecar/src/downstream/listener.rs
@@ -81,7 +81,7 @@
             match self.accept_next(&listener).await {
                 Accepted::Connection(stream) => self.spawn_connection(stream, &services),
                 Accepted::Failed(error) => {
-                    tracing::warn!("accept: {error}");
+                    tracing::warn!(%error, "client not accepted");
                     if self.handler.is_shutting_down() {
                         return;
                     }
--- a/crates/sidecar/src/host/action_dispatch.rs
+++ b/crates/sidecar/src/host/action_dispatch.rs
@@ -56,7 +56,11 @@
             return;
         };
         if sender.try_send(action).is_err() {
-            tracing::warn!("an action was dropped: too many are waiting");
+            tracing::warn!(
+                request = id.0,
+                ?action,
+                "action dropped, its request's queue is full"
+            );
         }
     }
 
--- a/crates/sidecar/src/host/balancer_host.rs
+++ b/crates/sidecar/src/host/balancer_host.rs
@@ -83,9 +83,9 @@
     /// falls.
     pub(crate) fn update_endpoints(&self, kind: UpdateKind, version: u64, list: &EndpointList) {
         self.counters.endpoint_updates.add();
-        for message in &list.skipped {
+        for error in &list.skipped {
             self.counters.endpoint_lines_skipped.add();
-            tracing::warn!("discovery: an entry was skipped: {message}");
+            tracing::warn!(%error, "endpoint list entry skipped");
         }
         let retention = self.limits.upstream.server_retention;
         let endpoints = self.servers.borrow_mut().apply(kind, list, retention);
--- a/crates/sidecar/src/startup.rs
+++ b/crates/sidecar/src/startup.rs
@@ -67,7 +67,7 @@
         let proxy = new_proxy(&parts, upstream);
         let listener = Listener::new(parts.service_context(), Rc::clone(&proxy));
         let accept = actix_rt::spawn(Rc::clone(&listener).accept(socket));
-        tracing::info!("{} listens on {}", config.name, config.listen);
+        tracing::info!(sidecar = %config.name, address = %config.listen, "listening for clients");
         Ok(Self {
             limits: parts.limits,
             counters: parts.counters,
@@ -84,7 +84,7 @@
         match Config::reload() {
             Ok(config) => self.on_reloaded(config.discovery),
             // A mistake in the file is no reason to end a process in service.
-            Err(error) => tracing::error!("not reloaded: {error}"),
+            Err(error) => tracing::error!(%error, "configuration not reloaded"),
         }
     }
 
@@ -92,11 +92,12 @@
     pub(crate) async fn shut_down(self) {
         let limits = &self.limits.shutdown;
         shut_down(&self.proxy, &self.listener, self.accept, limits).await;
+        // One message with all counters: the testbed's emulator reads what follows this line.
         tracing::info!("stopped\n{}", self.counters);
     }
 
     fn on_reloaded(&self, new_address: SocketAddr) {
-        tracing::info!("reloaded: discovery is at {new_address}");
+        tracing::info!(discovery = %new_address, "configuration reloaded");
         // A watch need not be opened again where discovery has not moved.
         self.discovery.send_if_modified(|address| {
             let has_moved = *address != new_address;
