--- a/crates/sidecar/src/upstream/attempt.rs
+++ b/crates/sidecar/src/upstream/attempt.rs
@@ -12,8 +12,9 @@
 
 use super::connection_pool::ConnectionPools;
 use super::exchange::{CompleteResponse, ExchangeFailed, exchange, outcome_without_response};
+use super::send_guard::SendGuard;
 use super::server_directory::ServerDirectory;
-use super::write_progress::{SendGuard, WriteProgress};
+use super::write_progress::WriteProgress;
 use crate::host::Server;
 use crate::limits::Limits;
 use crate::message::{AttemptResult, FORWARDED_HEADERS, Payload, ProxyRequest};
--- a/crates/sidecar/src/upstream/mod.rs
+++ b/crates/sidecar/src/upstream/mod.rs
@@ -7,10 +7,10 @@
 //! execution. Which server, whether to retry, and what the client gets is decided elsewhere:
 //! nothing here sends a request twice.
 //!
-//! Imports run one way, each file using only those ahead of it: `server_directory`, `send_guard`,
-//! `write_progress`, `response_head`, `response_framing`, `connection_limiter`, `tracked_stream`,
-//! `connector`, `reuse_delay`, `connection_pool`, `exchange`, then `attempt` and `health_check`,
-//! then this one.
+//! Imports run one way, each file using only those ahead of it: `server_directory`,
+//! `send_conditions`, `send_guard`, `write_progress`, `response_head`, `response_framing`,
+//! `response_reader`, `connection_limiter`, `tracked_stream`, `connector`, `reuse_delay`,
+//! `connection_pool`, `exchange`, then `attempt` and `health_check`, then this one.
 
 mod attempt;
 mod connection_limiter;
@@ -20,7 +20,9 @@
 mod health_check;
 mod response_framing;
 mod response_head;
+mod response_reader;
 mod reuse_delay;
+mod send_conditions;
 mod send_guard;
 mod server_directory;
 mod tracked_stream;
--- a/crates/sidecar/src/upstream/send_guard.rs
+++ b/crates/sidecar/src/upstream/send_guard.rs
@@ -1,60 +1,52 @@
-//! The check before an attempt's first byte: whether the attempt may still begin.
-//!
-//! The balancer decides earlier; a slow connect or a busy event loop may lie between its decision
-//! and the first write. Pure: times and flags are handed in (`write_progress::SendGuard` collects
-//! them). An attempt that is blocked here counts as not sent.
+//! What an attempt must still satisfy at its first byte: collects the conditions as they are at that
+//! moment, and has them checked.
 
-use std::time::Duration;
+use std::net::SocketAddr;
+use std::rc::Rc;
 
-use crate::message::SendBlocked;
+use tokio::time::Instant;
 
-/// What is known at the moment in which the first byte would be written.
-#[derive(Clone, Copy, Debug)]
-pub(super) struct SendConditions {
-    /// The client has closed its connection.
-    pub client_left: bool,
-    /// Time until the attempt times out.
-    pub time_left: Duration,
-    /// Time in which a retry may still begin, zero once that is over; `None` where it is not
-    /// bounded.
-    pub retry_window_left: Option<Duration>,
-    /// Time since the server's drain was notified; `None` where it is not draining.
-    pub drain_age: Option<Duration>,
-    /// The server's address has changed since the attempt was made: another server may have taken
-    /// the old one.
-    pub server_moved: bool,
-    /// The endpoint list is so old that the server may be draining without the list showing it.
-    pub list_stale: bool,
+use super::send_conditions::{SendConditions, check};
+use crate::host::{EndpointListFreshness, Server};
+use crate::limits::Limits;
+use crate::message::{ClientPresence, SendBlocked};
+
+/// What is looked at before an attempt's first byte. Health checks have no guard: they are no work,
+/// and may go to a draining server.
+pub(super) struct SendGuard {
+    /// For how long the endpoint list may be trusted.
+    pub list_freshness: Rc<EndpointListFreshness>,
+    /// The server that the attempt goes to.
+    pub server: Rc<Server>,
+    /// The server's address when the attempt was made.
+    pub address: SocketAddr,
+    /// Whether the request's client is still connected.
+    pub presence: ClientPresence,
+    /// When the attempt times out.
+    pub attempt_deadline: Instant,
+    /// The latest time at which a retry may begin, where that is bounded.
+    pub start_before: Option<Instant>,
 }
 
-/// Checks every rule that may be broken by the time that passes between a decision and the first
-/// byte. A server takes nothing new once its drain is `max_drain_age` old.
-///
-/// # Errors
-/// The first rule that the attempt would break.
-pub(super) fn check(
-    conditions: &SendConditions,
-    max_drain_age: Duration,
-) -> Result<(), SendBlocked> {
-    if conditions.client_left {
-        Err(SendBlocked::ClientLeft)
-    } else if conditions.time_left.is_zero() {
-        Err(SendBlocked::NoTime)
-    } else if conditions
-        .retry_window_left
-        .is_some_and(|left| left.is_zero())
-    {
-        Err(SendBlocked::WindowOver)
-    } else if conditions.drain_age.is_some_and(|age| age >= max_drain_age) {
-        Err(SendBlocked::ServerDraining)
-    } else if conditions.server_moved {
-        Err(SendBlocked::ServerMoved)
-    } else if conditions.list_stale {
-        Err(SendBlocked::ListStale)
-    } else {
-        Ok(())
+impl SendGuard {
+    /// Whether the first byte may be written now.
+    ///
+    /// # Errors
+    /// The first rule that the attempt would break.
+    pub(super) fn check(&self, limits: &Limits) -> Result<(), SendBlocked> {
+        check(&self.conditions(), limits.upstream.max_drain_age)
     }
-}
 
-#[cfg(test)]
-mod tests;
+    fn conditions(&self) -> SendConditions {
+        let now = Instant::now();
+        let time_until = |instant: Instant| instant.saturating_duration_since(now);
+        SendConditions {
+            client_left: self.presence.is_disconnected(),
+            time_left: time_until(self.attempt_deadline),
+            retry_window_left: self.start_before.map(time_until),
+            drain_age: self.server.drain_age(),
+            server_moved: self.server.address() != self.address,
+            list_stale: self.list_freshness.is_stale_for(&self.server),
+        }
+    }
+}
--- a/crates/sidecar/src/upstream/write_progress.rs
+++ b/crates/sidecar/src/upstream/write_progress.rs
@@ -27,15 +27,13 @@
 //!   this file is wrong.
 
 use std::cell::Cell;
-use std::net::SocketAddr;
 use std::rc::Rc;
 
 use tokio::time::Instant;
 
-use super::send_guard::{SendConditions, check};
-use crate::host::{EndpointListFreshness, Server};
+use super::send_guard::SendGuard;
 use crate::limits::Limits;
-use crate::message::{ClientPresence, SendBlocked};
+use crate::message::SendBlocked;
 
 tokio::task_local! {
     /// The request that the current task is sending, whichever connection it got from the pool.
@@ -77,42 +75,6 @@
     },
 }
 
-/// What [`check`] looks at before an attempt's first byte. Health checks have none: they are no
-/// work, and may go to a draining server.
-pub(super) struct SendGuard {
-    /// For how long the endpoint list may be trusted.
-    pub list_freshness: Rc<EndpointListFreshness>,
-    /// The server that the attempt goes to.
-    pub server: Rc<Server>,
-    /// The server's address when the attempt was made.
-    pub address: SocketAddr,
-    /// Whether the request's client is still connected.
-    pub presence: ClientPresence,
-    /// When the attempt times out.
-    pub attempt_deadline: Instant,
-    /// The latest time at which a retry may begin, where that is bounded.
-    pub start_before: Option<Instant>,
-}
-
-impl SendGuard {
-    fn check(&self, limits: &Limits) -> Result<(), SendBlocked> {
-        check(&self.conditions(), limits.upstream.max_drain_age)
-    }
-
-    fn conditions(&self) -> SendConditions {
-        let now = Instant::now();
-        let time_until = |instant: Instant| instant.saturating_duration_since(now);
-        SendConditions {
-            client_left: self.presence.is_disconnected(),
-            time_left: time_until(self.attempt_deadline),
-            retry_window_left: self.start_before.map(time_until),
-            drain_age: self.server.drain_age(),
-            server_moved: self.server.address() != self.address,
-            list_stale: self.list_freshness.is_stale_for(&self.server),
-        }
-    }
-}
-
 impl WriteProgress {
     /// For a request with a body of `body_length` bytes; a guard may block its first byte.
     pub(super) fn new(guard: Option<SendGuard>, body_length: usize) -> Rc<Self> {
--- a/crates/sidecar/src/upstream/write_progress/tests.rs
+++ b/crates/sidecar/src/upstream/write_progress/tests.rs
@@ -1,10 +1,12 @@
+use std::net::SocketAddr;
 use std::time::Duration;
 
 use arrowstand_balancer::{EndpointStatus, ServerId};
 
 use super::*;
-use crate::host::BalancerClock;
+use crate::host::{BalancerClock, EndpointListFreshness, Server};
 use crate::limits::LimitInputs;
+use crate::message::ClientPresence;
 
 /// What a request's first byte is checked against.
 struct Fixture {
