--- a/crates/adapter/src/host/settings/tests.rs
+++ b/crates/adapter/src/host/settings/tests.rs
@@ -1,4 +1,7 @@
-use arrowstand_balancer::{DeduplicationScope, Idempotency, RequestClass, Settings};
+use arrowstand_balancer::{
+    BalancerIdentity, DeduplicationScope, Fees, HostCapabilities, Idempotency, PollingSettings,
+    RequestClass, RetrySettings, Settings, SlowStartSettings,
+};
 
 /// Settings with every key that the balancer knows, and one that it does not know.
 const EVERY_KEY: &str = r#"{"az": "z1", "zones": ["z0", "z1"], "step-ms": 4.5, "membership-mode": "on_request",
@@ -26,9 +29,8 @@
     assert_eq!(format!("{settings:#?}"), format!("{expected:#?}"));
 }
 
-#[test]
-fn every_key_reaches_its_setting() {
-    let class = RequestClass {
+fn every_class_key() -> RequestClass {
+    RequestClass {
         priority_weight: 1.5,
         latency_objective: 150_000,
         deadline: 600_000,
@@ -38,35 +40,56 @@
         deduplication_scope: DeduplicationScope::Zone,
         deduplication_window: 60_000_000,
         streamed: true,
-    };
-    let expected = Settings {
-        classes: vec![class],
-        zone: 1,
-        balancer_index: 3,
-        balancer_count: 7,
+    }
+}
+
+fn every_settings_key() -> Settings {
+    Settings {
+        classes: vec![every_class_key()],
+        identity: BalancerIdentity {
+            zone: 1,
+            index: 3,
+            count: 7,
+        },
         step: 4_500,
-        gossip: true,
-        max_retry_after: 2_500_000,
-        max_attempts: 5,
-        health_check_fee: 0.300_000_000_000_000_04,
-        handshake_fee: 0.02,
+        host: HostCapabilities {
+            gossip: true,
+            load_reports: true,
+            load_reports_in_responses: true,
+            ..HostCapabilities::default()
+        },
+        retries: RetrySettings {
+            max_retry_after: 2_500_000,
+            max_attempts: 5,
+            ..RetrySettings::default()
+        },
+        fees: Fees {
+            health_check: 0.300_000_000_000_000_04,
+            handshake: 0.02,
+            connection: 0.03,
+            cross_zone: 0.04,
+        },
         idle_timeout: 750_000,
-        connection_fee: 0.03,
-        cross_zone_fee: 0.04,
-        load_reports: true,
-        load_reports_in_responses: true,
         weight_by_work: true,
-        poll_endpoints: true,
-        max_poll_interval: 20_000_000,
+        polling: PollingSettings {
+            required: true,
+            max_interval: 20_000_000,
+        },
         only_draining_binds: true,
-        cold_capacity_share: 0.13,
-        slow_start_time: 24_000_000,
-        cold_overload_factor: 3.5,
-        cold_overload_window: 900_000,
-        ..Settings::default()
-    };
-    assert!(expected.cancellation && expected.health_checks && expected.hedging);
-    assert!(expected.retry_after);
+        slow_start: SlowStartSettings {
+            initial_capacity: 0.13,
+            duration: 24_000_000,
+            overload_factor: 3.5,
+            overload_window: 900_000,
+        },
+    }
+}
+
+#[test]
+fn every_key_reaches_its_setting() {
+    let expected = every_settings_key();
+    assert!(expected.host.cancellation && expected.host.health_checks && expected.retries.hedging);
+    assert!(expected.host.retry_after);
     assert_settings(EVERY_KEY, &expected);
 }
 
@@ -75,14 +98,26 @@
     let class = RequestClass::new(Idempotency::NonIdempotent, 150_000, 600_000);
     let expected = Settings {
         classes: vec![class],
-        zone: u32::MAX,
-        cancellation: false,
-        health_checks: false,
-        hedging: false,
-        retry_after: false,
+        identity: BalancerIdentity {
+            zone: u32::MAX,
+            ..BalancerIdentity::default()
+        },
+        host: HostCapabilities {
+            cancellation: false,
+            health_checks: false,
+            retry_after: false,
+            ..HostCapabilities::default()
+        },
+        retries: RetrySettings {
+            hedging: false,
+            max_retry_after: 0,
+            ..RetrySettings::default()
+        },
         // The sidecar's default is 1 s.
-        max_retry_after: 0,
-        health_check_fee: 0.0,
+        fees: Fees {
+            health_check: 0.0,
+            ..Fees::default()
+        },
         ..Settings::default()
     };
     assert_settings(ONE_CLASS, &expected);
--- a/crates/balancer/src/estimators/slow_start.rs
+++ b/crates/balancer/src/estimators/slow_start.rs
@@ -37,8 +37,9 @@
     /// Share of its capacity that a server is assumed to have: from the cold share up to all of it.
     pub(crate) fn factor(&self, now: Micros, settings: &Settings) -> f64 {
         let Some(since) = self.since else { return 1.0 };
-        let age = now.saturating_sub(since) as f64 / settings.slow_start_time.max(1) as f64;
-        (settings.cold_capacity_share + (1.0 - settings.cold_capacity_share) * age).min(1.0)
+        let age = now.saturating_sub(since) as f64 / settings.slow_start.duration.max(1) as f64;
+        (settings.slow_start.initial_capacity + (1.0 - settings.slow_start.initial_capacity) * age)
+            .min(1.0)
     }
 
     /// The server started at this time; a start that is long ago changes nothing.
--- a/crates/balancer/src/estimators/slow_start/tests.rs
+++ b/crates/balancer/src/estimators/slow_start/tests.rs
@@ -1,17 +1,20 @@
 use super::{SlowStartRecord, WarmServerQuota};
-use crate::Settings;
+use crate::{Settings, SlowStartSettings};
 
 fn settings() -> Settings {
     Settings {
-        cold_capacity_share: 0.5,
-        slow_start_time: 1_000,
+        slow_start: SlowStartSettings {
+            initial_capacity: 0.5,
+            duration: 1_000,
+            ..SlowStartSettings::default()
+        },
         ..Settings::default()
     }
 }
 
 fn started_at(start: u64) -> SlowStartRecord {
     let mut record = SlowStartRecord::default();
-    record.on_started(start, start, settings().slow_start_time);
+    record.on_started(start, start, settings().slow_start.duration);
     record
 }
 
@@ -25,7 +28,7 @@
 #[test]
 fn start_that_is_long_ago_is_no_slow_start() {
     let mut record = SlowStartRecord::default();
-    record.on_started(10_000, 11_000, settings().slow_start_time);
+    record.on_started(10_000, 11_000, settings().slow_start.duration);
     assert!(!record.is_active());
 }
 
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -63,6 +63,9 @@
 pub use event::{AttemptEnd, Event, IncomingRequest, LoadReport, Outcome, RequestId};
 pub use policy::Balancer;
 pub use request_class::{ClassId, DeduplicationScope, Idempotency, RequestClass};
-pub use settings::{Settings, SettingsError};
+pub use settings::{
+    BalancerIdentity, ClassProblem, Fees, HostCapabilities, PollingSettings, RetrySettings,
+    Settings, SettingsError, SlowStartSettings,
+};
 
 pub use time::Micros;
--- a/crates/balancer/src/policy.rs
+++ b/crates/balancer/src/policy.rs
@@ -119,7 +119,7 @@
             token: TICK_TOKEN,
             after: TICK_INTERVAL,
         });
-        if self.settings.poll_endpoints {
+        if self.settings.polling.required {
             self.poll_endpoints(actions);
         }
     }
@@ -133,7 +133,7 @@
         for server_index in 0..self.endpoints.len() {
             self.check_suspicion(server_index, actions);
         }
-        if self.settings.health_checks && self.health_checks.is_due(self.now) {
+        if self.settings.host.health_checks && self.health_checks.is_due(self.now) {
             self.run_scheduled_health_check(actions);
         }
         if self.poller.is_due(self.now) {
--- a/crates/balancer/src/policy/attempt_result.rs
+++ b/crates/balancer/src/policy/attempt_result.rs
@@ -44,7 +44,7 @@
             Outcome::Cancelled | Outcome::NotSent => {}
             Outcome::Rejected => {
                 // Guards against a drain that the list cannot tell, which binds all the same after a time.
-                let may_drain = self.settings.poll_endpoints && !self.poller.is_subscribed();
+                let may_drain = self.settings.polling.required && !self.poller.is_subscribed();
                 // A full server is not broken, but it holds more than was known.
                 server.on_rejected(attempt.queue_depth, may_drain, now);
                 self.estimators.saturation.on_rejected(now);
--- a/crates/balancer/src/policy/dispatch.rs
+++ b/crates/balancer/src/policy/dispatch.rs
@@ -111,7 +111,7 @@
         let Some(request) = self.requests.on_request_finished(id) else {
             return;
         };
-        if self.settings.cancellation && !request.is_streaming() {
+        if self.settings.host.cancellation && !request.is_streaming() {
             let cancel = |attempt| Action::Cancel {
                 request: id,
                 attempt,
--- a/crates/balancer/src/policy/endpoints.rs
+++ b/crates/balancer/src/policy/endpoints.rs
@@ -13,7 +13,7 @@
     pub(super) fn poll_endpoints(&mut self, actions: &mut Actions) {
         actions.push(Action::PollEndpoints);
         self.poller
-            .on_polled(self.now + self.settings.max_poll_interval * 3 / 4);
+            .on_polled(self.now + self.settings.polling.max_interval * 3 / 4);
     }
 
     fn on_list_lost(&mut self, actions: &mut Actions) {
@@ -25,7 +25,8 @@
         }
         let backoff = self.poller.backoff().unwrap_or(INITIAL_POLL_BACKOFF);
         let next_poll_at = self.now + backoff / 2 + self.rng.u64(0..=backoff);
-        let next_backoff = (POLL_BACKOFF_GROWTH * backoff).min(self.settings.max_poll_interval / 2);
+        let next_backoff =
+            (POLL_BACKOFF_GROWTH * backoff).min(self.settings.polling.max_interval / 2);
         self.poller.on_list_lost(next_poll_at, next_backoff);
     }
 
@@ -58,15 +59,15 @@
             !gone || (keep_removed && !server.suspicion.is_dead() && !server.is_drain_listed())
         });
         self.subset_order
-            .on_endpoints_updated(&self.endpoints, self.settings.balancer_index);
+            .on_endpoints_updated(&self.endpoints, self.settings.identity.index);
     }
 
     /// A stale list never restores a draining server: only a restart does.
     fn merge(&mut self, endpoints: Vec<Endpoint>, actions: &mut Actions) {
         for endpoint in endpoints {
-            let merged = self
-                .endpoints
-                .merge(endpoint, self.now, self.settings.slow_start_time);
+            let merged =
+                self.endpoints
+                    .merge(endpoint, self.now, self.settings.slow_start.duration);
             if merged.restarted {
                 self.on_restart(merged.server_index, actions);
             }
--- a/crates/balancer/src/policy/failure_detector.rs
+++ b/crates/balancer/src/policy/failure_detector.rs
@@ -70,7 +70,7 @@
         }
         let unfounded =
             suspicion.cause != SuspicionCause::Attempts && self.health_checks_unreliable();
-        if unfounded || !self.settings.health_checks && suspicion.has_aged(self.now) {
+        if unfounded || !self.settings.host.health_checks && suspicion.has_aged(self.now) {
             self.readmit(server_index, actions);
         }
     }
@@ -140,7 +140,7 @@
     /// The list names a newer incarnation: that it is alive overrides suspicion of anything older.
     pub(super) fn on_restart(&mut self, server_index: usize, actions: &mut Actions) {
         let server = &mut self.endpoints[server_index];
-        server.on_restarted(self.now, self.settings.slow_start_time);
+        server.on_restarted(self.now, self.settings.slow_start.duration);
         // A server that keeps restarting does not earn trust by its new incarnation alone.
         if !server.suspicion.is_flapping(self.now, EJECTION_MEMORY) {
             self.readmit(server_index, actions);
--- a/crates/balancer/src/policy/gossip.rs
+++ b/crates/balancer/src/policy/gossip.rs
@@ -43,7 +43,7 @@
 
     /// Queues the suspicion of a server for about log N datagrams, which reach all balancers.
     pub(super) fn queue_suspicion(&mut self, server_index: usize) {
-        let datagrams = u32::BITS - self.settings.balancer_count.leading_zeros() + 1;
+        let datagrams = u32::BITS - self.settings.identity.count.leading_zeros() + 1;
         self.gossip.push(
             &self.endpoints[server_index].gossip(GossipKind::Suspected),
             datagrams,
@@ -55,8 +55,8 @@
         let peer = self
             .settings
             .has_peers()
-            .then(|| self.rng.u32(0..self.settings.balancer_count - 1))?;
-        Some(if peer >= self.settings.balancer_index {
+            .then(|| self.rng.u32(0..self.settings.identity.count - 1))?;
+        Some(if peer >= self.settings.identity.index {
             peer + 1
         } else {
             peer
@@ -74,7 +74,7 @@
 
     /// Another balancer sent a message; what it says of unknown servers is ignored.
     pub(super) fn on_gossip_received(&mut self, from: u32, datagram: &[u8], actions: &mut Actions) {
-        if from >= self.settings.balancer_count {
+        if from >= self.settings.identity.count {
             return;
         }
         for message in GossipMessage::decode(datagram) {
--- a/crates/balancer/src/policy/health_check.rs
+++ b/crates/balancer/src/policy/health_check.rs
@@ -41,7 +41,7 @@
     fn health_check_interval(&self) -> Micros {
         let cost_per_interval =
             MAX_HEALTH_CHECK_COST * self.estimators.workload.request_rate(self.now);
-        let affordable = (self.settings.health_check_fee / cost_per_interval) as Micros;
+        let affordable = (self.settings.fees.health_check / cost_per_interval) as Micros;
         let interval = affordable.clamp(MIN_HEALTH_CHECK_INTERVAL, MAX_HEALTH_CHECK_INTERVAL);
         let suspected = self
             .endpoints
@@ -86,7 +86,7 @@
     /// Checks a server, unless a health check of it is in progress.
     pub(super) fn start_health_check(&mut self, server_index: usize, actions: &mut Actions) {
         let server = &mut self.endpoints[server_index];
-        if self.settings.health_checks && server.health_check.started_at().is_none() {
+        if self.settings.host.health_checks && server.health_check.started_at().is_none() {
             server.health_check.on_started(self.now);
             actions.push(Action::HealthCheck {
                 server: server.id(),
--- a/crates/balancer/src/policy/load_check.rs
+++ b/crates/balancer/src/policy/load_check.rs
@@ -19,12 +19,14 @@
     /// True where servers are asked for their load before a send. Guards against trust in reports that nobody
     /// fetches: where health checks are dear, what is known of queues is seconds old.
     pub(crate) fn load_checks_enabled(&self) -> bool {
-        self.load_reports && self.health_checks && self.health_check_fee <= MAX_LOAD_CHECK_FEE
+        self.host.load_reports
+            && self.host.health_checks
+            && self.fees.health_check <= MAX_LOAD_CHECK_FEE
     }
 
     /// True where responses tell of load and nobody asks before a send.
     pub(crate) fn load_from_responses(&self) -> bool {
-        self.load_reports_in_responses && !self.load_checks_enabled()
+        self.host.load_reports_in_responses && !self.load_checks_enabled()
     }
 }
 
--- a/crates/balancer/src/policy/load_shedding.rs
+++ b/crates/balancer/src/policy/load_shedding.rs
@@ -122,11 +122,12 @@
 
     /// A fleet that is full throughout has no use for clients that are back at once.
     fn retry_after(&mut self) -> Option<Micros> {
-        let max = self.settings.max_retry_after;
+        let max = self.settings.retries.max_retry_after;
         let wait = self.estimators.latency.mean_service_time()
             + self.estimators.utilization.fullness() * max as f64;
         let jitter = MIN_RETRY_AFTER_JITTER + RETRY_AFTER_JITTER_SPAN * self.rng.f64();
         self.settings
+            .host
             .retry_after
             .then(|| ((wait * jitter) as Micros).min(max))
     }
--- a/crates/balancer/src/policy/retry.rs
+++ b/crates/balancer/src/policy/retry.rs
@@ -12,9 +12,9 @@
     fn retry_scope(&self, request: &RequestState) -> Option<RetryScope> {
         let class = self.settings.class(request.class());
         if request.is_streaming()
-            || request.attempt_count() >= self.settings.max_attempts as usize
+            || request.attempt_count() >= self.settings.retries.max_attempts as usize
             || self.now >= request.deadline_at()
-            || (request.in_flight_count() > 0 && !self.settings.hedging)
+            || (request.in_flight_count() > 0 && !self.settings.retries.hedging)
         {
             return None;
         }
--- a/crates/balancer/src/policy/subset.rs
+++ b/crates/balancer/src/policy/subset.rs
@@ -33,12 +33,12 @@
         let request_rate = self.estimators.workload.request_rate(self.now);
         // Guards against handshakes: connections that rarely serve are closed before they serve again,
         // and what all balancers open for rare use is what servers run out of.
-        if settings.handshake_fee > COSTLY_HANDSHAKE_FEE {
+        if settings.fees.handshake > COSTLY_HANDSHAKE_FEE {
             let kept = request_rate * settings.idle_timeout as f64 / REQUESTS_PER_IDLE_TIMEOUT;
             return kept.max(MIN_SUBSET_COSTLY_HANDSHAKES).min(fleet).ceil() as usize;
         }
         let fee =
-            (settings.connection_fee * f64::from(settings.balancer_count)).max(f64::MIN_POSITIVE);
+            (settings.fees.connection * f64::from(settings.identity.count)).max(f64::MIN_POSITIVE);
         let cost = MAX_CONNECTION_COST * CONNECTIONS_PER_FEE * fleet;
         let affordable = (cost / fee).clamp(MIN_SUBSET, MAX_SUBSET);
         let needed = request_rate * 1e6 * SERVERS_PER_REQUEST_RATE;
--- a/crates/balancer/tests/balancer/common/fixtures.rs
+++ b/crates/balancer/tests/balancer/common/fixtures.rs
@@ -1,8 +1,8 @@
 //! Settings, endpoints and constants of the tests.
 
 use arrowstand_balancer::{
-    DeduplicationScope, Endpoint, Event, Idempotency, Micros, RequestClass, ServerId, Settings,
-    UpdateKind,
+    BalancerIdentity, DeduplicationScope, Endpoint, Event, Fees, HostCapabilities, Idempotency,
+    Micros, PollingSettings, RequestClass, ServerId, Settings, UpdateKind,
 };
 
 /// A millisecond.
@@ -51,11 +51,50 @@
     }
 }
 
+/// The same where one health check per request costs this fee.
+pub(crate) fn settings_with_health_check_fee(fee: f64) -> Settings {
+    Settings {
+        fees: Fees {
+            health_check: fee,
+            ..settings().fees
+        },
+        ..settings()
+    }
+}
+
+/// The same where health checks return load reports, for this fee.
+pub(crate) fn settings_with_load_checks(health_check_fee: f64) -> Settings {
+    Settings {
+        host: HostCapabilities {
+            load_reports: true,
+            ..settings().host
+        },
+        ..settings_with_health_check_fee(health_check_fee)
+    }
+}
+
+/// The same where the endpoint list arrives only in answer to a poll.
+pub(crate) fn settings_with_polling() -> Settings {
+    Settings {
+        polling: PollingSettings {
+            required: true,
+            ..settings().polling
+        },
+        ..settings()
+    }
+}
+
 /// The same with four balancers that gossip.
 pub(crate) fn settings_with_peers() -> Settings {
     Settings {
-        gossip: true,
-        balancer_count: 4,
+        host: HostCapabilities {
+            gossip: true,
+            ..settings().host
+        },
+        identity: BalancerIdentity {
+            count: 4,
+            ..settings().identity
+        },
         ..settings()
     }
 }
--- a/crates/balancer/tests/balancer/common/mod.rs
+++ b/crates/balancer/tests/balancer/common/mod.rs
@@ -8,4 +8,7 @@
     gossip_messages, has_log, health_checks, is_failed, is_rejected, sent_to,
 };
 pub(crate) use driver::Driver;
-pub(crate) use fixtures::{MS, class, endpoint, endpoint_changed, settings, settings_with_peers};
+pub(crate) use fixtures::{
+    MS, class, endpoint, endpoint_changed, settings, settings_with_health_check_fee,
+    settings_with_load_checks, settings_with_peers, settings_with_polling,
+};
--- a/crates/balancer/tests/balancer/dispatch.rs
+++ b/crates/balancer/tests/balancer/dispatch.rs
@@ -2,8 +2,8 @@
 
 use crate::common::{Driver, MS, endpoint, endpoint_changed, is_rejected, sent_to, settings};
 use arrowstand_balancer::{
-    Action, Balancer, ClassId, Endpoint, Event, IncomingRequest, LoadReport, Outcome, RequestId,
-    ServerId, Settings,
+    Action, Balancer, BalancerIdentity, ClassId, Endpoint, Event, Fees, IncomingRequest,
+    LoadReport, Outcome, RequestId, RetrySettings, ServerId, Settings, SlowStartSettings,
 };
 
 #[test]
@@ -55,7 +55,10 @@
     for seed in 0..800 {
         let mut driver = Driver::seeded(
             Settings {
-                cold_capacity_share: 0.25,
+                slow_start: SlowStartSettings {
+                    initial_capacity: 0.25,
+                    ..settings().slow_start
+                },
                 ..settings()
             },
             3,
@@ -83,14 +86,20 @@
     assert!(reason(Settings::default()).contains("classes"));
     assert!(
         reason(Settings {
-            cold_capacity_share: 0.0,
+            slow_start: SlowStartSettings {
+                initial_capacity: 0.0,
+                ..settings().slow_start
+            },
             ..settings()
         })
         .contains("cold_share")
     );
     assert!(
         reason(Settings {
-            max_attempts: 0,
+            retries: RetrySettings {
+                max_attempts: 0,
+                ..settings().retries
+            },
             ..settings()
         })
         .contains("max_attempts")
@@ -141,9 +150,15 @@
     let (mut early, mut late) = (0, 0);
     for seed in 0..40 {
         let settings_with_handshake_fee = Settings {
-            handshake_fee: 0.05,
-            balancer_count: 300,
-            balancer_index: seed,
+            fees: Fees {
+                handshake: 0.05,
+                ..settings().fees
+            },
+            identity: BalancerIdentity {
+                count: 300,
+                index: seed,
+                ..settings().identity
+            },
             ..settings()
         };
         let mut driver = Driver::seeded(settings_with_handshake_fee, 60, u64::from(seed));
--- a/crates/balancer/tests/balancer/endpoint_list.rs
+++ b/crates/balancer/tests/balancer/endpoint_list.rs
@@ -1,19 +1,15 @@
 //! Following the endpoint list.
 
-use crate::common::{Driver, MS, endpoint, endpoint_changed, sent_to, settings};
+use crate::common::{
+    Driver, MS, endpoint, endpoint_changed, sent_to, settings, settings_with_polling,
+};
 use arrowstand_balancer::{
     Action, Endpoint, EndpointStatus, Event, Outcome, ServerId, Settings, UpdateKind,
 };
 
 #[test]
 fn lost_list_is_polled_again_within_the_longest_interval() {
-    let mut driver = Driver::new(
-        Settings {
-            poll_endpoints: true,
-            ..settings()
-        },
-        4,
-    );
+    let mut driver = Driver::new(settings_with_polling(), 4);
     for _ in 0..8 {
         driver.handle(Event::EndpointsUpdated {
             kind: UpdateKind::Lost,
@@ -29,14 +25,7 @@
 #[test]
 fn lost_list_is_first_polled_again_within_a_third_of_a_second() {
     for seed in 0..400 {
-        let mut driver = Driver::seeded(
-            Settings {
-                poll_endpoints: true,
-                ..settings()
-            },
-            4,
-            seed,
-        );
+        let mut driver = Driver::seeded(settings_with_polling(), 4, seed);
         driver.handle(Event::EndpointsUpdated {
             kind: UpdateKind::Lost,
             version: 0,
@@ -56,10 +45,7 @@
     for (seed, servers, gap) in
         (0..60).map(|n| (n, 3 + n as u32 % 5, [20, 200, 1_500][n as usize % 3]))
     {
-        let list = Settings {
-            poll_endpoints: true,
-            ..settings()
-        };
+        let list = settings_with_polling();
         let mut driver = Driver::seeded(list, servers, seed);
         driver.handle(Event::EndpointsUpdated {
             kind: UpdateKind::Lost,
@@ -150,10 +136,7 @@
 fn hundred_balancers_that_lost_their_list_do_not_saturate_discovery() {
     let (mut polls, mut max_pause) = (0, 0);
     for seed in 0..100 {
-        let settings = Settings {
-            poll_endpoints: true,
-            ..settings()
-        };
+        let settings = settings_with_polling();
         let mut driver = Driver::seeded(settings, 4, seed);
         let lost = |driver: &mut Driver| {
             let (kind, version, endpoints) = (UpdateKind::Lost, 0, Vec::new());
--- a/crates/balancer/tests/balancer/failure_detector.rs
+++ b/crates/balancer/tests/balancer/failure_detector.rs
@@ -1,7 +1,7 @@
 //! Suspicions that attempts raise, and how they end.
 
 use crate::common::{Driver, MS, endpoint, endpoint_changed, has_log, sent_to, settings};
-use arrowstand_balancer::{Endpoint, Outcome, ServerId, Settings};
+use arrowstand_balancer::{Endpoint, Outcome, RetrySettings, ServerId, Settings};
 
 #[test]
 fn restart_ends_a_suspicion_unless_the_server_is_flapping() {
@@ -22,7 +22,10 @@
 fn silent_attempts_raise_a_suspicion_that_a_health_check_does_not_end_at_once() {
     let mut driver = Driver::new(
         Settings {
-            hedging: false,
+            retries: RetrySettings {
+                hedging: false,
+                ..settings().retries
+            },
             ..settings()
         },
         4,
--- a/crates/balancer/tests/balancer/gossip.rs
+++ b/crates/balancer/tests/balancer/gossip.rs
@@ -4,7 +4,9 @@
     Driver, MS, endpoint, endpoint_changed, gossip_messages, has_log, health_checks,
     settings_with_peers,
 };
-use arrowstand_balancer::{Endpoint, Event, Micros, Outcome, ServerId, Settings, UpdateKind};
+use arrowstand_balancer::{
+    BalancerIdentity, Endpoint, Event, Fees, Micros, Outcome, ServerId, Settings, UpdateKind,
+};
 
 /// What a balancer gossips once it has confirmed that server 0 fails its health checks.
 fn suspicion_message(incarnation: Option<Micros>) -> Vec<u8> {
@@ -24,7 +26,10 @@
 fn one_message_with_each_health_check_carries_many_suspicions() {
     let mut driver = Driver::new(
         Settings {
-            health_check_fee: 0.0,
+            fees: Fees {
+                health_check: 0.0,
+                ..settings_with_peers().fees
+            },
             ..settings_with_peers()
         },
         60,
@@ -44,7 +49,10 @@
     let confirmation = {
         let mut peer = Driver::new(
             Settings {
-                balancer_index: 1,
+                identity: BalancerIdentity {
+                    index: 1,
+                    ..settings_with_peers().identity
+                },
                 ..settings_with_peers()
             },
             6,
--- a/crates/balancer/tests/balancer/health_check.rs
+++ b/crates/balancer/tests/balancer/health_check.rs
@@ -1,17 +1,13 @@
 //! Which servers are checked, and what health checks lead to.
 
-use crate::common::{Driver, MS, has_log, health_checks, sent_to, settings};
-use arrowstand_balancer::{Outcome, ServerId, Settings};
+use crate::common::{
+    Driver, MS, has_log, health_checks, sent_to, settings, settings_with_health_check_fee,
+};
+use arrowstand_balancer::{Outcome, ServerId};
 
 #[test]
 fn every_interval_checks_one_random_server() {
-    let mut driver = Driver::new(
-        Settings {
-            health_check_fee: 0.0,
-            ..settings()
-        },
-        6,
-    );
+    let mut driver = Driver::new(settings_with_health_check_fee(0.0), 6);
     let mut checked = Vec::new();
     for _ in 0..40 {
         let started = health_checks(&driver.advance(1_000 * MS));
@@ -26,13 +22,7 @@
 
 #[test]
 fn costly_health_checks_come_seldom_however_many_servers_are_suspected() {
-    let mut driver = Driver::new(
-        Settings {
-            health_check_fee: 0.05,
-            ..settings()
-        },
-        60,
-    );
+    let mut driver = Driver::new(settings_with_health_check_fee(0.05), 60);
     let calm = health_checks(&driver.advance(40_000 * MS)).len();
     assert!((6..=9).contains(&calm), "{calm}");
     (0..25).for_each(|n| drop(driver.fail_health_checks(ServerId(n))));
--- a/crates/balancer/tests/balancer/load_check.rs
+++ b/crates/balancer/tests/balancer/load_check.rs
@@ -1,22 +1,17 @@
 //! Load reports and the load checks before a send.
 
 use crate::common::{
-    Driver, MS, gossip_messages, health_checks, is_rejected, sent_to, settings, settings_with_peers,
+    Driver, MS, gossip_messages, health_checks, is_rejected, sent_to, settings_with_load_checks,
+    settings_with_peers,
 };
 use arrowstand_balancer::{
-    ClassId, Event, IncomingRequest, LoadReport, Outcome, RequestId, ServerId, Settings,
+    BalancerIdentity, ClassId, Event, Fees, HostCapabilities, IncomingRequest, LoadReport, Outcome,
+    RequestId, ServerId, Settings,
 };
 
 #[test]
 fn servers_that_report_load_of_others_are_avoided() {
-    let mut driver = Driver::new(
-        Settings {
-            load_reports: true,
-            health_check_fee: 0.001,
-            ..settings()
-        },
-        4,
-    );
+    let mut driver = Driver::new(settings_with_load_checks(0.001), 4);
     for _ in 0..30 {
         let (id, arrival) = driver.request(0);
         let mut last = Vec::new();
@@ -36,14 +31,7 @@
 
 #[test]
 fn reports_below_the_known_attempts_in_flight_are_not_believed() {
-    let mut driver = Driver::new(
-        Settings {
-            load_reports: true,
-            health_check_fee: 0.001,
-            ..settings()
-        },
-        4,
-    );
+    let mut driver = Driver::new(settings_with_load_checks(0.001), 4);
     let mut to_idle_reporter = Vec::new();
     for _ in 0..40 {
         // Server 0 always reports to be idle, and ends no attempt; the others report five requests
@@ -74,14 +62,7 @@
 
 #[test]
 fn server_whose_load_check_failed_does_not_look_idle() {
-    let mut driver = Driver::new(
-        Settings {
-            load_reports: true,
-            health_check_fee: 0.001,
-            ..settings()
-        },
-        3,
-    );
+    let mut driver = Driver::new(settings_with_load_checks(0.001), 3);
     let (_, arrival) = driver.request(0);
     driver.end_health_check(health_checks(&arrival)[0], Outcome::ConnectFailed);
     let busy = Some(LoadReport {
@@ -97,14 +78,7 @@
 
 #[test]
 fn client_with_little_time_gets_a_send_or_a_rejection_within_it() {
-    let mut driver = Driver::new(
-        Settings {
-            load_reports: true,
-            health_check_fee: 0.0,
-            ..settings()
-        },
-        4,
-    );
+    let mut driver = Driver::new(settings_with_load_checks(0.0), 4);
     let incoming = |id, time_left| IncomingRequest {
         id,
         class: ClassId(0),
@@ -127,14 +101,7 @@
 #[test]
 fn where_most_load_checks_fail_an_idle_report_is_preferred_and_a_busy_one_is_not() {
     for (reported, preferred) in [(0.0, true), (5.0, false)] {
-        let mut driver = Driver::new(
-            Settings {
-                load_reports: true,
-                health_check_fee: 0.0,
-                ..settings()
-            },
-            10,
-        );
+        let mut driver = Driver::new(settings_with_load_checks(0.0), 10);
         (1..10).for_each(|n| drop(driver.end_health_check(ServerId(n), Outcome::TimedOut)));
         let mut chosen = 0;
         for _ in 0..200 {
@@ -162,9 +129,18 @@
 #[test]
 fn failed_load_checks_do_not_each_request_indirect_checks() {
     let settings = Settings {
-        load_reports: true,
-        health_check_fee: 0.002,
-        balancer_count: 900,
+        host: HostCapabilities {
+            load_reports: true,
+            ..settings_with_peers().host
+        },
+        fees: Fees {
+            health_check: 0.002,
+            ..settings_with_peers().fees
+        },
+        identity: BalancerIdentity {
+            count: 900,
+            ..settings_with_peers().identity
+        },
         ..settings_with_peers()
     };
     let mut driver = Driver::new(settings, 60);
--- a/crates/balancer/tests/balancer/load_from_responses.rs
+++ b/crates/balancer/tests/balancer/load_from_responses.rs
@@ -5,7 +5,8 @@
 
 use crate::common::{Driver, MS, endpoint, endpoint_changed, is_rejected, sent_to, settings};
 use arrowstand_balancer::{
-    AttemptEnd, Endpoint, Event, LoadReport, Micros, Outcome, RequestId, ServerId, Settings,
+    AttemptEnd, Endpoint, Event, Fees, HostCapabilities, LoadReport, Micros, Outcome, RequestId,
+    ServerId, Settings, SlowStartSettings,
 };
 
 /// No load checks before a send; a late response keeps a fifth of its value.
@@ -15,9 +16,15 @@
         .iter_mut()
         .for_each(|class| class.late_value = 0.2);
     Settings {
-        load_reports: true,
-        load_reports_in_responses: true,
-        health_check_fee: 0.01,
+        host: HostCapabilities {
+            load_reports: true,
+            load_reports_in_responses: true,
+            ..base.host
+        },
+        fees: Fees {
+            health_check: 0.01,
+            ..base.fees
+        },
         ..base
     }
 }
@@ -209,17 +216,25 @@
     }
 }
 
+fn settings_with_long_slow_start() -> Settings {
+    let base = settings_with_load_in_responses();
+    Settings {
+        slow_start: SlowStartSettings {
+            initial_capacity: 0.2,
+            duration: 16_000 * MS,
+            ..base.slow_start
+        },
+        ..base
+    }
+}
+
 /// All servers restart at once under full load, and now and then a request is as large as all that
 /// one of them may get in the overload window.
 #[test]
 fn fleet_wholly_in_slow_start_is_not_overloaded() {
     for seed in 0..6 {
-        let settings = Settings {
-            cold_capacity_share: 0.2,
-            slow_start_time: 16_000 * MS,
-            ..settings_with_load_in_responses()
-        };
-        let (factor, span) = (settings.cold_overload_factor, settings.cold_overload_window);
+        let settings = settings_with_long_slow_start();
+        let slow_start = settings.slow_start;
         let mut fleet = Fleet::new(settings, 6, seed);
         fleet.load(0.8, 10);
         let started_at = fleet.driver.now;
@@ -234,19 +249,22 @@
         fleet.sends.clear();
         for _ in 0..8 {
             let speed = slow_start_factor(fleet.driver.now);
-            fleet
-                .servers
-                .iter_mut()
-                .for_each(|server_model| server_model.speed = speed);
+            for server_model in &mut fleet.servers {
+                server_model.speed = speed;
+            }
             fleet.arrive(1_450.0);
             fleet.load(0.3, 1);
         }
         for (at, server, _) in &fleet.sends {
             let within = |send: &&(Micros, ServerId, f64)| {
-                send.1 == *server && (*at..at + span).contains(&send.0)
+                send.1 == *server && (*at..at + slow_start.overload_window).contains(&send.0)
             };
             let sent: f64 = fleet.sends.iter().filter(within).map(|send| send.2).sum();
-            let max_work = factor * 2.0 * slow_start_factor(*at) * span as f64 / 1_000.0;
+            let max_work = slow_start.overload_factor
+                * 2.0
+                * slow_start_factor(*at)
+                * slow_start.overload_window as f64
+                / 1_000.0;
             assert!(
                 sent <= max_work,
                 "seed {seed}, {} ms after the start: {sent} of {max_work} ms",
--- a/crates/balancer/tests/balancer/load_shedding.rs
+++ b/crates/balancer/tests/balancer/load_shedding.rs
@@ -1,9 +1,9 @@
 //! Which requests are rejected under load.
 
-use crate::common::{Driver, MS, health_checks, sent_to, settings};
+use crate::common::{Driver, MS, health_checks, sent_to, settings, settings_with_load_checks};
 use arrowstand_balancer::{
-    AttemptEnd, ClassId, Event, Idempotency, IncomingRequest, LoadReport, Outcome, RequestClass,
-    RequestId, Settings,
+    Action, AttemptEnd, ClassId, Event, Idempotency, IncomingRequest, LoadReport, Outcome,
+    RequestClass, RequestId, Settings,
 };
 
 /// Requests sent of three classes, of 100 each, to a fleet whose responses take 150 of 250 ms.
@@ -41,17 +41,25 @@
 /// Servers would report their load, but a health check for each send costs too much.
 #[test]
 fn costly_health_checks_shed_by_latency_as_without_reports() {
-    let costly = Settings {
-        load_reports: true,
-        health_check_fee: 0.08,
-        ..settings()
-    };
+    let costly = settings_with_load_checks(0.08);
     assert_eq!(
         sent_under_saturation(costly),
         sent_under_saturation(settings())
     );
 }
 
+/// Answers each health check among the actions with this many requests in flight.
+fn report_load_of_checked(driver: &mut Driver, actions: &[Action], in_flight: f64) -> Vec<Action> {
+    let report = LoadReport {
+        in_flight,
+        queued: in_flight - 1.0,
+    };
+    let servers = health_checks(actions).into_iter();
+    servers
+        .flat_map(|server| driver.report_load(server, Some(report)))
+        .collect()
+}
+
 /// Small and large requests of equal priority arrive by turns at a fleet of which each server has
 /// so many in flight: whether the last small one and the last large one, which may take longer,
 /// were sent.
@@ -61,9 +69,7 @@
     let mut driver = Driver::new(
         Settings {
             classes,
-            load_reports: true,
-            health_check_fee: 0.001,
-            ..settings()
+            ..settings_with_load_checks(0.001)
         },
         6,
     );
@@ -79,13 +85,8 @@
             work_hint: Some(work),
         };
         let mut actions = driver.handle(Event::RequestArrived(incoming));
-        for server in health_checks(&actions) {
-            let report = Some(LoadReport {
-                in_flight: in_flight as f64,
-                queued: in_flight as f64 - 1.0,
-            });
-            actions.extend(driver.report_load(server, report));
-        }
+        let reported = report_load_of_checked(&mut driver, &actions, in_flight as f64);
+        actions.extend(reported);
         sent[usize::from(class)] = sent_to(&actions).is_some();
         if let Some(server) = sent_to(&actions) {
             let elapsed = work + in_flight * 75 * MS;
--- a/crates/balancer/tests/balancer/random_events.rs
+++ b/crates/balancer/tests/balancer/random_events.rs
@@ -4,8 +4,8 @@
 
 use crate::common::{Driver, MS, endpoint, endpoint_changed, settings};
 use arrowstand_balancer::{
-    Action, AttemptEnd, ClassId, Endpoint, EndpointStatus, Event, Idempotency, IncomingRequest,
-    LoadReport, Micros, Outcome, RequestId, ServerId, Settings,
+    Action, AttemptEnd, ClassId, Endpoint, EndpointStatus, Event, Fees, HostCapabilities,
+    Idempotency, IncomingRequest, LoadReport, Micros, Outcome, RequestId, ServerId, Settings,
 };
 
 const SERVERS: usize = 6;
@@ -58,9 +58,15 @@
         let mut rng = fastrand::Rng::with_seed(seed);
         let (gossip, load_reports) = (rng.bool(), rng.bool());
         let settings = Settings {
-            gossip,
-            load_reports,
-            health_check_fee: 0.001,
+            host: HostCapabilities {
+                gossip,
+                load_reports,
+                ..settings().host
+            },
+            fees: Fees {
+                health_check: 0.001,
+                ..settings().fees
+            },
             ..settings()
         };
         Self {
@@ -241,7 +247,7 @@
             .get_mut(&request)
             .expect("sent for a finished request");
         assert!(!self.barred[server.0 as usize], "sent to a drained server");
-        assert!(open.attempts.len() < self.settings.max_attempts as usize);
+        assert!(open.attempts.len() < self.settings.retries.max_attempts as usize);
         if let Some(first) = open
             .attempts
             .iter()
--- a/crates/balancer/tests/balancer/subset.rs
+++ b/crates/balancer/tests/balancer/subset.rs
@@ -3,16 +3,22 @@
 use std::collections::BTreeSet;
 
 use crate::common::{Driver, MS, endpoint, endpoint_changed, settings};
-use arrowstand_balancer::{Micros, ServerId, Settings};
+use arrowstand_balancer::{BalancerIdentity, Fees, Micros, ServerId, Settings};
 
 #[test]
 fn costly_connections_keep_each_balancer_to_a_small_stable_subset() {
     let mut all = vec![0; 64];
     for index in 0..200 {
         let settings = Settings {
-            connection_fee: 0.05,
-            balancer_count: 320,
-            balancer_index: index,
+            fees: Fees {
+                connection: 0.05,
+                ..settings().fees
+            },
+            identity: BalancerIdentity {
+                count: 320,
+                index,
+                ..settings().identity
+            },
             ..settings()
         };
         let mut driver = Driver::new(settings, 64);
@@ -36,8 +42,14 @@
 #[test]
 fn suspected_server_is_replaced_from_outside_the_subset() {
     let settings = Settings {
-        connection_fee: 0.05,
-        balancer_count: 320,
+        fees: Fees {
+            connection: 0.05,
+            ..settings().fees
+        },
+        identity: BalancerIdentity {
+            count: 320,
+            ..settings().identity
+        },
         ..settings()
     };
     let mut driver = Driver::new(settings, 64);
@@ -50,9 +62,15 @@
 /// Servers in use by a balancer with a request at each pause, before 60 servers.
 fn subset_of_sixty(fee: f64, pause: Micros, seed: u64) -> BTreeSet<u32> {
     let fees = Settings {
-        handshake_fee: fee,
-        balancer_index: seed as u32,
-        balancer_count: 100,
+        fees: Fees {
+            handshake: fee,
+            ..settings().fees
+        },
+        identity: BalancerIdentity {
+            index: seed as u32,
+            count: 100,
+            ..settings().identity
+        },
         ..settings()
     };
     let mut driver = Driver::seeded(fees, 60, seed);
--- a/crates/control/src/work_aware_balancer/tests.rs
+++ b/crates/control/src/work_aware_balancer/tests.rs
@@ -1,21 +1,30 @@
 use arrowstand_balancer::{
-    Action, AttemptEnd, ClassId, Endpoint, Event, Idempotency, IncomingRequest, LoadReport, Micros,
-    Outcome, RequestClass, RequestId, ServerId, Settings, UpdateKind,
+    Action, AttemptEnd, ClassId, Endpoint, Event, Fees, HostCapabilities, Idempotency,
+    IncomingRequest, LoadReport, Micros, Outcome, RequestClass, RequestId, ServerId, Settings,
+    UpdateKind,
 };
 
 use super::WorkAwareBalancer;
 
+fn settings_with_load_checks() -> Settings {
+    let class = RequestClass::new(Idempotency::Idempotent, 150_000, 600_000);
+    Settings {
+        classes: vec![class],
+        host: HostCapabilities {
+            load_reports: true,
+            ..HostCapabilities::default()
+        },
+        fees: Fees {
+            health_check: 0.001,
+            ..Fees::default()
+        },
+        ..Settings::default()
+    }
+}
+
 /// A balancer that has learnt that its requests take 30 ms, and the time.
 fn trained_balancer() -> (WorkAwareBalancer, Micros) {
-    let mut settings = Settings {
-        load_reports: true,
-        health_check_fee: 0.001,
-        ..Settings::default()
-    };
-    settings
-        .classes
-        .push(RequestClass::new(Idempotency::Idempotent, 150_000, 600_000));
-    let mut balancer = WorkAwareBalancer::new(settings, 7).expect("valid");
+    let mut balancer = WorkAwareBalancer::new(settings_with_load_checks(), 7).expect("valid");
     let endpoint = Endpoint::ready(ServerId(0), 1);
     let update = Event::EndpointsUpdated {
         kind: UpdateKind::Full,
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -11,7 +11,10 @@
 mod transport;
 mod values;
 
-use arrowstand_balancer::{Micros, Settings};
+use arrowstand_balancer::{
+    BalancerIdentity, Fees, HostCapabilities, Micros, PollingSettings, RetrySettings, Settings,
+    SlowStartSettings,
+};
 
 use crate::error::KeyError;
 use crate::json::Node;
@@ -32,7 +35,7 @@
     pub balancer: Settings,
     /// Names of the request classes, in the order of [`Settings::classes`].
     pub class_names: Vec<String>,
-    /// Names of the zones, in the numbering of [`Settings::zone`].
+    /// Names of the zones, in the numbering of [`BalancerIdentity::zone`].
     pub zones: Vec<String>,
     /// Where the known values stand in the simulator's load reports.
     pub load_report: LoadReportLayout,
@@ -63,10 +66,19 @@
         let report = ReportSettings::read(&conf.at("report"))?;
         let base = Settings {
             classes,
-            zone: zone.map_or(UNKNOWN_ZONE, |index| index as u32),
-            load_reports: report.in_health_checks,
-            load_reports_in_responses: report.in_responses,
-            max_retry_after: default_max_retry_after,
+            identity: BalancerIdentity {
+                zone: zone.map_or(UNKNOWN_ZONE, |index| index as u32),
+                ..BalancerIdentity::default()
+            },
+            host: HostCapabilities {
+                load_reports: report.in_health_checks,
+                load_reports_in_responses: report.in_responses,
+                ..HostCapabilities::default()
+            },
+            retries: RetrySettings {
+                max_retry_after: default_max_retry_after,
+                ..RetrySettings::default()
+            },
             ..Settings::default()
         };
         Ok(Self {
@@ -99,34 +111,73 @@
 
 /// Fills the single values; `base` has the defaults and all that is no single value.
 fn read_balancer_settings(conf: &Node, base: Settings) -> Result<Settings, KeyError> {
-    let (permissions, safety, fees) = (conf.at("permissions"), conf.at("safety"), conf.at("fees"));
+    let permissions = conf.at("permissions");
+    let safety = conf.at("safety");
+    let max_interval = base.polling.max_interval;
     Ok(Settings {
-        balancer_index: number_or(&conf.at("my-number"), 0.0)? as u32,
-        balancer_count: number_or(&conf.at("balancers"), 1.0)? as u32,
+        identity: BalancerIdentity {
+            index: number_or(&conf.at("my-number"), 0.0)? as u32,
+            count: number_or(&conf.at("balancers"), 1.0)? as u32,
+            ..base.identity
+        },
         step: time_or(&conf.at("step-ms"), base.step)?,
+        host: read_host_capabilities(&permissions, base.host)?,
+        retries: read_retry_settings(&permissions, base.retries)?,
+        fees: read_fees(&conf.at("fees"))?,
+        idle_timeout: time_or(&transport::idle_timeout_key(conf), base.idle_timeout)?,
+        weight_by_work: conf.at("worth-by").optional_text()?.as_deref() == Some("work"),
+        polling: PollingSettings {
+            required: false,
+            max_interval: time_or(&safety.at("ask-every-ms"), max_interval)?,
+        },
+        only_draining_binds: flag(&safety.at("only-draining-binds"))?,
+        slow_start: read_slow_start_settings(&safety, base.slow_start)?,
+        ..base
+    })
+}
+
+fn read_host_capabilities(
+    permissions: &Node,
+    base: HostCapabilities,
+) -> Result<HostCapabilities, KeyError> {
+    Ok(HostCapabilities {
         cancellation: flag(&permissions.at("cancel"))?,
         health_checks: flag(&permissions.at("probes"))?,
         gossip: false,
-        hedging: flag(&permissions.at("may-duplicate"))?,
         retry_after: false,
-        max_retry_after: time_or(&permissions.at("max-retry-after-ms"), base.max_retry_after)?,
-        max_attempts: count_or(&permissions.at("max-attempts"), base.max_attempts)?,
-        health_check_fee: number_or(&fees.at("probe"), 0.0)?,
-        handshake_fee: number_or(&fees.at("handshake"), 0.0)?,
-        idle_timeout: time_or(&transport::idle_timeout_key(conf), base.idle_timeout)?,
-        connection_fee: number_or(&fees.at("connection"), 0.0)?,
-        cross_zone_fee: number_or(&fees.at("cross-zone"), 0.0)?,
-        weight_by_work: conf.at("worth-by").optional_text()?.as_deref() == Some("work"),
-        poll_endpoints: false,
-        max_poll_interval: time_or(&safety.at("ask-every-ms"), base.max_poll_interval)?,
-        only_draining_binds: flag(&safety.at("only-draining-binds"))?,
-        cold_capacity_share: number_or(&safety.at("cold-from"), base.cold_capacity_share)?,
-        slow_start_time: time_or(&safety.at("cold-ms"), base.slow_start_time)?,
-        cold_overload_factor: number_or(&safety.at("overload-factor"), base.cold_overload_factor)?,
-        cold_overload_window: time_or(&safety.at("fall-ms"), base.cold_overload_window)?,
         ..base
     })
 }
 
+fn read_retry_settings(permissions: &Node, base: RetrySettings) -> Result<RetrySettings, KeyError> {
+    let max_retry_after = permissions.at("max-retry-after-ms");
+    Ok(RetrySettings {
+        hedging: flag(&permissions.at("may-duplicate"))?,
+        max_retry_after: time_or(&max_retry_after, base.max_retry_after)?,
+        max_attempts: count_or(&permissions.at("max-attempts"), base.max_attempts)?,
+    })
+}
+
+fn read_fees(fees: &Node) -> Result<Fees, KeyError> {
+    Ok(Fees {
+        health_check: number_or(&fees.at("probe"), 0.0)?,
+        handshake: number_or(&fees.at("handshake"), 0.0)?,
+        connection: number_or(&fees.at("connection"), 0.0)?,
+        cross_zone: number_or(&fees.at("cross-zone"), 0.0)?,
+    })
+}
+
+fn read_slow_start_settings(
+    safety: &Node,
+    base: SlowStartSettings,
+) -> Result<SlowStartSettings, KeyError> {
+    Ok(SlowStartSettings {
+        initial_capacity: number_or(&safety.at("cold-from"), base.initial_capacity)?,
+        duration: time_or(&safety.at("cold-ms"), base.duration)?,
+        overload_factor: number_or(&safety.at("overload-factor"), base.overload_factor)?,
+        overload_window: time_or(&safety.at("fall-ms"), base.overload_window)?,
+    })
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/platform/src/settings/simulator.rs
+++ b/crates/platform/src/settings/simulator.rs
@@ -42,9 +42,9 @@
 
     /// Applies the features to the settings that were read from the same object.
     pub fn apply(&self, settings: &mut Settings) {
-        settings.gossip = self.gossip;
-        settings.retry_after = self.retry_after;
-        settings.poll_endpoints = self.poll_endpoints;
+        settings.host.gossip = self.gossip;
+        settings.host.retry_after = self.retry_after;
+        settings.polling.required = self.poll_endpoints;
         for (class, &streamed) in settings.classes.iter_mut().zip(&self.streamed) {
             class.streamed = streamed;
         }
--- a/crates/platform/src/settings/tests.rs
+++ b/crates/platform/src/settings/tests.rs
@@ -1,6 +1,9 @@
 use std::time::Duration;
 
-use arrowstand_balancer::{DeduplicationScope, Idempotency, Settings};
+use arrowstand_balancer::{
+    BalancerIdentity, DeduplicationScope, Fees, HostCapabilities, Idempotency, RetrySettings,
+    Settings,
+};
 
 use super::{MembershipMode, PlatformSettings, SimulatorFeatures, TransportSettings};
 use crate::json::{Node, parse};
@@ -45,8 +48,8 @@
         queued: Some(0),
     };
     assert_eq!(platform.load_report, layout);
-    assert_eq!((settings.zone, settings.step), (1, 5_000));
-    assert_eq!((settings.balancer_index, settings.balancer_count), (3, 300));
+    assert_eq!((settings.identity.zone, settings.step), (1, 5_000));
+    assert_eq!((settings.identity.index, settings.identity.count), (3, 300));
     assert!(settings.weight_by_work);
     assert!(features.gossip && features.retry_after && features.poll_endpoints);
     assert_eq!(features.streamed, [true, false, false]);
@@ -56,18 +59,21 @@
 fn permissions_and_fees_are_read() {
     let (platform, _, _) = read(EVERY_KEY);
     let settings = &platform.balancer;
-    assert!(settings.cancellation && settings.health_checks && settings.hedging);
-    assert!(settings.load_reports && settings.load_reports_in_responses);
+    assert!(settings.host.cancellation && settings.host.health_checks && settings.retries.hedging);
+    assert!(settings.host.load_reports && settings.host.load_reports_in_responses);
     assert_eq!(
-        (settings.max_retry_after, settings.max_attempts),
+        (
+            settings.retries.max_retry_after,
+            settings.retries.max_attempts
+        ),
         (2_000_000, 5)
     );
     assert_eq!(
-        (settings.health_check_fee, settings.handshake_fee),
+        (settings.fees.health_check, settings.fees.handshake),
         (0.01, 0.02)
     );
     assert_eq!(
-        (settings.connection_fee, settings.cross_zone_fee),
+        (settings.fees.connection, settings.fees.cross_zone),
         (0.03, 0.04)
     );
 }
@@ -78,15 +84,21 @@
     let settings = &platform.balancer;
     assert!(settings.only_draining_binds);
     assert_eq!(
-        (settings.idle_timeout, settings.max_poll_interval),
+        (settings.idle_timeout, settings.polling.max_interval),
         (750_000, 20_000_000)
     );
     assert_eq!(
-        (settings.cold_capacity_share, settings.cold_overload_factor),
+        (
+            settings.slow_start.initial_capacity,
+            settings.slow_start.overload_factor
+        ),
         (0.13, 3.5)
     );
     assert_eq!(
-        (settings.slow_start_time, settings.cold_overload_window),
+        (
+            settings.slow_start.duration,
+            settings.slow_start.overload_window
+        ),
         (24_000_000, 900_000)
     );
     let expected = TransportSettings {
@@ -129,13 +141,25 @@
 fn missing_keys_get_the_balancers_defaults_and_turn_permissions_off() {
     let (platform, features, transport) = read("{}");
     let expected = Settings {
-        zone: u32::MAX,
-        cancellation: false,
-        health_checks: false,
-        hedging: false,
-        retry_after: false,
-        max_retry_after: DEFAULT_MAX_RETRY_AFTER,
-        health_check_fee: 0.0,
+        identity: BalancerIdentity {
+            zone: u32::MAX,
+            ..BalancerIdentity::default()
+        },
+        host: HostCapabilities {
+            cancellation: false,
+            health_checks: false,
+            retry_after: false,
+            ..HostCapabilities::default()
+        },
+        retries: RetrySettings {
+            hedging: false,
+            max_retry_after: DEFAULT_MAX_RETRY_AFTER,
+            ..RetrySettings::default()
+        },
+        fees: Fees {
+            health_check: 0.0,
+            ..Fees::default()
+        },
         ..Settings::default()
     };
     assert_eq!(format!("{:?}", platform.balancer), format!("{expected:?}"));
@@ -156,10 +180,10 @@
 fn features_are_off_until_they_are_applied() {
     let (platform, features, _) = read(EVERY_KEY);
     let mut settings = platform.balancer;
-    assert!(!settings.gossip && !settings.retry_after && !settings.poll_endpoints);
+    assert!(!settings.host.gossip && !settings.host.retry_after && !settings.polling.required);
     assert!(settings.classes.iter().all(|class| !class.streamed));
     features.apply(&mut settings);
-    assert!(settings.gossip && settings.retry_after && settings.poll_endpoints);
+    assert!(settings.host.gossip && settings.host.retry_after && settings.polling.required);
     assert!(settings.classes[0].streamed && !settings.classes[1].streamed);
 }
 
@@ -200,7 +224,10 @@
     ] {
         let (platform, _, _) = read(&format!(r#"{{"report": {report}}}"#));
         let settings = platform.balancer;
-        let found = (settings.load_reports, settings.load_reports_in_responses);
+        let found = (
+            settings.host.load_reports,
+            settings.host.load_reports_in_responses,
+        );
         assert_eq!(found, expected, "{report}");
     }
 }
--- a/crates/sidecar/src/config.rs
+++ b/crates/sidecar/src/config.rs
@@ -9,7 +9,7 @@
 
 use std::net::SocketAddr;
 
-use arrowstand_balancer::Settings;
+use arrowstand_balancer::{RetrySettings, Settings};
 use arrowstand_control::MachineCatalogue;
 use arrowstand_platform::json::{self, Node};
 use arrowstand_platform::{KeyError, KeyProblem, PlatformSettings, TransportSettings};
@@ -126,7 +126,7 @@
     if !conf.is_present() {
         return Err(conf.error(KeyProblem::Missing).into());
     }
-    let mut platform = PlatformSettings::read(conf, Settings::default().max_retry_after)?;
+    let mut platform = PlatformSettings::read(conf, RetrySettings::default().max_retry_after)?;
     apply_socket_overrides(&mut platform.balancer);
     platform.balancer.validate()?;
     Ok(platform)
@@ -135,13 +135,13 @@
 /// What holds on sockets whatever the simulator does for the deployment.
 fn apply_socket_overrides(settings: &mut Settings) {
     // There is no channel between sidecars in this program.
-    settings.gossip = false;
+    settings.host.gossip = false;
     // `permissions.retry-after` says whether the simulator hands its clients the Retry-After of a
     // rejection. On sockets the header is part of the response regardless, and it keeps a
     // client from retrying at once, so the balancer is always asked for it; see the README.
-    settings.retry_after = true;
+    settings.host.retry_after = true;
     // Discovery answers only when polled.
-    settings.poll_endpoints = true;
+    settings.polling.required = true;
     // Complete responses are passed on: the balancer does not learn of the start of a streamed one.
     for class in &mut settings.classes {
         class.streamed = false;
--- a/crates/sidecar/src/limits/inputs.rs
+++ b/crates/sidecar/src/limits/inputs.rs
@@ -47,11 +47,11 @@
             connect_timeout: transport.connect_timeout,
             idle_timeout: transport.idle_timeout,
             drain_grace: transport.drain_grace,
-            max_retry_after: Duration::from_micros(settings.max_retry_after),
-            max_attempts: settings.max_attempts as usize,
+            max_retry_after: Duration::from_micros(settings.retries.max_retry_after),
+            max_attempts: settings.retries.max_attempts as usize,
             longest_deadline: Duration::from_micros(deadlines.max().unwrap_or(0)),
             step: Duration::from_micros(settings.step),
-            max_poll_interval: Duration::from_micros(settings.max_poll_interval),
+            max_poll_interval: Duration::from_micros(settings.polling.max_interval),
             pushed: transport.membership == MembershipMode::Pushed,
         }
     }
--- a/crates/testbed/src/simulator/sidecar/settings.rs
+++ b/crates/testbed/src/simulator/sidecar/settings.rs
@@ -1,6 +1,9 @@
 //! The balancer's settings at a scenario's sidecars, as the real program would read them.
 
-use arrowstand_balancer::{DeduplicationScope, Idempotency, RequestClass, Settings};
+use arrowstand_balancer::{
+    BalancerIdentity, DeduplicationScope, Fees, HostCapabilities, Idempotency, PollingSettings,
+    RequestClass, RetrySettings, Settings, SlowStartSettings,
+};
 
 use crate::scenario::{
     Class, DeduplicationGroup, Effect, MachineType, Micros, ReportSource, Scenario, from_ms, from_s,
@@ -33,36 +36,56 @@
 
 /// The settings of the balancer at a sidecar, by its number.
 pub(super) fn balancer_settings(scenario: &Scenario, number: usize) -> Settings {
-    let (permissions, rules) = (&scenario.permissions, &scenario.rules);
-    let machine_types = &scenario.machine_type;
+    let permissions = &scenario.permissions;
     Settings {
         classes: scenario.class.iter().map(request_class).collect(),
-        zone: scenario.spread_zone(number),
-        balancer_index: number as u32,
-        balancer_count: scenario.sidecars.count as u32,
+        identity: BalancerIdentity {
+            zone: scenario.spread_zone(number),
+            index: number as u32,
+            count: scenario.sidecars.count as u32,
+        },
         step: RESPONSE_MARGIN,
-        cancellation: permissions.cancellation,
-        health_checks: permissions.health_checks,
+        host: host_capabilities(scenario),
+        retries: RetrySettings {
+            hedging: permissions.hedging,
+            max_retry_after: from_ms(permissions.max_retry_after_ms),
+            max_attempts: permissions.max_attempts,
+        },
+        fees: Fees {
+            health_check: scenario.prices.health_check,
+            handshake: scenario.prices.handshake,
+            connection: 0.0,
+            cross_zone: scenario.prices.cross_zone,
+        },
+        idle_timeout: from_s(permissions.idle_timeout_s),
+        weight_by_work: scenario.load.weight_by_work,
+        polling: PollingSettings {
+            required: true,
+            max_interval: from_ms(permissions.max_poll_interval_ms),
+        },
+        only_draining_binds: false,
+        slow_start: slow_start_settings(scenario),
+    }
+}
+
+fn host_capabilities(scenario: &Scenario) -> HostCapabilities {
+    HostCapabilities {
+        cancellation: scenario.permissions.cancellation,
+        health_checks: scenario.permissions.health_checks,
         gossip: false,
-        hedging: permissions.hedging,
         retry_after: true,
-        max_retry_after: from_ms(permissions.max_retry_after_ms),
-        max_attempts: permissions.max_attempts,
-        health_check_fee: scenario.prices.health_check,
-        handshake_fee: scenario.prices.handshake,
-        idle_timeout: from_s(permissions.idle_timeout_s),
-        connection_fee: 0.0,
-        cross_zone_fee: scenario.prices.cross_zone,
         load_reports: true,
         load_reports_in_responses: scenario.load_reports.source == ReportSource::Answers,
-        weight_by_work: scenario.load.weight_by_work,
-        poll_endpoints: true,
-        max_poll_interval: from_ms(permissions.max_poll_interval_ms),
-        only_draining_binds: false,
-        cold_capacity_share: least_cold_capacity_share(machine_types),
-        slow_start_time: longest_slow_start(machine_types),
-        cold_overload_factor: rules.cold_overload_factor,
-        cold_overload_window: from_ms(rules.cold_overload_window_ms),
+    }
+}
+
+fn slow_start_settings(scenario: &Scenario) -> SlowStartSettings {
+    let machine_types = &scenario.machine_type;
+    SlowStartSettings {
+        initial_capacity: least_cold_capacity_share(machine_types),
+        duration: longest_slow_start(machine_types),
+        overload_factor: scenario.rules.cold_overload_factor,
+        overload_window: from_ms(scenario.rules.cold_overload_window_ms),
     }
 }
 
