--- a/crates/adapter/src/host/action_encoder.rs
+++ b/crates/adapter/src/host/action_encoder.rs
@@ -1,7 +1,7 @@
 //! Writes the balancer's actions in the simulator's form. Owns the names of the actions and their
 //! fields.
 
-use arrowstand_balancer::{Action, ServerId};
+use arrowstand_balancer::{Action, EjectionCause, ServerEvent, StateChange};
 
 use super::instance::Names;
 use crate::reply::Reply;
@@ -27,7 +27,7 @@
         Action::HealthCheck { .. } => "sound-out",
         Action::SendGossip { .. } => "share",
         Action::PollEndpoints => "observe",
-        Action::Log { .. } => "journal-line",
+        Action::Record(_) => "journal-line",
     }
 }
 
@@ -68,14 +68,32 @@
         Action::PollEndpoints => {
             reply.number("want", true);
         }
-        Action::Log { text, server } => encode_log(text, *server, names, reply),
+        Action::Record(change) => encode_state_change(*change, names, reply),
     }
 }
 
-/// A log line ends with the name of the server that it is about.
-fn encode_log(text: &str, server: Option<ServerId>, names: &Names, reply: &mut Reply) {
-    let server = server.map_or("", |id| names.server_name(id));
-    reply.text("what", format!("{text} {server}").trim_end());
+/// A line of the simulator's journal: what happened, and the name of the server where it is known.
+fn encode_state_change(change: StateChange, names: &Names, reply: &mut Reply) {
+    let line = match change {
+        StateChange::EndpointListLost => "list lost".to_owned(),
+        StateChange::Server { server, event } => {
+            let text = server_event_text(event);
+            format!("{text} {}", names.server_name(server))
+        }
+    };
+    reply.text("what", line.trim_end());
+}
+
+fn server_event_text(event: ServerEvent) -> &'static str {
+    match event {
+        ServerEvent::Ejected { cause } => match cause {
+            EjectionCause::HealthChecks => "suspected: probes fail",
+            EjectionCause::Attempts => "suspected: work fails or is overdue",
+            EjectionCause::Gossip => "suspected: a peer says so",
+        },
+        ServerEvent::DeclaredDead => "dead",
+        ServerEvent::Readmitted => "cleared",
+    }
 }
 
 #[cfg(test)]
--- a/crates/adapter/src/host/action_encoder/tests.rs
+++ b/crates/adapter/src/host/action_encoder/tests.rs
@@ -1,4 +1,4 @@
-use arrowstand_balancer::{Action, RequestId, ServerId};
+use arrowstand_balancer::{Action, EjectionCause, RequestId, ServerEvent, ServerId, StateChange};
 
 use super::encode;
 use crate::host::instance::Names;
@@ -82,14 +82,43 @@
 }
 
 #[test]
-fn a_log_line_ends_with_the_server_if_it_is_known() {
-    let log = |server| Action::Log {
-        text: "ejected".to_owned(),
-        server,
+fn a_journal_line_ends_with_the_server_if_it_is_known() {
+    let readmitted = |server| {
+        let event = ServerEvent::Readmitted;
+        Action::Record(StateChange::Server { server, event })
     };
-    let without = r#""msg":"journal-line","i":"sidecar/0","what":"ejected""#;
-    assert_encoded(&log(None), without);
-    assert_encoded(&log(Some(ServerId(1))), without);
-    let with = r#""msg":"journal-line","i":"sidecar/0","what":"ejected 10.0.0.1:80""#;
-    assert_encoded(&log(Some(SERVER)), with);
+    let without = r#""msg":"journal-line","i":"sidecar/0","what":"cleared""#;
+    assert_encoded(&readmitted(ServerId(1)), without);
+    let with = r#""msg":"journal-line","i":"sidecar/0","what":"cleared 10.0.0.1:80""#;
+    assert_encoded(&readmitted(SERVER), with);
+    let without_server = r#""msg":"journal-line","i":"sidecar/0","what":"list lost""#;
+    assert_encoded(
+        &Action::Record(StateChange::EndpointListLost),
+        without_server,
+    );
+}
+
+#[test]
+fn every_event_of_a_server_has_its_journal_line() {
+    let ejected = |cause| ServerEvent::Ejected { cause };
+    for (event, text) in [
+        (
+            ejected(EjectionCause::HealthChecks),
+            "suspected: probes fail",
+        ),
+        (
+            ejected(EjectionCause::Attempts),
+            "suspected: work fails or is overdue",
+        ),
+        (ejected(EjectionCause::Gossip), "suspected: a peer says so"),
+        (ServerEvent::DeclaredDead, "dead"),
+        (ServerEvent::Readmitted, "cleared"),
+    ] {
+        let line = format!(r#""msg":"journal-line","i":"sidecar/0","what":"{text} 10.0.0.1:80""#);
+        let server = SERVER;
+        assert_encoded(
+            &Action::Record(StateChange::Server { server, event }),
+            &line,
+        );
+    }
 }
--- a/crates/balancer/src/action.rs
+++ b/crates/balancer/src/action.rs
@@ -2,6 +2,7 @@
 
 use crate::endpoint::ServerId;
 use crate::event::RequestId;
+use crate::state_change::StateChange;
 use crate::time::Micros;
 
 /// Where actions are pushed.
@@ -59,11 +60,6 @@
     },
     /// Poll the endpoint list, and subscribe to its changes.
     PollEndpoints,
-    /// Write a line to the log.
-    Log {
-        /// What happened.
-        text: String,
-        /// The server it is about.
-        server: Option<ServerId>,
-    },
+    /// Tell operators of a change.
+    Record(StateChange),
 }
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -7,7 +7,7 @@
 //! [`Endpoint::stable_hash`], which all balancers compute alike.
 //!
 //! # Layout
-//! - `settings`, `request_class`, `endpoint`, `event`, `action`: the interface.
+//! - `settings`, `request_class`, `endpoint`, `event`, `action`, `state_change`: the interface.
 //! - `policy`: [`Balancer`] and every decision.
 //! - `estimators`: what responses and load reports tell of the fleet and of each server.
 //! - `state`: servers, requests and messages, each owned by one type.
@@ -54,6 +54,7 @@
 mod request_class;
 mod settings;
 mod state;
+mod state_change;
 mod time;
 mod weighted_choice;
 
@@ -68,4 +69,5 @@
     Settings, SettingsError, SlowStartSettings,
 };
 
+pub use state_change::{EjectionCause, ServerEvent, StateChange};
 pub use time::Micros;
--- a/crates/balancer/src/policy/attempt_result.rs
+++ b/crates/balancer/src/policy/attempt_result.rs
@@ -1,8 +1,7 @@
 //! What the end of an attempt tells of its server, and what becomes of its request.
 
 use crate::policy::Balancer;
-use crate::state::SuspicionCause;
-use crate::{Actions, AttemptEnd, Outcome};
+use crate::{Actions, AttemptEnd, EjectionCause, Outcome};
 
 /// Failures in a row raise a suspicion once they are as improbable as this, as a negative logarithm, where
 /// other servers fail as often as they do: two of them where failures are rare.
@@ -66,7 +65,7 @@
         self.check_soon(id);
         let improbability = self.estimators.fleet_error_rate.run_improbability(failures);
         if improbability >= MAX_FAILURE_IMPROBABILITY && !timed_out {
-            self.eject(server_index, SuspicionCause::Attempts, actions);
+            self.eject(server_index, EjectionCause::Attempts, actions);
         }
     }
 }
--- a/crates/balancer/src/policy/endpoints.rs
+++ b/crates/balancer/src/policy/endpoints.rs
@@ -1,7 +1,7 @@
 //! Following the endpoint list: when to poll for it, and which servers it leaves.
 
 use crate::policy::Balancer;
-use crate::{Action, Actions, Endpoint, Micros, UpdateKind};
+use crate::{Action, Actions, Endpoint, Micros, StateChange, UpdateKind};
 
 /// First pause before the list is polled again, and its growth, up to half the longest interval. Guards
 /// against many balancers that keep discovery saturated: it handles a few calls a second, whoever polls.
@@ -18,10 +18,7 @@
 
     fn on_list_lost(&mut self, actions: &mut Actions) {
         if self.poller.is_subscribed() {
-            actions.push(Action::Log {
-                text: "list lost".into(),
-                server: None,
-            });
+            actions.push(Action::Record(StateChange::EndpointListLost));
         }
         let backoff = self.poller.backoff().unwrap_or(INITIAL_POLL_BACKOFF);
         let next_poll_at = self.now + backoff / 2 + self.rng.u64(0..=backoff);
--- a/crates/balancer/src/policy/failure_detector.rs
+++ b/crates/balancer/src/policy/failure_detector.rs
@@ -1,8 +1,8 @@
 //! Which servers are suspected, and when that ends.
 
 use crate::policy::Balancer;
-use crate::state::{Suspicion, SuspicionCause};
-use crate::{Action, Actions, Micros, RequestId};
+use crate::state::Suspicion;
+use crate::{Action, Actions, EjectionCause, Micros, RequestId, ServerEvent, StateChange};
 
 /// Time without a sign of life after which a suspect is dead, and the least between two health checks of it.
 const DEAD_AFTER: Micros = 8_000_000;
@@ -26,7 +26,7 @@
         } else if let Some(suspicion) = server.suspicion.current() {
             self.review_suspicion(server_index, suspicion, actions);
         } else if self.is_improbably_silent(server_index) {
-            self.eject(server_index, SuspicionCause::Attempts, actions);
+            self.eject(server_index, EjectionCause::Attempts, actions);
         }
     }
 
@@ -49,7 +49,7 @@
             return;
         }
         let unreached = !health_check.is_confirmed_alive();
-        if self.eject(server_index, SuspicionCause::HealthChecks, actions) && unreached {
+        if self.eject(server_index, EjectionCause::HealthChecks, actions) && unreached {
             self.queue_suspicion(server_index);
         }
     }
@@ -63,13 +63,13 @@
         let server = &mut self.endpoints[server_index];
         if !server.suspicion.is_dead() && self.now >= suspicion.since + DEAD_AFTER {
             server.suspicion.on_declared_dead();
-            actions.push(Action::Log {
-                text: "dead".into(),
-                server: Some(server.id()),
-            });
+            actions.push(Action::Record(StateChange::Server {
+                server: server.id(),
+                event: ServerEvent::DeclaredDead,
+            }));
         }
         let unfounded =
-            suspicion.cause != SuspicionCause::Attempts && self.health_checks_unreliable();
+            suspicion.cause != EjectionCause::Attempts && self.health_checks_unreliable();
         if unfounded || !self.settings.host.health_checks && suspicion.has_aged(self.now) {
             self.readmit(server_index, actions);
         }
@@ -80,10 +80,10 @@
     pub(super) fn eject(
         &mut self,
         server_index: usize,
-        cause: SuspicionCause,
+        cause: EjectionCause,
         actions: &mut Actions,
     ) -> bool {
-        let unfounded = cause != SuspicionCause::Attempts && self.health_checks_unreliable();
+        let unfounded = cause != EjectionCause::Attempts && self.health_checks_unreliable();
         let mean_pause =
             self.subset_size() as f64 / self.estimators.workload.request_rate(self.now);
         let (now, server) = (self.now, &mut self.endpoints[server_index]);
@@ -102,10 +102,10 @@
             },
             ejections,
         );
-        actions.push(Action::Log {
-            text: cause.text().into(),
-            server: Some(server.id()),
-        });
+        actions.push(Action::Record(StateChange::Server {
+            server: server.id(),
+            event: ServerEvent::Ejected { cause },
+        }));
         let stuck: Vec<RequestId> = server
             .in_flight()
             .iter()
@@ -125,16 +125,16 @@
         };
         server.failures.on_readmitted();
         // Guards against restarts that the list is silent about: what comes back from silence starts slowly.
-        if suspicion.cause != SuspicionCause::Attempts
+        if suspicion.cause != EjectionCause::Attempts
             && now > suspicion.since + 2 * SUSPECT_CHECK_INTERVAL
         {
             server.slow_start.on_silence_ended(now);
         }
         server.health_check.on_confirmed_alive();
-        actions.push(Action::Log {
-            text: "cleared".into(),
-            server: Some(server.id()),
-        });
+        actions.push(Action::Record(StateChange::Server {
+            server: server.id(),
+            event: ServerEvent::Readmitted,
+        }));
     }
 
     /// The list names a newer incarnation: that it is alive overrides suspicion of anything older.
--- a/crates/balancer/src/policy/gossip.rs
+++ b/crates/balancer/src/policy/gossip.rs
@@ -1,8 +1,8 @@
 //! What balancers tell each other: suspicions, and indirect health checks.
 
 use crate::policy::Balancer;
-use crate::state::{GossipKind, GossipMessage, ServerState, SuspicionCause};
-use crate::{Action, Actions, Micros};
+use crate::state::{GossipKind, GossipMessage, ServerState};
+use crate::{Action, Actions, EjectionCause, Micros};
 
 /// Suspicions in one message: as many as fit.
 const MAX_SUSPICIONS_PER_MESSAGE: usize = 15;
@@ -107,7 +107,7 @@
         let id = server.id();
         // One mistaken balancer must not empty the fleet: this one's own served attempts outweigh it.
         let doubtful = self.now < server.failures.last_served_at() + SERVED_OUTWEIGHS_GOSSIP;
-        if !doubtful && self.eject(server_index, SuspicionCause::Gossip, actions) {
+        if !doubtful && self.eject(server_index, EjectionCause::Gossip, actions) {
             self.queue_suspicion(server_index);
         }
         self.check_soon(id);
--- a/crates/balancer/src/policy/health_check.rs
+++ b/crates/balancer/src/policy/health_check.rs
@@ -2,8 +2,8 @@
 
 use crate::policy::Balancer;
 use crate::policy::failure_detector::SUSPECT_CHECK_INTERVAL;
-use crate::state::{RetryScope, SuspicionCause};
-use crate::{Action, Actions, LoadReport, Micros, ServerId};
+use crate::state::RetryScope;
+use crate::{Action, Actions, EjectionCause, LoadReport, Micros, ServerId};
 
 /// Time between health checks of random servers: what keeps their fee under the last figure at the request
 /// rate, within these two; while a server is suspected they come so many times as often, every other one for
@@ -135,7 +135,7 @@
         let Some(suspicion) = server.suspicion.current() else {
             return;
         };
-        if suspicion.cause != SuspicionCause::Attempts || suspicion.has_aged(self.now) {
+        if suspicion.cause != EjectionCause::Attempts || suspicion.has_aged(self.now) {
             self.readmit(server_index, actions);
         }
     }
@@ -153,7 +153,7 @@
                 .on_confirmation_scheduled(self.now + CONFIRMATION_DELAY);
             self.request_indirect_checks(server_index, actions);
         } else {
-            self.eject(server_index, SuspicionCause::HealthChecks, actions);
+            self.eject(server_index, EjectionCause::HealthChecks, actions);
         }
     }
 
--- a/crates/balancer/src/state/mod.rs
+++ b/crates/balancer/src/state/mod.rs
@@ -24,4 +24,4 @@
 pub(crate) use request_table::RequestTable;
 pub(crate) use server_state::{InFlightAttempt, ServerState};
 pub(crate) use subset_order::SubsetOrder;
-pub(crate) use suspicion::{Suspicion, SuspicionCause};
+pub(crate) use suspicion::Suspicion;
--- a/crates/balancer/src/state/suspicion.rs
+++ b/crates/balancer/src/state/suspicion.rs
@@ -3,35 +3,13 @@
 #[cfg(test)]
 mod tests;
 
-use crate::Micros;
-
-/// What raised a suspicion.
-#[derive(Clone, Copy, PartialEq, Eq)]
-pub(crate) enum SuspicionCause {
-    /// Health checks failed.
-    HealthChecks,
-    /// Attempts failed or are overdue.
-    Attempts,
-    /// Another balancer suspects the server.
-    Gossip,
-}
-
-impl SuspicionCause {
-    /// The log line for it.
-    pub(crate) fn text(self) -> &'static str {
-        match self {
-            Self::HealthChecks => "suspected: probes fail",
-            Self::Attempts => "suspected: work fails or is overdue",
-            Self::Gossip => "suspected: a peer says so",
-        }
-    }
-}
+use crate::{EjectionCause, Micros};
 
 /// A suspicion that stands.
 #[derive(Clone, Copy)]
 pub(crate) struct Suspicion {
     /// What raised it.
-    pub(crate) cause: SuspicionCause,
+    pub(crate) cause: EjectionCause,
     /// When it was raised.
     pub(crate) since: Micros,
     /// How long successful health checks do not end it, where attempts raised it.
--- a/crates/balancer/src/state/suspicion/tests.rs
+++ b/crates/balancer/src/state/suspicion/tests.rs
@@ -1,4 +1,5 @@
-use super::{Suspicion, SuspicionCause, SuspicionRecord};
+use super::{Suspicion, SuspicionRecord};
+use crate::EjectionCause;
 use crate::Micros;
 
 const MEMORY: Micros = 1_000;
@@ -6,7 +7,7 @@
 fn eject(record: &mut SuspicionRecord, now: Micros) {
     let ejections = record.ejections_before(now, MEMORY);
     let suspicion = Suspicion {
-        cause: SuspicionCause::Attempts,
+        cause: EjectionCause::Attempts,
         since: now,
         ejection_time: 100,
     };
@@ -42,7 +43,7 @@
 #[test]
 fn suspicion_has_aged_once_its_ejection_time_is_over() {
     let suspicion = Suspicion {
-        cause: SuspicionCause::Gossip,
+        cause: EjectionCause::Gossip,
         since: 10,
         ejection_time: 5,
     };
--- a/crates/balancer/tests/balancer/common/actions.rs
+++ b/crates/balancer/tests/balancer/common/actions.rs
@@ -1,6 +1,6 @@
 //! What a list of actions holds.
 
-use arrowstand_balancer::{Action, ServerId};
+use arrowstand_balancer::{Action, EjectionCause, ServerEvent, ServerId, StateChange};
 
 /// The server of the first send.
 pub(crate) fn sent_to(actions: &[Action]) -> Option<ServerId> {
@@ -42,9 +42,28 @@
     actions.iter().filter_map(message).collect()
 }
 
-/// True where a log line contains this text.
-pub(crate) fn has_log(actions: &[Action], what: &str) -> bool {
-    actions
-        .iter()
-        .any(|action| matches!(action, Action::Log { text, .. } if text.contains(what)))
+/// What happened to servers, as the balancer records it.
+pub(crate) fn server_events(actions: &[Action]) -> Vec<ServerEvent> {
+    let event = |action: &Action| match action {
+        Action::Record(StateChange::Server { event, .. }) => Some(*event),
+        _ => None,
+    };
+    actions.iter().filter_map(event).collect()
+}
+
+/// True where a server was ejected, for whatever cause.
+pub(crate) fn has_ejection(actions: &[Action]) -> bool {
+    let is_ejection = |event: &ServerEvent| matches!(event, ServerEvent::Ejected { .. });
+    server_events(actions).iter().any(is_ejection)
+}
+
+/// True where a server was ejected because its attempts failed or are overdue.
+pub(crate) fn has_ejection_by_attempts(actions: &[Action]) -> bool {
+    let cause = EjectionCause::Attempts;
+    server_events(actions).contains(&ServerEvent::Ejected { cause })
+}
+
+/// True where a server was readmitted.
+pub(crate) fn has_readmission(actions: &[Action]) -> bool {
+    server_events(actions).contains(&ServerEvent::Readmitted)
 }
--- a/crates/balancer/tests/balancer/common/mod.rs
+++ b/crates/balancer/tests/balancer/common/mod.rs
@@ -5,7 +5,8 @@
 mod fixtures;
 
 pub(crate) use actions::{
-    gossip_messages, has_log, health_checks, is_failed, is_rejected, sent_to,
+    gossip_messages, has_ejection, has_ejection_by_attempts, has_readmission, health_checks,
+    is_failed, is_rejected, sent_to, server_events,
 };
 pub(crate) use driver::Driver;
 pub(crate) use fixtures::{
--- a/crates/balancer/tests/balancer/failure_detector.rs
+++ b/crates/balancer/tests/balancer/failure_detector.rs
@@ -1,6 +1,9 @@
 //! Suspicions that attempts raise, and how they end.
 
-use crate::common::{Driver, MS, endpoint, endpoint_changed, has_log, sent_to, settings};
+use crate::common::{
+    Driver, MS, endpoint, endpoint_changed, has_ejection, has_ejection_by_attempts,
+    has_readmission, sent_to, settings,
+};
 use arrowstand_balancer::{Endpoint, Outcome, RetrySettings, ServerId, Settings};
 
 #[test]
@@ -13,9 +16,9 @@
             ..endpoint(0)
         })
     };
-    assert!(has_log(&driver.handle(restart(9)), "cleared"));
+    assert!(has_readmission(&driver.handle(restart(9))));
     driver.fail_health_checks(ServerId(0));
-    assert!(!has_log(&driver.handle(restart(10)), "cleared"));
+    assert!(!has_readmission(&driver.handle(restart(10))));
 }
 
 #[test]
@@ -47,7 +50,7 @@
     }
     let mut suspected = false;
     for _ in 0..40 {
-        suspected |= has_log(&driver.advance(25 * MS), "suspected: work");
+        suspected |= has_ejection_by_attempts(&driver.advance(25 * MS));
         driver.end_health_check(ServerId(0), Outcome::Served);
         if suspected {
             break;
@@ -55,10 +58,8 @@
     }
     assert!(suspected);
     assert_eq!(driver.servers_in_use(), [1, 2, 3]);
-    assert!(has_log(
-        &driver.end_attempt(stuck[0], 0, ServerId(0), Outcome::Served),
-        "cleared"
-    ));
+    let actions = driver.end_attempt(stuck[0], 0, ServerId(0), Outcome::Served);
+    assert!(has_readmission(&actions));
 }
 
 #[test]
@@ -91,10 +92,7 @@
         } else {
             Outcome::Served
         };
-        suspected += usize::from(has_log(
-            &driver.end_attempt(id, 0, server, outcome),
-            "suspected",
-        ));
+        suspected += usize::from(has_ejection(&driver.end_attempt(id, 0, server, outcome)));
     }
     assert!(suspected <= 2, "{suspected}");
 }
@@ -112,10 +110,7 @@
         } else {
             Outcome::Served
         };
-        suspected += usize::from(has_log(
-            &driver.end_attempt(id, 0, server, outcome),
-            "suspected",
-        ));
+        suspected += usize::from(has_ejection(&driver.end_attempt(id, 0, server, outcome)));
     }
     assert!(suspected <= 5, "{suspected}");
 }
@@ -138,20 +133,18 @@
         if let Some(next) = sent_to(&actions) {
             driver.end_attempt(id, 1, next, Outcome::Served);
         }
-        if has_log(&actions, "suspected: work") {
+        if has_ejection_by_attempts(&actions) {
             failing = Some(server);
             break;
         }
     }
     assert_eq!(failing, Some(ServerId(3)));
     driver.now += 1_500 * MS;
-    assert!(!has_log(
-        &driver.end_health_check(ServerId(3), Outcome::Served),
-        "cleared"
+    assert!(!has_readmission(
+        &driver.end_health_check(ServerId(3), Outcome::Served)
     ));
     driver.now += 8_000 * MS;
-    assert!(has_log(
-        &driver.end_health_check(ServerId(3), Outcome::Served),
-        "cleared"
+    assert!(has_readmission(
+        &driver.end_health_check(ServerId(3), Outcome::Served)
     ));
 }
--- a/crates/balancer/tests/balancer/gossip.rs
+++ b/crates/balancer/tests/balancer/gossip.rs
@@ -1,7 +1,7 @@
 //! Messages between balancers.
 
 use crate::common::{
-    Driver, MS, endpoint, endpoint_changed, gossip_messages, has_log, health_checks,
+    Driver, MS, endpoint, endpoint_changed, gossip_messages, has_ejection, health_checks,
     settings_with_peers,
 };
 use arrowstand_balancer::{
@@ -74,7 +74,7 @@
         message: confirmation,
     });
     let later = driver.advance(400 * MS);
-    assert!(has_log(&later, "suspected"));
+    assert!(has_ejection(&later));
     assert!(gossip_messages(&later).is_empty());
 }
 
@@ -96,11 +96,7 @@
             ..endpoint(0)
         }));
         let actions = driver.handle(Event::GossipReceived { from: 2, message });
-        assert_eq!(
-            has_log(&actions, "suspected"),
-            raised,
-            "{known:?} {suspected:?}"
-        );
+        assert_eq!(has_ejection(&actions), raised, "{known:?} {suspected:?}");
     }
 }
 
@@ -118,7 +114,7 @@
         from: 2,
         message: suspicion_message(None),
     });
-    assert!(!has_log(&actions, "suspected"));
+    assert!(!has_ejection(&actions));
     assert!(health_checks(&driver.advance(250 * MS)).contains(&ServerId(0)));
 }
 
--- a/crates/balancer/tests/balancer/health_check.rs
+++ b/crates/balancer/tests/balancer/health_check.rs
@@ -1,9 +1,10 @@
 //! Which servers are checked, and what health checks lead to.
 
 use crate::common::{
-    Driver, MS, has_log, health_checks, sent_to, settings, settings_with_health_check_fee,
+    Driver, MS, has_ejection, has_readmission, health_checks, sent_to, server_events, settings,
+    settings_with_health_check_fee,
 };
-use arrowstand_balancer::{Outcome, ServerId};
+use arrowstand_balancer::{Outcome, ServerEvent, ServerId};
 
 #[test]
 fn every_interval_checks_one_random_server() {
@@ -41,15 +42,13 @@
 #[test]
 fn failed_health_check_is_confirmed_by_a_second_before_suspicion() {
     let mut driver = Driver::new(settings(), 4);
-    assert!(!has_log(
-        &driver.end_health_check(ServerId(0), Outcome::TimedOut),
-        "suspected"
+    assert!(!has_ejection(
+        &driver.end_health_check(ServerId(0), Outcome::TimedOut)
     ));
     let later = driver.advance(300 * MS);
     assert!(health_checks(&later).contains(&ServerId(0)));
-    assert!(has_log(
-        &driver.end_health_check(ServerId(0), Outcome::TimedOut),
-        "suspected"
+    assert!(has_ejection(
+        &driver.end_health_check(ServerId(0), Outcome::TimedOut)
     ));
     assert_eq!(driver.servers_in_use(), [1, 2, 3]);
 }
@@ -70,16 +69,15 @@
     let mut dead = false;
     for _ in 0..40 {
         let actions = driver.advance(250 * MS);
-        dead |= has_log(&actions, "dead");
+        dead |= server_events(&actions).contains(&ServerEvent::DeclaredDead);
         if health_checks(&actions).contains(&ServerId(0)) {
             driver.end_health_check(ServerId(0), Outcome::TimedOut);
         }
     }
     assert!(dead);
     assert!(health_checks(&driver.advance(1_500 * MS)).contains(&ServerId(0)));
-    assert!(has_log(
-        &driver.end_health_check(ServerId(0), Outcome::Served),
-        "cleared"
+    assert!(has_readmission(
+        &driver.end_health_check(ServerId(0), Outcome::Served)
     ));
 }
 
--- a/crates/sidecar/src/host/balancer_host.rs
+++ b/crates/sidecar/src/host/balancer_host.rs
@@ -6,7 +6,8 @@
 use std::time::Duration;
 
 use arrowstand_balancer::{
-    Action, ClassId, Event, Micros, Outcome, RequestId, ServerId, UpdateKind,
+    Action, ClassId, Event, Micros, Outcome, RequestId, ServerEvent, ServerId, StateChange,
+    UpdateKind,
 };
 use arrowstand_control::WorkAwareBalancer;
 use arrowstand_control::list_freshness::ListFreshness;
@@ -230,14 +231,24 @@
             Action::PollEndpoints => self.actions.request_poll(),
             // There is no channel between sidecars, and the balancer's settings say so.
             Action::SendGossip { .. } => {}
-            Action::Log { text, server } => self.log(&text, server),
+            Action::Record(change) => self.log(change),
         }
         None
     }
 
-    fn log(&self, text: &str, server: Option<ServerId>) {
-        let server = server.and_then(|id| self.server(id));
-        let address = server.map(|s| s.address().to_string()).unwrap_or_default();
-        tracing::info!("balancer: {text} {address}");
+    fn log(&self, change: StateChange) {
+        let StateChange::Server { server, event } = change else {
+            tracing::info!("balancer: endpoint list lost");
+            return;
+        };
+        let server = self.server(server);
+        let server = server.map(|s| s.address().to_string()).unwrap_or_default();
+        match event {
+            ServerEvent::Ejected { cause } => {
+                tracing::info!(server, ?cause, "balancer: server ejected");
+            }
+            ServerEvent::DeclaredDead => tracing::info!(server, "balancer: server declared dead"),
+            ServerEvent::Readmitted => tracing::info!(server, "balancer: server readmitted"),
+        }
     }
 }
--- a/crates/testbed/src/simulator/sidecar/host.rs
+++ b/crates/testbed/src/simulator/sidecar/host.rs
@@ -82,7 +82,7 @@
             Action::SetTimer { token, after } => self.set_balancer_timer(number, token, after),
             Action::HealthCheck { server } => self.send_health_check(number, server.0),
             Action::PollEndpoints => self.poll_endpoints(number),
-            Action::SendGossip { .. } | Action::Log { .. } => {}
+            Action::SendGossip { .. } | Action::Record(_) => {}
         }
     }
 
