--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -110,26 +110,38 @@
 }
 
 /// Fills the single values; `base` has the defaults and all that is no single value.
+///
+/// The order of the reads decides which of several bad keys is reported.
 fn read_balancer_settings(conf: &Node, base: Settings) -> Result<Settings, KeyError> {
     let permissions = conf.at("permissions");
     let safety = conf.at("safety");
-    let max_interval = base.polling.max_interval;
+    let fees = conf.at("fees");
+    let identity = BalancerIdentity {
+        index: number_or(&conf.at("my-number"), 0.0)? as u32,
+        count: number_or(&conf.at("balancers"), 1.0)? as u32,
+        ..base.identity
+    };
+    let step = time_or(&conf.at("step-ms"), base.step)?;
+    let host = read_host_capabilities(&permissions, base.host)?;
+    let retries = read_retry_settings(&permissions, base.retries)?;
+    let health_check_fee = number_or(&fees.at("probe"), 0.0)?;
+    let handshake_fee = number_or(&fees.at("handshake"), 0.0)?;
+    let idle_timeout = time_or(&transport::idle_timeout_key(conf), base.idle_timeout)?;
+    let fees = Fees {
+        health_check: health_check_fee,
+        handshake: handshake_fee,
+        connection: number_or(&fees.at("connection"), 0.0)?,
+        cross_zone: number_or(&fees.at("cross-zone"), 0.0)?,
+    };
     Ok(Settings {
-        identity: BalancerIdentity {
-            index: number_or(&conf.at("my-number"), 0.0)? as u32,
-            count: number_or(&conf.at("balancers"), 1.0)? as u32,
-            ..base.identity
-        },
-        step: time_or(&conf.at("step-ms"), base.step)?,
-        host: read_host_capabilities(&permissions, base.host)?,
-        retries: read_retry_settings(&permissions, base.retries)?,
-        fees: read_fees(&conf.at("fees"))?,
-        idle_timeout: time_or(&transport::idle_timeout_key(conf), base.idle_timeout)?,
+        identity,
+        step,
+        host,
+        retries,
+        fees,
+        idle_timeout,
         weight_by_work: conf.at("worth-by").optional_text()?.as_deref() == Some("work"),
-        polling: PollingSettings {
-            required: false,
-            max_interval: time_or(&safety.at("ask-every-ms"), max_interval)?,
-        },
+        polling: read_polling_settings(&safety, base.polling)?,
         only_draining_binds: flag(&safety.at("only-draining-binds"))?,
         slow_start: read_slow_start_settings(&safety, base.slow_start)?,
         ..base
@@ -158,12 +170,13 @@
     })
 }
 
-fn read_fees(fees: &Node) -> Result<Fees, KeyError> {
-    Ok(Fees {
-        health_check: number_or(&fees.at("probe"), 0.0)?,
-        handshake: number_or(&fees.at("handshake"), 0.0)?,
-        connection: number_or(&fees.at("connection"), 0.0)?,
-        cross_zone: number_or(&fees.at("cross-zone"), 0.0)?,
+fn read_polling_settings(
+    safety: &Node,
+    base: PollingSettings,
+) -> Result<PollingSettings, KeyError> {
+    Ok(PollingSettings {
+        required: false,
+        max_interval: time_or(&safety.at("ask-every-ms"), base.max_interval)?,
     })
 }
 
