--- a/crates/platform/src/endpoint_list.rs
+++ b/crates/platform/src/endpoint_list.rs
@@ -5,20 +5,23 @@
 
 use std::net::SocketAddr;
 
-use arrowstand_balancer::EndpointStatus;
+use arrowstand_balancer::{EndpointStatus, Micros};
 
 use crate::error::{KeyError, KeyProblem, ReadError};
 use crate::json::{self, Node};
 
-/// The latest start time that is believed, in Unix milliseconds: the year 5138. Guards against a
-/// start time that overflows the balancer's clock once a duration is added to it.
-const MAX_BOOT_MS: f64 = 1e14;
+/// The latest start time that is believed, in Unix milliseconds: the year 5138. A later one would
+/// overflow the balancer's clock once a duration is added to it.
+const MAX_START_MS: f64 = 1e14;
+/// Starts up to this time, in Unix milliseconds, mean that the list knows none.
+const UNKNOWN_START_MS: f64 = 0.0;
+const MICROS_PER_MS: f64 = 1_000.0;
 
 /// One server in an endpoint list.
-#[derive(Clone, Debug, PartialEq)]
+#[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedEndpoint {
     /// Name of the server, unique among all and stable over its restarts.
-    pub uid: String,
+    pub id: String,
     /// Where it accepts requests.
     pub address: SocketAddr,
     /// Name of its zone; empty where the list names none.
@@ -26,20 +29,30 @@
     /// Number of its deployment cell.
     pub cell: u32,
     /// The platform's name for its machine type; empty where the list names none.
-    pub model: String,
+    pub machine_type: String,
     /// Whether it may be sent requests.
-    pub condition: EndpointStatus,
-    /// Unix time of the latest start in milliseconds; 0 if long ago.
-    pub boot_ms: f64,
+    pub status: EndpointStatus,
+    /// Unix time of the latest start in microseconds; `None` where the list knows none.
+    pub started_at: Option<Micros>,
+}
+
+/// What a list tells of the servers that it does not name.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub enum ListKind {
+    /// Every server is listed: what is not named has been removed.
+    Full,
+    /// Only changes are listed: what is not named is as before.
+    #[default]
+    Delta,
 }
 
 /// The whole list or a change to it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EndpointList {
     /// Revision of the list in discovery's numbering.
-    pub rev: u64,
-    /// Every server is listed; otherwise those that changed.
-    pub all: bool,
+    pub revision: u64,
+    /// Whether every server is listed, or those that changed.
+    pub kind: ListKind,
     /// The servers.
     pub endpoints: Vec<ListedEndpoint>,
     /// Why entries were skipped that could not be read.
@@ -47,14 +60,14 @@
 }
 
 impl EndpointList {
-    /// Reads a list. Guards against one bad entry hiding the good ones: only that entry is skipped.
+    /// Reads a list. An entry that cannot be read is skipped, and the others are kept.
     ///
     /// # Errors
     /// The revision is missing, or a value outside the entries has the wrong type.
     pub fn read(node: &Node) -> Result<Self, KeyError> {
         let mut list = Self {
-            rev: node.at("rev").number()? as u64,
-            all: node.at("all").optional_flag()?.unwrap_or(false),
+            revision: node.at("rev").number()? as u64,
+            kind: read_list_kind(&node.at("all"))?,
             ..Self::default()
         };
         for entry in node.at("targets").items()? {
@@ -81,29 +94,37 @@
         // The order of the reads decides which error of a bad entry is reported.
         let address_node = node.at("endpoint");
         let address_text = address_node.text()?;
-        let boot_ms = read_boot_ms(&node.at("boot_ms"))?;
-        let uid = node.at("uid").text()?;
+        let started_at = read_start(&node.at("boot_ms"))?;
+        let id = node.at("uid").text()?;
         let address = address_text
             .parse()
             .map_err(|_| address_node.error(KeyProblem::NotAnAddress))?;
         Ok(Self {
-            uid,
+            id,
             address,
             zone: node.at("az").optional_text()?.unwrap_or_default(),
-            model: node.at("model").optional_text()?.unwrap_or_default(),
+            machine_type: node.at("model").optional_text()?.unwrap_or_default(),
             cell: node.at("pod_group").optional_number()?.unwrap_or(0.0) as u32,
-            condition: read_status(&node.at("state"))?,
-            boot_ms,
+            status: read_status(&node.at("state"))?,
+            started_at,
         })
     }
 }
 
-fn read_boot_ms(node: &Node) -> Result<f64, KeyError> {
-    let boot_ms = node.optional_number()?.unwrap_or(0.0);
-    if boot_ms > MAX_BOOT_MS {
+fn read_list_kind(all: &Node) -> Result<ListKind, KeyError> {
+    Ok(match all.optional_flag()? {
+        Some(true) => ListKind::Full,
+        Some(false) | None => ListKind::Delta,
+    })
+}
+
+fn read_start(node: &Node) -> Result<Option<Micros>, KeyError> {
+    let start_ms = node.optional_number()?.unwrap_or(UNKNOWN_START_MS);
+    if start_ms > MAX_START_MS {
         return Err(node.error(KeyProblem::NotATime));
     }
-    Ok(boot_ms)
+    let is_known = start_ms > UNKNOWN_START_MS;
+    Ok(is_known.then_some((start_ms * MICROS_PER_MS) as Micros))
 }
 
 fn read_status(node: &Node) -> Result<EndpointStatus, KeyError> {
--- a/crates/platform/src/endpoint_list/tests.rs
+++ b/crates/platform/src/endpoint_list/tests.rs
@@ -1,6 +1,6 @@
 use arrowstand_balancer::EndpointStatus;
 
-use super::{EndpointList, ListedEndpoint};
+use super::{EndpointList, ListKind, ListedEndpoint};
 
 #[test]
 fn a_bad_entry_is_skipped_with_a_message_and_the_others_are_read() {
@@ -12,24 +12,24 @@
         {"uid": "s3", "endpoint": "127.0.0.1:80", "state": "ready", "boot_ms": 1e15},
         {"uid": "s4", "endpoint": "127.0.0.1:81", "state": "gone"}]}"#;
     let list = EndpointList::parse(text, 8).expect("a list");
-    assert_eq!((list.rev, list.all), (9, true));
+    assert_eq!((list.revision, list.kind), (9, ListKind::Full));
     let first = ListedEndpoint {
-        uid: "s0".to_owned(),
+        id: "s0".to_owned(),
         address: "127.0.0.1:80".parse().expect("an address"),
         zone: "z1".to_owned(),
         cell: 3,
-        model: "std-3".to_owned(),
-        condition: EndpointStatus::Draining,
-        boot_ms: 5.5,
+        machine_type: "std-3".to_owned(),
+        status: EndpointStatus::Draining,
+        started_at: Some(5_500),
     };
     let last = ListedEndpoint {
-        uid: "s4".to_owned(),
+        id: "s4".to_owned(),
         address: "127.0.0.1:81".parse().expect("an address"),
         zone: String::new(),
         cell: 0,
-        model: String::new(),
-        condition: EndpointStatus::Removed,
-        boot_ms: 0.0,
+        machine_type: String::new(),
+        status: EndpointStatus::Removed,
+        started_at: None,
     };
     assert_eq!(list.endpoints, [first, last]);
     let messages: Vec<String> = list.skipped.iter().map(ToString::to_string).collect();
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -13,7 +13,7 @@
 pub mod settings;
 mod units;
 
-pub use endpoint_list::{EndpointList, ListedEndpoint};
+pub use endpoint_list::{EndpointList, ListKind, ListedEndpoint};
 pub use error::{JsonError, KeyError, KeyProblem, ReadError};
 pub use load_report::LoadReportLayout;
 pub use settings::{MembershipMode, PlatformSettings, SimulatorFeatures, TransportSettings};
--- a/crates/sidecar/src/config.rs
+++ b/crates/sidecar/src/config.rs
@@ -49,7 +49,7 @@
     /// Names behind the balancer's numbers.
     pub(crate) names: Names,
     /// The endpoint list as this sidecar last had it.
-    pub(crate) known: Option<EndpointList>,
+    pub(crate) cached_endpoints: Option<EndpointList>,
 }
 
 impl Config {
@@ -99,7 +99,7 @@
         let names = Names::new(&platform, machines);
         let settings = platform.balancer;
         let limits = read_limits(&root.at("limits"), &conf, &settings)?;
-        let known = read_known(&root.at("known"))?;
+        let cached_endpoints = read_cached_endpoints(&root.at("known"))?;
         Ok(Self {
             name,
             listen: read_address(&root.at("listen"), "NODE_LISTEN", &variable)?,
@@ -108,7 +108,7 @@
             settings,
             limits,
             names,
-            known,
+            cached_endpoints,
         })
     }
 }
@@ -164,7 +164,7 @@
     Ok(Limits::derive(&inputs))
 }
 
-fn read_known(node: &Node) -> Result<Option<EndpointList>, KeyError> {
+fn read_cached_endpoints(node: &Node) -> Result<Option<EndpointList>, KeyError> {
     if !node.is_present() {
         return Ok(None);
     }
--- a/crates/sidecar/src/discovery/watch.rs
+++ b/crates/sidecar/src/discovery/watch.rs
@@ -7,7 +7,7 @@
 
 use arrowstand_balancer::UpdateKind;
 use arrowstand_control::list_freshness::ListFreshness;
-use arrowstand_platform::EndpointList;
+use arrowstand_platform::{EndpointList, ListKind};
 use awc::ClientResponse;
 use awc::error::PayloadError;
 use bytes::Bytes;
@@ -115,10 +115,9 @@
 
 fn on_list_received(host: &BalancerHost, cursor: &WatchCursor, list: &EndpointList) {
     let version = cursor.on_list_received(list);
-    let kind = if list.all {
-        UpdateKind::Full
-    } else {
-        UpdateKind::Incremental
+    let kind = match list.kind {
+        ListKind::Full => UpdateKind::Full,
+        ListKind::Delta => UpdateKind::Incremental,
     };
     host.update_list_freshness(|freshness, _| freshness.on_watch_event());
     host.update_endpoints(kind, version, list);
--- a/crates/sidecar/src/discovery/watch_cursor.rs
+++ b/crates/sidecar/src/discovery/watch_cursor.rs
@@ -2,7 +2,7 @@
 
 use std::cell::Cell;
 
-use arrowstand_platform::EndpointList;
+use arrowstand_platform::{EndpointList, ListKind};
 
 /// The last revision that came, and how it maps to the versions that the balancer gets.
 pub(super) struct WatchCursor {
@@ -40,12 +40,12 @@
         // restarted: it was polled for changes after the cursor and sent the whole list instead, so
         // that list is no old one.
         let is_first = self.awaiting_first_list.replace(false);
-        if is_first && list.all && list.rev < self.revision.get() {
+        if is_first && list.kind == ListKind::Full && list.revision < self.revision.get() {
             self.version_offset
                 .set(self.version_offset.get() + self.revision.get());
         }
-        self.revision.set(list.rev);
-        self.version_offset.get() + list.rev
+        self.revision.set(list.revision);
+        self.version_offset.get() + list.revision
     }
 
     /// An object was unreadable. Guards against changes that are lost with it: the next list would
--- a/crates/sidecar/src/host/server.rs
+++ b/crates/sidecar/src/host/server.rs
@@ -51,8 +51,8 @@
     pub id: ServerId,
     address: Cell<SocketAddr>,
     availability: Cell<Availability>,
-    /// The latest start that a list has named, in Unix milliseconds; 0 where none has.
-    incarnation_ms: Cell<f64>,
+    /// The latest start that a list has named, in Unix microseconds; `None` where none has.
+    incarnation: Cell<Option<Micros>>,
     /// When the latest request that it served was sent, on the balancer's clock.
     last_served_start: Cell<Option<Micros>>,
 }
@@ -64,7 +64,7 @@
             id,
             address: Cell::new(address),
             availability: Cell::new(Availability::Ready),
-            incarnation_ms: Cell::new(0.0),
+            incarnation: Cell::new(None),
             last_served_start: Cell::new(None),
         }
     }
@@ -102,13 +102,12 @@
         self.address.set(address);
     }
 
-    /// A list names it with this status and this start, in Unix milliseconds; 0 where the list has
-    /// no start.
-    pub(crate) fn on_listed(&self, status: EndpointStatus, incarnation_ms: f64) {
-        let known_incarnation_ms = self.incarnation_ms.get();
-        let is_newer_incarnation = incarnation_ms > known_incarnation_ms;
-        self.incarnation_ms
-            .set(incarnation_ms.max(known_incarnation_ms));
+    /// A list names it with this status and this start, in Unix microseconds; `None` where the list
+    /// has no start.
+    pub(crate) fn on_listed(&self, status: EndpointStatus, started_at: Option<Micros>) {
+        let known_incarnation = self.incarnation.get();
+        let is_newer_incarnation = started_at > known_incarnation;
+        self.incarnation.set(started_at.max(known_incarnation));
         let before = self.availability.get();
         self.availability
             .set(before.after_listing(status, is_newer_incarnation));
--- a/crates/sidecar/src/host/server/tests.rs
+++ b/crates/sidecar/src/host/server/tests.rs
@@ -23,7 +23,7 @@
     }
 }
 
-const INCARNATIONS_MS: [f64; 3] = [0.0, 1.0, 2.0];
+const INCARNATIONS: [Option<Micros>; 3] = [None, Some(1), Some(2)];
 const STATUSES: [EndpointStatus; 3] = [
     EndpointStatus::Ready,
     EndpointStatus::Draining,
@@ -31,10 +31,10 @@
 ];
 
 /// Every entry that a list can have for a server, as far as its availability depends on it.
-fn list_entries() -> Vec<(EndpointStatus, f64)> {
+fn list_entries() -> Vec<(EndpointStatus, Option<Micros>)> {
     STATUSES
         .into_iter()
-        .flat_map(|status| INCARNATIONS_MS.map(|incarnation_ms| (status, incarnation_ms)))
+        .flat_map(|status| INCARNATIONS.map(|incarnation| (status, incarnation)))
         .collect()
 }
 
@@ -51,17 +51,16 @@
             Availability::Ready,
             "before any list"
         );
-        let (mut rest, mut highest_incarnation_ms) = (sequence, 0.0_f64);
+        let (mut rest, mut highest_incarnation) = (sequence, None);
         for _ in 0..SEQUENCE_LENGTH {
-            let (status, incarnation_ms) = entries[rest % entries.len()];
+            let (status, incarnation) = entries[rest % entries.len()];
             rest /= entries.len();
             let before = server.availability.get();
             let earliest = Instant::now();
-            server.on_listed(status, incarnation_ms);
+            server.on_listed(status, incarnation);
             let latest = Instant::now();
-            let (state, known_since) =
-                expected(before, status, incarnation_ms > highest_incarnation_ms);
-            highest_incarnation_ms = highest_incarnation_ms.max(incarnation_ms);
+            let (state, known_since) = expected(before, status, incarnation > highest_incarnation);
+            highest_incarnation = highest_incarnation.max(incarnation);
             let in_order = |notified_at: Instant| match known_since {
                 Some(known_since) => notified_at == known_since,
                 None => (earliest..=latest).contains(&notified_at),
--- a/crates/sidecar/src/host/server_registry.rs
+++ b/crates/sidecar/src/host/server_registry.rs
@@ -6,15 +6,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use arrowstand_balancer::{Endpoint, EndpointStatus, Micros, ServerId, UpdateKind};
+use arrowstand_balancer::{Endpoint, EndpointStatus, ServerId, UpdateKind};
 use arrowstand_control::{MachineCatalogue, stable_hash};
-
-use super::server::Server;
 use arrowstand_platform::EndpointList;
 
-const MICROS_PER_MS: f64 = 1_000.0;
-/// What a list has for the start time of a server that started long ago.
-const UNKNOWN_START_MS: f64 = 0.0;
+use super::server::Server;
 
 /// Every server that is not forgotten, by the name that lists have for it and by its number.
 #[derive(Default)]
@@ -63,19 +59,18 @@
         }
         let mut endpoints = Vec::with_capacity(list.endpoints.len());
         for entry in &list.endpoints {
-            self.has_listed_ready |= entry.condition == EndpointStatus::Ready;
-            let server = self.find_or_add(&entry.uid, entry.address);
+            self.has_listed_ready |= entry.status == EndpointStatus::Ready;
+            let server = self.find_or_add(&entry.id, entry.address);
             server.on_address_listed(entry.address);
-            server.on_listed(entry.condition, entry.boot_ms);
-            let has_start = entry.boot_ms > UNKNOWN_START_MS;
+            server.on_listed(entry.status, entry.started_at);
             endpoints.push(Endpoint {
                 server: server.id,
-                stable_hash: stable_hash(&entry.uid),
-                status: entry.condition,
-                incarnation: has_start.then_some((entry.boot_ms * MICROS_PER_MS) as Micros),
+                stable_hash: stable_hash(&entry.id),
+                status: entry.status,
+                incarnation: entry.started_at,
                 zone: self.zone(&entry.zone),
                 cell: entry.cell,
-                machine_type: self.machines.lookup(&entry.model),
+                machine_type: self.machines.lookup(&entry.machine_type),
             });
         }
         endpoints
@@ -94,9 +89,9 @@
 
     /// What a full list leaves out has been removed.
     fn on_full_list(&self, list: &EndpointList) {
-        let is_named = |name: &str| list.endpoints.iter().any(|entry| entry.uid == name);
+        let is_named = |name: &str| list.endpoints.iter().any(|entry| entry.id == name);
         for (_, server) in self.by_name.iter().filter(|(name, _)| !is_named(name)) {
-            server.on_listed(EndpointStatus::Removed, UNKNOWN_START_MS);
+            server.on_listed(EndpointStatus::Removed, None);
         }
     }
 
--- a/crates/sidecar/src/host/server_registry/tests.rs
+++ b/crates/sidecar/src/host/server_registry/tests.rs
@@ -1,15 +1,15 @@
 use super::*;
 use arrowstand_platform::ListedEndpoint;
 
-fn entry(n: u32, condition: EndpointStatus) -> ListedEndpoint {
+fn entry(n: u32, status: EndpointStatus) -> ListedEndpoint {
     ListedEndpoint {
-        uid: format!("s{n}"),
+        id: format!("s{n}"),
         address: SocketAddr::from(([127, 0, 0, 1], 9)),
         zone: "z".to_owned(),
         cell: 0,
-        model: String::new(),
-        condition,
-        boot_ms: 0.0,
+        machine_type: String::new(),
+        status,
+        started_at: None,
     }
 }
 
--- a/crates/sidecar/src/startup.rs
+++ b/crates/sidecar/src/startup.rs
@@ -44,13 +44,23 @@
         let upstream = Upstream::new(&host);
         let socket = listen(config.listen).await?;
 
-        let known = config.known.unwrap_or_default();
-        host.update_endpoints(UpdateKind::Cached, known.rev, &known);
+        let cached_endpoints = config.cached_endpoints.unwrap_or_default();
+        host.update_endpoints(
+            UpdateKind::Cached,
+            cached_endpoints.revision,
+            &cached_endpoints,
+        );
         spawn_timers(&host);
         actix_rt::spawn(Rc::clone(&upstream).run_health_checks(servers_to_check));
         actix_rt::spawn(Rc::clone(&upstream).run_pool_sweeps());
         let (discovery, address) = watch::channel(config.discovery);
-        let watcher = discovery::follow(Rc::clone(&host), address, known.rev, limits, config.seed);
+        let watcher = discovery::follow(
+            Rc::clone(&host),
+            address,
+            cached_endpoints.revision,
+            limits,
+            config.seed,
+        );
         actix_rt::spawn(watcher);
         let listener = Listener::new(Rc::clone(&host), upstream);
         let accept = actix_rt::spawn(Rc::clone(&listener).accept(socket));
--- a/crates/sidecar/src/upstream/write_progress/tests.rs
+++ b/crates/sidecar/src/upstream/write_progress/tests.rs
@@ -47,7 +47,7 @@
     ));
     let (blocked, started) = (progress_to(&host, &server), progress_to(&host, &server));
     started.on_written(b"POST / HTTP/1.1\r\n\r");
-    server.on_listed(EndpointStatus::Draining, 0.0);
+    server.on_listed(EndpointStatus::Draining, None);
     assert_eq!(
         blocked.check_first_byte(&host.limits),
         Err(SendBlocked::ServerDraining)
@@ -59,13 +59,13 @@
     );
     started.on_written(b"\nab");
     assert!(started.is_complete() && !started.is_not_sent());
-    server.on_listed(EndpointStatus::Ready, 0.0);
+    server.on_listed(EndpointStatus::Ready, None);
     assert_eq!(
         blocked.check_first_byte(&host.limits),
         Err(SendBlocked::ServerDraining),
         "an old list ends no drain"
     );
-    server.on_listed(EndpointStatus::Ready, 1.0);
+    server.on_listed(EndpointStatus::Ready, Some(1_000));
     assert_eq!(
         progress_to(&host, &server).check_first_byte(&host.limits),
         Ok(())
@@ -172,12 +172,12 @@
         SocketAddr::from(([127, 0, 0, 1], 9)),
     ));
     let progress = progress_to(&host, &server);
-    server.on_listed(EndpointStatus::Draining, 0.0);
+    server.on_listed(EndpointStatus::Draining, None);
     assert!(progress.check_first_byte(&host.limits).is_err());
     assert_eq!(observed(&progress), NOT_SENT);
     progress.on_connection_ended();
     assert_eq!(observed(&progress), NOT_SENT);
-    server.on_listed(EndpointStatus::Ready, 1.0);
+    server.on_listed(EndpointStatus::Ready, Some(1_000));
     assert_eq!(progress.check_first_byte(&host.limits), Ok(()));
     assert_eq!(
         observed(&progress),
