--- /dev/null
+++ b/crates/docs-check/tests/docs_check/allowed_names.rs
@@ -0,0 +1,27 @@
+//! Names in pages that no source file has to have.
+
+/// Pages of history: they quote names as they were, and are neither searched for items nor
+/// wrapped. `docs/renamed-tests.md` is a table of former names of tests.
+pub(crate) const PAGES_OF_FORMER_NAMES: [&str; 2] = ["docs/history/", "docs/renamed-tests.md"];
+
+/// Names that look like items and are none, with the reason.
+pub(crate) const ALLOWED_NAMES: [(&str, &str); 2] = [
+    (
+        "discovery_down",
+        "value of a scenario's key, derived by serde from a variant's name",
+    ),
+    (
+        "discovery_silent",
+        "value of a scenario's key, derived by serde from a variant's name",
+    ),
+];
+
+/// Paths that need not exist, with the reason.
+pub(crate) const ALLOWED_PATHS: [(&str, &str); 3] = [
+    ("crates/fleet", "planned in docs/ROADMAP.md, not begun"),
+    ("foo.rs", "stands for any module in CONTRIBUTING.md"),
+    (
+        "foo/tests.rs",
+        "stands for any module's tests in CONTRIBUTING.md",
+    ),
+];
--- /dev/null
+++ b/crates/docs-check/tests/docs_check/width.rs
@@ -0,0 +1,57 @@
+//! Pages can be read in a terminal.
+
+use crate::allowed_names::PAGES_OF_FORMER_NAMES;
+use crate::finding::Finding;
+use crate::page::Page;
+use crate::repository::Repository;
+
+/// Columns of prose.
+const MAX_PROSE_WIDTH: usize = 100;
+/// Columns of tables and code blocks, which cannot always be wrapped.
+const MAX_TABLE_WIDTH: usize = 120;
+/// First words of paragraphs that are being written elsewhere in wider lines.
+const UNWRAPPED_PARAGRAPHS: [&str; 1] = ["**Flaky.**"];
+
+/// Checks the width of all lines of all pages but those of history.
+pub(crate) fn check(repository: &Repository) -> Vec<Finding> {
+    let is_checked = |page: &&Page| {
+        !PAGES_OF_FORMER_NAMES
+            .iter()
+            .any(|prefix| page.path.starts_with(prefix))
+    };
+    repository
+        .pages
+        .iter()
+        .filter(is_checked)
+        .flat_map(check_page)
+        .collect()
+}
+
+fn check_page(page: &Page) -> Vec<Finding> {
+    let mut findings = Vec::new();
+    let mut is_unwrapped = false;
+    for (index, line) in page.lines.iter().enumerate() {
+        let starts_unwrapped = UNWRAPPED_PARAGRAPHS
+            .iter()
+            .any(|start| line.starts_with(start));
+        is_unwrapped = !line.is_empty() && (is_unwrapped || starts_unwrapped);
+        let number = index + 1;
+        let is_table =
+            line.trim_start().starts_with('|') || page.code_block_lines.contains(&number);
+        let bound = if is_table {
+            MAX_TABLE_WIDTH
+        } else {
+            MAX_PROSE_WIDTH
+        };
+        let width = line.chars().count();
+        if width > bound && !is_unwrapped {
+            let message = format!("{width} columns, {bound} at most");
+            findings.push(Finding {
+                page: page.path.clone(),
+                line: number,
+                message,
+            });
+        }
+    }
+    findings
+}
