--- a/crates/docs-check/tests/docs_check/checker.rs
+++ b/crates/docs-check/tests/docs_check/checker.rs
@@ -168,6 +168,23 @@
     );
 }
 
+#[test]
+fn method_that_a_file_only_calls_is_found() {
+    let source = (
+        "a.rs",
+        "impl Exchange {\n    fn other(&self) {\n        x.run_twice();\n    }\n}\n",
+    );
+    let files = [(PAGE, "`Exchange::other`, `Exchange::run_twice`\n"), source];
+
+    let found = items::check(&Repository::of_files(&files));
+
+    let printed: Vec<String> = found.iter().map(Finding::to_string).collect();
+    assert_one_finding(
+        &printed,
+        "docs/page.md:1: no item `Exchange::run_twice` in the source",
+    );
+}
+
 #[test]
 fn missing_type_in_a_code_block_is_found() {
     let found = findings(items::check, "Text:\n\n    +- MissingType ... Words\n");
--- a/crates/docs-check/tests/docs_check/items.rs
+++ b/crates/docs-check/tests/docs_check/items.rs
@@ -4,12 +4,14 @@
 use crate::finding::Finding;
 use crate::page::{Page, Reference};
 use crate::repository::{Repository, matches_pattern};
+use crate::source_file::SourceFile;
 
 /// The page whose tables set former names beside present ones.
 const CHANGELOG: &str = "CHANGELOG.md";
 
 /// Checks the item names in the code of all pages. The segments of a path such as
-/// `Balancer::handle` have to stand in one source file (modules may be named by the file's path).
+/// `Balancer::handle` have to stand in one source file (modules may be named by the file's path),
+/// which defines the function or field that is the last one.
 pub(crate) fn check(repository: &Repository) -> Vec<Finding> {
     let is_checked = |page: &&Page| {
         !PAGES_OF_FORMER_NAMES
@@ -68,11 +70,11 @@
 fn has_item(repository: &Repository, name: &str) -> bool {
     let name = name.trim_end_matches("()");
     if name.contains('*') {
-        let mut words = repository.sources.iter().flat_map(|source| &source.words);
+        let mut words = repository.sources.iter().flat_map(SourceFile::words);
         return words.any(|word| matches_pattern(word, name));
     }
     let segments: Vec<&str> = name.split("::").collect();
-    repository.has_words_together(&segments)
+    repository.has_item(&segments)
 }
 
 /// Whether code between backticks looks like a Rust item: a path with `::`, or an identifier in
--- a/crates/docs-check/tests/docs_check/main.rs
+++ b/crates/docs-check/tests/docs_check/main.rs
@@ -12,6 +12,7 @@
 mod page;
 mod paths;
 mod repository;
+mod source_file;
 mod width;
 
 use std::path::Path;
--- a/crates/docs-check/tests/docs_check/repository.rs
+++ b/crates/docs-check/tests/docs_check/repository.rs
@@ -1,11 +1,12 @@
 //! The files that pages refer to.
 
-use std::collections::{BTreeSet, HashSet};
+use std::collections::BTreeSet;
 use std::fs;
 use std::io;
 use std::path::Path;
 
 use crate::page::Page;
+use crate::source_file::SourceFile;
 
 /// Folders whose files are no part of the sources: results of builds, version control, and
 /// records of runs (a folder of thousands of files that no page names).
@@ -14,13 +15,6 @@
 /// This crate holds invented names in its tests and former ones in its list of allowed names.
 const OWN_FOLDER: &str = "crates/docs-check/";
 
-/// A source file's words.
-#[derive(Debug)]
-pub(crate) struct SourceFile {
-    /// Identifiers outside comment lines, and the names of the file and its folders.
-    pub(crate) words: HashSet<String>,
-}
-
 /// Paths, pages and sources of the repository.
 #[derive(Debug, Default)]
 pub(crate) struct Repository {
@@ -69,11 +63,9 @@
         candidates.any(|candidate| ends_in(candidate, wanted))
     }
 
-    /// Whether one source file has all of `words`.
-    pub(crate) fn has_words_together(&self, words: &[&str]) -> bool {
-        self.sources
-            .iter()
-            .any(|source| words.iter().all(|word| source.words.contains(*word)))
+    /// Whether a source file has the item with this path.
+    pub(crate) fn has_item(&self, segments: &[&str]) -> bool {
+        self.sources.iter().any(|source| source.has_item(segments))
     }
 
     fn load_folder(&mut self, root: &Path, folder: &str) -> io::Result<()> {
@@ -107,9 +99,7 @@
         }
         let is_recording = path.contains("/tests/exchanges/");
         if path.ends_with(".rs") || is_recording {
-            self.sources.push(SourceFile {
-                words: words_of(path, text),
-            });
+            self.sources.push(SourceFile::read(path, text));
         }
     }
 }
@@ -148,19 +138,3 @@
         .chain([""]);
     remainders.any(|remainder| matches_pattern(remainder, after))
 }
-
-/// Identifiers of a source file outside comment lines, and the names in its path.
-fn words_of(path: &str, text: &str) -> HashSet<String> {
-    let code = text
-        .lines()
-        .filter(|line| !line.trim_start().starts_with("//"));
-    let identifiers = code.flat_map(|line| line.split(|c: char| !c.is_alphanumeric() && c != '_'));
-    let names = path
-        .split(['/', '.'])
-        .map(|name| name.strip_prefix("arrowstand-").unwrap_or(name));
-    identifiers
-        .chain(names)
-        .filter(|word| !word.is_empty())
-        .map(str::to_owned)
-        .collect()
-}
