--- a/crates/balancer/src/policy/endpoints.rs
+++ b/crates/balancer/src/policy/endpoints.rs
@@ -1,7 +1,7 @@
 //! Following the endpoint list: when to poll for it, and which servers it leaves.
 
 use crate::policy::Balancer;
-use crate::{Action, Actions, Endpoint, Micros, UpdateKind};
+use crate::{Action, Actions, Endpoint, Micros, StateChange, UpdateKind};
 
 /// First pause before the list is polled again, and its growth, up to half the longest interval. Guards
 /// against many balancers that keep discovery saturated: it handles a few calls a second, whoever polls.
@@ -13,19 +13,17 @@
     pub(super) fn poll_endpoints(&mut self, actions: &mut Actions) {
         actions.push(Action::PollEndpoints);
         self.poller
-            .on_polled(self.now + self.settings.max_poll_interval * 3 / 4);
+            .on_polled(self.now + self.settings.polling.max_interval * 3 / 4);
     }
 
     fn on_list_lost(&mut self, actions: &mut Actions) {
         if self.poller.is_subscribed() {
-            actions.push(Action::Log {
-                text: "list lost".into(),
-                server: None,
-            });
+            actions.push(Action::Record(StateChange::EndpointListLost));
         }
         let backoff = self.poller.backoff().unwrap_or(INITIAL_POLL_BACKOFF);
         let next_poll_at = self.now + backoff / 2 + self.rng.u64(0..=backoff);
-        let next_backoff = (POLL_BACKOFF_GROWTH * backoff).min(self.settings.max_poll_interval / 2);
+        let next_backoff =
+            (POLL_BACKOFF_GROWTH * backoff).min(self.settings.polling.max_interval / 2);
         self.poller.on_list_lost(next_poll_at, next_backoff);
     }
 
@@ -58,15 +56,15 @@
             !gone || (keep_removed && !server.suspicion.is_dead() && !server.is_drain_listed())
         });
         self.subset_order
-            .on_endpoints_updated(&self.endpoints, self.settings.balancer_index);
+            .on_endpoints_updated(&self.endpoints, self.settings.identity.index);
     }
 
     /// A stale list never restores a draining server: only a restart does.
     fn merge(&mut self, endpoints: Vec<Endpoint>, actions: &mut Actions) {
         for endpoint in endpoints {
-            let merged = self
-                .endpoints
-                .merge(endpoint, self.now, self.settings.slow_start_time);
+            let merged =
+                self.endpoints
+                    .merge(endpoint, self.now, self.settings.slow_start.duration);
             if merged.restarted {
                 self.on_restart(merged.server_index, actions);
             }
--- a/crates/balancer/src/policy/health_check.rs
+++ b/crates/balancer/src/policy/health_check.rs
@@ -2,8 +2,8 @@
 
 use crate::policy::Balancer;
 use crate::policy::failure_detector::SUSPECT_CHECK_INTERVAL;
-use crate::state::{RetryScope, SuspicionCause};
-use crate::{Action, Actions, LoadReport, Micros, ServerId};
+use crate::state::RetryScope;
+use crate::{Action, Actions, EjectionCause, LoadReport, Micros, ServerId};
 
 /// Time between health checks of random servers: what keeps their fee under the last figure at the request
 /// rate, within these two; while a server is suspected they come so many times as often, every other one for
@@ -41,7 +41,7 @@
     fn health_check_interval(&self) -> Micros {
         let cost_per_interval =
             MAX_HEALTH_CHECK_COST * self.estimators.workload.request_rate(self.now);
-        let affordable = (self.settings.health_check_fee / cost_per_interval) as Micros;
+        let affordable = (self.settings.fees.health_check / cost_per_interval) as Micros;
         let interval = affordable.clamp(MIN_HEALTH_CHECK_INTERVAL, MAX_HEALTH_CHECK_INTERVAL);
         let suspected = self
             .endpoints
@@ -86,7 +86,7 @@
     /// Checks a server, unless a health check of it is in progress.
     pub(super) fn start_health_check(&mut self, server_index: usize, actions: &mut Actions) {
         let server = &mut self.endpoints[server_index];
-        if self.settings.health_checks && server.health_check.started_at().is_none() {
+        if self.settings.host.health_checks && server.health_check.started_at().is_none() {
             server.health_check.on_started(self.now);
             actions.push(Action::HealthCheck {
                 server: server.id(),
@@ -135,7 +135,7 @@
         let Some(suspicion) = server.suspicion.current() else {
             return;
         };
-        if suspicion.cause != SuspicionCause::Attempts || suspicion.has_aged(self.now) {
+        if suspicion.cause != EjectionCause::Attempts || suspicion.has_aged(self.now) {
             self.readmit(server_index, actions);
         }
     }
@@ -153,7 +153,7 @@
                 .on_confirmation_scheduled(self.now + CONFIRMATION_DELAY);
             self.request_indirect_checks(server_index, actions);
         } else {
-            self.eject(server_index, SuspicionCause::HealthChecks, actions);
+            self.eject(server_index, EjectionCause::HealthChecks, actions);
         }
     }
 
--- a/crates/balancer/tests/balancer/gossip.rs
+++ b/crates/balancer/tests/balancer/gossip.rs
@@ -1,10 +1,12 @@
 //! Messages between balancers.
 
 use crate::common::{
-    Driver, MS, endpoint, endpoint_changed, gossip_messages, has_log, health_checks,
+    Driver, MS, endpoint, endpoint_changed, gossip_messages, has_ejection, health_checks,
     settings_with_peers,
 };
-use arrowstand_balancer::{Endpoint, Event, Micros, Outcome, ServerId, Settings, UpdateKind};
+use arrowstand_balancer::{
+    BalancerIdentity, Endpoint, Event, Fees, Micros, Outcome, ServerId, Settings, UpdateKind,
+};
 
 /// What a balancer gossips once it has confirmed that server 0 fails its health checks.
 fn suspicion_message(incarnation: Option<Micros>) -> Vec<u8> {
@@ -24,7 +26,10 @@
 fn one_message_with_each_health_check_carries_many_suspicions() {
     let mut driver = Driver::new(
         Settings {
-            health_check_fee: 0.0,
+            fees: Fees {
+                health_check: 0.0,
+                ..settings_with_peers().fees
+            },
             ..settings_with_peers()
         },
         60,
@@ -44,7 +49,10 @@
     let confirmation = {
         let mut peer = Driver::new(
             Settings {
-                balancer_index: 1,
+                identity: BalancerIdentity {
+                    index: 1,
+                    ..settings_with_peers().identity
+                },
                 ..settings_with_peers()
             },
             6,
@@ -66,7 +74,7 @@
         message: confirmation,
     });
     let later = driver.advance(400 * MS);
-    assert!(has_log(&later, "suspected"));
+    assert!(has_ejection(&later));
     assert!(gossip_messages(&later).is_empty());
 }
 
@@ -88,11 +96,7 @@
             ..endpoint(0)
         }));
         let actions = driver.handle(Event::GossipReceived { from: 2, message });
-        assert_eq!(
-            has_log(&actions, "suspected"),
-            raised,
-            "{known:?} {suspected:?}"
-        );
+        assert_eq!(has_ejection(&actions), raised, "{known:?} {suspected:?}");
     }
 }
 
@@ -110,7 +114,7 @@
         from: 2,
         message: suspicion_message(None),
     });
-    assert!(!has_log(&actions, "suspected"));
+    assert!(!has_ejection(&actions));
     assert!(health_checks(&driver.advance(250 * MS)).contains(&ServerId(0)));
 }
 
--- a/crates/sidecar/src/config.rs
+++ b/crates/sidecar/src/config.rs
@@ -9,7 +9,7 @@
 
 use std::net::SocketAddr;
 
-use arrowstand_balancer::Settings;
+use arrowstand_balancer::{RetrySettings, Settings};
 use arrowstand_control::MachineCatalogue;
 use arrowstand_platform::json::{self, Node};
 use arrowstand_platform::{KeyError, KeyProblem, PlatformSettings, TransportSettings};
@@ -49,7 +49,7 @@
     /// Names behind the balancer's numbers.
     pub(crate) names: Names,
     /// The endpoint list as this sidecar last had it.
-    pub(crate) known: Option<EndpointList>,
+    pub(crate) cached_endpoints: Option<EndpointList>,
 }
 
 impl Config {
@@ -99,7 +99,7 @@
         let names = Names::new(&platform, machines);
         let settings = platform.balancer;
         let limits = read_limits(&root.at("limits"), &conf, &settings)?;
-        let known = read_known(&root.at("known"))?;
+        let cached_endpoints = read_cached_endpoints(&root.at("known"))?;
         Ok(Self {
             name,
             listen: read_address(&root.at("listen"), "NODE_LISTEN", &variable)?,
@@ -108,7 +108,7 @@
             settings,
             limits,
             names,
-            known,
+            cached_endpoints,
         })
     }
 }
@@ -126,7 +126,7 @@
     if !conf.is_present() {
         return Err(conf.error(KeyProblem::Missing).into());
     }
-    let mut platform = PlatformSettings::read(conf, Settings::default().max_retry_after)?;
+    let mut platform = PlatformSettings::read(conf, RetrySettings::default().max_retry_after)?;
     apply_socket_overrides(&mut platform.balancer);
     platform.balancer.validate()?;
     Ok(platform)
@@ -135,14 +135,14 @@
 /// What holds on sockets whatever the simulator does for the deployment.
 fn apply_socket_overrides(settings: &mut Settings) {
     // There is no channel between sidecars in this program.
-    settings.gossip = false;
+    settings.host.gossip = false;
     // `permissions.retry-after` says whether the simulator hands its clients the Retry-After of a
     // rejection. On sockets the header is part of the response regardless, and it keeps a
     // client from retrying at once, so the balancer is always asked for it; docs/operations.md,
     // "Retry-After", has more.
-    settings.retry_after = true;
+    settings.host.retry_after = true;
     // Discovery answers only when polled.
-    settings.poll_endpoints = true;
+    settings.polling.required = true;
     // Complete responses are passed on: the balancer does not learn of the start of a streamed one.
     for class in &mut settings.classes {
         class.streamed = false;
@@ -167,7 +167,7 @@
     Ok(node.optional_number()?.unwrap_or(default) as usize)
 }
 
-fn read_known(node: &Node) -> Result<Option<EndpointList>, KeyError> {
+fn read_cached_endpoints(node: &Node) -> Result<Option<EndpointList>, KeyError> {
     if !node.is_present() {
         return Ok(None);
     }
--- a/crates/sidecar/src/discovery/watch.rs
+++ b/crates/sidecar/src/discovery/watch.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 
 use arrowstand_balancer::UpdateKind;
-use arrowstand_platform::EndpointList;
+use arrowstand_platform::{EndpointList, ListKind};
 use awc::ClientResponse;
 use awc::error::PayloadError;
 use bytes::Bytes;
@@ -114,10 +114,9 @@
 
 fn on_list_received(sink: &EndpointSink, cursor: &WatchCursor, list: &EndpointList) {
     let version = cursor.on_list_received(list);
-    let kind = if list.all {
-        UpdateKind::Full
-    } else {
-        UpdateKind::Incremental
+    let kind = match list.kind {
+        ListKind::Full => UpdateKind::Full,
+        ListKind::Delta => UpdateKind::Incremental,
     };
     sink.on_list_received(kind, version, list);
 }
--- a/crates/sidecar/src/startup.rs
+++ b/crates/sidecar/src/startup.rs
@@ -49,17 +49,17 @@
         let upstream = new_upstream(&parts);
         let socket = listen(config.listen).await?;
 
-        let known = config.known.unwrap_or_default();
+        let cached = config.cached_endpoints.unwrap_or_default();
         parts
             .host
-            .update_endpoints(UpdateKind::Cached, known.rev, &known);
+            .update_endpoints(UpdateKind::Cached, cached.revision, &cached);
         spawn_tasks(&parts.host, &upstream, servers_to_check);
         let (discovery, address) = watch::channel(config.discovery);
         let limits = Rc::clone(&parts.limits);
         let watcher = Watcher::new(
             parts.endpoint_sink(),
             address,
-            known.rev,
+            cached.revision,
             limits,
             config.seed,
         );
--- a/crates/sidecar/src/upstream/write_progress/tests.rs
+++ b/crates/sidecar/src/upstream/write_progress/tests.rs
@@ -60,7 +60,7 @@
     let blocked = fixture.progress_to(&server);
     let started = fixture.progress_to(&server);
     started.on_written(b"POST / HTTP/1.1\r\n\r");
-    server.on_listed(EndpointStatus::Draining, 0.0);
+    server.on_listed(EndpointStatus::Draining, None);
     assert_eq!(
         blocked.check_first_byte(&fixture.limits),
         Err(SendBlocked::ServerDraining)
@@ -72,13 +72,13 @@
     );
     started.on_written(b"\nab");
     assert!(started.is_complete() && !started.is_not_sent());
-    server.on_listed(EndpointStatus::Ready, 0.0);
+    server.on_listed(EndpointStatus::Ready, None);
     assert_eq!(
         blocked.check_first_byte(&fixture.limits),
         Err(SendBlocked::ServerDraining),
         "an old list ends no drain"
     );
-    server.on_listed(EndpointStatus::Ready, 1.0);
+    server.on_listed(EndpointStatus::Ready, Some(1_000));
     assert_eq!(
         fixture
             .progress_to(&server)
@@ -190,12 +190,12 @@
     let fixture = Fixture::new(Duration::ZERO);
     let server = server(0);
     let progress = fixture.progress_to(&server);
-    server.on_listed(EndpointStatus::Draining, 0.0);
+    server.on_listed(EndpointStatus::Draining, None);
     assert!(progress.check_first_byte(&fixture.limits).is_err());
     assert_eq!(observed(&progress), NOT_SENT);
     progress.on_connection_ended();
     assert_eq!(observed(&progress), NOT_SENT);
-    server.on_listed(EndpointStatus::Ready, 1.0);
+    server.on_listed(EndpointStatus::Ready, Some(1_000));
     assert_eq!(progress.check_first_byte(&fixture.limits), Ok(()));
     assert_eq!(
         observed(&progress),
