--- a/crates/sidecar/src/host/balancer_host.rs
+++ b/crates/sidecar/src/host/balancer_host.rs
@@ -5,10 +5,12 @@
 use std::rc::Rc;
 
 use arrowstand_balancer::{
-    Action, Event, LoadReport, Outcome, RequestId, ServerEvent, ServerId, StateChange, UpdateKind,
+    Action, EjectionCause, Event, LoadReport, Outcome, RequestId, ServerEvent, ServerId,
+    StateChange, UpdateKind,
 };
 use arrowstand_control::WorkAwareBalancer;
 use tokio::sync::mpsc;
+use tracing::field::display;
 
 use super::action_dispatch::ActionDispatcher;
 use super::clock::BalancerClock;
@@ -190,19 +192,27 @@
         None
     }
 
+    /// Logs a change, with the server's address unless the server is forgotten by now.
     fn log(&self, change: StateChange) {
-        let StateChange::Server { server, event } = change else {
-            tracing::info!("balancer: endpoint list lost");
-            return;
+        let (server, event) = match change {
+            StateChange::EndpointListLost => return tracing::info!("endpoint list lost"),
+            StateChange::Server { server, event } => (self.server(server), event),
         };
-        let server = self.server(server);
-        let server = server.map(|s| s.address().to_string()).unwrap_or_default();
+        let address = server.map(|server| display(server.address()));
         match event {
             ServerEvent::Ejected { cause } => {
-                tracing::info!(server, ?cause, "balancer: server ejected");
+                tracing::info!(address, cause = ejection_cause(cause), "server ejected");
             }
-            ServerEvent::DeclaredDead => tracing::info!(server, "balancer: server declared dead"),
-            ServerEvent::Readmitted => tracing::info!(server, "balancer: server readmitted"),
+            ServerEvent::DeclaredDead => tracing::info!(address, "server declared dead"),
+            ServerEvent::Readmitted => tracing::info!(address, "server readmitted"),
         }
     }
 }
+
+fn ejection_cause(cause: EjectionCause) -> &'static str {
+    match cause {
+        EjectionCause::HealthChecks => "health checks fail",
+        EjectionCause::Attempts => "attempts fail or are overdue",
+        EjectionCause::Gossip => "another sidecar suspects it",
+    }
+}
