--- a/crates/sidecar/src/config.rs
+++ b/crates/sidecar/src/config.rs
@@ -21,7 +21,7 @@
 pub(crate) use error::ConfigError;
 pub(crate) use names::Names;
 
-/// Bound on the nesting of the file's JSON; guards the stack.
+/// Bound on the nesting of the file's JSON, which is read recursively.
 const MAX_JSON_DEPTH: usize = 64;
 /// File descriptors where the file names no number: the usual soft limit of a process.
 const DEFAULT_SOCKETS: f64 = 1_024.0;
@@ -138,7 +138,8 @@
     settings.host.gossip = false;
     // `permissions.retry-after` says whether the simulator hands its clients the Retry-After of a
     // rejection. On sockets the header is part of the response regardless, and it keeps a
-    // client from retrying at once, so the balancer is always asked for it; see the README.
+    // client from retrying at once, so the balancer is always asked for it; docs/operations.md,
+    // "Retry-After", has more.
     settings.host.retry_after = true;
     // Discovery answers only when polled.
     settings.polling.required = true;
@@ -149,11 +150,8 @@
 }
 
 fn read_limits(own: &Node, conf: &Node, settings: &Settings) -> Result<Limits, KeyError> {
-    let number_or = |key: &str, default: f64| -> Result<usize, KeyError> {
-        Ok(own.at(key).optional_number()?.unwrap_or(default) as usize)
-    };
-    let sockets = number_or("sockets", DEFAULT_SOCKETS)?;
-    let memory_mib = number_or("memory_mb", DEFAULT_MEMORY_MIB)?;
+    let sockets = read_count(&own.at("sockets"), DEFAULT_SOCKETS)?;
+    let memory_mib = read_count(&own.at("memory_mb"), DEFAULT_MEMORY_MIB)?;
     let transport = TransportSettings::read(conf)?;
     if sockets < MIN_SOCKETS {
         let problem = KeyProblem::TooSmall { min: MIN_SOCKETS };
@@ -164,6 +162,11 @@
     Ok(Limits::derive(&inputs))
 }
 
+/// A number of things; a fraction of one is dropped.
+fn read_count(node: &Node, default: f64) -> Result<usize, KeyError> {
+    Ok(node.optional_number()?.unwrap_or(default) as usize)
+}
+
 fn read_cached_endpoints(node: &Node) -> Result<Option<EndpointList>, KeyError> {
     if !node.is_present() {
         return Ok(None);
--- a/crates/sidecar/src/discovery/watcher.rs
+++ b/crates/sidecar/src/discovery/watcher.rs
@@ -4,58 +4,20 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use arrowstand_balancer::{Event, UpdateKind};
 use awc::error::{ConnectError, SendRequestError};
 use tokio::sync::watch::Receiver;
 use tokio::time::sleep;
 
+use super::endpoint_sink::EndpointSink;
 use super::watch::watch;
 use super::watch_cursor::WatchCursor;
 use super::watch_error::WatchError;
-use crate::host::BalancerHost;
 use crate::limits::Limits;
 
 /// An early poll comes after at least this part of the retry delay; the rest is drawn, so that many
 /// sidecars do not poll in step.
 const MIN_RETRY_DELAY_FACTOR: f64 = 0.25;
 
-/// Follows discovery for as long as the program runs. `discovery` is where it is, `revision` that
-/// of the cached endpoint list, 0 if there is none; `seed` is of the delays of early polls.
-pub(crate) async fn follow(
-    host: Rc<BalancerHost>,
-    discovery: Receiver<SocketAddr>,
-    revision: u64,
-    limits: Rc<Limits>,
-    seed: u64,
-) {
-    let mut watcher = Watcher {
-        client: http_client(&limits),
-        host,
-        discovery,
-        cursor: WatchCursor::new(revision),
-        limits,
-        random: fastrand::Rng::with_seed(seed),
-    };
-    watcher.host.poll_requested().await;
-    let mut reason = PollReason::Requested;
-    loop {
-        reason = match watcher.watch_until_interrupted(reason).await {
-            WatchExit::Ended(error) => {
-                watcher.on_watch_ended(&error);
-                watcher.next_poll().await
-            }
-            WatchExit::Superseded => {
-                watcher.on_watch_superseded();
-                PollReason::Requested
-            }
-            WatchExit::Relocated => {
-                watcher.on_discovery_relocated();
-                PollReason::Requested
-            }
-        };
-    }
-}
-
 /// Why discovery is polled.
 #[derive(Clone, Copy, PartialEq)]
 enum PollReason {
@@ -75,8 +37,9 @@
     Relocated,
 }
 
-struct Watcher {
-    host: Rc<BalancerHost>,
+/// Follows discovery, from one watch to the next.
+pub(crate) struct Watcher {
+    sink: EndpointSink,
     client: awc::Client,
     discovery: Receiver<SocketAddr>,
     cursor: WatchCursor,
@@ -85,25 +48,72 @@
 }
 
 impl Watcher {
+    /// A watcher of the discovery at `discovery`. `revision` is that of the cached endpoint list, 0
+    /// if there is none; `seed` is of the delays of early polls.
+    pub(crate) fn new(
+        sink: EndpointSink,
+        discovery: Receiver<SocketAddr>,
+        revision: u64,
+        limits: Rc<Limits>,
+        seed: u64,
+    ) -> Self {
+        Self {
+            client: http_client(&limits),
+            sink,
+            discovery,
+            cursor: WatchCursor::new(revision),
+            limits,
+            random: fastrand::Rng::with_seed(seed),
+        }
+    }
+
+    /// Follows discovery for as long as the program runs, from the balancer's first request for a
+    /// poll.
+    pub(crate) async fn run(mut self) {
+        self.sink.poll_requested().await;
+        let mut reason = PollReason::Requested;
+        loop {
+            let exit = self.watch_until_interrupted(reason).await;
+            reason = self.on_watch_exit(exit).await;
+        }
+    }
+
+    /// Records how a watch ended, and waits until the next poll is due where that is not now.
+    async fn on_watch_exit(&mut self, exit: WatchExit) -> PollReason {
+        match exit {
+            WatchExit::Ended(error) => {
+                self.on_watch_ended(&error);
+                self.next_poll().await
+            }
+            WatchExit::Superseded => {
+                self.sink.freshness().on_poll_abandoned();
+                PollReason::Requested
+            }
+            WatchExit::Relocated => {
+                self.on_discovery_relocated();
+                PollReason::Requested
+            }
+        }
+    }
+
     /// Polls and watches until the watch ends or another one is to replace it.
     async fn watch_until_interrupted(&mut self, mut reason: PollReason) -> WatchExit {
         let address = *self.discovery.borrow_and_update();
-        let host = &self.host;
-        let watch = watch(host, &self.client, address, &self.cursor, &self.limits);
+        let sink = &self.sink;
+        let watch = watch(sink, &self.client, address, &self.cursor, &self.limits);
         tokio::pin!(watch);
         loop {
             tokio::select! {
                 error = &mut watch => return WatchExit::Ended(error),
-                // Guards against an early poll that loses its turn at a crowded discovery: it is
-                // the one asked for.
-                () = host.poll_requested(), if reason == PollReason::Early => {
+                // The poll that the balancer asks for is already under way. A new one would be
+                // queued again behind those of other sidecars.
+                () = sink.poll_requested(), if reason == PollReason::Early => {
                     reason = PollReason::Requested;
                 }
-                () = host.poll_requested(), if reason == PollReason::Requested => {
+                () = sink.poll_requested(), if reason == PollReason::Requested => {
                     return WatchExit::Superseded;
                 }
-                // Guards against changes missed while the old address goes on or fails: the watch
-                // moves at once.
+                // The old address may go on to answer, without the changes that the new one has.
                 () = relocated(&mut self.discovery) => return WatchExit::Relocated,
             }
         }
@@ -111,15 +121,14 @@
 
     /// Waits until discovery is to be polled again after a watch has ended.
     async fn next_poll(&mut self) -> PollReason {
-        // Guards against a backoff of the balancer's that outlasts the grace in which the list
-        // still counts as fresh.
-        let needs_immediate_poll = self.host.list_freshness().needs_immediate_poll();
+        // The balancer's backoff may outlast the time for which the list still counts as fresh.
+        let needs_immediate_poll = self.sink.freshness().needs_immediate_poll();
         let delay =
             self.limits.discovery.poll_retry_delay.mul_f64(
                 MIN_RETRY_DELAY_FACTOR + (1.0 - MIN_RETRY_DELAY_FACTOR) * self.random.f64(),
             );
         tokio::select! {
-            () = self.host.poll_requested() => PollReason::Requested,
+            () = self.sink.poll_requested() => PollReason::Requested,
             () = relocated(&mut self.discovery) => {
                 self.on_discovery_relocated();
                 PollReason::Early
@@ -129,35 +138,25 @@
     }
 
     fn on_watch_ended(&self, error: &WatchError) {
-        tracing::warn!("discovery: {error}");
-        self.host
-            .update_list_freshness(|freshness, now| match error {
-                WatchError::WatchSilent { last_received_at } => {
-                    freshness.on_watch_silent(self.host.micros_at(*last_received_at), now);
-                }
-                WatchError::PollFailed(error) if is_connection_refused(error) => {
-                    freshness.on_poll_refused(now);
-                }
-                WatchError::PollTimedOut => freshness.on_poll_abandoned(),
-                _ => freshness.on_watch_ended(now),
-            });
-        self.host.handle_event(Event::EndpointsUpdated {
-            kind: UpdateKind::Lost,
-            version: 0,
-            endpoints: Vec::new(),
-        });
-    }
-
-    fn on_watch_superseded(&self) {
-        self.host
-            .update_list_freshness(|freshness, _| freshness.on_poll_abandoned());
+        tracing::warn!(%error, "discovery watch ended");
+        let freshness = self.sink.freshness();
+        match error {
+            WatchError::WatchSilent { last_received_at } => {
+                freshness.on_watch_silent(*last_received_at);
+            }
+            WatchError::PollFailed(error) if is_connection_refused(error) => {
+                freshness.on_poll_refused();
+            }
+            WatchError::PollTimedOut => freshness.on_poll_abandoned(),
+            _ => freshness.on_watch_ended(),
+        }
+        self.sink.on_watch_lost();
     }
 
     /// From now on the list counts as fresh for a bounded time, whether or not a poll gets through
     /// by then.
     fn on_discovery_relocated(&self) {
-        self.host
-            .update_list_freshness(|freshness, now| freshness.on_discovery_relocated(now));
+        self.sink.freshness().on_discovery_relocated();
     }
 }
 
--- a/crates/sidecar/src/downstream/bounded_stream.rs
+++ b/crates/sidecar/src/downstream/bounded_stream.rs
@@ -1,8 +1,30 @@
-//! A client's socket as the protocol uses it: it reports to the connection what comes in, and
-//! passes on no more at a time than the protocol can buffer.
+//! A client's socket as the protocol (actix-http) uses it.
 //!
-//! Returns the socket to the connection when dropped, so that no library closes it over unread
-//! bytes.
+//! # Invariant
+//! While the protocol runs, the socket is always being read, every byte is reported to the
+//! [`ClientConnection`] before the protocol sees it, and the protocol holds little more than one
+//! request of it. Input that no request can use any more is thrown away, not left in the socket:
+//! the end of file lies behind it, and only by reading that far is it known that the client has
+//! left. Behind the last response the protocol reads the end of file, whatever the socket holds.
+//! However the protocol ends, the socket goes back to the connection, and only `lingering_close`
+//! closes it.
+//!
+//! # How it breaks, and what shows it
+//! - A read that is not reported, or a socket that is empty and not reported as such: requests are
+//!   rejected with "one request at a time" (`requests_malformed` rises), or wait without end in
+//!   [`ClientConnection::on_request_read`] (`requests_accepted` stands still while clients
+//!   connect).
+//! - Reading that pauses while a request is in flight: clients leave unnoticed.
+//!   `clients_disconnected` and `attempts_blocked_client_left` stay low, and servers work for
+//!   clients that are gone.
+//! - A chunk that is not bounded: the process grows with the number of clients that send without
+//!   waiting, up to its memory limit.
+//! - A socket that is dropped here: a close over unread bytes is a reset, so clients report
+//!   "connection reset" where the sidecar counts a response. An upgrade of actix-http that shuts
+//!   sockets by itself would do this; `poll_shutdown` does nothing for that reason.
+//!
+//! `tests/floods.rs` and the recordings of pipelined requests and of clients that disconnect hold
+//! this.
 
 use std::io;
 use std::pin::Pin;
@@ -36,7 +58,7 @@
     /// Takes the client's socket for the protocol; none where the connection is at its end.
     pub(super) fn take(client: &Rc<ClientConnection>, limits: &Rc<Limits>) -> Option<Self> {
         Some(Self {
-            socket: Some(client.take_socket()?),
+            socket: Some(client.socket().take()?),
             client: Rc::clone(client),
             limits: Rc::clone(limits),
             chunk_bytes: 0,
@@ -49,8 +71,8 @@
         &self.client
     }
 
-    /// Waits for the first byte, or the end. Guards against memory that the protocol takes for
-    /// clients that send nothing.
+    /// Waits for the first byte, or the end. The protocol allocates its buffers as soon as it runs,
+    /// so it does not for clients that send nothing.
     pub(super) async fn first_byte(&self) {
         if let Some(socket) = &self.socket {
             let _ = socket.readable().await;
@@ -69,7 +91,7 @@
     fn poll_chunk(&mut self, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         if self.chunk_bytes == 0 {
             let limits = &self.limits.client;
-            let body_bytes = self.client.announced_body_bytes();
+            let body_bytes = self.client.input().announced_body_bytes();
             self.max_chunk_bytes =
                 limits.read_chunk_bytes + body_bytes.min(limits.body_chunk_bytes);
         }
@@ -86,9 +108,9 @@
         read.map_ok(drop)
     }
 
-    /// Throws input away. Guards against a flood behind a request in flight: the protocol would
-    /// stop reading, and not see the client leave. What is over the bound is of no request that can
-    /// be served.
+    /// Throws input away. Behind a request in flight the protocol would stop reading at some point,
+    /// and would not see the client leave. What is over the bound is of no request that can be
+    /// served.
     fn poll_discard(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let mut discarded = [0; DISCARD_BUFFER_BYTES];
         for _ in 0..DISCARD_READS_PER_POLL {
@@ -100,7 +122,8 @@
         self.yield_to_other_tasks(cx)
     }
 
-    /// Guards against a client that sends without end and gets all the time there is.
+    /// Ends this task's turn, though there is more to read: a client that sends without end would
+    /// keep the thread to itself.
     fn yield_to_other_tasks(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         self.chunk_bytes = 0;
         cx.waker().wake_by_ref();
@@ -119,11 +142,11 @@
         let bytes = buf.filled().len() - filled_before;
         match read {
             Poll::Pending => {
-                self.client.on_input_drained();
+                self.client.input().on_drained();
                 return Poll::Pending;
             }
             Poll::Ready(Ok(())) if bytes > 0 => self.client.on_received(bytes),
-            Poll::Ready(_) => self.client.on_disconnected(),
+            Poll::Ready(_) => self.client.presence().mark_disconnected(),
         }
         ready!(read)?;
         Poll::Ready(Ok(bytes))
@@ -150,7 +173,7 @@
 
 impl Drop for BoundedStream {
     fn drop(&mut self) {
-        self.client.on_socket_returned(self.socket.take());
+        self.client.socket().put_back(self.socket.take());
     }
 }
 
@@ -160,13 +183,13 @@
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        // Guards against a request that is read behind the last response: to the protocol it is the
-        // end of file.
-        if self.client.sent_last_response() {
+        // A request behind the last response would get no response, so the protocol sees the end of
+        // file instead.
+        if self.client.close_state().sent_last_response() {
             return Poll::Ready(Ok(()));
         }
         if self.client.is_pipeline_full(&self.limits) {
-            self.client.on_input_discarded();
+            self.client.input().on_discarded();
             return self.poll_discard(cx);
         }
         self.poll_chunk(cx, buf)
@@ -185,7 +208,7 @@
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let flushed = self.socket()?.poll_flush(cx);
         if flushed.is_ready() {
-            self.client.on_response_written();
+            self.client.close_state().on_response_written();
         }
         flushed
     }
--- a/crates/sidecar/src/downstream/listener.rs
+++ b/crates/sidecar/src/downstream/listener.rs
@@ -15,20 +15,20 @@
 use super::bounded_stream::BoundedStream;
 use super::client_permits::ClientPermits;
 use super::connection::ClientConnection;
+use super::connection_timeout::timed_out;
 use super::http::{ConnectionService, over_capacity_service, permitted_service};
 use super::lingering_close::lingering_close;
 use super::request_handler::RequestHandler;
-use crate::host::BalancerHost;
-use crate::limits::Limits;
-use crate::upstream::Upstream;
+use super::service_context::ServiceContext;
+use crate::proxy::Proxy;
 
-/// After an accept that failed, the next one waits this long. Guards against a busy loop while
-/// descriptors are short.
+/// After an accept that failed, the next one waits this long: while descriptors are short, each
+/// fails at once.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 /// The listening side of the sidecar.
 pub(crate) struct Listener {
-    limits: Rc<Limits>,
+    context: Rc<ServiceContext>,
     handler: Rc<RequestHandler>,
     permits: Rc<ClientPermits>,
     /// Descriptors of connections that linger are wanted.
@@ -52,11 +52,12 @@
 }
 
 impl Listener {
-    /// A listener whose clients are served by that host and upstream.
-    pub(crate) fn new(host: Rc<BalancerHost>, upstream: Rc<Upstream>) -> Rc<Self> {
+    /// A listener whose clients are served by that proxy.
+    pub(crate) fn new(context: ServiceContext, proxy: Rc<Proxy>) -> Rc<Self> {
+        let context = Rc::new(context);
         Rc::new(Self {
-            limits: Rc::clone(&host.limits),
-            handler: RequestHandler::new(host, upstream),
+            context: Rc::clone(&context),
+            handler: RequestHandler::new(context, proxy),
             permits: Rc::default(),
             descriptor_wanted: Notify::new(),
             shutdown_begun: Notify::new(),
@@ -80,7 +81,7 @@
             match self.accept_next(&listener).await {
                 Accepted::Connection(stream) => self.spawn_connection(stream, &services),
                 Accepted::Failed(error) => {
-                    tracing::warn!("accept: {error}");
+                    tracing::warn!(%error, "client not accepted");
                     if self.handler.is_shutting_down() {
                         return;
                     }
@@ -94,9 +95,11 @@
 
     /// Waits until a connection may be accepted; false if none will be.
     async fn wait_for_descriptor(&self) -> bool {
-        while self.permits.is_accept_bound_reached(&self.limits.client) {
-            // Guards against a crowd at the shutdown that takes the descriptors of requests in
-            // flight.
+        while self
+            .permits
+            .is_accept_bound_reached(&self.context.limits().client)
+        {
+            // At the shutdown the descriptors are left to the requests in flight.
             if self.handler.is_shutting_down() {
                 return false;
             }
@@ -109,8 +112,8 @@
         true
     }
 
-    /// Guards against requests on connections that the operating system has accepted and this
-    /// program has not: the last of them are accepted before the listener goes.
+    /// Waits for a connection. At the shutdown the operating system may have accepted some that
+    /// this program has not, with requests on them: they are accepted before the listener goes.
     async fn accept_next(&self, listener: &TcpListener) -> Accepted {
         let is_shutting_down = self.handler.is_shutting_down();
         tokio::select! {
@@ -134,26 +137,31 @@
         O: ConnectionService + 'static,
     {
         let client = ClientConnection::new(Some(stream));
-        let is_permitted = self.permits.make_room(&self.limits.client);
-        let permit = self.permits.admit(&client, is_permitted);
-        let (listener, services) = (Rc::clone(self), Rc::clone(services));
+        let permit = self.permits.admit(&client, &self.context.limits().client);
+        let listener = Rc::clone(self);
+        let services = Rc::clone(services);
         actix_rt::spawn(async move {
-            if is_permitted {
+            if permit.is_permitted() {
                 listener.serve(&services.permitted, &client).await;
             } else {
                 listener.serve(&services.over_capacity, &client).await;
             }
             permit.on_served();
-            if let Some(socket) = client.take_socket() {
-                lingering_close(socket, &listener.limits, &listener.descriptor_wanted).await;
+            if let Some(socket) = client.socket().take() {
+                lingering_close(
+                    socket,
+                    listener.context.limits(),
+                    &listener.descriptor_wanted,
+                )
+                .await;
             }
         });
     }
 
     /// Serves one client until its connection is to end, and leaves its socket open for that.
     async fn serve(&self, service: &impl ConnectionService, client: &Rc<ClientConnection>) {
-        let counters = &self.handler.host().counters;
-        while let Some(stream) = BoundedStream::take(client, &self.limits) {
+        let counters = self.context.counters();
+        while let Some(stream) = BoundedStream::take(client, self.context.limits()) {
             let served = async {
                 stream.first_byte().await;
                 service.call((stream, None)).await
@@ -167,10 +175,10 @@
                     }
                     return;
                 }
-                () = client.timed_out(&self.limits) => {}
+                () = timed_out(client, self.context.limits()) => {}
             }
-            // Guards against a request that came as its connection was chosen for closing: nothing
-            // of it was read.
+            // A request may have come as its connection was chosen for closing. Nothing of it was
+            // read, so the protocol starts again and serves it.
             if !client.has_unread_request() {
                 counters.clients_timed_out.add();
                 return;
--- a/crates/sidecar/src/host/server_registry.rs
+++ b/crates/sidecar/src/host/server_registry.rs
@@ -14,7 +14,7 @@
 
 /// Every server that is not forgotten, by the name that lists have for it and by its number.
 #[derive(Default)]
-pub(super) struct ServerRegistry {
+pub(crate) struct ServerRegistry {
     by_name: HashMap<String, Rc<Server>>,
     by_id: BTreeMap<ServerId, Rc<Server>>,
     /// Numbers are never used twice: a new server must not pass for one that has been removed.
@@ -27,7 +27,7 @@
 
 impl ServerRegistry {
     /// A registry without servers, with the zones and the machine types of the configuration.
-    pub(super) fn new(zones: Vec<String>, machines: MachineCatalogue) -> Self {
+    pub(crate) fn new(zones: Vec<String>, machines: MachineCatalogue) -> Self {
         Self {
             zones,
             machines,
@@ -76,8 +76,8 @@
         endpoints
     }
 
-    /// Guards against names and numbers that grow without end where servers are replaced all the
-    /// time.
+    /// Forgets the servers that have been gone for long enough. Where servers are replaced all the
+    /// time, the registry would otherwise grow for as long as the process runs.
     fn forget_removed(&mut self, retention: Duration) {
         self.by_name.retain(|_, server| {
             let is_over = server.drain_age().is_some_and(|age| age >= retention);
@@ -115,7 +115,7 @@
             self.zones.push(name.to_owned());
             self.zones.len() - 1
         });
-        index as u32
+        u32::try_from(index).unwrap_or(u32::MAX)
     }
 }
 
--- a/crates/sidecar/src/upstream/write_progress.rs
+++ b/crates/sidecar/src/upstream/write_progress.rs
@@ -4,17 +4,36 @@
 //! that ended before a response like one that never came up. The connection's stream reports what
 //! the socket has accepted through [`CURRENT_WRITE`]; whoever sends the request reads the result
 //! from its [`WriteProgress`].
+//!
+//! # Invariant
+//! A request that is not [complete](WriteProgress::is_complete) cannot have been executed: its last
+//! byte is not with the operating system. A request that is may have been. The phase moves forward
+//! only, and what the sidecar did not let out stays not sent, whatever is reported later. The first
+//! byte is written only if [`SendGuard`] allows it at that moment; later bytes are never held back,
+//! since half a request helps nobody.
+//!
+//! # How it breaks, and what shows it
+//! - The bytes that awc writes are not the head and then `body_length` bytes of body, for instance
+//!   because it came to use chunks. If the count ends too late, requests that were executed count
+//!   as `attempts_connect_failed` and are sent again: servers see one request id twice outside its
+//!   class. If it ends too early, requests that were cut off count as `attempts_reset` and
+//!   `attempts_timed_out`, and those that may not be repeated fail (`responses_failed` rises)
+//!   though nothing ran.
+//! - The check is skipped or made too early, before the connect: servers report work after the
+//!   grace of their drain, and the `attempts_blocked_*` counters stay at zero through drains and
+//!   moves.
+//! - A check that refuses too much shows as the one `attempts_blocked_*` counter that rises;
+//!   `attempts_blocked_list_stale` for all servers at once means that discovery is silent, not that
+//!   this file is wrong.
 
 use std::cell::Cell;
-use std::net::SocketAddr;
 use std::rc::Rc;
 
 use tokio::time::Instant;
 
-use super::send_guard::{SendConditions, check};
-use crate::host::{BalancerHost, Server};
+use super::send_guard::SendGuard;
 use crate::limits::Limits;
-use crate::message::{ClientPresence, SendBlocked};
+use crate::message::SendBlocked;
 
 tokio::task_local! {
     /// The request that the current task is sending, whichever connection it got from the pool.
@@ -56,46 +75,6 @@
     },
 }
 
-/// What [`check`] looks at before an attempt's first byte. Health checks have none: they are no
-/// work, and may go to a draining server.
-pub(super) struct SendGuard {
-    /// Knows the clock and how fresh the endpoint list is.
-    pub host: Rc<BalancerHost>,
-    /// The server that the attempt goes to.
-    pub server: Rc<Server>,
-    /// The server's address when the attempt was made.
-    pub address: SocketAddr,
-    /// Whether the request's client is still connected.
-    pub presence: ClientPresence,
-    /// When the attempt times out.
-    pub attempt_deadline: Instant,
-    /// The latest time at which a retry may begin, where that is bounded.
-    pub start_before: Option<Instant>,
-}
-
-impl SendGuard {
-    fn check(&self, limits: &Limits) -> Result<(), SendBlocked> {
-        check(&self.conditions(), limits.upstream.max_drain_age)
-    }
-
-    fn conditions(&self) -> SendConditions {
-        let now = Instant::now();
-        let time_until = |instant: Instant| instant.saturating_duration_since(now);
-        let trusted_until = self
-            .host
-            .list_freshness()
-            .trusted_until(self.server.last_served_start());
-        SendConditions {
-            client_left: self.presence.is_disconnected(),
-            time_left: time_until(self.attempt_deadline),
-            retry_window_left: self.start_before.map(time_until),
-            drain_age: self.server.drain_age(),
-            server_moved: self.server.address() != self.address,
-            list_stale: trusted_until.is_some_and(|until| self.host.now() >= until),
-        }
-    }
-}
-
 impl WriteProgress {
     /// For a request with a body of `body_length` bytes; a guard may block its first byte.
     pub(super) fn new(guard: Option<SendGuard>, body_length: usize) -> Rc<Self> {
