--- a/crates/platform/src/endpoint_list.rs
+++ b/crates/platform/src/endpoint_list.rs
@@ -9,6 +9,7 @@
 
 use crate::error::{KeyError, KeyProblem, ReadError};
 use crate::json::{self, Node};
+use crate::keys::{endpoint, endpoint_list};
 
 /// The latest start time that is believed, in Unix milliseconds: the year 5138. A later one would
 /// overflow the balancer's clock once a duration is added to it.
@@ -66,11 +67,11 @@
     /// The revision is missing, or a value outside the entries has the wrong type.
     pub fn read(node: &Node) -> Result<Self, KeyError> {
         let mut list = Self {
-            revision: node.at("rev").number()? as u64,
-            kind: read_list_kind(&node.at("all"))?,
+            revision: node.at(endpoint_list::REVISION).number()? as u64,
+            kind: read_list_kind(&node.at(endpoint_list::IS_FULL))?,
             ..Self::default()
         };
-        for entry in node.at("targets").items()? {
+        for entry in node.at(endpoint_list::ENDPOINTS).items()? {
             match ListedEndpoint::read(&entry) {
                 Ok(endpoint) => list.endpoints.push(endpoint),
                 Err(error) => list.skipped.push(error),
@@ -92,20 +93,23 @@
 impl ListedEndpoint {
     fn read(node: &Node) -> Result<Self, KeyError> {
         // The order of the reads decides which error of a bad entry is reported.
-        let address_node = node.at("endpoint");
+        let address_node = node.at(endpoint::ADDRESS);
         let address_text = address_node.text()?;
-        let started_at = read_start(&node.at("boot_ms"))?;
-        let id = node.at("uid").text()?;
+        let started_at = read_start(&node.at(endpoint::STARTED_AT_MS))?;
+        let id = node.at(endpoint::ID).text()?;
         let address = address_text
             .parse()
             .map_err(|_| address_node.error(KeyProblem::NotAnAddress))?;
         Ok(Self {
             id,
             address,
-            zone: node.at("az").optional_text()?.unwrap_or_default(),
-            machine_type: node.at("model").optional_text()?.unwrap_or_default(),
-            cell: node.at("pod_group").optional_number()?.unwrap_or(0.0) as u32,
-            status: read_status(&node.at("state"))?,
+            zone: node.at(endpoint::ZONE).optional_text()?.unwrap_or_default(),
+            machine_type: node
+                .at(endpoint::MACHINE_TYPE)
+                .optional_text()?
+                .unwrap_or_default(),
+            cell: node.at(endpoint::CELL).optional_number()?.unwrap_or(0.0) as u32,
+            status: read_status(&node.at(endpoint::STATUS))?,
             started_at,
         })
     }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -9,6 +9,7 @@
 pub mod endpoint_list;
 mod error;
 pub mod json;
+mod keys;
 pub mod load_report;
 pub mod settings;
 mod units;
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -18,6 +18,7 @@
 
 use crate::error::KeyError;
 use crate::json::Node;
+use crate::keys;
 use crate::load_report::LoadReportLayout;
 use request_class::read_request_class;
 use values::{count_or, flag, number_or, time_or};
@@ -51,19 +52,19 @@
     pub fn read(conf: &Node, default_max_retry_after: Micros) -> Result<Self, KeyError> {
         let mut classes = Vec::new();
         let mut class_names = Vec::new();
-        for node in conf.at("request-classes").items()? {
+        for node in conf.at(keys::settings::REQUEST_CLASSES).items()? {
             classes.push(read_request_class(&node)?);
-            class_names.push(node.at("name").text()?);
+            class_names.push(node.at(keys::request_class::NAME).text()?);
         }
         let mut zones = Vec::new();
-        for zone in conf.at("zones").items()? {
+        for zone in conf.at(keys::settings::ZONES).items()? {
             zones.push(zone.text()?);
         }
-        let own_zone = conf.at("az").optional_text()?;
+        let own_zone = conf.at(keys::settings::ZONE).optional_text()?;
         let zone = zones
             .iter()
             .position(|zone| Some(zone) == own_zone.as_ref());
-        let report = ReportSettings::read(&conf.at("report"))?;
+        let report = ReportSettings::read(&conf.at(keys::settings::REPORT))?;
         let base = Settings {
             classes,
             identity: BalancerIdentity {
@@ -99,8 +100,8 @@
 
 impl ReportSettings {
     fn read(report: &Node) -> Result<Self, KeyError> {
-        let layout = LoadReportLayout::read(&report.at("fields"))?;
-        let source = report.at("source").optional_text()?;
+        let layout = LoadReportLayout::read(&report.at(keys::report::FIELDS))?;
+        let source = report.at(keys::report::SOURCE).optional_text()?;
         Ok(Self {
             layout,
             in_health_checks: layout.in_flight.is_some() && source.as_deref() != Some("none"),
@@ -113,25 +114,25 @@
 ///
 /// The order of the reads decides which of several bad keys is reported.
 fn read_balancer_settings(conf: &Node, base: Settings) -> Result<Settings, KeyError> {
-    let permissions = conf.at("permissions");
-    let safety = conf.at("safety");
-    let fees = conf.at("fees");
+    let permissions = conf.at(keys::settings::PERMISSIONS);
+    let safety = conf.at(keys::settings::SAFETY);
+    let fees = conf.at(keys::settings::FEES);
     let identity = BalancerIdentity {
-        index: number_or(&conf.at("my-number"), 0.0)? as u32,
-        count: number_or(&conf.at("balancers"), 1.0)? as u32,
+        index: number_or(&conf.at(keys::settings::BALANCER_INDEX), 0.0)? as u32,
+        count: number_or(&conf.at(keys::settings::BALANCER_COUNT), 1.0)? as u32,
         ..base.identity
     };
-    let step = time_or(&conf.at("step-ms"), base.step)?;
+    let step = time_or(&conf.at(keys::settings::STEP_MS), base.step)?;
     let host = read_host_capabilities(&permissions, base.host)?;
     let retries = read_retry_settings(&permissions, base.retries)?;
-    let health_check_fee = number_or(&fees.at("probe"), 0.0)?;
-    let handshake_fee = number_or(&fees.at("handshake"), 0.0)?;
+    let health_check_fee = number_or(&fees.at(keys::fees::HEALTH_CHECK), 0.0)?;
+    let handshake_fee = number_or(&fees.at(keys::fees::HANDSHAKE), 0.0)?;
     let idle_timeout = time_or(&transport::idle_timeout_key(conf), base.idle_timeout)?;
     let fees = Fees {
         health_check: health_check_fee,
         handshake: handshake_fee,
-        connection: number_or(&fees.at("connection"), 0.0)?,
-        cross_zone: number_or(&fees.at("cross-zone"), 0.0)?,
+        connection: number_or(&fees.at(keys::fees::CONNECTION), 0.0)?,
+        cross_zone: number_or(&fees.at(keys::fees::CROSS_ZONE), 0.0)?,
     };
     Ok(Settings {
         identity,
@@ -140,9 +141,13 @@
         retries,
         fees,
         idle_timeout,
-        weight_by_work: conf.at("worth-by").optional_text()?.as_deref() == Some("work"),
+        weight_by_work: conf
+            .at(keys::settings::WEIGHT_BASIS)
+            .optional_text()?
+            .as_deref()
+            == Some("work"),
         polling: read_polling_settings(&safety, base.polling)?,
-        only_draining_binds: flag(&safety.at("only-draining-binds"))?,
+        only_draining_binds: flag(&safety.at(keys::safety::ONLY_DRAINING_BINDS))?,
         slow_start: read_slow_start_settings(&safety, base.slow_start)?,
         ..base
     })
@@ -153,8 +158,8 @@
     base: HostCapabilities,
 ) -> Result<HostCapabilities, KeyError> {
     Ok(HostCapabilities {
-        cancellation: flag(&permissions.at("cancel"))?,
-        health_checks: flag(&permissions.at("probes"))?,
+        cancellation: flag(&permissions.at(keys::permissions::CANCELLATION))?,
+        health_checks: flag(&permissions.at(keys::permissions::HEALTH_CHECKS))?,
         gossip: false,
         retry_after: false,
         ..base
@@ -162,11 +167,14 @@
 }
 
 fn read_retry_settings(permissions: &Node, base: RetrySettings) -> Result<RetrySettings, KeyError> {
-    let max_retry_after = permissions.at("max-retry-after-ms");
+    let max_retry_after = permissions.at(keys::permissions::MAX_RETRY_AFTER_MS);
     Ok(RetrySettings {
-        hedging: flag(&permissions.at("may-duplicate"))?,
+        hedging: flag(&permissions.at(keys::permissions::HEDGING))?,
         max_retry_after: time_or(&max_retry_after, base.max_retry_after)?,
-        max_attempts: count_or(&permissions.at("max-attempts"), base.max_attempts)?,
+        max_attempts: count_or(
+            &permissions.at(keys::permissions::MAX_ATTEMPTS),
+            base.max_attempts,
+        )?,
     })
 }
 
@@ -176,7 +184,10 @@
 ) -> Result<PollingSettings, KeyError> {
     Ok(PollingSettings {
         required: false,
-        max_interval: time_or(&safety.at("ask-every-ms"), base.max_interval)?,
+        max_interval: time_or(
+            &safety.at(keys::safety::MAX_POLL_INTERVAL_MS),
+            base.max_interval,
+        )?,
     })
 }
 
@@ -185,10 +196,19 @@
     base: SlowStartSettings,
 ) -> Result<SlowStartSettings, KeyError> {
     Ok(SlowStartSettings {
-        initial_capacity: number_or(&safety.at("cold-from"), base.initial_capacity)?,
-        duration: time_or(&safety.at("cold-ms"), base.duration)?,
-        overload_factor: number_or(&safety.at("overload-factor"), base.overload_factor)?,
-        overload_window: time_or(&safety.at("fall-ms"), base.overload_window)?,
+        initial_capacity: number_or(
+            &safety.at(keys::safety::INITIAL_CAPACITY),
+            base.initial_capacity,
+        )?,
+        duration: time_or(&safety.at(keys::safety::SLOW_START_MS), base.duration)?,
+        overload_factor: number_or(
+            &safety.at(keys::safety::OVERLOAD_FACTOR),
+            base.overload_factor,
+        )?,
+        overload_window: time_or(
+            &safety.at(keys::safety::OVERLOAD_WINDOW_MS),
+            base.overload_window,
+        )?,
     })
 }
 
--- a/crates/platform/src/settings/simulator.rs
+++ b/crates/platform/src/settings/simulator.rs
@@ -6,6 +6,7 @@
 use super::values::flag;
 use crate::error::KeyError;
 use crate::json::Node;
+use crate::keys;
 
 /// What the simulator's channels offer to a balancer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -26,15 +27,15 @@
     /// # Errors
     /// Names the first key whose value has the wrong type.
     pub fn read(conf: &Node) -> Result<Self, KeyError> {
-        let permissions = conf.at("permissions");
-        let classes = conf.at("request-classes").items()?;
+        let permissions = conf.at(keys::settings::PERMISSIONS);
+        let classes = conf.at(keys::settings::REQUEST_CLASSES).items()?;
         let streamed: Result<Vec<bool>, KeyError> = classes
             .iter()
-            .map(|class| flag(&class.at("streamed")))
+            .map(|class| flag(&class.at(keys::request_class::STREAMED)))
             .collect();
         Ok(Self {
-            gossip: flag(&permissions.at("peers"))?,
-            retry_after: flag(&permissions.at("retry-after"))?,
+            gossip: flag(&permissions.at(keys::permissions::GOSSIP))?,
+            retry_after: flag(&permissions.at(keys::permissions::RETRY_AFTER))?,
             poll_endpoints: MembershipMode::read(conf)? == MembershipMode::OnRequest,
             streamed: streamed?,
         })
--- a/crates/platform/src/settings/transport.rs
+++ b/crates/platform/src/settings/transport.rs
@@ -5,6 +5,7 @@
 use super::values::duration_or;
 use crate::error::{KeyError, KeyProblem};
 use crate::json::Node;
+use crate::keys;
 
 /// Time for a connection to be established, where the settings name none.
 const DEFAULT_CONNECT_TIMEOUT_MS: f64 = 200.0;
@@ -31,7 +32,11 @@
     /// The value is not a text.
     pub fn read(conf: &Node) -> Result<Self, KeyError> {
         Ok(
-            match conf.at("membership-mode").optional_text()?.as_deref() {
+            match conf
+                .at(keys::settings::MEMBERSHIP_MODE)
+                .optional_text()?
+                .as_deref()
+            {
                 Some("on_request") => Self::OnRequest,
                 Some("pushed") => Self::Pushed,
                 _ => Self::Unspecified,
@@ -59,7 +64,9 @@
     /// # Errors
     /// Names the first key whose value cannot be used.
     pub fn read(conf: &Node) -> Result<Self, KeyError> {
-        let drain_grace = conf.at("safety").at("drain-grace-ms");
+        let drain_grace = conf
+            .at(keys::settings::SAFETY)
+            .at(keys::safety::DRAIN_GRACE_MS);
         Ok(Self {
             connect_timeout: duration_or(&connect_timeout_key(conf), DEFAULT_CONNECT_TIMEOUT_MS)?,
             idle_timeout: duration_or(&idle_timeout_key(conf), DEFAULT_IDLE_TIMEOUT_MS)?,
@@ -85,10 +92,12 @@
 }
 
 fn connect_timeout_key<'a>(conf: &Node<'a>) -> Node<'a> {
-    conf.at("permissions").at("connect-timeout-ms")
+    conf.at(keys::settings::PERMISSIONS)
+        .at(keys::permissions::CONNECT_TIMEOUT_MS)
 }
 
 /// The key of the idle timeout, which the balancer's settings hold too.
 pub(super) fn idle_timeout_key<'a>(conf: &Node<'a>) -> Node<'a> {
-    conf.at("permissions").at("idle-close-ms")
+    conf.at(keys::settings::PERMISSIONS)
+        .at(keys::permissions::IDLE_TIMEOUT_MS)
 }
