--- a/crates/platform/src/endpoint_list.rs
+++ b/crates/platform/src/endpoint_list.rs
@@ -1,7 +1,9 @@
 //! The endpoint list of discovery: the servers with address, zone and state, whole or as a change.
 //!
-//! Owns the format; the calls to discovery belong to the sidecar, the merged table to its server
-//! registry.
+//! Owns the format, its reader and its writer; the calls to discovery belong to the sidecar, the
+//! merged table to its server registry.
+
+mod writer;
 
 use std::net::SocketAddr;
 
@@ -18,6 +20,13 @@
 const UNKNOWN_START_MS: f64 = 0.0;
 const MICROS_PER_MS: f64 = 1_000.0;
 
+/// The list's word for [`EndpointStatus::Ready`].
+const READY: &str = "ready";
+/// The list's word for [`EndpointStatus::Draining`].
+const DRAINING: &str = "draining";
+/// The list's word for [`EndpointStatus::Removed`].
+const REMOVED: &str = "gone";
+
 /// One server in an endpoint list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedEndpoint {
@@ -128,14 +137,19 @@
         return Err(node.error(KeyProblem::NotATime));
     }
     let is_known = start_ms > UNKNOWN_START_MS;
-    Ok(is_known.then_some((start_ms * MICROS_PER_MS) as Micros))
+    Ok(is_known.then(|| micros_from_start_ms(start_ms)))
+}
+
+/// Cuts off what is below a microsecond, unlike [`micros_from_ms`](crate::micros_from_ms).
+fn micros_from_start_ms(start_ms: f64) -> Micros {
+    (start_ms * MICROS_PER_MS) as Micros
 }
 
 fn read_status(node: &Node) -> Result<EndpointStatus, KeyError> {
     match node.text()?.as_str() {
-        "ready" => Ok(EndpointStatus::Ready),
-        "draining" => Ok(EndpointStatus::Draining),
-        "gone" => Ok(EndpointStatus::Removed),
+        READY => Ok(EndpointStatus::Ready),
+        DRAINING => Ok(EndpointStatus::Draining),
+        REMOVED => Ok(EndpointStatus::Removed),
         other => Err(node.error(KeyProblem::UnknownValue(other.to_owned()))),
     }
 }
--- /dev/null
+++ b/crates/platform/src/endpoint_list/writer.rs
@@ -0,0 +1,67 @@
+//! Writes the endpoint list as discovery sends it and as a sidecar's configuration caches it.
+
+use arrowstand_balancer::{EndpointStatus, Micros};
+use serde_json::{Value, json};
+
+use super::{DRAINING, EndpointList, ListKind, ListedEndpoint, MICROS_PER_MS, READY, REMOVED};
+use super::{UNKNOWN_START_MS, micros_from_start_ms};
+use crate::keys::{endpoint, endpoint_list};
+
+/// The size that every server is listed with, which says that all are alike. No reader uses it.
+const CAPACITY_HINT: f64 = 1.0;
+
+impl EndpointList {
+    /// The list in the form that [`read`](Self::read) accepts, which gives the same list again but
+    /// for [`skipped`](Self::skipped), which is not written. The keys are sorted.
+    ///
+    /// Exact for revisions up to 2^53, for starts before the year 2109, after which neighbouring
+    /// floating-point milliseconds are about a microsecond apart, and for addresses without an IPv6
+    /// flow label, which has no text form.
+    pub fn to_json(&self) -> Value {
+        let endpoints: Vec<Value> = self.endpoints.iter().map(ListedEndpoint::to_json).collect();
+        json!({
+            endpoint_list::REVISION: self.revision,
+            endpoint_list::IS_FULL: self.kind == ListKind::Full,
+            endpoint_list::ENDPOINTS: endpoints,
+        })
+    }
+}
+
+impl ListedEndpoint {
+    /// The server as an entry of a list. An unknown start is written as 0.
+    pub fn to_json(&self) -> Value {
+        json!({
+            endpoint::ID: self.id,
+            endpoint::ADDRESS: self.address.to_string(),
+            endpoint::ZONE: self.zone,
+            endpoint::MACHINE_TYPE: self.machine_type,
+            endpoint::CELL: self.cell,
+            endpoint::STATUS: status_name(self.status),
+            endpoint::CAPACITY_HINT: CAPACITY_HINT,
+            endpoint::STARTED_AT_MS: self.started_at.map_or(UNKNOWN_START_MS, start_ms_from_micros),
+        })
+    }
+}
+
+fn status_name(status: EndpointStatus) -> &'static str {
+    match status {
+        EndpointStatus::Ready => READY,
+        EndpointStatus::Draining => DRAINING,
+        EndpointStatus::Removed => REMOVED,
+    }
+}
+
+/// The milliseconds that are read as these microseconds. The reader cuts off what is below a
+/// microsecond; where the nearest number of milliseconds is read as an earlier microsecond, the next
+/// larger number is taken.
+fn start_ms_from_micros(started_at: Micros) -> f64 {
+    let nearest_ms = started_at as f64 / MICROS_PER_MS;
+    if micros_from_start_ms(nearest_ms) < started_at {
+        f64::from_bits(nearest_ms.to_bits() + 1)
+    } else {
+        nearest_ms
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/platform/src/keys.rs
+++ b/crates/platform/src/keys.rs
@@ -17,7 +17,7 @@
     pub(crate) const MEMBERSHIP_MODE: &str = "membership-mode";
     /// Whether a request's value counts by request or by unit of work.
     pub(crate) const WEIGHT_BASIS: &str = "worth-by";
-    /// Time by which a response must precede its deadline, in milliseconds.
+    /// Shortest time between two calls of the balancer, in milliseconds.
     pub(crate) const STEP_MS: &str = "step-ms";
     /// The request classes.
     pub(crate) const REQUEST_CLASSES: &str = "request-classes";
@@ -103,7 +103,7 @@
     pub(crate) const MAX_POLL_INTERVAL_MS: &str = "ask-every-ms";
     /// Time for which a draining server accepts requests, in milliseconds.
     pub(crate) const DRAIN_GRACE_MS: &str = "drain-grace-ms";
-    /// Whether a removed server may be sent requests.
+    /// Whether a server that was removed without draining may still be sent requests.
     pub(crate) const ONLY_DRAINING_BINDS: &str = "only-draining-binds";
     /// Share of its capacity that a server has at its start.
     pub(crate) const INITIAL_CAPACITY: &str = "cold-from";
@@ -139,6 +139,8 @@
     pub(crate) const CELL: &str = "pod_group";
     /// Whether it may be sent requests.
     pub(crate) const STATUS: &str = "state";
+    /// Its size in proportion to other servers'. Written and never read.
+    pub(crate) const CAPACITY_HINT: &str = "capacity_hint";
     /// Unix time of its latest start, in milliseconds.
     pub(crate) const STARTED_AT_MS: &str = "boot_ms";
 }
--- a/crates/platform/src/load_report.rs
+++ b/crates/platform/src/load_report.rs
@@ -1,9 +1,11 @@
 //! The load reports of servers, in the two forms that the platform has: a header or body of a
 //! server's response, and a row of numbers in the simulator.
 //!
-//! Owns the names of the fields. When a report was taken and what follows from it is not known
+//! Owns the names of the fields, the readers and the writers. When a report was taken and what follows from it is not known
 //! here.
 
+use std::fmt;
+
 use arrowstand_balancer::LoadReport;
 
 use crate::error::KeyError;
@@ -13,10 +15,14 @@
 const IN_FLIGHT: &str = "inflight";
 /// Field of a report as the servers write it: queued requests.
 const QUEUED: &str = "queue";
+/// Field of a report as the servers write it: errors per second. Written and never read.
+const ERROR_RATE: &str = "eps";
 /// The settings' name for [`IN_FLIGHT`]; servers may use it too.
 const IN_FLIGHT_IN_SETTINGS: &str = "active";
 /// The settings' name for [`QUEUED`]; servers may use it too.
 const QUEUED_IN_SETTINGS: &str = "waiting";
+/// The settings' name for [`ERROR_RATE`]. It stands for any position of a row that is not read.
+const ERROR_RATE_IN_SETTINGS: &str = "err_rps";
 
 /// Reads a report such as `inflight=7,queue=2,eps=0.5`; `None` where a part cannot be read or the
 /// requests in flight are absent. Unknown fields are skipped, and an absent queue counts as empty.
@@ -41,6 +47,42 @@
     })
 }
 
+/// A load report as a server writes it: its [`Display`](fmt::Display) form is the value of the
+/// header or the body of the response, such as `inflight=7,eps=0.50,queue=2`.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ServerLoad {
+    /// Requests in flight, queued ones included; finite and not negative.
+    pub in_flight: f64,
+    /// Errors per second, written with two decimals; `None` leaves the field out.
+    pub error_rate: Option<f64>,
+    /// Queued requests; `None` leaves the field out, and readers take it for an empty queue.
+    pub queued: Option<f64>,
+}
+
+impl From<LoadReport> for ServerLoad {
+    /// [`read_report`] gives the same report again.
+    fn from(report: LoadReport) -> Self {
+        Self {
+            in_flight: report.in_flight,
+            error_rate: None,
+            queued: Some(report.queued),
+        }
+    }
+}
+
+impl fmt::Display for ServerLoad {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(formatter, "{IN_FLIGHT}={}", self.in_flight)?;
+        if let Some(error_rate) = self.error_rate {
+            write!(formatter, ",{ERROR_RATE}={error_rate:.2}")?;
+        }
+        if let Some(queued) = self.queued {
+            write!(formatter, ",{QUEUED}={queued}")?;
+        }
+        Ok(())
+    }
+}
+
 /// Positions of the known fields in a report that is a row of numbers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoadReportLayout {
@@ -69,6 +111,34 @@
         Ok(layout)
     }
 
+    /// The settings' list of field names, from which [`read`](Self::read) gives the same layout. A
+    /// position that holds no known field is named after the error rate, which is not read.
+    pub fn field_names(&self) -> Vec<&'static str> {
+        let name = |position| match Some(position) {
+            position if position == self.in_flight => IN_FLIGHT_IN_SETTINGS,
+            position if position == self.queued => QUEUED_IN_SETTINGS,
+            _ => ERROR_RATE_IN_SETTINGS,
+        };
+        (0..self.row_length()).map(name).collect()
+    }
+
+    /// A report as a row of numbers, from which [`extract`](Self::extract) gives the same report as
+    /// far as the layout has its values. A position that holds no known field stays empty.
+    pub fn row(&self, report: &LoadReport) -> Vec<Option<f64>> {
+        let value = |position| match Some(position) {
+            position if position == self.in_flight => Some(report.in_flight),
+            position if position == self.queued => Some(report.queued),
+            _ => None,
+        };
+        (0..self.row_length()).map(value).collect()
+    }
+
+    /// Number of positions up to the last one that is known.
+    fn row_length(&self) -> usize {
+        let last = self.in_flight.max(self.queued);
+        last.map_or(0, |position| position + 1)
+    }
+
     /// Extracts a report from a row; `None` where it has no requests in flight. An absent queue
     /// counts as empty.
     pub fn extract(&self, row: &[Option<f64>]) -> Option<LoadReport> {
--- a/crates/platform/src/load_report/tests.rs
+++ b/crates/platform/src/load_report/tests.rs
@@ -1,6 +1,7 @@
 use arrowstand_balancer::LoadReport;
+use proptest::prelude::*;
 
-use super::{LoadReportLayout, read_report};
+use super::{LoadReportLayout, ServerLoad, read_report};
 use crate::json::{Node, parse};
 
 const fn report(in_flight: f64, queued: f64) -> Option<LoadReport> {
@@ -36,3 +37,77 @@
     assert_eq!(layout.extract(&[None, Some(2.0)]), None);
     assert_eq!(LoadReportLayout::default().extract(&[Some(1.0)]), None);
 }
+
+#[test]
+fn a_report_is_written_as_servers_write_it() {
+    let full = ServerLoad {
+        in_flight: 7.0,
+        error_rate: Some(0.5),
+        queued: Some(2.0),
+    };
+    let in_flight_alone = ServerLoad {
+        error_rate: None,
+        queued: None,
+        ..full
+    };
+
+    assert_eq!(full.to_string(), "inflight=7,eps=0.50,queue=2");
+    assert_eq!(in_flight_alone.to_string(), "inflight=7");
+}
+
+/// Finite and not negative.
+fn any_number() -> impl Strategy<Value = f64> {
+    use prop::num::f64::{NORMAL, POSITIVE, SUBNORMAL, ZERO};
+    POSITIVE | NORMAL | SUBNORMAL | ZERO
+}
+
+prop_compose! {
+    fn any_report()(in_flight in any_number(), queued in any_number()) -> LoadReport {
+        LoadReport { in_flight, queued }
+    }
+}
+
+prop_compose! {
+    /// Two known values never stand at one position.
+    fn any_layout()(
+        in_flight in prop::option::of(0..6_usize),
+        queued in prop::option::of(0..6_usize),
+    ) -> LoadReportLayout {
+        let queued = queued.filter(|_| queued != in_flight);
+        LoadReportLayout { in_flight, queued }
+    }
+}
+
+proptest! {
+    #[test]
+    fn reading_a_written_report_gives_the_same_report(
+        written in any_report(),
+        error_rate in prop::option::of(0.0..1e6),
+    ) {
+        let load = ServerLoad { error_rate, ..ServerLoad::from(written) };
+
+        prop_assert_eq!(read_report(&load.to_string()), Some(written));
+    }
+
+    #[test]
+    fn reading_the_field_names_of_a_layout_gives_the_same_layout(layout in any_layout()) {
+        let names = serde_json::json!(layout.field_names()).to_string();
+        let names = parse(&names, 1).expect("JSON");
+
+        prop_assert_eq!(LoadReportLayout::read(&Node::root(&names)), Ok(layout));
+    }
+
+    #[test]
+    fn extracting_a_report_from_its_row_gives_the_same_report(
+        layout in any_layout(),
+        written in any_report(),
+    ) {
+        let row = layout.row(&written);
+
+        let expected = layout.in_flight.map(|_| LoadReport {
+            queued: layout.queued.map_or(0.0, |_| written.queued),
+            ..written
+        });
+        prop_assert_eq!(layout.extract(&row), expected);
+    }
+}
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -1,11 +1,13 @@
 //! The settings of a deployment: what the balancer is configured with, and the names behind its
 //! numbers.
 //!
-//! Owns the keys, their defaults and the units. The keys come in three groups, as hosts differ in
+//! Owns the defaults and the units of the keys. The keys come in three groups, as hosts differ in
 //! what they can do: [`PlatformSettings`] is read by every host, [`TransportSettings`] by those
 //! that open connections, and [`SimulatorFeatures`] by those in the simulator. A host ignores the
-//! keys of a group that it does not read, whatever their values.
+//! keys of a group that it does not read, whatever their values. [`SettingsDocument`] writes all
+//! three.
 
+mod document;
 mod request_class;
 mod simulator;
 mod transport;
@@ -23,12 +25,25 @@
 use request_class::read_request_class;
 use values::{count_or, flag, number_or, time_or};
 
+pub use document::SettingsDocument;
 pub use simulator::SimulatorFeatures;
 pub use transport::{MembershipMode, TransportSettings};
 
 /// The zone of a balancer that is in none of the settings' zones.
 const UNKNOWN_ZONE: u32 = u32::MAX;
 
+/// The value of a request counts for each unit of its work.
+const WEIGHT_BY_WORK: &str = "work";
+/// The value of a request counts for the request.
+const WEIGHT_BY_REQUEST: &str = "request";
+
+/// Load reports come in responses and in the results of health checks.
+const REPORTS_IN_RESPONSES: &str = "answers";
+/// Load reports come in the results of health checks.
+const REPORTS_IN_HEALTH_CHECKS: &str = "probe";
+/// There are no load reports.
+const NO_REPORTS: &str = "none";
+
 /// The settings that every host reads.
 #[derive(Clone, Debug)]
 pub struct PlatformSettings {
@@ -104,8 +119,8 @@
         let source = report.at(keys::report::SOURCE).optional_text()?;
         Ok(Self {
             layout,
-            in_health_checks: layout.in_flight.is_some() && source.as_deref() != Some("none"),
-            in_responses: source.as_deref() == Some("answers"),
+            in_health_checks: layout.in_flight.is_some() && source.as_deref() != Some(NO_REPORTS),
+            in_responses: source.as_deref() == Some(REPORTS_IN_RESPONSES),
         })
     }
 }
@@ -145,7 +160,7 @@
             .at(keys::settings::WEIGHT_BASIS)
             .optional_text()?
             .as_deref()
-            == Some("work"),
+            == Some(WEIGHT_BY_WORK),
         polling: read_polling_settings(&safety, base.polling)?,
         only_draining_binds: flag(&safety.at(keys::safety::ONLY_DRAINING_BINDS))?,
         slow_start: read_slow_start_settings(&safety, base.slow_start)?,
--- a/crates/platform/src/settings/request_class.rs
+++ b/crates/platform/src/settings/request_class.rs
@@ -1,12 +1,27 @@
-//! One request class of the settings.
+//! One request class of the settings, read and written.
 
 use arrowstand_balancer::{DeduplicationScope, Idempotency, RequestClass};
+use serde_json::{Value, json};
 
-use super::values::number_or;
+use super::values::{insert_unless_default, number_or};
 use crate::error::{KeyError, KeyProblem};
 use crate::json::Node;
 use crate::keys::request_class as keys;
-use crate::units::micros_from_ms;
+use crate::units::{micros_from_ms, ms_from_micros};
+
+/// The settings' word for [`Idempotency::Idempotent`].
+const IDEMPOTENT: &str = "pure";
+/// The settings' word for [`Idempotency::IdempotencyKey`].
+const IDEMPOTENCY_KEY: &str = "token";
+/// The settings' word for [`Idempotency::NonIdempotent`].
+const NON_IDEMPOTENT: &str = "side_effect";
+
+/// The settings' word for [`DeduplicationScope::All`], which holds where none is named.
+const ALL_SERVERS: &str = "all";
+/// The settings' word for [`DeduplicationScope::Zone`].
+const SAME_ZONE: &str = "zone";
+/// The settings' word for [`DeduplicationScope::Cell`].
+const SAME_CELL: &str = "cell";
 
 /// Reads all of a class but its name. Whether its responses are streamed is left to
 /// [`SimulatorFeatures`](super::SimulatorFeatures).
@@ -33,18 +48,56 @@
 
 fn read_idempotency(node: &Node) -> Result<Idempotency, KeyError> {
     match node.text()?.as_str() {
-        "pure" => Ok(Idempotency::Idempotent),
-        "token" => Ok(Idempotency::IdempotencyKey),
-        "side_effect" => Ok(Idempotency::NonIdempotent),
+        IDEMPOTENT => Ok(Idempotency::Idempotent),
+        IDEMPOTENCY_KEY => Ok(Idempotency::IdempotencyKey),
+        NON_IDEMPOTENT => Ok(Idempotency::NonIdempotent),
         other => Err(node.error(KeyProblem::UnknownValue(other.to_owned()))),
     }
 }
 
 fn read_deduplication_scope(node: &Node) -> Result<DeduplicationScope, KeyError> {
     match node.optional_text()?.as_deref() {
-        None | Some("all") => Ok(DeduplicationScope::All),
-        Some("zone") => Ok(DeduplicationScope::Zone),
-        Some("cell") => Ok(DeduplicationScope::Cell),
+        None | Some(ALL_SERVERS) => Ok(DeduplicationScope::All),
+        Some(SAME_ZONE) => Ok(DeduplicationScope::Zone),
+        Some(SAME_CELL) => Ok(DeduplicationScope::Cell),
         Some(other) => Err(node.error(KeyProblem::UnknownValue(other.to_owned()))),
     }
 }
+
+/// Writes a class under its name; `streamed` is that of the
+/// [`SimulatorFeatures`](super::SimulatorFeatures).
+pub(super) fn write_request_class(name: &str, class: &RequestClass, streamed: bool) -> Value {
+    let mut object = json!({
+        keys::NAME: name,
+        keys::IDEMPOTENCY: idempotency_name(class.idempotency),
+        keys::DEDUPLICATION_SCOPE: deduplication_scope_name(class.deduplication_scope),
+        keys::DEDUPLICATION_WINDOW_MS: ms_from_micros(class.deduplication_window),
+        keys::PRIORITY_WEIGHT: class.priority_weight,
+        keys::LATE_VALUE: class.late_value,
+        keys::LATENCY_OBJECTIVE_MS: ms_from_micros(class.latency_objective),
+        keys::DEADLINE_MS: ms_from_micros(class.deadline),
+        keys::STREAMED: streamed,
+    });
+    insert_unless_default(
+        &mut object,
+        keys::OBJECTIVE_PER_WORK,
+        class.objective_per_work,
+    );
+    object
+}
+
+fn idempotency_name(idempotency: Idempotency) -> &'static str {
+    match idempotency {
+        Idempotency::Idempotent => IDEMPOTENT,
+        Idempotency::IdempotencyKey => IDEMPOTENCY_KEY,
+        Idempotency::NonIdempotent => NON_IDEMPOTENT,
+    }
+}
+
+fn deduplication_scope_name(scope: DeduplicationScope) -> &'static str {
+    match scope {
+        DeduplicationScope::All => ALL_SERVERS,
+        DeduplicationScope::Zone => SAME_ZONE,
+        DeduplicationScope::Cell => SAME_CELL,
+    }
+}
--- a/crates/platform/src/settings/transport.rs
+++ b/crates/platform/src/settings/transport.rs
@@ -14,6 +14,11 @@
 /// Time for which a draining server still accepts requests, where the settings name none.
 const DEFAULT_DRAIN_GRACE_MS: f64 = 2_000.0;
 
+/// The settings' word for [`MembershipMode::OnRequest`].
+const ON_REQUEST: &str = "on_request";
+/// The settings' word for [`MembershipMode::Pushed`].
+const PUSHED: &str = "pushed";
+
 /// How changes of the endpoint list reach a balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MembershipMode {
@@ -37,12 +42,21 @@
                 .optional_text()?
                 .as_deref()
             {
-                Some("on_request") => Self::OnRequest,
-                Some("pushed") => Self::Pushed,
+                Some(ON_REQUEST) => Self::OnRequest,
+                Some(PUSHED) => Self::Pushed,
                 _ => Self::Unspecified,
             },
         )
     }
+
+    /// The settings' word for the mode; `None` where no mode is named.
+    pub(super) fn name(self) -> Option<&'static str> {
+        match self {
+            Self::OnRequest => Some(ON_REQUEST),
+            Self::Pushed => Some(PUSHED),
+            Self::Unspecified => None,
+        }
+    }
 }
 
 /// Times and modes of connections to servers and to discovery.
--- a/crates/platform/src/settings/values.rs
+++ b/crates/platform/src/settings/values.rs
@@ -1,8 +1,10 @@
-//! Optional values of the settings, with their defaults.
+//! Optional values of the settings, with their defaults. Owns how an absent value is read and when a
+//! value is left out; which keys exist is known by the callers.
 
 use std::time::Duration;
 
 use arrowstand_balancer::Micros;
+use serde_json::Value;
 
 use crate::error::KeyError;
 use crate::json::Node;
@@ -34,3 +36,13 @@
         node.optional_number()?.unwrap_or(default_ms),
     ))
 }
+
+/// Adds a value to a JSON object unless it is what a reader takes an absent key for.
+pub(super) fn insert_unless_default<T>(object: &mut Value, key: &str, value: T)
+where
+    T: Default + PartialEq + Into<Value>,
+{
+    if value != T::default() {
+        object[key] = value.into();
+    }
+}
--- a/crates/platform/src/units.rs
+++ b/crates/platform/src/units.rs
@@ -12,7 +12,18 @@
     (milliseconds * MICROS_PER_MILLISECOND).round() as Micros
 }
 
-/// The same as a [`Duration`].
+/// Microseconds as milliseconds; [`micros_from_ms`] gives the same microseconds again up to 2^51.
+pub(crate) fn ms_from_micros(micros: Micros) -> f64 {
+    micros as f64 / MICROS_PER_MILLISECOND
+}
+
+/// The whole microseconds of a duration as milliseconds; what does not fit becomes the largest
+/// time.
+pub(crate) fn ms_from_duration(duration: Duration) -> f64 {
+    ms_from_micros(Micros::try_from(duration.as_micros()).unwrap_or(Micros::MAX))
+}
+
+/// Milliseconds as a [`Duration`], rounded as [`micros_from_ms`] does.
 pub fn duration_from_ms(milliseconds: f64) -> Duration {
     Duration::from_micros(micros_from_ms(milliseconds))
 }
