--- a/crates/adapter/src/host/instance.rs
+++ b/crates/adapter/src/host/instance.rs
@@ -53,7 +53,7 @@
         if let Some(&id) = self.server_ids.get(name) {
             return ServerId(id);
         }
-        let id = self.servers.len() as u32;
+        let id = id_from_index(self.servers.len());
         self.server_ids.insert(name.to_owned(), id);
         self.servers.push(name.to_owned());
         ServerId(id)
@@ -61,13 +61,15 @@
 
     /// The name of a server; empty for an id that was never given out.
     pub(super) fn server_name(&self, id: ServerId) -> &str {
-        self.servers.get(id.0 as usize).map_or("", String::as_str)
+        let index = usize::try_from(id.0).ok();
+        let name = index.and_then(|index| self.servers.get(index));
+        name.map_or("", String::as_str)
     }
 
     /// The id of a request class of the settings.
     pub(super) fn class_id(&self, name: &str) -> Option<ClassId> {
         let index = self.classes.iter().position(|class| class == name)?;
-        Some(ClassId(index as u16))
+        u16::try_from(index).ok().map(ClassId)
     }
 
     /// An entry of an endpoint table with names interned.
@@ -89,7 +91,7 @@
             self.zones.push(name.to_owned());
             self.zones.len() - 1
         });
-        index as u32
+        id_from_index(index)
     }
 
     /// A load report from its row of numbers.
@@ -97,3 +99,8 @@
         self.load_report.extract(row?)
     }
 }
+
+/// The id of the name at an index. Names fill the memory long before their ids end.
+fn id_from_index(index: usize) -> u32 {
+    u32::try_from(index).unwrap_or(u32::MAX)
+}
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -2,6 +2,7 @@
 //! endpoint list. No I/O and no clock: events and times are passed in, and verdicts are returned.
 //! Nothing here depends on a protocol.
 
+mod convert;
 pub mod list_freshness;
 mod machine_catalogue;
 mod work_aware_balancer;
--- a/crates/control/src/machine_catalogue.rs
+++ b/crates/control/src/machine_catalogue.rs
@@ -6,6 +6,8 @@
 
 use arrowstand_balancer::MachineType;
 
+use crate::convert::f64_from_count;
+
 /// Machine types that get an id of their own. Guards against memory that grows with the endpoint
 /// list.
 const MAX_MACHINE_TYPES: usize = 256;
@@ -45,7 +47,7 @@
     }
 
     fn mean(&self, of: fn(&MachineType) -> f64) -> f64 {
-        let count = self.types.len() as f64;
+        let count = f64_from_count(self.types.len());
         self.types
             .iter()
             .map(|(_, machine)| of(machine))
@@ -55,8 +57,9 @@
 
     /// Adds a type under the next id; [`NO_TYPE_ID`] is never given out.
     fn add(&mut self, model: String, capacity: MachineType) -> MachineType {
+        let types_before = u32::try_from(self.types.len()).unwrap_or(u32::MAX);
         let machine = MachineType {
-            id: self.types.len() as u32 + 1,
+            id: types_before.saturating_add(1),
             ..capacity
         };
         self.types.push((model, machine));
--- a/crates/control/src/work_aware_balancer.rs
+++ b/crates/control/src/work_aware_balancer.rs
@@ -13,6 +13,7 @@
     Settings, SettingsError,
 };
 
+use crate::convert::{f64_from_micros, truncate_to_micros};
 use crate::work_estimator::{SendSample, WorkEstimator};
 
 /// Fraction of the mean work of a class that becomes the work hint of a request. Hints are compared
@@ -80,9 +81,7 @@
     fn on_request_arrived(&mut self, request: &mut IncomingRequest) {
         let expected = self.work.expected_work(request.class);
         // A hint from the client takes precedence over the estimate.
-        request.work_hint = request
-            .work_hint
-            .or(expected.map(|work| ((work as f64 * WORK_HINT_FRACTION) as Micros).max(1)));
+        request.work_hint = request.work_hint.or(expected.map(hint_from_expected_work));
         self.open_requests.insert(
             request.id,
             OpenRequest {
@@ -95,7 +94,7 @@
     fn on_attempt_ended(&mut self, end: &AttemptEnd) {
         if end.outcome == Outcome::Served
             && let Some(open) = self.open_requests.get(&end.request)
-            && let Some(sent) = open.attempts.get(end.attempt as usize)
+            && let Some(sent) = sample_of_attempt(open, end.attempt)
         {
             self.work.on_attempt_served(open.class, sent, end.elapsed);
         }
@@ -127,5 +126,16 @@
     }
 }
 
+/// The hint of a request whose class takes that much work on average; never zero.
+fn hint_from_expected_work(work: Micros) -> Micros {
+    truncate_to_micros(f64_from_micros(work) * WORK_HINT_FRACTION).max(1)
+}
+
+/// What was known as an attempt of a request was sent; attempts are numbered from 0.
+fn sample_of_attempt(request: &OpenRequest, attempt: u32) -> Option<&SendSample> {
+    let index = usize::try_from(attempt).ok()?;
+    request.attempts.get(index)
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/control/src/work_estimator.rs
+++ b/crates/control/src/work_estimator.rs
@@ -13,6 +13,8 @@
 
 use arrowstand_balancer::{ClassId, LoadReport, Micros, ServerId};
 
+use crate::convert::{f64_from_micros, truncate_to_micros};
+
 /// A load report describes a server for this many microseconds. Queues change within tens of
 /// milliseconds.
 const MAX_REPORT_AGE: Micros = 20_000;
@@ -166,13 +168,16 @@
         self.mean_latency_factor
             .record(latency_factor, WORK_SAMPLE_WEIGHT);
         let mean = self.mean_latency_factor.value.max(MIN_LATENCY_FACTOR);
-        work.record(elapsed as f64 / (latency_factor / mean), WORK_SAMPLE_WEIGHT);
+        work.record(
+            f64_from_micros(elapsed) / (latency_factor / mean),
+            WORK_SAMPLE_WEIGHT,
+        );
         let expected = work.value;
         if work.samples >= MIN_SAMPLES
             && expected > 0.0
             && let Some(estimate) = self.servers.get_mut(&sent.server)
         {
-            let ratio = (elapsed as f64 / expected).min(MAX_SAMPLE_RATIO);
+            let ratio = (f64_from_micros(elapsed) / expected).min(MAX_SAMPLE_RATIO);
             estimate.latency_factor.record(ratio, LATENCY_SAMPLE_WEIGHT);
         }
     }
@@ -185,7 +190,7 @@
             .work_by_class
             .iter()
             .all(|class| class.samples >= MIN_SAMPLES);
-        (all_known && work.value >= 1.0).then_some(work.value as Micros)
+        (all_known && work.value >= 1.0).then_some(truncate_to_micros(work.value))
     }
 
     /// Response time of a server relative to an average one; `None` until it has enough samples.
--- a/crates/platform/src/endpoint_list.rs
+++ b/crates/platform/src/endpoint_list.rs
@@ -12,6 +12,7 @@
 use crate::error::{KeyError, KeyProblem, ReadError};
 use crate::json::{self, Node};
 use crate::keys::{endpoint, endpoint_list};
+use crate::number::{truncate_to_u32, truncate_to_u64};
 
 /// The latest start time that is believed, in Unix milliseconds: the year 5138. A later one would
 /// overflow the balancer's clock once a duration is added to it.
@@ -76,7 +77,7 @@
     /// The revision is missing, or a value outside the entries has the wrong type.
     pub fn read(node: &Node) -> Result<Self, KeyError> {
         let mut list = Self {
-            revision: node.at(endpoint_list::REVISION).number()? as u64,
+            revision: truncate_to_u64(node.at(endpoint_list::REVISION).number()?),
             kind: read_list_kind(&node.at(endpoint_list::IS_FULL))?,
             ..Self::default()
         };
@@ -117,7 +118,7 @@
                 .at(endpoint::MACHINE_TYPE)
                 .optional_text()?
                 .unwrap_or_default(),
-            cell: node.at(endpoint::CELL).optional_number()?.unwrap_or(0.0) as u32,
+            cell: truncate_to_u32(node.at(endpoint::CELL).optional_number()?.unwrap_or(0.0)),
             status: read_status(&node.at(endpoint::STATUS))?,
             started_at,
         })
@@ -142,7 +143,7 @@
 
 /// Cuts off what is below a microsecond, unlike [`micros_from_ms`](crate::micros_from_ms).
 fn micros_from_start_ms(start_ms: f64) -> Micros {
-    (start_ms * MICROS_PER_MS) as Micros
+    truncate_to_u64(start_ms * MICROS_PER_MS)
 }
 
 fn read_status(node: &Node) -> Result<EndpointStatus, KeyError> {
--- a/crates/platform/src/endpoint_list/writer.rs
+++ b/crates/platform/src/endpoint_list/writer.rs
@@ -6,6 +6,7 @@
 use super::{DRAINING, EndpointList, ListKind, ListedEndpoint, MICROS_PER_MS, READY, REMOVED};
 use super::{UNKNOWN_START_MS, micros_from_start_ms};
 use crate::keys::{endpoint, endpoint_list};
+use crate::number::nearest_f64;
 
 /// The size that every server is listed with, which says that all are alike. No reader uses it.
 const CAPACITY_HINT: f64 = 1.0;
@@ -55,7 +56,7 @@
 /// microsecond; where the nearest number of milliseconds is read as an earlier microsecond, the next
 /// larger number is taken.
 fn start_ms_from_micros(started_at: Micros) -> f64 {
-    let nearest_ms = started_at as f64 / MICROS_PER_MS;
+    let nearest_ms = nearest_f64(started_at) / MICROS_PER_MS;
     if micros_from_start_ms(nearest_ms) < started_at {
         f64::from_bits(nearest_ms.to_bits() + 1)
     } else {
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -11,6 +11,7 @@
 pub mod json;
 mod keys;
 pub mod load_report;
+mod number;
 pub mod settings;
 mod units;
 
--- /dev/null
+++ b/crates/platform/src/number.rs
@@ -0,0 +1,34 @@
+//! Conversions between floating-point numbers, which are all that JSON's reader has, and integers.
+//! Owns what happens to a number that does not fit; units are known by [`units`](crate::units).
+
+/// Cuts off the fraction. NaN and negative numbers become 0, numbers above the range the largest.
+#[expect(
+    clippy::cast_possible_truncation,
+    clippy::cast_sign_loss,
+    reason = "a cast from f64 saturates, as documented"
+)]
+pub(crate) fn truncate_to_u32(number: f64) -> u32 {
+    number as u32
+}
+
+/// Cuts off the fraction. NaN and negative numbers become 0, numbers above the range the largest.
+#[expect(
+    clippy::cast_possible_truncation,
+    clippy::cast_sign_loss,
+    reason = "a cast from f64 saturates, as documented"
+)]
+pub(crate) fn truncate_to_u64(number: f64) -> u64 {
+    number as u64
+}
+
+/// The nearest floating-point number; equal up to 2^53.
+#[expect(
+    clippy::cast_precision_loss,
+    reason = "rounds to the nearest, as documented"
+)]
+pub(crate) fn nearest_f64(number: u64) -> f64 {
+    number as f64
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -78,12 +78,13 @@
         let own_zone = conf.at(keys::settings::ZONE).optional_text()?;
         let zone = zones
             .iter()
-            .position(|zone| Some(zone) == own_zone.as_ref());
+            .position(|zone| Some(zone) == own_zone.as_ref())
+            .and_then(|index| u32::try_from(index).ok());
         let report = ReportSettings::read(&conf.at(keys::settings::REPORT))?;
         let base = Settings {
             classes,
             identity: BalancerIdentity {
-                zone: zone.map_or(UNKNOWN_ZONE, |index| index as u32),
+                zone: zone.unwrap_or(UNKNOWN_ZONE),
                 ..BalancerIdentity::default()
             },
             host: HostCapabilities {
@@ -133,8 +134,8 @@
     let safety = conf.at(keys::settings::SAFETY);
     let fees = conf.at(keys::settings::FEES);
     let identity = BalancerIdentity {
-        index: number_or(&conf.at(keys::settings::BALANCER_INDEX), 0.0)? as u32,
-        count: number_or(&conf.at(keys::settings::BALANCER_COUNT), 1.0)? as u32,
+        index: count_or(&conf.at(keys::settings::BALANCER_INDEX), 0)?,
+        count: count_or(&conf.at(keys::settings::BALANCER_COUNT), 1)?,
         ..base.identity
     };
     let step = time_or(&conf.at(keys::settings::STEP_MS), base.step)?;
--- a/crates/platform/src/settings/values.rs
+++ b/crates/platform/src/settings/values.rs
@@ -8,6 +8,7 @@
 
 use crate::error::KeyError;
 use crate::json::Node;
+use crate::number::truncate_to_u32;
 use crate::units::{duration_from_ms, micros_from_ms};
 
 /// A boolean that is false where the key is absent.
@@ -22,7 +23,7 @@
 
 /// A count; a fraction is cut off, and a number that does not fit becomes the largest one.
 pub(super) fn count_or(node: &Node, default: u32) -> Result<u32, KeyError> {
-    Ok(number_or(node, f64::from(default))? as u32)
+    Ok(truncate_to_u32(number_or(node, f64::from(default))?))
 }
 
 /// A time in milliseconds; the default is in microseconds.
--- a/crates/platform/src/units.rs
+++ b/crates/platform/src/units.rs
@@ -4,17 +4,19 @@
 
 use arrowstand_balancer::Micros;
 
+use crate::number::{nearest_f64, truncate_to_u64};
+
 const MICROS_PER_MILLISECOND: f64 = 1_000.0;
 
 /// Milliseconds, possibly fractional, as whole microseconds, rounded. Negative numbers and NaN
 /// become zero, numbers that do not fit become the largest time.
 pub fn micros_from_ms(milliseconds: f64) -> Micros {
-    (milliseconds * MICROS_PER_MILLISECOND).round() as Micros
+    truncate_to_u64((milliseconds * MICROS_PER_MILLISECOND).round())
 }
 
 /// Microseconds as milliseconds; [`micros_from_ms`] gives the same microseconds again up to 2^51.
 pub(crate) fn ms_from_micros(micros: Micros) -> f64 {
-    micros as f64 / MICROS_PER_MILLISECOND
+    nearest_f64(micros) / MICROS_PER_MILLISECOND
 }
 
 /// The whole microseconds of a duration as milliseconds; what does not fit becomes the largest
