--- a/crates/platform/src/endpoint_list.rs
+++ b/crates/platform/src/endpoint_list.rs
@@ -13,13 +13,14 @@
 use crate::json::{self, Node};
 use crate::keys::{endpoint, endpoint_list};
 use crate::number::{truncate_to_u32, truncate_to_u64};
+use crate::units::MICROS_PER_MS;
 
-/// The latest start time that is believed, in Unix milliseconds: the year 5138. A later one would
-/// overflow the balancer's clock once a duration is added to it.
+/// The latest start that is accepted, in Unix milliseconds: the year 5138. An entry with a later one
+/// is skipped, as its microseconds could overflow once a duration is added to them.
 const MAX_START_MS: f64 = 1e14;
-/// Starts up to this time, in Unix milliseconds, mean that the list knows none.
+/// The start, in Unix milliseconds, of a server that started long ago or at an unknown time: the
+/// wire page's 0. Later ones are known.
 const UNKNOWN_START_MS: f64 = 0.0;
-const MICROS_PER_MS: f64 = 1_000.0;
 
 /// The list's word for [`EndpointStatus::Ready`].
 const READY: &str = "ready";
--- a/crates/platform/src/endpoint_list/writer.rs
+++ b/crates/platform/src/endpoint_list/writer.rs
@@ -3,10 +3,11 @@
 use arrowstand_balancer::{EndpointStatus, Micros};
 use serde_json::{Value, json};
 
-use super::{DRAINING, EndpointList, ListKind, ListedEndpoint, MICROS_PER_MS, READY, REMOVED};
+use super::{DRAINING, EndpointList, ListKind, ListedEndpoint, READY, REMOVED};
 use super::{UNKNOWN_START_MS, micros_from_start_ms};
 use crate::keys::{endpoint, endpoint_list};
 use crate::number::nearest_f64;
+use crate::units::MICROS_PER_MS;
 
 /// The size that every server is listed with, which says that all are alike. No reader uses it.
 const CAPACITY_HINT: f64 = 1.0;
--- a/crates/platform/src/json.rs
+++ b/crates/platform/src/json.rs
@@ -1,5 +1,8 @@
 //! JSON by tinyjson: a parser with a bound on nesting, and typed access to keys with errors that
 //! name the key.
+//!
+//! Owns the types of values and the paths in errors. Which keys there are, and what their values
+//! mean, is known by the readers of each document.
 
 use std::collections::HashMap;
 
@@ -9,7 +12,9 @@
 
 /// Depth of open brackets and braces after each byte of the text.
 fn depths(text: &[u8]) -> impl Iterator<Item = usize> {
-    let (mut depth, mut in_string, mut escaped) = (0usize, false, false);
+    let mut depth = 0_usize;
+    let mut in_string = false;
+    let mut escaped = false;
     text.iter().map(move |byte| {
         match byte {
             _ if escaped => escaped = false,
@@ -28,8 +33,8 @@
     depths(text).last().unwrap_or_default()
 }
 
-/// Parses a text whose nesting is at most `max_depth`. Guards against input nested so deep that
-/// tinyjson, which recurses, would overflow the stack.
+/// Parses a text whose nesting is at most `max_depth`. tinyjson recurses once for each level, so a
+/// deeper text from the network could overflow the stack.
 ///
 /// # Errors
 /// The text is nested deeper, or is not JSON.
--- a/crates/platform/src/load_report.rs
+++ b/crates/platform/src/load_report.rs
@@ -27,7 +27,8 @@
 /// Reads a report such as `inflight=7,queue=2,eps=0.5`; `None` where a part cannot be read or the
 /// requests in flight are absent. Unknown fields are skipped, and an absent queue counts as empty.
 pub fn read_report(text: &str) -> Option<LoadReport> {
-    let (mut in_flight, mut queued) = (None, 0.0);
+    let mut in_flight = None;
+    let mut queued = 0.0;
     for part in text.trim().split(',') {
         let (name, value) = part.split_once('=')?;
         let value: f64 = value
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -7,6 +7,7 @@
 //! keys of a group that it does not read, whatever their values. [`SettingsDocument`] writes all
 //! three.
 
+mod balancer;
 mod document;
 mod request_class;
 mod simulator;
@@ -14,22 +15,22 @@
 mod values;
 
 use arrowstand_balancer::{
-    BalancerIdentity, Fees, HostCapabilities, Micros, PollingSettings, RetrySettings, Settings,
-    SlowStartSettings,
+    BalancerIdentity, HostCapabilities, Micros, RequestClass, RetrySettings, Settings,
 };
 
 use crate::error::KeyError;
 use crate::json::Node;
 use crate::keys;
 use crate::load_report::LoadReportLayout;
+use balancer::read_balancer_settings;
 use request_class::read_request_class;
-use values::{count_or, flag, number_or, time_or};
 
 pub use document::SettingsDocument;
 pub use simulator::SimulatorFeatures;
 pub use transport::{MembershipMode, TransportSettings};
 
-/// The zone of a balancer that is in none of the settings' zones.
+/// The zone of a balancer that is in none of the settings' zones. Zones are numbered from 0 in the
+/// order in which they are named, so no server's zone has this number.
 const UNKNOWN_ZONE: u32 = u32::MAX;
 
 /// The value of a request counts for each unit of its work.
@@ -65,26 +66,14 @@
     /// # Errors
     /// Names the first key whose value cannot be used. Ranges are left to [`Settings::validate`].
     pub fn read(conf: &Node, default_max_retry_after: Micros) -> Result<Self, KeyError> {
-        let mut classes = Vec::new();
-        let mut class_names = Vec::new();
-        for node in conf.at(keys::settings::REQUEST_CLASSES).items()? {
-            classes.push(read_request_class(&node)?);
-            class_names.push(node.at(keys::request_class::NAME).text()?);
-        }
-        let mut zones = Vec::new();
-        for zone in conf.at(keys::settings::ZONES).items()? {
-            zones.push(zone.text()?);
-        }
+        let (class_names, classes) = read_request_classes(conf)?;
+        let zones = read_zones(conf)?;
         let own_zone = conf.at(keys::settings::ZONE).optional_text()?;
-        let zone = zones
-            .iter()
-            .position(|zone| Some(zone) == own_zone.as_ref())
-            .and_then(|index| u32::try_from(index).ok());
         let report = ReportSettings::read(&conf.at(keys::settings::REPORT))?;
         let base = Settings {
             classes,
             identity: BalancerIdentity {
-                zone: zone.unwrap_or(UNKNOWN_ZONE),
+                zone: zone_index(&zones, own_zone.as_deref()),
                 ..BalancerIdentity::default()
             },
             host: HostCapabilities {
@@ -107,6 +96,31 @@
     }
 }
 
+/// The request classes and their names, in the order of the settings.
+fn read_request_classes(conf: &Node) -> Result<(Vec<String>, Vec<RequestClass>), KeyError> {
+    let read = |node: &Node| {
+        // The order of the reads decides which of two bad keys is reported.
+        let class = read_request_class(node)?;
+        let name = node.at(keys::request_class::NAME).text()?;
+        Ok((name, class))
+    };
+    let classes = conf.at(keys::settings::REQUEST_CLASSES).items()?;
+    classes.iter().map(read).collect()
+}
+
+fn read_zones(conf: &Node) -> Result<Vec<String>, KeyError> {
+    let zones = conf.at(keys::settings::ZONES).items()?;
+    zones.iter().map(Node::text).collect()
+}
+
+/// Number of the balancer's own zone among the zones.
+fn zone_index(zones: &[String], own: Option<&str>) -> u32 {
+    let index = zones.iter().position(|zone| Some(zone.as_str()) == own);
+    index
+        .and_then(|index| u32::try_from(index).ok())
+        .unwrap_or(UNKNOWN_ZONE)
+}
+
 /// What the settings say on load reports.
 struct ReportSettings {
     layout: LoadReportLayout,
@@ -126,107 +140,5 @@
     }
 }
 
-/// Fills the single values; `base` has the defaults and all that is no single value.
-///
-/// The order of the reads decides which of several bad keys is reported.
-fn read_balancer_settings(conf: &Node, base: Settings) -> Result<Settings, KeyError> {
-    let permissions = conf.at(keys::settings::PERMISSIONS);
-    let safety = conf.at(keys::settings::SAFETY);
-    let fees = conf.at(keys::settings::FEES);
-    let identity = BalancerIdentity {
-        index: count_or(&conf.at(keys::settings::BALANCER_INDEX), 0)?,
-        count: count_or(&conf.at(keys::settings::BALANCER_COUNT), 1)?,
-        ..base.identity
-    };
-    let step = time_or(&conf.at(keys::settings::STEP_MS), base.step)?;
-    let host = read_host_capabilities(&permissions, base.host)?;
-    let retries = read_retry_settings(&permissions, base.retries)?;
-    let health_check_fee = number_or(&fees.at(keys::fees::HEALTH_CHECK), 0.0)?;
-    let handshake_fee = number_or(&fees.at(keys::fees::HANDSHAKE), 0.0)?;
-    let idle_timeout = time_or(&transport::idle_timeout_key(conf), base.idle_timeout)?;
-    let fees = Fees {
-        health_check: health_check_fee,
-        handshake: handshake_fee,
-        connection: number_or(&fees.at(keys::fees::CONNECTION), 0.0)?,
-        cross_zone: number_or(&fees.at(keys::fees::CROSS_ZONE), 0.0)?,
-    };
-    Ok(Settings {
-        identity,
-        step,
-        host,
-        retries,
-        fees,
-        idle_timeout,
-        weight_by_work: conf
-            .at(keys::settings::WEIGHT_BASIS)
-            .optional_text()?
-            .as_deref()
-            == Some(WEIGHT_BY_WORK),
-        polling: read_polling_settings(&safety, base.polling)?,
-        only_draining_binds: flag(&safety.at(keys::safety::ONLY_DRAINING_BINDS))?,
-        slow_start: read_slow_start_settings(&safety, base.slow_start)?,
-        ..base
-    })
-}
-
-fn read_host_capabilities(
-    permissions: &Node,
-    base: HostCapabilities,
-) -> Result<HostCapabilities, KeyError> {
-    Ok(HostCapabilities {
-        cancellation: flag(&permissions.at(keys::permissions::CANCELLATION))?,
-        health_checks: flag(&permissions.at(keys::permissions::HEALTH_CHECKS))?,
-        gossip: false,
-        retry_after: false,
-        ..base
-    })
-}
-
-fn read_retry_settings(permissions: &Node, base: RetrySettings) -> Result<RetrySettings, KeyError> {
-    let max_retry_after = permissions.at(keys::permissions::MAX_RETRY_AFTER_MS);
-    Ok(RetrySettings {
-        hedging: flag(&permissions.at(keys::permissions::HEDGING))?,
-        max_retry_after: time_or(&max_retry_after, base.max_retry_after)?,
-        max_attempts: count_or(
-            &permissions.at(keys::permissions::MAX_ATTEMPTS),
-            base.max_attempts,
-        )?,
-    })
-}
-
-fn read_polling_settings(
-    safety: &Node,
-    base: PollingSettings,
-) -> Result<PollingSettings, KeyError> {
-    Ok(PollingSettings {
-        required: false,
-        max_interval: time_or(
-            &safety.at(keys::safety::MAX_POLL_INTERVAL_MS),
-            base.max_interval,
-        )?,
-    })
-}
-
-fn read_slow_start_settings(
-    safety: &Node,
-    base: SlowStartSettings,
-) -> Result<SlowStartSettings, KeyError> {
-    Ok(SlowStartSettings {
-        initial_capacity: number_or(
-            &safety.at(keys::safety::INITIAL_CAPACITY),
-            base.initial_capacity,
-        )?,
-        duration: time_or(&safety.at(keys::safety::SLOW_START_MS), base.duration)?,
-        overload_factor: number_or(
-            &safety.at(keys::safety::OVERLOAD_FACTOR),
-            base.overload_factor,
-        )?,
-        overload_window: time_or(
-            &safety.at(keys::safety::OVERLOAD_WINDOW_MS),
-            base.overload_window,
-        )?,
-    })
-}
-
 #[cfg(test)]
 mod tests;
--- a/crates/platform/src/settings/simulator.rs
+++ b/crates/platform/src/settings/simulator.rs
@@ -1,4 +1,6 @@
-//! The settings that only the simulator can honour.
+//! The settings that only the simulator can honour: channels that sockets do not have.
+//!
+//! Owns these keys; the balancer's settings hold none of them until they are applied.
 
 use arrowstand_balancer::Settings;
 
--- a/crates/platform/src/settings/transport.rs
+++ b/crates/platform/src/settings/transport.rs
@@ -1,4 +1,7 @@
-//! The settings of a host that opens connections.
+//! The settings of a host that opens connections: time-outs, the drain grace and the way in which
+//! the endpoint list arrives.
+//!
+//! Owns these keys, their defaults and the check of time-outs; the connections belong to the host.
 
 use std::time::Duration;
 
@@ -7,11 +10,14 @@
 use crate::json::Node;
 use crate::keys;
 
-/// Time for a connection to be established, where the settings name none.
+/// Milliseconds for a connection to be established, where the settings name none; an attempt that
+/// takes longer has failed to connect. The value in the wire page's example.
 const DEFAULT_CONNECT_TIMEOUT_MS: f64 = 200.0;
-/// Time after which servers close an idle connection, where the settings name none.
+/// Milliseconds after which servers close an idle connection, where the settings name none; from
+/// then on a request written to it ends as a reset. The value in the wire page's example.
 const DEFAULT_IDLE_TIMEOUT_MS: f64 = 5_000.0;
-/// Time for which a draining server still accepts requests, where the settings name none.
+/// Milliseconds for which a draining server still accepts requests, where the settings name none; a
+/// request sent later breaks the rule on draining. The value in the wire page's example.
 const DEFAULT_DRAIN_GRACE_MS: f64 = 2_000.0;
 
 /// The settings' word for [`MembershipMode::OnRequest`].
--- a/crates/platform/src/units.rs
+++ b/crates/platform/src/units.rs
@@ -1,4 +1,5 @@
-//! Conversion of the platform's milliseconds to the units of the program.
+//! The platform's milliseconds and the program's microseconds, each converted into the other. Owns
+//! the rounding; what a time bounds is known by its reader.
 
 use std::time::Duration;
 
@@ -6,17 +7,18 @@
 
 use crate::number::{nearest_f64, truncate_to_u64};
 
-const MICROS_PER_MILLISECOND: f64 = 1_000.0;
+/// Microseconds in a millisecond.
+pub(crate) const MICROS_PER_MS: f64 = 1_000.0;
 
 /// Milliseconds, possibly fractional, as whole microseconds, rounded. Negative numbers and NaN
 /// become zero, numbers that do not fit become the largest time.
 pub fn micros_from_ms(milliseconds: f64) -> Micros {
-    truncate_to_u64((milliseconds * MICROS_PER_MILLISECOND).round())
+    truncate_to_u64((milliseconds * MICROS_PER_MS).round())
 }
 
 /// Microseconds as milliseconds; [`micros_from_ms`] gives the same microseconds again up to 2^51.
 pub(crate) fn ms_from_micros(micros: Micros) -> f64 {
-    nearest_f64(micros) / MICROS_PER_MILLISECOND
+    nearest_f64(micros) / MICROS_PER_MS
 }
 
 /// The whole microseconds of a duration as milliseconds; what does not fit becomes the largest
