--- a/crates/control/src/convert.rs
+++ b/crates/control/src/convert.rs
@@ -3,8 +3,8 @@
 
 use arrowstand_balancer::Micros;
 
-/// Whole microseconds: the fraction is cut off, NaN and negative numbers become 0, numbers above the
-/// range the largest time.
+/// Whole microseconds: the fraction is cut off, NaN and negative numbers become 0, numbers above
+/// the range the largest time.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,6 +1,8 @@
 //! Control decisions outside the balancer: work estimates, machine types and the freshness of the
-//! endpoint list. No I/O and no clock: events and times are passed in, and verdicts are returned.
-//! Nothing here depends on a protocol.
+//! endpoint list.
+//!
+//! Owns what is learnt and judged beside the balancer's own decisions. No I/O and no clock: events
+//! and times are passed in, and verdicts are returned. Nothing here depends on a protocol.
 
 mod convert;
 pub mod list_freshness;
--- a/crates/control/src/list_freshness/mod.rs
+++ b/crates/control/src/list_freshness/mod.rs
@@ -1,9 +1,23 @@
 //! How long the endpoint list may be trusted: until when an attempt may be sent although the list
 //! may hide that its server is draining. Owns that one instant; the endpoints themselves are owned
-//! by the balancer.
+//! by the balancer, the watch and its time-outs by the sidecar's discovery.
 //!
 //! A drain counts as notified at a time that the platform states, whether or not the notification
-//! arrived. From then on the server accepts requests for the drain grace only.
+//! arrived. From then on the server accepts requests for the drain grace only, of which attempts
+//! may use the slack. With the bounds of [`StalenessBounds`] the law is
+//!
+//! ```text
+//! trusted until   = max(min(silent from, unanswered from), last served attempt's begin + slack)
+//!
+//! silent from     = last event   + watch silence     + slack   the watch fell silent
+//!                 = relocation   + relocation delay  + slack   discovery was relocated
+//!                                                              (the earlier, where both hold)
+//! unanswered from = known until                      + slack   lists are pushed, a poll pending
+//!                 = poll's begin + max poll interval + slack   lists are polled, a poll pending
+//! ```
+//!
+//! A term whose condition does not hold is absent; without both of the first two the list is what
+//! discovery has and is trusted without bound. A watch event clears both.
 
 use arrowstand_balancer::Micros;
 
@@ -31,11 +45,12 @@
     /// Where lists are pushed: until then only what the list shows counts as notified.
     known_until: Micros,
     /// Set when a watch falls silent or discovery is relocated, cleared by the next watch event:
-    /// when a drain that the list hides may take effect.
+    /// the earliest time at which a drain that the list hides may forbid attempts.
     silent_from: Option<Micros>,
     /// The same for a poll that is not answered yet.
     unanswered_from: Option<Micros>,
-    /// Discovery was relocated, and nothing has come from the new address yet.
+    /// Discovery was relocated, and nothing has come from the new address yet: until then a refused
+    /// connection means that nothing listens there.
     relocated: bool,
 }
 
@@ -71,10 +86,10 @@
 
     /// A watch or a call ended, other than by silence.
     pub fn on_watch_ended(&mut self, now: Micros) {
-        // Guards against an outage that stops all service: a call that fails at once shows that
-        // discovery is down, and then there is nothing to be notified of. One that failed after its
+        // A call that fails at once shows that discovery is down, and then there is nothing to be
+        // notified of: an outage of discovery must not stop all service. One that failed after its
         // time shows that discovery is there and overloaded. Where lists are polled, a failed call
-        // keeps the old list valid for four times as long.
+        // keeps the old list valid for four times as long (`safety.ask-every-ms`).
         if !self.bounds.pushed || self.unanswered_from.is_some_and(|from| now < from) {
             self.unanswered_from = None;
         }
--- a/crates/control/src/machine_catalogue.rs
+++ b/crates/control/src/machine_catalogue.rs
@@ -1,15 +1,20 @@
-//! The machine types of the fleet and their capacity. Types in the operator's table have the
-//! capacity stated there. Any other type counts as the mean of the table and gets an id of its own,
-//! so that what is learnt of one machine applies to all of its type.
+//! The machine types of the fleet and their capacity.
 //!
-//! Owns the numbering of the types; the format of the operator's table is read by the sidecar.
+//! A type in the operator's table has the capacity stated there. Any other type counts as the mean
+//! of the table, or as the balancer's default without a table. Each name has an id of its own, in
+//! the order in which names are first seen, so that what is learnt of one machine applies to all of
+//! its type; an empty name, and one that comes after `MAX_MACHINE_TYPES` others, has none.
+//!
+//! Owns the numbering of the types; the format of the operator's table is read by the sidecar, and
+//! what is learnt by type is kept by the balancer.
 
 use arrowstand_balancer::MachineType;
 
 use crate::convert::f64_from_count;
 
-/// Machine types that get an id of their own. Guards against memory that grows with the endpoint
-/// list.
+/// Machine types that get an id of their own. Endpoint lists come from the network, and a list that
+/// invented names would otherwise fill the memory; types beyond the bound share the id of machines
+/// without one. A fleet has a handful of types, so the bound is far above any real one.
 const MAX_MACHINE_TYPES: usize = 256;
 /// Id of machines without a type of their own.
 const NO_TYPE_ID: u32 = 0;
--- a/crates/control/src/work_aware_balancer.rs
+++ b/crates/control/src/work_aware_balancer.rs
@@ -1,7 +1,15 @@
-//! The balancer together with the work estimator: the work of requests is learnt from the events
-//! that pass, and each arriving request gets the expected work of its class as a hint. Every host
-//! (sidecar, adapter, testbed) runs this type in place of a bare [`Balancer`], so that all of them
-//! run the same code.
+//! The balancer together with the work estimator. Every host (sidecar, adapter, testbed) runs this
+//! type in place of a bare [`Balancer`], so that all of them run the same code.
+//!
+//! An arriving request that brings no work hint of its own gets
+//!
+//! ```text
+//! work hint = max(1 us, WORK_HINT_FRACTION * expected work of its class)
+//! ```
+//!
+//! and none while the estimator knows no expected work. Each attempt that the balancer sends takes
+//! a sample of its server's queue, and each attempt that was served hands its sample and its
+//! response time to the estimator. A request is forgotten with its final response.
 //!
 //! Owns the link between requests, their attempts and the samples; the estimates are owned by
 //! [`WorkEstimator`], the decisions by [`Balancer`].
@@ -16,11 +24,13 @@
 use crate::convert::{f64_from_micros, truncate_to_micros};
 use crate::work_estimator::{SendSample, WorkEstimator};
 
-/// Fraction of the mean work of a class that becomes the work hint of a request. Hints are compared
-/// with each other, so the fraction changes only one decision: the balancer rejects a request at
-/// once whose hint exceeds its time left. Guards against rejecting requests with little time left
-/// of which many would have been served, as most works lie far below the mean: of exponential ones
-/// a fifth lie below a quarter of it.
+/// Fraction of the mean work of a class that becomes the work hint of a request; no unit.
+///
+/// Hints are compared with each other, so the fraction changes only one decision: the balancer
+/// rejects a request at once whose hint exceeds its time left. With 1, requests with little time
+/// left were rejected of which many would have been served, as most works lie far below the mean;
+/// of exponential works a fifth lie below a quarter of it. Smaller fractions send requests that
+/// cannot be served in time. Source: `docs/losses.md`, on clients with little time.
 const WORK_HINT_FRACTION: f64 = 0.25;
 
 /// A request without a final response: its class, and a sample for each attempt in the order of the
--- a/crates/control/src/work_estimator.rs
+++ b/crates/control/src/work_estimator.rs
@@ -1,10 +1,18 @@
 //! Estimates the work of each request class and the relative latency of each server.
 //!
 //! The response time of a request that had to queue says little about its work. Therefore only
-//! attempts count that went to a server whose latest load report showed an empty queue. The work of
-//! a class is the mean response time of those attempts, each divided by the latency factor of its
-//! server; the latency factor of a server is the mean ratio of response time to the work of the
-//! class. Both means are robust: one sample counts as at most a few times the expected value.
+//! attempts count that went to a server whose latest load report showed an empty queue. Of those,
+//!
+//! ```text
+//! work(class)            = mean of  response time / (latency factor(server) / mean latency factor)
+//! latency factor(server) = mean of  response time / work(class)
+//! mean latency factor    = mean of  latency factor(server)
+//! ```
+//!
+//! Each is a moving mean in which one sample counts as at most `MAX_SAMPLE_RATIO` times the present
+//! value. The factors are taken relative to their own mean, since work that rises while all factors
+//! fall would fit every sample equally well. What the estimates are worth is told in
+//! `docs/losses.md`, with the options that were considered.
 //!
 //! This module owns these estimates. Which requests and attempts exist is tracked by
 //! [`WorkAwareBalancer`](crate::WorkAwareBalancer).
@@ -15,25 +23,35 @@
 
 use crate::convert::{f64_from_micros, truncate_to_micros};
 
-/// A load report describes a server for this many microseconds. Queues change within tens of
-/// milliseconds.
+/// Microseconds for which a load report describes a server's queue; attempts that are sent later do
+/// not count. Longer, and attempts that queued would count as work, since queues change within tens
+/// of milliseconds; shorter, and few attempts would count. Chosen, not measured.
 const MAX_REPORT_AGE: Micros = 20_000;
-/// Requests in the queue below which a server counts as idle: less than one, as reports are noisy.
+/// Queued requests below which a server counts as idle: less than one, as reports are noisy. From
+/// here on an attempt may have to wait and does not count.
 const MAX_IDLE_QUEUE: f64 = 0.5;
-/// Samples after which an estimate is used.
+/// Samples from which on an estimate is used; below, there is none. Chosen, not measured.
 const MIN_SAMPLES: u32 = 20;
-/// Samples that a mean takes in unbounded: before, its value is no measure of what to expect.
+/// Samples that a mean takes in as they are; later ones are bounded by [`MAX_SAMPLE_RATIO`]. Of so
+/// few the mean is no measure of what to expect, and a bound by it would keep it near the first.
 const UNBOUNDED_SAMPLES: u32 = 5;
-/// Weight of a new sample in the work of a class, once there are many samples.
+/// Weight of a new sample in the work of a class, once there are more than its inverse; before, a
+/// sample weighs as in the plain mean. Larger follows changes faster and is noisier. Chosen, not
+/// measured.
 const WORK_SAMPLE_WEIGHT: f64 = 0.01;
-/// Weight of a new sample in the latency factor of a server: servers change faster than classes do.
+/// The same for the latency factor of a server: larger, as servers change faster than classes do.
 const LATENCY_SAMPLE_WEIGHT: f64 = 0.05;
-/// One sample counts as at most this multiple of the expected value: a costly request in fifty, 26
-/// times the usual work, then moves the mean by a few per cent and not by half.
+/// Most that one sample counts as, in multiples of the present mean. A costly request in fifty, 26
+/// times the usual work, then moves the mean by a few per cent and not by half; with a larger
+/// multiple it moves it further, with a smaller one the mean is slow to follow a rise. A response
+/// time relative to the work of its class is bounded by it too. Source: `docs/losses.md`, on
+/// knowing the work.
 const MAX_SAMPLE_RATIO: f64 = 4.0;
-/// Smallest latency factor that is divided by. Guards against an estimate that grows without bound.
+/// Smallest latency factor that is divided by: a twentieth of an average server's. A factor near
+/// zero would make the work that is computed from it grow without bound.
 const MIN_LATENCY_FACTOR: f64 = 0.05;
-/// Servers whose latency factor is kept; the one with the oldest load report is evicted.
+/// Servers of which something is kept; beyond, the one with the oldest load report is evicted.
+/// Bounds the memory where servers come and go; far above the size of a subset.
 const MAX_SERVERS: usize = 4_096;
 
 /// What was known of the server when an attempt began; kept by the caller until the attempt ends.
@@ -63,6 +81,11 @@
         };
         self.value += weight * (bounded - self.value);
     }
+
+    /// True once the mean is used as an estimate.
+    fn has_enough_samples(&self) -> bool {
+        self.samples >= MIN_SAMPLES
+    }
 }
 
 /// What is known of one server.
@@ -92,8 +115,7 @@
 pub struct WorkEstimator {
     work_by_class: Vec<BoundedMean>,
     servers: BTreeMap<ServerId, ServerEstimate>,
-    /// Mean latency factor of the servers that served the counted attempts. Guards against drift:
-    /// work that rises while all latency factors fall would fit every sample equally well.
+    /// Mean latency factor of the servers that served the counted attempts, by attempt.
     mean_latency_factor: BoundedMean,
 }
 
@@ -154,30 +176,36 @@
 
     /// Records that an attempt was served, `elapsed` microseconds after it was sent.
     pub fn on_attempt_served(&mut self, class: ClassId, sent: &SendSample, elapsed: Micros) {
-        let (Some(work), true) = (
-            self.work_by_class.get_mut(usize::from(class.0)),
-            sent.server_idle,
-        ) else {
+        if !sent.server_idle {
+            return;
+        }
+        let elapsed = f64_from_micros(elapsed);
+        let latency_factor = self.server_latency_factor(sent.server);
+        let Some(work) = self.work_by_class.get_mut(usize::from(class.0)) else {
             return;
         };
-        let latency_factor = self
-            .servers
-            .get(&sent.server)
-            .map_or(1.0, |estimate| estimate.latency_factor.value)
-            .max(MIN_LATENCY_FACTOR);
         self.mean_latency_factor
             .record(latency_factor, WORK_SAMPLE_WEIGHT);
         let mean = self.mean_latency_factor.value.max(MIN_LATENCY_FACTOR);
-        work.record(
-            f64_from_micros(elapsed) / (latency_factor / mean),
-            WORK_SAMPLE_WEIGHT,
-        );
+        work.record(elapsed / (latency_factor / mean), WORK_SAMPLE_WEIGHT);
         let expected = work.value;
-        if work.samples >= MIN_SAMPLES
-            && expected > 0.0
-            && let Some(estimate) = self.servers.get_mut(&sent.server)
-        {
-            let ratio = (f64_from_micros(elapsed) / expected).min(MAX_SAMPLE_RATIO);
+        if work.has_enough_samples() && expected > 0.0 {
+            self.record_latency(sent.server, elapsed / expected);
+        }
+    }
+
+    /// What a server's response times are divided by; 1 for one of which nothing is known.
+    fn server_latency_factor(&self, server: ServerId) -> f64 {
+        self.servers
+            .get(&server)
+            .map_or(1.0, |estimate| estimate.latency_factor.value)
+            .max(MIN_LATENCY_FACTOR)
+    }
+
+    /// Records the ratio of an attempt's response time to the work of its class.
+    fn record_latency(&mut self, server: ServerId, ratio: f64) {
+        if let Some(estimate) = self.servers.get_mut(&server) {
+            let ratio = ratio.min(MAX_SAMPLE_RATIO);
             estimate.latency_factor.record(ratio, LATENCY_SAMPLE_WEIGHT);
         }
     }
@@ -189,7 +217,7 @@
         let all_known = self
             .work_by_class
             .iter()
-            .all(|class| class.samples >= MIN_SAMPLES);
+            .all(BoundedMean::has_enough_samples);
         (all_known && work.value >= 1.0).then_some(truncate_to_micros(work.value))
     }
 
@@ -198,7 +226,7 @@
         let estimate = self
             .servers
             .get(&server)
-            .filter(|estimate| estimate.latency_factor.samples >= MIN_SAMPLES)?;
+            .filter(|estimate| estimate.latency_factor.has_enough_samples())?;
         Some(estimate.latency_factor.value / self.mean_latency_factor.value.max(MIN_LATENCY_FACTOR))
     }
 }
--- a/crates/platform/src/endpoint_list.rs
+++ b/crates/platform/src/endpoint_list.rs
@@ -15,8 +15,8 @@
 use crate::number::{truncate_to_u32, truncate_to_u64};
 use crate::units::MICROS_PER_MS;
 
-/// The latest start that is accepted, in Unix milliseconds: the year 5138. An entry with a later one
-/// is skipped, as its microseconds could overflow once a duration is added to them.
+/// The latest start that is accepted, in Unix milliseconds: the year 5138. An entry with a later
+/// one is skipped, as its microseconds could overflow once a duration is added to them.
 const MAX_START_MS: f64 = 1e14;
 /// The start, in Unix milliseconds, of a server that started long ago or at an unknown time: the
 /// wire page's 0. Later ones are known.
--- a/crates/platform/src/endpoint_list/writer.rs
+++ b/crates/platform/src/endpoint_list/writer.rs
@@ -54,8 +54,8 @@
 }
 
 /// The milliseconds that are read as these microseconds. The reader cuts off what is below a
-/// microsecond; where the nearest number of milliseconds is read as an earlier microsecond, the next
-/// larger number is taken.
+/// microsecond; where the nearest number of milliseconds is read as an earlier microsecond, the
+/// next larger number is taken.
 fn start_ms_from_micros(started_at: Micros) -> f64 {
     let nearest_ms = nearest_f64(started_at) / MICROS_PER_MS;
     if micros_from_start_ms(nearest_ms) < started_at {
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -3,8 +3,8 @@
 //! the simulator's adapter and the testbed alike: reading what was written gives the same value.
 //!
 //! Owns the names of the keys, the defaults of missing ones and the messages on bad ones. No I/O:
-//! callers pass text or parsed JSON and get JSON or text. What a host does in spite of its settings is the host's own
-//! matter.
+//! callers pass text or parsed JSON and get JSON or text. What a host does in spite of its settings
+//! is the host's own matter.
 
 pub mod endpoint_list;
 mod error;
--- a/crates/platform/src/load_report.rs
+++ b/crates/platform/src/load_report.rs
@@ -1,8 +1,8 @@
 //! The load reports of servers, in the two forms that the platform has: a header or body of a
 //! server's response, and a row of numbers in the simulator.
 //!
-//! Owns the names of the fields, the readers and the writers. When a report was taken and what follows from it is not known
-//! here.
+//! Owns the names of the fields, the readers and the writers. When a report was taken and what
+//! follows from it is not known here.
 
 use std::fmt;
 
--- a/crates/platform/src/settings/values.rs
+++ b/crates/platform/src/settings/values.rs
@@ -1,5 +1,5 @@
-//! Optional values of the settings, with their defaults. Owns how an absent value is read and when a
-//! value is left out; which keys exist is known by the callers.
+//! Optional values of the settings, with their defaults. Owns how an absent value is read and when
+//! a value is left out; which keys exist is known by the callers.
 
 use std::time::Duration;
 
