--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -16,7 +16,7 @@
 
 use crate::error::HostError;
 use crate::reply::Reply;
-use crate::wire::{Arrival, Batch};
+use crate::wire::{Batch, EventMessage};
 use endpoint_table::EndpointTables;
 use instance::Instance;
 
@@ -35,14 +35,14 @@
     /// # Errors
     /// Stops at the first event that cannot be handled.
     pub(crate) fn run(&mut self, batch: &Batch, reply: &mut Reply) -> Result<(), HostError> {
-        let now = micros_from_ms(batch.clock);
-        for event in &batch.arrivals {
-            if event.msg == "roster" {
+        let now = micros_from_ms(batch.clock_ms);
+        for event in &batch.events {
+            if event.kind == "roster" {
                 self.tables.on_table(event)?;
                 continue;
             }
-            let name = event.required(event.i, "i")?;
-            match event.msg {
+            let name = event.required(event.instance, "i")?;
+            match event.kind {
                 "attach" => {
                     let instance = Instance::attach(event)?;
                     self.instances.insert(name.to_owned(), instance);
@@ -60,7 +60,7 @@
         &mut self,
         now: Micros,
         name: &str,
-        event: &Arrival,
+        event: &EventMessage,
         reply: &mut Reply,
     ) -> Result<(), HostError> {
         let instance = self
--- a/crates/adapter/src/host/endpoint_table.rs
+++ b/crates/adapter/src/host/endpoint_table.rs
@@ -7,17 +7,17 @@
 use arrowstand_platform::micros_from_ms;
 
 use crate::error::EventError;
-use crate::wire::{Arrival, Entry};
+use crate::wire::{EventMessage, TableRow};
 
 /// One server of a table.
 pub(super) struct TableEntry {
     pub(super) server: String,
     pub(super) status: EndpointStatus,
     /// Time of the latest start; `None` if long ago.
-    pub(super) launched_at: Option<Micros>,
+    pub(super) started_at: Option<Micros>,
     pub(super) cell: u32,
     pub(super) zone: String,
-    pub(super) model: String,
+    pub(super) machine_type: String,
 }
 
 /// The tables by number; a table is kept until its number is used again.
@@ -26,13 +26,11 @@
 
 impl EndpointTables {
     /// Keeps the table that an event brings.
-    pub(super) fn on_table(&mut self, event: &Arrival) -> Result<(), EventError> {
+    pub(super) fn on_table(&mut self, event: &EventMessage) -> Result<(), EventError> {
         let number = event.required(event.table, "table")?;
-        let entries = event.required(event.members_list.as_ref(), "members-list")?;
-        let table: Result<Vec<TableEntry>, EventError> = entries
-            .iter()
-            .map(|entry| read_entry(event, entry))
-            .collect();
+        let rows = event.required(event.rows.as_ref(), "members-list")?;
+        let table: Result<Vec<TableEntry>, EventError> =
+            rows.iter().map(|row| read_entry(event, row)).collect();
         self.0.insert(number, table?);
         Ok(())
     }
@@ -43,19 +41,19 @@
     }
 }
 
-fn read_entry(event: &Arrival, entry: &Entry) -> Result<TableEntry, EventError> {
-    let status = match entry.condition {
+fn read_entry(event: &EventMessage, row: &TableRow) -> Result<TableEntry, EventError> {
+    let status = match row.status {
         "in_service" => EndpointStatus::Ready,
         "terminating" => EndpointStatus::Draining,
         "terminated" => EndpointStatus::Removed,
         other => return Err(event.unknown_value("condition", other)),
     };
     Ok(TableEntry {
-        server: entry.server.to_owned(),
+        server: row.server.to_owned(),
         status,
-        launched_at: entry.launched_ms.map(micros_from_ms).filter(|&at| at > 0),
-        cell: entry.pod.unwrap_or(0),
-        zone: entry.area.unwrap_or("").to_owned(),
-        model: entry.model.unwrap_or("").to_owned(),
+        started_at: row.started_at_ms.map(micros_from_ms).filter(|&at| at > 0),
+        cell: row.cell.unwrap_or(0),
+        zone: row.zone.unwrap_or("").to_owned(),
+        machine_type: row.machine_type.unwrap_or("").to_owned(),
     })
 }
--- a/crates/adapter/src/host/event_decoder.rs
+++ b/crates/adapter/src/host/event_decoder.rs
@@ -11,7 +11,7 @@
 use super::endpoint_table::EndpointTables;
 use super::instance::Names;
 use crate::error::EventError;
-use crate::wire::Arrival;
+use crate::wire::EventMessage;
 
 /// Request ids are hexadecimal numbers.
 const REQUEST_ID_RADIX: u32 = 16;
@@ -21,11 +21,11 @@
 /// # Errors
 /// The kind is unknown, a field that it needs is absent, or a value is unknown.
 pub(super) fn decode(
-    event: &Arrival,
+    event: &EventMessage,
     names: &mut Names,
     tables: &EndpointTables,
 ) -> Result<Event, EventError> {
-    match event.msg {
+    match event.kind {
         "roster-change" => endpoints_updated(event, names, tables),
         "request" => request_arrived(event, names),
         "ack-first" => Ok(Event::ResponseStarted {
@@ -36,27 +36,27 @@
             request: request_id(event)?,
         }),
         "wakeup" => Ok(Event::TimerFired {
-            token: event.required(event.cookie, "cookie")?,
+            token: event.required(event.timer_token, "cookie")?,
         }),
         "health" => Ok(Event::HealthCheckEnded {
             server: server_id(event, names)?,
             outcome: outcome(event)?,
-            load_report: names.load_report(event.stats.as_deref()),
+            load_report: names.load_report(event.load_report.as_deref()),
         }),
         "whisper" => Ok(Event::GossipReceived {
-            from: event.required(event.by, "by")?,
-            message: STANDARD.decode(event.required(event.contents, "contents")?)?,
+            from: event.required(event.sender, "by")?,
+            message: STANDARD.decode(event.required(event.payload, "contents")?)?,
         }),
         other => Err(EventError::UnknownMessage(other.to_owned())),
     }
 }
 
 fn endpoints_updated(
-    event: &Arrival,
+    event: &EventMessage,
     names: &mut Names,
     tables: &EndpointTables,
 ) -> Result<Event, EventError> {
-    let kind = match event.required(event.kind, "kind")? {
+    let kind = match event.required(event.update_kind, "kind")? {
         "incr" => UpdateKind::Incremental,
         "total" => UpdateKind::Full,
         "warm_copy" => UpdateKind::Cached,
@@ -67,59 +67,59 @@
     if kind != UpdateKind::Lost {
         let number = event.required(event.table, "table")?;
         let table = tables.get(number).ok_or_else(|| EventError::UnknownTable {
-            message: event.msg.to_owned(),
+            message: event.kind.to_owned(),
             number,
         })?;
         endpoints.extend(table.iter().map(|entry| names.endpoint(entry)));
     }
     Ok(Event::EndpointsUpdated {
         kind,
-        version: event.r#gen.unwrap_or(0),
+        version: event.version.unwrap_or(0),
         endpoints,
     })
 }
 
-fn request_arrived(event: &Arrival, names: &Names) -> Result<Event, EventError> {
-    let class_name = event.required(event.grade, "grade")?;
+fn request_arrived(event: &EventMessage, names: &Names) -> Result<Event, EventError> {
+    let class_name = event.required(event.class, "grade")?;
     let class = names
         .class_id(class_name)
         .ok_or_else(|| event.unknown_value("grade", class_name))?;
     Ok(Event::RequestArrived(IncomingRequest {
         id: request_id(event)?,
         class,
-        time_left: micros_from_ms(event.left_ms.unwrap_or(0.0)),
-        work_hint: event.size_hint_ms.map(micros_from_ms),
+        time_left: micros_from_ms(event.time_left_ms.unwrap_or(0.0)),
+        work_hint: event.work_hint_ms.map(micros_from_ms),
     }))
 }
 
-fn attempt_ended(event: &Arrival, names: &mut Names) -> Result<Event, EventError> {
+fn attempt_ended(event: &EventMessage, names: &mut Names) -> Result<Event, EventError> {
     Ok(Event::AttemptEnded(AttemptEnd {
         request: request_id(event)?,
-        attempt: event.required(event.n, "n")?,
+        attempt: event.required(event.attempt, "n")?,
         server: server_id(event, names)?,
         outcome: outcome(event)?,
         finished: event.required(event.finished, "finished")?,
-        elapsed: micros_from_ms(event.time_taken_ms.unwrap_or(0.0)),
-        load_report: names.load_report(event.stats.as_deref()),
+        elapsed: micros_from_ms(event.elapsed_ms.unwrap_or(0.0)),
+        load_report: names.load_report(event.load_report.as_deref()),
     }))
 }
 
-fn request_id(event: &Arrival) -> Result<RequestId, EventError> {
-    let text = event.required(event.txn, "txn")?;
+fn request_id(event: &EventMessage) -> Result<RequestId, EventError> {
+    let text = event.required(event.request, "txn")?;
     u64::from_str_radix(text, REQUEST_ID_RADIX)
         .map(RequestId)
         .map_err(|_| EventError::InvalidRequestId {
-            message: event.msg.to_owned(),
+            message: event.kind.to_owned(),
             text: text.to_owned(),
         })
 }
 
-fn server_id(event: &Arrival, names: &mut Names) -> Result<ServerId, EventError> {
+fn server_id(event: &EventMessage, names: &mut Names) -> Result<ServerId, EventError> {
     Ok(names.server_id(event.required(event.server, "server")?))
 }
 
-fn outcome(event: &Arrival) -> Result<Outcome, EventError> {
-    match event.required(event.rc, "rc")? {
+fn outcome(event: &EventMessage) -> Result<Outcome, EventError> {
+    match event.required(event.outcome, "rc")? {
         "served" => Ok(Outcome::Served),
         "server_error" => Ok(Outcome::ServerError),
         "turned_away" => Ok(Outcome::Rejected),
--- a/crates/adapter/src/host/event_decoder/tests.rs
+++ b/crates/adapter/src/host/event_decoder/tests.rs
@@ -3,10 +3,10 @@
 use super::decode;
 use crate::host::endpoint_table::EndpointTables;
 use crate::host::instance::Names;
-use crate::wire::Arrival;
+use crate::wire::EventMessage;
 
 fn decoded(text: &str, names: &mut Names, tables: &EndpointTables) -> Event {
-    let event: Arrival = serde_json::from_str(text).expect("an event");
+    let event: EventMessage = serde_json::from_str(text).expect("an event");
     decode(&event, names, tables).expect("valid")
 }
 
--- a/crates/adapter/src/host/instance.rs
+++ b/crates/adapter/src/host/instance.rs
@@ -9,7 +9,7 @@
 use super::endpoint_table::TableEntry;
 use super::settings;
 use crate::error::HostError;
-use crate::wire::Arrival;
+use crate::wire::EventMessage;
 
 /// One simulated sidecar.
 pub(super) struct Instance {
@@ -19,9 +19,9 @@
 
 impl Instance {
     /// Creates an instance from the settings and the seed of an event.
-    pub(super) fn attach(event: &Arrival) -> Result<Self, HostError> {
-        let conf = event.required(event.conf.as_ref(), "conf")?;
-        let seed = event.required(event.random_seed, "random-seed")?;
+    pub(super) fn attach(event: &EventMessage) -> Result<Self, HostError> {
+        let conf = event.required(event.settings.as_ref(), "conf")?;
+        let seed = event.required(event.seed, "random-seed")?;
         let platform = settings::read(conf)?;
         Ok(Self {
             balancer: WorkAwareBalancer::new(platform.balancer, seed)?,
@@ -78,10 +78,10 @@
             server: self.server_id(&entry.server),
             stable_hash: stable_hash(&entry.server),
             status: entry.status,
-            incarnation: entry.launched_at,
+            incarnation: entry.started_at,
             zone: self.zone_index(&entry.zone),
             cell: entry.cell,
-            machine_type: self.machines.lookup(&entry.model),
+            machine_type: self.machines.lookup(&entry.machine_type),
         }
     }
 
