--- a/crates/adapter/src/error.rs
+++ b/crates/adapter/src/error.rs
@@ -1,4 +1,7 @@
-//! Why the adapter stops. Each message is one line.
+//! Why the adapter stops. Each message is one line, and names a field as the simulator spells it.
+//!
+//! Owns the wording of the adapter's own errors; that of settings is owned by `arrowstand-platform`
+//! and `arrowstand-balancer`.
 
 use std::io;
 
--- a/crates/adapter/src/host/action_encoder.rs
+++ b/crates/adapter/src/host/action_encoder.rs
@@ -1,12 +1,14 @@
-//! Writes the balancer's actions in the simulator's form. Owns the names of the actions and their
-//! fields.
+//! Writes the balancer's actions in the simulator's form.
+//!
+//! Owns the names of the actions, of their fields and of the events in the simulator's journal; the
+//! syntax is owned by [`Reply`].
 
 use arrowstand_balancer::{Action, EjectionCause, ServerEvent, StateChange};
 
 use super::instance::Names;
 use crate::reply::Reply;
 
-/// Number that stands for all peers of a gossip message.
+/// The receiver of a gossip message that is for all peers, in place of a balancer's number.
 const ALL_PEERS: i64 = -1;
 
 /// Appends an action of the instance of that name to the reply.
@@ -31,6 +33,8 @@
     }
 }
 
+/// Writes what an action carries. A table with an arm for each action, and so longer than other
+/// functions here.
 fn encode_fields(action: &Action, names: &Names, reply: &mut Reply) {
     match action {
         Action::Send {
--- a/crates/adapter/src/host/endpoint_table.rs
+++ b/crates/adapter/src/host/endpoint_table.rs
@@ -1,5 +1,8 @@
 //! The endpoint tables of the simulator: lists that are sent once and then named by number, as all
 //! instances share them.
+//!
+//! Owns the tables by number and the words for a server's status. Which instance has seen which
+//! table is not known here.
 
 use std::collections::HashMap;
 
--- a/crates/adapter/src/host/event_decoder.rs
+++ b/crates/adapter/src/host/event_decoder.rs
@@ -1,5 +1,7 @@
-//! Turns the simulator's events into the balancer's. Owns the names of the kinds of events and
-//! their values.
+//! Turns the simulator's events into the balancer's.
+//!
+//! Owns the names of the kinds of events and of their values; the names of the fields are owned by
+//! [`wire`](crate::wire).
 
 use arrowstand_balancer::{
     AttemptEnd, Event, IncomingRequest, Outcome, RequestId, ServerId, UpdateKind,
@@ -13,7 +15,7 @@
 use crate::error::EventError;
 use crate::wire::EventMessage;
 
-/// Request ids are hexadecimal numbers.
+/// Base of the digits of a request id.
 const REQUEST_ID_RADIX: u32 = 16;
 
 /// Decodes an event of an instance; names that it brings are interned.
--- a/crates/adapter/src/host/instance.rs
+++ b/crates/adapter/src/host/instance.rs
@@ -1,4 +1,7 @@
 //! One simulated sidecar: its balancer, and the names behind the balancer's numbers.
+//!
+//! Owns the numbering of servers, classes and zones in one instance. No numbering outlives its
+//! instance, as instances share nothing; endpoint tables are kept by the host.
 
 use std::collections::HashMap;
 
--- a/crates/adapter/src/host/settings.rs
+++ b/crates/adapter/src/host/settings.rs
@@ -1,4 +1,7 @@
 //! The settings of an instance, from the event that attaches it.
+//!
+//! Owns the conversion between the two JSON libraries and what holds in the simulator alone; keys
+//! and defaults are owned by `arrowstand-platform`.
 
 use std::collections::HashMap;
 
@@ -8,7 +11,8 @@
 use serde_json::Value;
 use tinyjson::JsonValue;
 
-/// Without a key for it, simulated clients wait for no Retry-After at all.
+/// Longest Retry-After in microseconds where the settings name none: simulated clients then wait
+/// for no time at all.
 const DEFAULT_MAX_RETRY_AFTER: Micros = 0;
 
 /// Reads the settings object.
--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -1,5 +1,8 @@
 //! Runs the balancers of simulated sidecars on the simulator's line protocol: one batch of events
 //! in, one reply of actions out, until the input ends.
+//!
+//! Owns standard input and output and the exit code. The form of a line is known by `wire` and
+//! `reply`, what it means by `host`.
 
 mod error;
 mod host;
@@ -15,7 +18,8 @@
 use wire::Batch;
 
 fn run() -> Result<(), AdapterError> {
-    let (mut input, mut output) = (io::stdin().lock(), io::stdout().lock());
+    let mut input = io::stdin().lock();
+    let mut output = io::stdout().lock();
     let mut host = Host::default();
     let mut reply = Reply::new();
     let mut line = Vec::new();
--- a/crates/adapter/src/reply.rs
+++ b/crates/adapter/src/reply.rs
@@ -9,8 +9,11 @@
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
 
+/// What every reply begins with.
 const OPENING: &str = "{\"out\":[";
+/// What every reply ends with: a reply is one line.
 const CLOSING: &str = "]}\n";
+/// Microseconds in a millisecond, the simulator's unit of time.
 const MICROS_PER_MILLISECOND: Micros = 1_000;
 
 /// Collects the actions of one reply.
