--- a/crates/platform/src/endpoint_list/tests.rs
+++ b/crates/platform/src/endpoint_list/tests.rs
@@ -2,18 +2,18 @@
 
 use super::{EndpointList, ListKind, ListedEndpoint};
 
-#[test]
-fn a_bad_entry_is_skipped_with_a_message_and_the_others_are_read() {
-    let text = r#"{"rev": 9, "all": true, "targets": [
-        {"uid": "s0", "endpoint": "127.0.0.1:80", "az": "z1", "pod_group": 3, "state": "draining", "boot_ms": 5.5,
-         "model": "std-3"},
-        {"uid": "s1", "endpoint": "here", "state": "ready"},
-        {"uid": "s2", "endpoint": "127.0.0.1:80", "state": "tidy"},
-        {"uid": "s3", "endpoint": "127.0.0.1:80", "state": "ready", "boot_ms": 1e15},
-        {"uid": "s4", "endpoint": "127.0.0.1:81", "state": "gone"}]}"#;
-    let list = EndpointList::parse(text, 8).expect("a list");
-    assert_eq!((list.revision, list.kind), (9, ListKind::Full));
-    let first = ListedEndpoint {
+/// Entries 1, 2 and 3 cannot be read.
+const LIST_WITH_BAD_ENTRIES: &str = r#"{"rev": 9, "all": true, "targets": [
+    {"uid": "s0", "endpoint": "127.0.0.1:80", "az": "z1", "pod_group": 3, "state": "draining", "boot_ms": 5.5,
+     "model": "std-3"},
+    {"uid": "s1", "endpoint": "here", "state": "ready"},
+    {"uid": "s2", "endpoint": "127.0.0.1:80", "state": "tidy"},
+    {"uid": "s3", "endpoint": "127.0.0.1:80", "state": "ready", "boot_ms": 1e15},
+    {"uid": "s4", "endpoint": "127.0.0.1:81", "state": "gone"}]}"#;
+
+/// What is read of the first and of the last entry of [`LIST_WITH_BAD_ENTRIES`].
+fn readable_entries() -> [ListedEndpoint; 2] {
+    let every_key = ListedEndpoint {
         id: "s0".to_owned(),
         address: "127.0.0.1:80".parse().expect("an address"),
         zone: "z1".to_owned(),
@@ -22,7 +22,7 @@
         status: EndpointStatus::Draining,
         started_at: Some(5_500),
     };
-    let last = ListedEndpoint {
+    let required_keys_alone = ListedEndpoint {
         id: "s4".to_owned(),
         address: "127.0.0.1:81".parse().expect("an address"),
         zone: String::new(),
@@ -31,16 +31,23 @@
         status: EndpointStatus::Removed,
         started_at: None,
     };
-    assert_eq!(list.endpoints, [first, last]);
+    [every_key, required_keys_alone]
+}
+
+#[test]
+fn a_bad_entry_is_skipped_with_a_message_and_the_others_are_read() {
+    let list = EndpointList::parse(LIST_WITH_BAD_ENTRIES, 8).expect("a list");
+
     let messages: Vec<String> = list.skipped.iter().map(ToString::to_string).collect();
-    assert_eq!(
-        messages,
-        [
-            "targets[1].endpoint: is not an address and port",
-            "targets[2].state: unknown value \"tidy\"",
-            "targets[3].boot_ms: is no time",
-        ]
-    );
+    let expected_messages = [
+        "targets[1].endpoint: is not an address and port",
+        "targets[2].state: unknown value \"tidy\"",
+        "targets[3].boot_ms: is no time",
+    ];
+    assert_eq!(list.revision, 9);
+    assert_eq!(list.kind, ListKind::Full);
+    assert_eq!(list.endpoints, readable_entries());
+    assert_eq!(messages, expected_messages);
 }
 
 #[test]
--- a/crates/platform/src/json/tests.rs
+++ b/crates/platform/src/json/tests.rs
@@ -1,33 +1,43 @@
 use super::{Node, nesting_depth, parse};
 
+/// A document in which each value is of a type that its reader does not want.
+const DOCUMENT: &str = r#"{"a": [{"b-c": "x", "n": -1}], "z": null}"#;
+
 #[test]
 fn an_error_names_the_path_of_the_key() {
-    let value = parse(r#"{"a": [{"b-c": "x", "n": -1}], "z": null}"#, 8).expect("JSON");
+    let value = parse(DOCUMENT, 8).expect("JSON");
     let root = Node::root(&value);
-    let items = root.at("a").items().expect("an array");
-    let message = |error: crate::KeyError| error.to_string();
-    assert_eq!(
-        items[0].at("b-c").number().map_err(message),
-        Err("a[0].b-c: must be a number".to_owned())
-    );
-    assert_eq!(
-        items[0].at("n").number().map_err(message),
-        Err("a[0].n: must not be negative".to_owned())
-    );
-    assert_eq!(
-        root.at("a").text().map_err(message),
-        Err("a: must be a text".to_owned())
-    );
-    assert_eq!(
-        root.at("a").optional_flag().map_err(message),
-        Err("a: must be true or false".to_owned())
-    );
-    assert_eq!(
-        root.at("z").text().map_err(message),
-        Err("z: is missing".to_owned())
-    );
-    assert!(root.at("b").at("c").items().expect("absent").is_empty());
-    assert!(items[0].items().is_err());
+    let item = &root.at("a").items().expect("an array")[0];
+
+    let errors = [
+        item.at("b-c").number().expect_err("a text"),
+        item.at("n").number().expect_err("a negative number"),
+        root.at("a").text().expect_err("an array"),
+        root.at("a").optional_flag().expect_err("an array"),
+        root.at("z").text().expect_err("null"),
+    ];
+
+    let messages = errors.map(|error| error.to_string());
+    let expected = [
+        "a[0].b-c: must be a number",
+        "a[0].n: must not be negative",
+        "a: must be a text",
+        "a: must be true or false",
+        "z: is missing",
+    ];
+    assert_eq!(messages, expected);
+}
+
+#[test]
+fn an_absent_array_has_no_items_and_an_object_is_no_array() {
+    let value = parse(DOCUMENT, 8).expect("JSON");
+    let root = Node::root(&value);
+    let object = &root.at("a").items().expect("an array")[0];
+
+    let absent = root.at("b").at("c").items();
+
+    assert!(absent.expect("absent").is_empty());
+    assert!(object.items().is_err());
 }
 
 #[test]
--- a/crates/platform/src/settings/simulator.rs
+++ b/crates/platform/src/settings/simulator.rs
@@ -53,3 +53,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/platform/src/settings/transport.rs
+++ b/crates/platform/src/settings/transport.rs
@@ -121,3 +121,6 @@
     conf.at(keys::settings::PERMISSIONS)
         .at(keys::permissions::IDLE_TIMEOUT_MS)
 }
+
+#[cfg(test)]
+mod tests;
