--- a/crates/control/src/convert.rs
+++ b/crates/control/src/convert.rs
@@ -31,3 +31,6 @@
 pub(crate) fn f64_from_count(count: usize) -> f64 {
     count as f64
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/control/src/list_freshness/tests.rs
+++ b/crates/control/src/list_freshness/tests.rs
@@ -193,26 +193,34 @@
         freshness.on_watch_ended(call + 1_000);
         assert_eq!(freshness.trusted_until(None), None, "down at {call}");
     }
+
     freshness.on_poll_started(8_000_000);
+
     let from = freshness.trusted_until(None);
     assert!(
         from.is_some_and(|from| from < 8_250_000),
         "waiting: {from:?}"
     );
+
     freshness.on_watch_ended(9_000_000);
+
     assert_eq!(
         freshness.trusted_until(None),
         from,
         "it waited and failed: discovery is there"
     );
+
     freshness.on_watch_event();
+
     assert_eq!(freshness.trusted_until(None), None);
 }
 
 #[test]
 fn only_an_attempt_served_recently_extends_the_trust_in_a_server() {
     let mut freshness = ListFreshness::new(bounds(false, 10_000_000, 500_000), 0);
+
     freshness.on_watch_silent(1_000_000, 4_000_000);
+
     assert!(freshness.needs_immediate_poll());
     assert_eq!(freshness.trusted_until(None), Some(7_500_000));
     assert_eq!(
@@ -221,8 +229,16 @@
         "a response from before the drain counts proves nothing"
     );
     assert_eq!(freshness.trusted_until(Some(9_000_000)), Some(9_500_000));
+}
+
+#[test]
+fn a_relocated_discovery_that_refuses_connections_has_nothing_to_hide() {
+    let mut freshness = ListFreshness::new(bounds(false, 10_000_000, 500_000), 0);
+    freshness.on_watch_silent(1_000_000, 4_000_000);
+
     freshness.on_discovery_relocated(4_100_000);
     freshness.on_poll_refused(4_200_000);
+
     assert_eq!(
         freshness.trusted_until(None),
         None,
--- a/crates/control/src/machine_catalogue/tests.rs
+++ b/crates/control/src/machine_catalogue/tests.rs
@@ -3,35 +3,60 @@
 
 use super::{MAX_MACHINE_TYPES, MachineCatalogue};
 
+/// A table of two types: 3 cores and a speed of 1 in the mean.
+fn two_types() -> MachineCatalogue {
+    MachineCatalogue::from_table([("a".to_owned(), 2.0, 1.5), ("b".to_owned(), 4.0, 0.5)])
+}
+
+#[test]
+fn a_type_of_the_table_has_its_capacity() {
+    let machine = two_types().lookup("b");
+
+    let expected = MachineType {
+        id: 2,
+        cores: 4.0,
+        speed: 0.5,
+    };
+    assert_eq!(machine, expected);
+}
+
 #[test]
 fn a_type_missing_from_the_table_counts_as_the_mean_under_its_own_id() {
-    let mut catalogue =
-        MachineCatalogue::from_table([("a".to_owned(), 2.0, 1.5), ("b".to_owned(), 4.0, 0.5)]);
-    assert_eq!(
-        catalogue.lookup("b"),
-        MachineType {
-            id: 2,
-            cores: 4.0,
-            speed: 0.5
-        }
-    );
-    assert_eq!(
-        catalogue.lookup("c"),
-        MachineType {
-            id: 3,
-            cores: 3.0,
-            speed: 1.0
-        }
-    );
-    assert_eq!(catalogue.lookup("d").id, 4);
-    assert_eq!((catalogue.lookup("c").id, catalogue.lookup("").id), (3, 0));
-    assert_eq!(
-        MachineCatalogue::default().lookup("a"),
-        MachineType {
-            id: 1,
-            ..MachineType::default()
-        }
-    );
+    let mut catalogue = two_types();
+
+    let first = catalogue.lookup("c");
+    let second = catalogue.lookup("d");
+    let first_again = catalogue.lookup("c");
+
+    let mean = MachineType {
+        id: 3,
+        cores: 3.0,
+        speed: 1.0,
+    };
+    assert_eq!(first, mean);
+    assert_eq!(second.id, 4);
+    assert_eq!(first_again.id, 3);
+}
+
+#[test]
+fn a_machine_without_a_type_has_no_id_of_its_own() {
+    let mut catalogue = two_types();
+    catalogue.lookup("c");
+
+    let machine = catalogue.lookup("");
+
+    assert_eq!(machine.id, 0);
+}
+
+#[test]
+fn without_a_table_a_type_has_the_default_capacity() {
+    let machine = MachineCatalogue::default().lookup("a");
+
+    let expected = MachineType {
+        id: 1,
+        ..MachineType::default()
+    };
+    assert_eq!(machine, expected);
 }
 
 proptest! {
--- a/crates/control/src/tests.rs
+++ b/crates/control/src/tests.rs
@@ -2,15 +2,17 @@
 
 /// Instances of different versions compare these numbers: they were computed by the FNV-1a that was
 /// written out here before the `fnv` crate took its place.
+const HASHES: [(&str, u64); 5] = [
+    ("", 0xcbf2_9ce4_8422_2325),
+    ("a", 0xaf63_dc4c_8601_ec8c),
+    ("10.0.0.1:80", 0x529f_5a4b_643f_a605),
+    ("server-17", 0x3586_e8c0_a1a1_5799),
+    ("größe", 0xb745_0e1e_f581_40da),
+];
+
 #[test]
 fn stable_hash_is_the_same_number_in_every_version() {
-    for (text, expected) in [
-        ("", 0xcbf2_9ce4_8422_2325),
-        ("a", 0xaf63_dc4c_8601_ec8c),
-        ("10.0.0.1:80", 0x529f_5a4b_643f_a605),
-        ("server-17", 0x3586_e8c0_a1a1_5799),
-        ("größe", 0xb745_0e1e_f581_40da),
-    ] {
+    for (text, expected) in HASHES {
         assert_eq!(stable_hash(text), expected, "{text:?}");
     }
 }
--- a/crates/control/src/work_aware_balancer/tests.rs
+++ b/crates/control/src/work_aware_balancer/tests.rs
@@ -22,38 +22,51 @@
     }
 }
 
-/// A balancer that has learnt that its requests take 30 ms, and the time.
+/// Response time of every request in the training, in microseconds.
+const TRAINED_WORK: Micros = 30_000;
+/// Time that a client waits who is in no hurry, in microseconds.
+const AMPLE_TIME: Micros = 600_000;
+/// Requests in the training: more than an estimate needs.
+const TRAINING_REQUESTS: u64 = 60;
+/// Time between two requests of the training, in microseconds.
+const TRAINING_PAUSE: Micros = 100_000;
+
+/// A balancer that has learnt that its requests take [`TRAINED_WORK`], and the time.
 fn trained_balancer() -> (WorkAwareBalancer, Micros) {
     let mut balancer = WorkAwareBalancer::new(settings_with_load_checks(), 7).expect("valid");
-    let endpoint = Endpoint::ready(ServerId(0), 1);
+    list_one_server(&mut balancer);
+    let mut now = 0;
+    for id in 0..TRAINING_REQUESTS {
+        now += TRAINING_PAUSE;
+        let sent = is_sent(&mut balancer, now, id, AMPLE_TIME);
+        assert!(sent, "request {id} goes out");
+        now += TRAINED_WORK;
+        serve(&mut balancer, now, id);
+    }
+    (balancer, now + TRAINING_PAUSE)
+}
+
+fn list_one_server(balancer: &mut WorkAwareBalancer) {
     let update = Event::EndpointsUpdated {
         kind: UpdateKind::Full,
         version: 1,
-        endpoints: vec![endpoint],
+        endpoints: vec![Endpoint::ready(ServerId(0), 1)],
     };
     balancer.handle(0, update, &mut Vec::new());
-    let mut now = 0;
-    for id in 0..60 {
-        now += 100_000;
-        assert!(
-            is_sent(&mut balancer, now, id, 600_000),
-            "request {id} goes out"
-        );
-        now += 30_000;
-        let (request, server, load_report) = (RequestId(id), ServerId(0), None);
-        let (attempt, outcome, finished, elapsed) = (0, Outcome::Served, true, 30_000);
-        let end = AttemptEnd {
-            request,
-            attempt,
-            server,
-            outcome,
-            finished,
-            elapsed,
-            load_report,
-        };
-        balancer.handle(now, Event::AttemptEnded(end), &mut Vec::new());
-    }
-    (balancer, now + 100_000)
+}
+
+/// The server serves the first attempt of a request, after [`TRAINED_WORK`].
+fn serve(balancer: &mut WorkAwareBalancer, now: Micros, id: u64) {
+    let end = AttemptEnd {
+        request: RequestId(id),
+        attempt: 0,
+        server: ServerId(0),
+        outcome: Outcome::Served,
+        finished: true,
+        elapsed: TRAINED_WORK,
+        load_report: None,
+    };
+    balancer.handle(now, Event::AttemptEnded(end), &mut Vec::new());
 }
 
 /// Lets a request arrive, answers the health checks with an idle server, and returns whether the
@@ -82,17 +95,24 @@
         .any(|action| matches!(action, Action::Send { .. }))
 }
 
+#[test]
+fn the_work_of_a_class_is_learnt_from_the_events() {
+    let (balancer, _) = trained_balancer();
+
+    let work = balancer.work().expected_work(ClassId(0));
+
+    assert!(work.is_some_and(|work| (29_000..31_000).contains(&work)));
+}
+
 #[test]
 fn a_request_with_little_time_left_is_sent_unless_it_is_next_to_none() {
     let (mut balancer, now) = trained_balancer();
-    assert!(
-        balancer
-            .work()
-            .expected_work(ClassId(0))
-            .is_some_and(|work| (29_000..31_000).contains(&work))
-    );
-    assert!(is_sent(&mut balancer, now, 1_000, 20_000));
-    assert!(!is_sent(&mut balancer, now + 1_000_000, 1_001, 5_000));
+
+    let sent_with_little_time = is_sent(&mut balancer, now, 1_000, 20_000);
+    let sent_with_next_to_none = is_sent(&mut balancer, now + 1_000_000, 1_001, 5_000);
+
+    assert!(sent_with_little_time);
+    assert!(!sent_with_next_to_none);
     assert!(
         balancer.open_requests.len() <= 1,
         "a rejected request is forgotten"
