--- a/crates/adapter/src/host/action_encoder/tests.rs
+++ b/crates/adapter/src/host/action_encoder/tests.rs
@@ -18,10 +18,9 @@
 }
 
 fn send(timeout: Option<u64>) -> Action {
-    let (request, server) = (REQUEST, SERVER);
     Action::Send {
-        request,
-        server,
+        request: REQUEST,
+        server: SERVER,
         timeout,
     }
 }
@@ -30,9 +29,10 @@
 fn a_send_carries_request_server_and_timeout_if_any() {
     let sent =
         r#""msg":"transmit","i":"sidecar/0","txn":"00000000000000ab","server":"10.0.0.1:80""#;
+    let sent_with_timeout = format!("{sent},\"within-ms\":1234.005");
+
     assert_encoded(&send(None), sent);
-    let timeout = r#","within-ms":1234.005"#;
-    assert_encoded(&send(Some(1_234_005)), &format!("{sent}{timeout}"));
+    assert_encoded(&send(Some(1_234_005)), &sent_with_timeout);
 }
 
 #[test]
@@ -52,8 +52,10 @@
         retry_after,
     };
     let rejected = r#""msg":"turn-away","i":"sidecar/0","txn":"00000000000000ab""#;
+    let rejected_with_retry_after = format!("{rejected},\"pause-ms\":0.070");
     assert_encoded(&reject(None), rejected);
-    assert_encoded(&reject(Some(70)), &format!("{rejected},\"pause-ms\":0.070"));
+    assert_encoded(&reject(Some(70)), &rejected_with_retry_after);
+
     let failed = r#""msg":"give-up","i":"sidecar/0","txn":"00000000000000ab""#;
     assert_encoded(&Action::Fail { request: REQUEST }, failed);
 }
@@ -66,8 +68,10 @@
     };
     let expected = r#""msg":"wake-at","i":"sidecar/0","cookie":9,"from-now-ms":5.000"#;
     assert_encoded(&timer, expected);
+
     let expected = r#""msg":"sound-out","i":"sidecar/0","server":"10.0.0.1:80""#;
     assert_encoded(&Action::HealthCheck { server: SERVER }, expected);
+
     let expected = r#""msg":"observe","i":"sidecar/0","want":true"#;
     assert_encoded(&Action::PollEndpoints, expected);
 }
@@ -75,10 +79,12 @@
 #[test]
 fn gossip_carries_its_receiver_and_its_payload_in_base64() {
     let gossip = |to, message| Action::SendGossip { to, message };
-    let expected = r#""msg":"share","i":"sidecar/0","to":-1,"contents":"AQI=""#;
-    assert_encoded(&gossip(None, vec![1, 2]), expected);
-    let expected = r#""msg":"share","i":"sidecar/0","to":4,"contents":"""#;
-    assert_encoded(&gossip(Some(4), vec![]), expected);
+
+    let to_all = r#""msg":"share","i":"sidecar/0","to":-1,"contents":"AQI=""#;
+    assert_encoded(&gossip(None, vec![1, 2]), to_all);
+
+    let to_one_and_empty = r#""msg":"share","i":"sidecar/0","to":4,"contents":"""#;
+    assert_encoded(&gossip(Some(4), vec![]), to_one_and_empty);
 }
 
 #[test]
@@ -87,38 +93,46 @@
         let event = ServerEvent::Readmitted;
         Action::Record(StateChange::Server { server, event })
     };
-    let without = r#""msg":"journal-line","i":"sidecar/0","what":"cleared""#;
-    assert_encoded(&readmitted(ServerId(1)), without);
-    let with = r#""msg":"journal-line","i":"sidecar/0","what":"cleared 10.0.0.1:80""#;
-    assert_encoded(&readmitted(SERVER), with);
-    let without_server = r#""msg":"journal-line","i":"sidecar/0","what":"list lost""#;
-    assert_encoded(
-        &Action::Record(StateChange::EndpointListLost),
-        without_server,
-    );
+
+    let without_server = r#""msg":"journal-line","i":"sidecar/0","what":"cleared""#;
+    assert_encoded(&readmitted(ServerId(1)), without_server);
+
+    let with_server = r#""msg":"journal-line","i":"sidecar/0","what":"cleared 10.0.0.1:80""#;
+    assert_encoded(&readmitted(SERVER), with_server);
 }
 
+#[test]
+fn a_lost_endpoint_list_has_its_journal_line() {
+    let action = Action::Record(StateChange::EndpointListLost);
+    let expected = r#""msg":"journal-line","i":"sidecar/0","what":"list lost""#;
+    assert_encoded(&action, expected);
+}
+
+const fn ejected(cause: EjectionCause) -> ServerEvent {
+    ServerEvent::Ejected { cause }
+}
+
+/// The events of a server, and what the simulator's journal says of them.
+const JOURNAL_TEXTS: [(ServerEvent, &str); 5] = [
+    (
+        ejected(EjectionCause::HealthChecks),
+        "suspected: probes fail",
+    ),
+    (
+        ejected(EjectionCause::Attempts),
+        "suspected: work fails or is overdue",
+    ),
+    (ejected(EjectionCause::Gossip), "suspected: a peer says so"),
+    (ServerEvent::DeclaredDead, "dead"),
+    (ServerEvent::Readmitted, "cleared"),
+];
+
 #[test]
 fn every_event_of_a_server_has_its_journal_line() {
-    let ejected = |cause| ServerEvent::Ejected { cause };
-    for (event, text) in [
-        (
-            ejected(EjectionCause::HealthChecks),
-            "suspected: probes fail",
-        ),
-        (
-            ejected(EjectionCause::Attempts),
-            "suspected: work fails or is overdue",
-        ),
-        (ejected(EjectionCause::Gossip), "suspected: a peer says so"),
-        (ServerEvent::DeclaredDead, "dead"),
-        (ServerEvent::Readmitted, "cleared"),
-    ] {
-        let line = format!(r#""msg":"journal-line","i":"sidecar/0","what":"{text} 10.0.0.1:80""#);
+    for (event, text) in JOURNAL_TEXTS {
         let server = SERVER;
-        assert_encoded(
-            &Action::Record(StateChange::Server { server, event }),
-            &line,
-        );
+        let action = Action::Record(StateChange::Server { server, event });
+        let line = format!(r#""msg":"journal-line","i":"sidecar/0","what":"{text} 10.0.0.1:80""#);
+        assert_encoded(&action, &line);
     }
 }
--- a/crates/adapter/src/host/event_decoder/tests.rs
+++ b/crates/adapter/src/host/event_decoder/tests.rs
@@ -10,20 +10,25 @@
     decode(&event, names, tables).expect("valid")
 }
 
+/// The outcomes of attempts and health checks, by the simulator's word for each.
+const OUTCOMES: [(&str, Outcome); 8] = [
+    ("served", Outcome::Served),
+    ("server_error", Outcome::ServerError),
+    ("turned_away", Outcome::Rejected),
+    ("no_answer", Outcome::TimedOut),
+    ("no_connection", Outcome::ConnectFailed),
+    ("connection_lost", Outcome::Reset),
+    ("called_off", Outcome::Cancelled),
+    ("not_sent", Outcome::NotSent),
+];
+
 #[test]
 fn every_outcome_has_its_code() {
-    for (code, expected) in [
-        ("served", Outcome::Served),
-        ("server_error", Outcome::ServerError),
-        ("turned_away", Outcome::Rejected),
-        ("no_answer", Outcome::TimedOut),
-        ("no_connection", Outcome::ConnectFailed),
-        ("connection_lost", Outcome::Reset),
-        ("called_off", Outcome::Cancelled),
-        ("not_sent", Outcome::NotSent),
-    ] {
+    for (code, expected) in OUTCOMES {
         let text = format!(r#"{{"msg": "health", "server": "s", "rc": "{code}"}}"#);
+
         let event = decoded(&text, &mut Names::default(), &EndpointTables::default());
+
         let Event::HealthCheckEnded { outcome, .. } = event else {
             panic!("{event:?}");
         };
@@ -45,7 +50,9 @@
 #[test]
 fn an_update_has_the_endpoints_of_its_table() {
     let text = r#"{"msg": "roster-change", "kind": "total", "table": 3, "gen": 8}"#;
+
     let event = decoded(text, &mut Names::default(), &tables());
+
     let Event::EndpointsUpdated {
         kind,
         version,
@@ -54,27 +61,35 @@
     else {
         panic!("{event:?}");
     };
-    assert_eq!((kind, version), (UpdateKind::Full, 8));
+    assert_eq!(kind, UpdateKind::Full);
+    assert_eq!(version, 8);
     let [first, second] = &endpoints[..] else {
         panic!("{endpoints:?}");
     };
     assert_eq!(first.status, EndpointStatus::Draining);
     assert_eq!(first.incarnation, Some(1_500));
-    assert_eq!((first.server.0, first.zone, first.cell), (0, 0, 2));
+    assert_eq!(first.server.0, 0);
+    assert_eq!(first.zone, 0);
+    assert_eq!(first.cell, 2);
     assert_eq!(second.status, EndpointStatus::Removed);
     assert_eq!(second.incarnation, None);
-    assert_eq!((second.server.0, second.zone, second.cell), (1, 1, 0));
+    assert_eq!(second.server.0, 1);
+    assert_eq!(second.zone, 1);
+    assert_eq!(second.cell, 0);
 }
 
 #[test]
 fn an_update_that_was_lost_has_no_endpoints() {
     let text = r#"{"msg": "roster-change", "kind": "lost"}"#;
+
     let event = decoded(text, &mut Names::default(), &tables());
+
     let Event::EndpointsUpdated {
         kind, endpoints, ..
     } = event
     else {
         panic!("{event:?}");
     };
-    assert_eq!((kind, endpoints.len()), (UpdateKind::Lost, 0));
+    assert_eq!(kind, UpdateKind::Lost);
+    assert!(endpoints.is_empty());
 }
--- a/crates/adapter/src/host/settings/tests.rs
+++ b/crates/adapter/src/host/settings/tests.rs
@@ -88,15 +88,20 @@
 #[test]
 fn every_key_reaches_its_setting() {
     let expected = every_settings_key();
-    assert!(expected.host.cancellation && expected.host.health_checks && expected.retries.hedging);
-    assert!(expected.host.retry_after);
+
     assert_settings(EVERY_KEY, &expected);
+
+    // These are on by default, and would be off without their keys.
+    assert!(expected.host.cancellation);
+    assert!(expected.host.health_checks);
+    assert!(expected.host.retry_after);
+    assert!(expected.retries.hedging);
 }
 
-#[test]
-fn missing_keys_get_the_defaults_of_the_simulator() {
+/// The settings of [`ONE_CLASS`].
+fn settings_with_one_class() -> Settings {
     let class = RequestClass::new(Idempotency::NonIdempotent, 150_000, 600_000);
-    let expected = Settings {
+    Settings {
         classes: vec![class],
         identity: BalancerIdentity {
             zone: u32::MAX,
@@ -119,26 +124,36 @@
             ..Fees::default()
         },
         ..Settings::default()
-    };
-    assert_settings(ONE_CLASS, &expected);
+    }
 }
 
+#[test]
+fn missing_keys_get_the_defaults_of_the_simulator() {
+    assert_settings(ONE_CLASS, &settings_with_one_class());
+}
+
+/// A part of [`ONE_CLASS`], what stands in its place, and the message on it.
+const BAD_KEYS: [(&str, &str, &str); 2] = [
+    (
+        "\"side_effect\"",
+        "\"tidy\"",
+        "request-classes[0].semantics: unknown value \"tidy\"",
+    ),
+    (
+        "\"objective-ms\"",
+        "\"objective\"",
+        "request-classes[0].objective-ms: is missing",
+    ),
+];
+
 #[test]
 fn a_bad_key_is_named_by_its_path() {
-    for (good, bad, expected) in [
-        (
-            "\"side_effect\"",
-            "\"tidy\"",
-            "request-classes[0].semantics: unknown value \"tidy\"",
-        ),
-        (
-            "\"objective-ms\"",
-            "\"objective\"",
-            "request-classes[0].objective-ms: is missing",
-        ),
-    ] {
-        let conf = serde_json::from_str(&ONE_CLASS.replace(good, bad)).expect("JSON");
+    for (good, bad, expected) in BAD_KEYS {
+        let text = ONE_CLASS.replace(good, bad);
+        let conf = serde_json::from_str(&text).expect("JSON");
+
         let error = super::read(&conf).expect_err("a bad key");
+
         assert_eq!(error.to_string(), expected);
     }
 }
--- a/crates/adapter/tests/wire.rs
+++ b/crates/adapter/tests/wire.rs
@@ -36,7 +36,9 @@
         + &batch(2.0, &[ATTACH, LIST])
         + &batch(3.5, &[REQUEST])
         + &batch(22.0, &[served, exit]);
+
     let output = run(&input);
+
     assert!(
         output.status.success(),
         "{}",
@@ -146,11 +148,12 @@
 
 #[test]
 fn an_attach_without_settings_or_seed_is_an_error() {
-    let attach = r#"{"msg":"attach","i":"sidecar/0","random-seed":1}"#;
-    let error = error_of(&batch(1.0, &[attach]));
+    let without_settings = r#"{"msg":"attach","i":"sidecar/0","random-seed":1}"#;
+    let error = error_of(&batch(1.0, &[without_settings]));
     assert_eq!(error, "attach: field conf is missing");
-    let attach = r#"{"msg":"attach","i":"sidecar/0","conf":{"request-classes":[]}}"#;
-    let error = error_of(&batch(1.0, &[attach]));
+
+    let without_seed = r#"{"msg":"attach","i":"sidecar/0","conf":{"request-classes":[]}}"#;
+    let error = error_of(&batch(1.0, &[without_seed]));
     assert_eq!(error, "attach: field random-seed is missing");
 }
 
@@ -158,6 +161,8 @@
 fn invalid_settings_are_named() {
     let attach =
         r#"{"msg":"attach","i":"sidecar/0","random-seed":3,"conf":{"request-classes":[]}}"#;
+
     let error = error_of(&batch(1.0, &[attach]));
+
     assert_eq!(error, "setting classes: at least one class is needed");
 }
--- a/crates/platform/src/endpoint_list/writer.rs
+++ b/crates/platform/src/endpoint_list/writer.rs
@@ -3,8 +3,10 @@
 use arrowstand_balancer::{EndpointStatus, Micros};
 use serde_json::{Value, json};
 
-use super::{DRAINING, EndpointList, ListKind, ListedEndpoint, READY, REMOVED};
-use super::{UNKNOWN_START_MS, micros_from_start_ms};
+use super::{
+    DRAINING, EndpointList, ListKind, ListedEndpoint, READY, REMOVED, UNKNOWN_START_MS,
+    micros_from_start_ms,
+};
 use crate::keys::{endpoint, endpoint_list};
 use crate::number::nearest_f64;
 use crate::units::MICROS_PER_MS;
