--- a/crates/adapter/src/host/instance.rs
+++ b/crates/adapter/src/host/instance.rs
@@ -1,4 +1,7 @@
 //! One simulated sidecar: its balancer, and the names behind the balancer's numbers.
+//!
+//! Owns the numbering of servers, classes and zones in one instance. No numbering outlives its
+//! instance, as instances share nothing; endpoint tables are kept by the host.
 
 use std::collections::HashMap;
 
@@ -9,7 +12,7 @@
 use super::endpoint_table::TableEntry;
 use super::settings;
 use crate::error::HostError;
-use crate::wire::Arrival;
+use crate::wire::EventMessage;
 
 /// One simulated sidecar.
 pub(super) struct Instance {
@@ -19,9 +22,9 @@
 
 impl Instance {
     /// Creates an instance from the settings and the seed of an event.
-    pub(super) fn attach(event: &Arrival) -> Result<Self, HostError> {
-        let conf = event.required(event.conf.as_ref(), "conf")?;
-        let seed = event.required(event.random_seed, "random-seed")?;
+    pub(super) fn attach(event: &EventMessage) -> Result<Self, HostError> {
+        let conf = event.required(event.settings.as_ref(), "conf")?;
+        let seed = event.required(event.seed, "random-seed")?;
         let platform = settings::read(conf)?;
         Ok(Self {
             balancer: WorkAwareBalancer::new(platform.balancer, seed)?,
@@ -53,7 +56,7 @@
         if let Some(&id) = self.server_ids.get(name) {
             return ServerId(id);
         }
-        let id = self.servers.len() as u32;
+        let id = id_from_index(self.servers.len());
         self.server_ids.insert(name.to_owned(), id);
         self.servers.push(name.to_owned());
         ServerId(id)
@@ -61,13 +64,15 @@
 
     /// The name of a server; empty for an id that was never given out.
     pub(super) fn server_name(&self, id: ServerId) -> &str {
-        self.servers.get(id.0 as usize).map_or("", String::as_str)
+        let index = usize::try_from(id.0).ok();
+        let name = index.and_then(|index| self.servers.get(index));
+        name.map_or("", String::as_str)
     }
 
     /// The id of a request class of the settings.
     pub(super) fn class_id(&self, name: &str) -> Option<ClassId> {
         let index = self.classes.iter().position(|class| class == name)?;
-        Some(ClassId(index as u16))
+        u16::try_from(index).ok().map(ClassId)
     }
 
     /// An entry of an endpoint table with names interned.
@@ -76,10 +81,10 @@
             server: self.server_id(&entry.server),
             stable_hash: stable_hash(&entry.server),
             status: entry.status,
-            incarnation: entry.launched_at,
+            incarnation: entry.started_at,
             zone: self.zone_index(&entry.zone),
             cell: entry.cell,
-            machine_type: self.machines.lookup(&entry.model),
+            machine_type: self.machines.lookup(&entry.machine_type),
         }
     }
 
@@ -89,7 +94,7 @@
             self.zones.push(name.to_owned());
             self.zones.len() - 1
         });
-        index as u32
+        id_from_index(index)
     }
 
     /// A load report from its row of numbers.
@@ -97,3 +102,8 @@
         self.load_report.extract(row?)
     }
 }
+
+/// The id of the name at an index. Names fill the memory long before their ids end.
+fn id_from_index(index: usize) -> u32 {
+    u32::try_from(index).unwrap_or(u32::MAX)
+}
--- a/crates/platform/src/endpoint_list.rs
+++ b/crates/platform/src/endpoint_list.rs
@@ -1,7 +1,9 @@
 //! The endpoint list of discovery: the servers with address, zone and state, whole or as a change.
 //!
-//! Owns the format; the calls to discovery belong to the sidecar, the merged table to its server
-//! registry.
+//! Owns the format, its reader and its writer; the calls to discovery belong to the sidecar, the
+//! merged table to its server registry.
+
+mod writer;
 
 use std::net::SocketAddr;
 
@@ -9,13 +11,23 @@
 
 use crate::error::{KeyError, KeyProblem, ReadError};
 use crate::json::{self, Node};
+use crate::keys::{endpoint, endpoint_list};
+use crate::number::{truncate_to_u32, truncate_to_u64};
+use crate::units::MICROS_PER_MS;
 
-/// The latest start time that is believed, in Unix milliseconds: the year 5138. A later one would
-/// overflow the balancer's clock once a duration is added to it.
+/// The latest start that is accepted, in Unix milliseconds: the year 5138. An entry with a later
+/// one is skipped, as its microseconds could overflow once a duration is added to them.
 const MAX_START_MS: f64 = 1e14;
-/// Starts up to this time, in Unix milliseconds, mean that the list knows none.
+/// The start, in Unix milliseconds, of a server that started long ago or at an unknown time: the
+/// wire page's 0. Later ones are known.
 const UNKNOWN_START_MS: f64 = 0.0;
-const MICROS_PER_MS: f64 = 1_000.0;
+
+/// The list's word for [`EndpointStatus::Ready`].
+const READY: &str = "ready";
+/// The list's word for [`EndpointStatus::Draining`].
+const DRAINING: &str = "draining";
+/// The list's word for [`EndpointStatus::Removed`].
+const REMOVED: &str = "gone";
 
 /// One server in an endpoint list.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -66,11 +78,11 @@
     /// The revision is missing, or a value outside the entries has the wrong type.
     pub fn read(node: &Node) -> Result<Self, KeyError> {
         let mut list = Self {
-            revision: node.at("rev").number()? as u64,
-            kind: read_list_kind(&node.at("all"))?,
+            revision: truncate_to_u64(node.at(endpoint_list::REVISION).number()?),
+            kind: read_list_kind(&node.at(endpoint_list::IS_FULL))?,
             ..Self::default()
         };
-        for entry in node.at("targets").items()? {
+        for entry in node.at(endpoint_list::ENDPOINTS).items()? {
             match ListedEndpoint::read(&entry) {
                 Ok(endpoint) => list.endpoints.push(endpoint),
                 Err(error) => list.skipped.push(error),
@@ -92,20 +104,23 @@
 impl ListedEndpoint {
     fn read(node: &Node) -> Result<Self, KeyError> {
         // The order of the reads decides which error of a bad entry is reported.
-        let address_node = node.at("endpoint");
+        let address_node = node.at(endpoint::ADDRESS);
         let address_text = address_node.text()?;
-        let started_at = read_start(&node.at("boot_ms"))?;
-        let id = node.at("uid").text()?;
+        let started_at = read_start(&node.at(endpoint::STARTED_AT_MS))?;
+        let id = node.at(endpoint::ID).text()?;
         let address = address_text
             .parse()
             .map_err(|_| address_node.error(KeyProblem::NotAnAddress))?;
         Ok(Self {
             id,
             address,
-            zone: node.at("az").optional_text()?.unwrap_or_default(),
-            machine_type: node.at("model").optional_text()?.unwrap_or_default(),
-            cell: node.at("pod_group").optional_number()?.unwrap_or(0.0) as u32,
-            status: read_status(&node.at("state"))?,
+            zone: node.at(endpoint::ZONE).optional_text()?.unwrap_or_default(),
+            machine_type: node
+                .at(endpoint::MACHINE_TYPE)
+                .optional_text()?
+                .unwrap_or_default(),
+            cell: truncate_to_u32(node.at(endpoint::CELL).optional_number()?.unwrap_or(0.0)),
+            status: read_status(&node.at(endpoint::STATUS))?,
             started_at,
         })
     }
@@ -124,14 +139,19 @@
         return Err(node.error(KeyProblem::NotATime));
     }
     let is_known = start_ms > UNKNOWN_START_MS;
-    Ok(is_known.then_some((start_ms * MICROS_PER_MS) as Micros))
+    Ok(is_known.then(|| micros_from_start_ms(start_ms)))
+}
+
+/// Cuts off what is below a microsecond, unlike [`micros_from_ms`](crate::micros_from_ms).
+fn micros_from_start_ms(start_ms: f64) -> Micros {
+    truncate_to_u64(start_ms * MICROS_PER_MS)
 }
 
 fn read_status(node: &Node) -> Result<EndpointStatus, KeyError> {
     match node.text()?.as_str() {
-        "ready" => Ok(EndpointStatus::Ready),
-        "draining" => Ok(EndpointStatus::Draining),
-        "gone" => Ok(EndpointStatus::Removed),
+        READY => Ok(EndpointStatus::Ready),
+        DRAINING => Ok(EndpointStatus::Draining),
+        REMOVED => Ok(EndpointStatus::Removed),
         other => Err(node.error(KeyProblem::UnknownValue(other.to_owned()))),
     }
 }
--- a/crates/platform/src/settings/transport.rs
+++ b/crates/platform/src/settings/transport.rs
@@ -1,18 +1,30 @@
-//! The settings of a host that opens connections.
+//! The settings of a host that opens connections: time-outs, the drain grace and the way in which
+//! the endpoint list arrives.
+//!
+//! Owns these keys, their defaults and the check of time-outs; the connections belong to the host.
 
 use std::time::Duration;
 
 use super::values::duration_or;
 use crate::error::{KeyError, KeyProblem};
 use crate::json::Node;
+use crate::keys;
 
-/// Time for a connection to be established, where the settings name none.
+/// Milliseconds for a connection to be established, where the settings name none; an attempt that
+/// takes longer has failed to connect. The value in the wire page's example.
 const DEFAULT_CONNECT_TIMEOUT_MS: f64 = 200.0;
-/// Time after which servers close an idle connection, where the settings name none.
+/// Milliseconds after which servers close an idle connection, where the settings name none; from
+/// then on a request written to it ends as a reset. The value in the wire page's example.
 const DEFAULT_IDLE_TIMEOUT_MS: f64 = 5_000.0;
-/// Time for which a draining server still accepts requests, where the settings name none.
+/// Milliseconds for which a draining server still accepts requests, where the settings name none; a
+/// request sent later breaks the rule on draining. The value in the wire page's example.
 const DEFAULT_DRAIN_GRACE_MS: f64 = 2_000.0;
 
+/// The settings' word for [`MembershipMode::OnRequest`].
+const ON_REQUEST: &str = "on_request";
+/// The settings' word for [`MembershipMode::Pushed`].
+const PUSHED: &str = "pushed";
+
 /// How changes of the endpoint list reach a balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MembershipMode {
@@ -31,13 +43,26 @@
     /// The value is not a text.
     pub fn read(conf: &Node) -> Result<Self, KeyError> {
         Ok(
-            match conf.at("membership-mode").optional_text()?.as_deref() {
-                Some("on_request") => Self::OnRequest,
-                Some("pushed") => Self::Pushed,
+            match conf
+                .at(keys::settings::MEMBERSHIP_MODE)
+                .optional_text()?
+                .as_deref()
+            {
+                Some(ON_REQUEST) => Self::OnRequest,
+                Some(PUSHED) => Self::Pushed,
                 _ => Self::Unspecified,
             },
         )
     }
+
+    /// The settings' word for the mode; `None` where no mode is named.
+    pub(super) fn name(self) -> Option<&'static str> {
+        match self {
+            Self::OnRequest => Some(ON_REQUEST),
+            Self::Pushed => Some(PUSHED),
+            Self::Unspecified => None,
+        }
+    }
 }
 
 /// Times and modes of connections to servers and to discovery.
@@ -59,7 +84,9 @@
     /// # Errors
     /// Names the first key whose value cannot be used.
     pub fn read(conf: &Node) -> Result<Self, KeyError> {
-        let drain_grace = conf.at("safety").at("drain-grace-ms");
+        let drain_grace = conf
+            .at(keys::settings::SAFETY)
+            .at(keys::safety::DRAIN_GRACE_MS);
         Ok(Self {
             connect_timeout: duration_or(&connect_timeout_key(conf), DEFAULT_CONNECT_TIMEOUT_MS)?,
             idle_timeout: duration_or(&idle_timeout_key(conf), DEFAULT_IDLE_TIMEOUT_MS)?,
@@ -85,10 +112,15 @@
 }
 
 fn connect_timeout_key<'a>(conf: &Node<'a>) -> Node<'a> {
-    conf.at("permissions").at("connect-timeout-ms")
+    conf.at(keys::settings::PERMISSIONS)
+        .at(keys::permissions::CONNECT_TIMEOUT_MS)
 }
 
 /// The key of the idle timeout, which the balancer's settings hold too.
 pub(super) fn idle_timeout_key<'a>(conf: &Node<'a>) -> Node<'a> {
-    conf.at("permissions").at("idle-close-ms")
+    conf.at(keys::settings::PERMISSIONS)
+        .at(keys::permissions::IDLE_TIMEOUT_MS)
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/platform/src/settings/values.rs
+++ b/crates/platform/src/settings/values.rs
@@ -1,11 +1,14 @@
-//! Optional values of the settings, with their defaults.
+//! Optional values of the settings, with their defaults. Owns how an absent value is read and when
+//! a value is left out; which keys exist is known by the callers.
 
 use std::time::Duration;
 
 use arrowstand_balancer::Micros;
+use serde_json::Value;
 
 use crate::error::KeyError;
 use crate::json::Node;
+use crate::number::truncate_to_u32;
 use crate::units::{duration_from_ms, micros_from_ms};
 
 /// A boolean that is false where the key is absent.
@@ -20,7 +23,7 @@
 
 /// A count; a fraction is cut off, and a number that does not fit becomes the largest one.
 pub(super) fn count_or(node: &Node, default: u32) -> Result<u32, KeyError> {
-    Ok(number_or(node, f64::from(default))? as u32)
+    Ok(truncate_to_u32(number_or(node, f64::from(default))?))
 }
 
 /// A time in milliseconds; the default is in microseconds.
@@ -34,3 +37,13 @@
         node.optional_number()?.unwrap_or(default_ms),
     ))
 }
+
+/// Adds a value to a JSON object unless it is what a reader takes an absent key for.
+pub(super) fn insert_unless_default<T>(object: &mut Value, key: &str, value: T)
+where
+    T: Default + PartialEq + Into<Value>,
+{
+    if value != T::default() {
+        object[key] = value.into();
+    }
+}
