--- a/crates/testbed/src/audit/cold_server.rs
+++ b/crates/testbed/src/audit/cold_server.rs
@@ -6,7 +6,7 @@
 
 use crate::event_log::ServerState;
 use crate::scenario::Micros;
-use crate::server_model::budget;
+use crate::server_model::cold_work_limit;
 
 /// Share of the work in the window that must come from sidecars that know of the server's start:
 /// less is nothing that they could have avoided.
@@ -117,7 +117,7 @@
             server.window.pop_front();
         }
         let (all, informed) = (server.work_in_window(false), server.work_in_window(true));
-        let limit = budget(factor, capacity, window, work);
+        let limit = cold_work_limit(factor, capacity, window, work);
         if all <= limit || informed < INFORMED_SHARE * all || server.reported {
             return None;
         }
--- a/crates/testbed/src/emulator/emulated_server/offer.rs
+++ b/crates/testbed/src/emulator/emulated_server/admission.rs
@@ -1,11 +1,11 @@
-//! What an emulated server's process is offered, and what it makes of it.
+//! The admission of an attempt to an emulated server's process, and what is drawn for its response.
 
 use tokio::sync::oneshot;
 
 use crate::scenario::Micros;
 
-/// An attempt as it is offered to the process.
-pub(super) struct Offer {
+/// An attempt that asks the process for admission.
+pub(super) struct AdmissionRequest {
     pub(super) request: u64,
     /// Expected work.
     pub(super) work: f64,
@@ -13,25 +13,25 @@
     pub(super) noise: f64,
     /// Whether it came on a new connection, which costs a handshake.
     pub(super) new_connection: bool,
-    /// When it is given up if it has not begun.
+    /// When it expires if it has not started.
     pub(super) deadline: Micros,
 }
 
 /// An attempt that was accepted: its number in the model, and its end.
-pub(super) struct Accepted {
+pub(super) struct AcceptedAttempt {
     pub(super) job: u64,
     pub(super) end: oneshot::Receiver<bool>,
 }
 
-/// What came of an offer.
-pub(super) struct Offered {
+/// Whether the process accepts an attempt, and its state at that moment.
+pub(super) struct Admission {
     /// The actual work.
     pub(super) work: f64,
     /// Work that the server could do per microsecond.
     pub(super) capacity: f64,
     pub(super) cold: bool,
     /// Nothing where the attempt was rejected.
-    pub(super) accepted: Option<Accepted>,
+    pub(super) accepted: Option<AcceptedAttempt>,
 }
 
 /// What is drawn for a response as its attempt ends.
--- a/crates/testbed/src/emulator/emulated_server/attempt.rs
+++ b/crates/testbed/src/emulator/emulated_server/attempt.rs
@@ -6,8 +6,8 @@
 use tokio::sync::oneshot;
 
 use super::EmulatedServer;
+use super::admission::{AcceptedAttempt, Admission, AdmissionRequest, ResponseDraw};
 use super::connection::{Incoming, Reply};
-use super::offer::{Accepted, Offer, Offered, ResponseDraw};
 use crate::emulator::clock::sleep_for;
 use crate::emulator::http::{HttpConnection, Message, response};
 use crate::emulator::lock::lock;
@@ -76,7 +76,7 @@
             self.shared.on_attempt_swallowed();
             return Ok(Reply::StaySilent);
         }
-        let Some(accepted) = self.offer(&attempt, incoming) else {
+        let Some(accepted) = self.try_accept(&attempt, incoming) else {
             sleep_for(incoming.delay).await;
             return Ok(Reply::Send(response(
                 "503 Service Unavailable",
@@ -117,10 +117,10 @@
         (round_trips * 2.0 * incoming.delay as f64) as Micros
     }
 
-    /// Offers an attempt to the process; nothing where it is rejected.
-    fn offer(&self, attempt: &Attempt, incoming: &Incoming) -> Option<Accepted> {
+    /// Asks the process to accept an attempt; nothing where it is rejected.
+    fn try_accept(&self, attempt: &Attempt, incoming: &Incoming) -> Option<AcceptedAttempt> {
         let classes = &self.shared.scenario.class;
-        let offer = Offer {
+        let request = AdmissionRequest {
             request: attempt.request,
             work: attempt.work,
             noise: classes.get(attempt.class).map_or(0.0, |class| class.noise),
@@ -130,22 +130,22 @@
                 .saturating_add(attempt.timeout.unwrap_or(LONGEST_WAIT)),
         };
         self.update(|process, now| {
-            let offered = process.offer(now, offer);
-            self.note_received(now, attempt.request, incoming.server, &offered);
-            offered.accepted
+            let admission = process.try_accept(now, request);
+            self.note_received(now, attempt.request, incoming.server, &admission);
+            admission.accepted
         })
     }
 
-    fn note_received(&self, at: Micros, request: u64, server: u32, offered: &Offered) {
+    fn note_received(&self, at: Micros, request: u64, server: u32, admission: &Admission) {
         let received = LogEvent::AttemptReceived {
             request,
             server,
-            work: offered.work,
-            capacity: offered.capacity,
-            cold: offered.cold,
+            work: admission.work,
+            capacity: admission.capacity,
+            cold: admission.cold,
         };
         self.shared.note_at(at, received);
-        if offered.accepted.is_none() {
+        if admission.accepted.is_none() {
             let rejected = LogEvent::AttemptRejected { request, server };
             self.shared.note_at(at, rejected);
         }
--- a/crates/testbed/src/emulator/emulated_server/health_check.rs
+++ b/crates/testbed/src/emulator/emulated_server/health_check.rs
@@ -33,7 +33,7 @@
             Some(load) => {
                 let body = format!(
                     "inflight={},eps={:.2},queue={}",
-                    load.inflight, load.eps, load.queue
+                    load.in_flight, load.errors_per_s, load.queued
                 );
                 response("200 OK", "", &body)
             }
--- a/crates/testbed/src/emulator/emulated_server/mod.rs
+++ b/crates/testbed/src/emulator/emulated_server/mod.rs
@@ -3,12 +3,12 @@
 //! This file owns a server's identity and how its process is changed; the other files its
 //! listeners, its connections, what it responds, and the faults that it suffers.
 
+mod admission;
 mod attempt;
 mod connection;
 mod faults;
 mod health_check;
 mod listeners;
-mod offer;
 mod process;
 
 use std::net::SocketAddr;
@@ -81,7 +81,7 @@
         let scenario = &shared.scenario;
         let stream = STREAM_OFFSET + number;
         let random = RandomStream::new(scenario.seed, StreamId::Machines, stream);
-        let model = ServerModel::drawn(scenario, machine_type, number, 0, group.cold);
+        let model = ServerModel::from_scenario(scenario, machine_type, number, 0, group.cold);
         let addresses = (0..scenario.sidecars.count)
             .map(|_| free_address())
             .collect::<Result<_, _>>()?;
--- a/crates/testbed/src/emulator/emulated_server/process.rs
+++ b/crates/testbed/src/emulator/emulated_server/process.rs
@@ -4,10 +4,10 @@
 
 use tokio::sync::oneshot;
 
-use super::offer::{Accepted, Offer, Offered, ResponseDraw};
+use super::admission::{AcceptedAttempt, Admission, AdmissionRequest, ResponseDraw};
 use crate::random::RandomStream;
 use crate::scenario::{MachineType, Micros};
-use crate::server_model::{Event, Job, Report, ServerModel, State};
+use crate::server_model::{Event, Job, LoadReport, ServerModel, State};
 
 /// An attempt in the model.
 struct Execution {
@@ -52,7 +52,7 @@
     }
 
     pub(super) fn machine_type(&self) -> &MachineType {
-        self.model.kind()
+        self.model.machine_type()
     }
 
     pub(super) fn is_paused(&self) -> bool {
@@ -61,7 +61,10 @@
 
     /// Attempts in flight, and open connections.
     pub(super) fn gauge(&self) -> (u32, u32) {
-        (self.model.held() as u32, self.model.connections() as u32)
+        (
+            self.model.in_flight() as u32,
+            self.model.connections() as u32,
+        )
     }
 
     /// A random number from 0 to 1.
@@ -70,7 +73,7 @@
     }
 
     pub(super) fn next_event_at(&self) -> Option<Micros> {
-        self.model.next()
+        self.model.next_event_at()
     }
 
     pub(super) fn advance(&mut self, now: Micros) {
@@ -83,15 +86,15 @@
         let mut overloaded = false;
         for event in std::mem::take(&mut self.events) {
             match event {
-                Event::Began(_) => {}
-                Event::Ended { id, error } => {
+                Event::Started(_) => {}
+                Event::Completed { id, error } => {
                     if let Some(execution) = self.executions.remove(&id) {
                         on_work_done(execution.request, execution.work);
                         let _ = execution.end.send(error);
                     }
                 }
-                Event::Dropped(id) => drop(self.executions.remove(&id)),
-                Event::Fell => overloaded = true,
+                Event::Expired(id) => drop(self.executions.remove(&id)),
+                Event::OverloadShutdown => overloaded = true,
             }
         }
         overloaded
@@ -107,21 +110,21 @@
     }
 
     /// The load report of a health check; nothing where it is rejected.
-    pub(super) fn health_check(&mut self, now: Micros) -> Option<Report> {
-        self.model.probe(now, &mut self.events)
+    pub(super) fn health_check(&mut self, now: Micros) -> Option<LoadReport> {
+        self.model.health_check(now, &mut self.events)
     }
 
-    pub(super) fn offer(&mut self, now: Micros, offer: Offer) -> Offered {
-        let work = self.draw_work(offer.work, offer.noise);
+    pub(super) fn try_accept(&mut self, now: Micros, request: AdmissionRequest) -> Admission {
+        let work = self.draw_work(request.work, request.noise);
         let (capacity, cold) = (self.model.capacity(now), self.model.is_cold(now));
-        if offer.new_connection {
+        if request.new_connection {
             self.model.handshake(now, &mut self.events);
         }
         let id = self.next_job;
         self.next_job += 1;
         let (sender, end) = oneshot::channel();
         let execution = Execution {
-            request: offer.request,
+            request: request.request,
             work,
             end: sender,
         };
@@ -129,17 +132,17 @@
         let job = Job {
             id,
             work,
-            until: offer.deadline,
+            deadline: request.deadline,
         };
-        let accepted = !self.draining && self.model.offer(now, job, &mut self.events);
+        let accepted = !self.draining && self.model.try_accept(now, job, &mut self.events);
         if !accepted {
             self.executions.remove(&id);
         }
-        Offered {
+        Admission {
             work,
             capacity,
             cold,
-            accepted: accepted.then_some(Accepted { job: id, end }),
+            accepted: accepted.then_some(AcceptedAttempt { job: id, end }),
         }
     }
 
@@ -161,7 +164,7 @@
     }
 
     pub(super) fn draw_response(&mut self, now: Micros) -> ResponseDraw {
-        let reported_in_flight = self.model.answer_report(now);
+        let reported_in_flight = self.model.response_report(now);
         ResponseDraw {
             malformed: self.random.chance(self.malformed_share),
             reset: self.random.chance(self.reset_share),
@@ -190,7 +193,7 @@
     }
 
     pub(super) fn set_slowdown(&mut self, now: Micros, factor: f64) {
-        self.model.set_slower(now, factor, &mut self.events);
+        self.model.set_slowdown(now, factor, &mut self.events);
     }
 
     pub(super) fn set_draining(&mut self) {
@@ -199,7 +202,7 @@
 
     /// `share` of the attempts end in an error; the machine type's own share if absent.
     pub(super) fn set_error_share(&mut self, share: Option<f64>) {
-        self.model.set_errors(share);
+        self.model.set_error_rate(share);
     }
 
     pub(super) fn set_malformed_share(&mut self, share: f64) {
--- a/crates/testbed/src/server_model/contention.rs
+++ b/crates/testbed/src/server_model/contention.rs
@@ -6,39 +6,39 @@
 /// Whether a server is overloaded, or slowed by it.
 #[derive(Debug, Default)]
 pub(super) struct Contention {
-    /// Since when it holds too many jobs, while it is not slowed.
+    /// Since when too many jobs are in flight, while it is not slowed.
     overloaded_since: Option<Micros>,
     slowed: Option<Slowed>,
-    /// Time for which it was slowed before, in microseconds.
-    slowed_before: Micros,
+    /// Time for which it was slowed earlier, in microseconds.
+    earlier_slowed_time: Micros,
 }
 
 /// A server is slowed.
 #[derive(Debug)]
 struct Slowed {
     since: Micros,
-    /// Since when it holds few enough jobs to recover.
-    calm_since: Option<Micros>,
+    /// Since when few enough jobs are in flight for it to recover.
+    recovering_since: Option<Micros>,
 }
 
 impl Contention {
-    /// The jobs that a server holds, or the time, have changed.
-    fn on_load(&mut self, choke: &Choke, now: Micros, held: f64, cores: f64) {
+    /// The number of jobs in flight, or the time, has changed.
+    fn on_load(&mut self, choke: &Choke, now: Micros, in_flight: f64, cores: f64) {
         if let Some(slowed) = &mut self.slowed {
-            let calm = held < choke.below * cores;
-            slowed.calm_since = calm.then_some(slowed.calm_since.unwrap_or(now));
-            let calm_since = slowed.calm_since;
-            let rested = calm_since.is_some_and(|at| now >= at + from_s(choke.rest_s));
-            if rested || now >= slowed.since + from_s(choke.most_s) {
-                self.slowed_before += now - slowed.since;
+            let recovering = in_flight < choke.below * cores;
+            slowed.recovering_since = recovering.then_some(slowed.recovering_since.unwrap_or(now));
+            let recovering_since = slowed.recovering_since;
+            let recovered = recovering_since.is_some_and(|at| now >= at + from_s(choke.rest_s));
+            if recovered || now >= slowed.since + from_s(choke.most_s) {
+                self.earlier_slowed_time += now - slowed.since;
                 self.reset();
             }
-        } else if held <= choke.at * cores {
+        } else if in_flight <= choke.at * cores {
             self.overloaded_since = None;
         } else if now >= *self.overloaded_since.get_or_insert(now) + from_s(choke.over_s) {
             self.slowed = Some(Slowed {
                 since: now,
-                calm_since: None,
+                recovering_since: None,
             });
         }
     }
@@ -68,10 +68,10 @@
 
 impl ServerModel {
     pub(super) fn update_contention(&mut self) {
-        let held = self.held() as f64;
+        let in_flight = self.in_flight() as f64;
         let cores = f64::from(self.machine_type.cores);
         if let Some(choke) = &self.machine_type.choke {
-            self.contention.on_load(choke, self.now, held, cores);
+            self.contention.on_load(choke, self.now, in_flight, cores);
         }
     }
 
@@ -79,6 +79,6 @@
     pub fn time_slowed(&self) -> Micros {
         let slowed = self.contention.slowed.as_ref();
         let present = slowed.map_or(0, |slowed| self.now.saturating_sub(slowed.since));
-        self.contention.slowed_before + present
+        self.contention.earlier_slowed_time + present
     }
 }
--- a/crates/testbed/src/server_model/health_check_limit.rs
+++ b/crates/testbed/src/server_model/health_check_limiter.rs
@@ -1,15 +1,15 @@
-//! How many health checks a server answers.
+//! The rate limit on the health checks that a server answers.
 
 use crate::scenario::Micros;
 
-/// A bucket of tokens, one for each health check: as many as come in a second, and one at least.
+/// A token bucket, one token for each health check: it holds those of a second, and one at least.
 #[derive(Debug)]
-pub(super) struct HealthCheckLimit {
+pub(super) struct HealthCheckLimiter {
     tokens: f64,
     refilled_at: Micros,
 }
 
-impl HealthCheckLimit {
+impl HealthCheckLimiter {
     /// A full bucket; `rate` in health checks a second.
     pub(super) fn new(rate: f64, now: Micros) -> Self {
         Self {
@@ -19,7 +19,7 @@
     }
 
     /// Whether a health check is answered; without a rate all are.
-    pub(super) fn admits(&mut self, rate: f64, now: Micros) -> bool {
+    pub(super) fn try_acquire(&mut self, rate: f64, now: Micros) -> bool {
         if rate <= 0.0 {
             return true;
         }
--- a/crates/testbed/src/server_model/load_report.rs
+++ b/crates/testbed/src/server_model/load_report.rs
@@ -12,20 +12,20 @@
 
 /// A load report in the response to a health check.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Report {
+pub struct LoadReport {
     /// Requests that wait and run.
-    pub inflight: usize,
+    pub in_flight: usize,
     /// Requests that wait.
-    pub queue: usize,
-    /// Errors in the last second.
-    pub eps: f64,
+    pub queued: usize,
+    /// Jobs that ended in an error in the last second.
+    pub errors_per_s: f64,
 }
 
-/// Jobs held at a moment.
+/// Jobs in flight at a moment.
 #[derive(Clone, Copy, Debug)]
 struct Sample {
     at: Micros,
-    held: usize,
+    in_flight: usize,
 }
 
 /// What a server has measured of its load, and reports later.
@@ -34,7 +34,7 @@
     settings: LoadReports,
     /// When jobs ended in errors, within the window.
     errors: VecDeque<Micros>,
-    report: Report,
+    report: LoadReport,
     /// When the report was made; 0 before the first.
     reported_at: Micros,
     /// Samples for responses: the one that is reported, and younger ones.
@@ -58,24 +58,24 @@
     }
 
     /// The report for a health check: the last one while it is fresh.
-    fn health_check_report(&mut self, now: Micros, held: usize, queued: usize) -> Report {
+    fn health_check_report(&mut self, now: Micros, in_flight: usize, queued: usize) -> LoadReport {
         if now >= self.reported_at + REFRESH_INTERVAL || self.reported_at == 0 {
             let is_old = |at: &Micros| *at + ERROR_WINDOW <= now;
             while self.errors.front().is_some_and(is_old) {
                 self.errors.pop_front();
             }
             self.reported_at = now;
-            self.report = Report {
-                inflight: held,
-                queue: queued,
-                eps: self.errors.len() as f64,
+            self.report = LoadReport {
+                in_flight,
+                queued,
+                errors_per_s: self.errors.len() as f64,
             };
         }
         self.report
     }
 
     /// The jobs that a response reports: those of the last sample that is old enough.
-    fn response_report(&mut self, now: Micros, held: usize) -> Option<usize> {
+    fn in_flight_to_report(&mut self, now: Micros, in_flight: usize) -> Option<usize> {
         if self.settings.source != ReportSource::Answers {
             return None;
         }
@@ -83,34 +83,37 @@
         let delay = from_ms(self.settings.delay_ms);
         let last = self.samples.back();
         if last.is_none_or(|last| now >= last.at + interval) {
-            self.samples.push_back(Sample { at: now, held });
+            self.samples.push_back(Sample { at: now, in_flight });
         }
         let is_reportable = |sample: &Sample| now >= sample.at + delay;
         while self.samples.get(1).is_some_and(is_reportable) {
             self.samples.pop_front();
         }
         let first = self.samples.front().copied();
-        first.filter(is_reportable).map(|sample| sample.held)
+        first.filter(is_reportable).map(|sample| sample.in_flight)
     }
 }
 
 impl ServerModel {
     /// Answers a health check; nothing where it takes no more of them.
-    pub fn probe(&mut self, now: Micros, events: &mut Vec<Event>) -> Option<Report> {
+    pub fn health_check(&mut self, now: Micros, events: &mut Vec<Event>) -> Option<LoadReport> {
         self.advance(now, events);
         let rate = self.machine_type.health_checks_per_s;
-        if !self.health_checks.admits(rate, now) {
+        if !self.health_checks.try_acquire(rate, now) {
             return None;
         }
         self.side_work += self.machine_type.health_check_ms * 1_000.0;
-        let (held, queued) = (self.held(), self.queue.len());
-        Some(self.load_reports.health_check_report(now, held, queued))
+        let (in_flight, queued) = (self.in_flight(), self.queue.len());
+        Some(
+            self.load_reports
+                .health_check_report(now, in_flight, queued),
+        )
     }
 
     /// The requests in flight that a response reports which goes out now; nothing where responses
     /// report none.
-    pub fn answer_report(&mut self, now: Micros) -> Option<usize> {
-        let held = self.held();
-        self.load_reports.response_report(now, held)
+    pub fn response_report(&mut self, now: Micros) -> Option<usize> {
+        let in_flight = self.in_flight();
+        self.load_reports.in_flight_to_report(now, in_flight)
     }
 }
--- a/crates/testbed/src/server_model/mod.rs
+++ b/crates/testbed/src/server_model/mod.rs
@@ -7,7 +7,7 @@
 //! state.
 
 mod contention;
-mod health_check_limit;
+mod health_check_limiter;
 mod load_report;
 mod pace;
 mod running_jobs;
@@ -21,13 +21,13 @@
 use crate::scenario::{MachineType, Micros, Scenario, from_ms};
 
 use contention::Contention;
-use health_check_limit::HealthCheckLimit;
+use health_check_limiter::HealthCheckLimiter;
 use load_report::LoadReporter;
 use running_jobs::RunningJobs;
 use slow_start::{OverloadRule, SlowStart};
 
-pub use load_report::Report;
-pub use slow_start::budget;
+pub use load_report::LoadReport;
+pub use slow_start::cold_work_limit;
 
 /// Work handed to a server.
 #[derive(Clone, Copy, Debug)]
@@ -36,33 +36,33 @@
     pub id: u64,
     /// Work in microseconds of a standard core.
     pub work: f64,
-    /// When nobody waits for it any more.
-    pub until: Micros,
+    /// When its sender stops waiting for it.
+    pub deadline: Micros,
 }
 
 /// What a server did by itself; the number is the job's.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Event {
-    /// A job began to run.
-    Began(u64),
-    /// A job ran to its end.
-    Ended {
+    /// A job started to run.
+    Started(u64),
+    /// A job was completed.
+    Completed {
         /// The job.
         id: u64,
         /// Whether it ended in an error.
         error: bool,
     },
-    /// An expired job was dropped from the queue.
-    Dropped(u64),
-    /// The cold server was sent more work than it bears, and went down.
-    Fell,
+    /// A job expired in the queue and was dropped.
+    Expired(u64),
+    /// The cold server received more work than it bears, and shut down.
+    OverloadShutdown,
 }
 
 /// What a server has counted since it was built.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Counters {
-    /// Expired jobs that were dropped from the queue.
-    pub dropped: u64,
+    /// Jobs that expired in the queue.
+    pub expired: u64,
     /// Jobs that were cancelled, waiting or running.
     pub cancelled: u64,
     /// Most jobs in flight at once, waiting and running.
@@ -74,7 +74,7 @@
 pub enum State {
     /// It works.
     Up,
-    /// It stands still; takes in and answers nothing until it goes on.
+    /// It stands still; accepts and answers nothing until it goes on.
     Paused,
     /// It is gone, with all that it held.
     Down,
@@ -99,7 +99,7 @@
     slow_start: SlowStart,
     contention: Contention,
     connections: usize,
-    health_checks: HealthCheckLimit,
+    health_checks: HealthCheckLimiter,
     load_reports: LoadReporter,
     random: RandomStream,
     /// What it has counted.
@@ -128,7 +128,7 @@
             slow_start: SlowStart::new(rule, cold.then_some(now)),
             contention: Contention::default(),
             connections: 0,
-            health_checks: HealthCheckLimit::new(machine_type.health_checks_per_s, now),
+            health_checks: HealthCheckLimiter::new(machine_type.health_checks_per_s, now),
             load_reports: LoadReporter::default(),
             random,
             counters: Counters::default(),
@@ -136,8 +136,8 @@
         }
     }
 
-    /// The scenario's server of that number, its speed drawn: the same in both engines.
-    pub fn drawn(
+    /// The scenario's server of that number. Its speed is drawn, alike in both engines.
+    pub fn from_scenario(
         scenario: &Scenario,
         machine_type: &MachineType,
         number: usize,
@@ -157,7 +157,7 @@
     }
 
     /// Its machine type.
-    pub fn kind(&self) -> &MachineType {
+    pub fn machine_type(&self) -> &MachineType {
         &self.machine_type
     }
 
@@ -166,8 +166,8 @@
         self.state
     }
 
-    /// Jobs that wait and run.
-    pub fn held(&self) -> usize {
+    /// Jobs in flight: those that wait and those that run.
+    pub fn in_flight(&self) -> usize {
         self.running.len() + self.queue.len()
     }
 
@@ -182,12 +182,12 @@
         f64::from(self.machine_type.cores) * self.speed * self.slow_start_factor(now)
     }
 
-    /// Takes in a job, or rejects it. False for what is rejected, or brings a cold server down.
-    pub fn offer(&mut self, now: Micros, job: Job, events: &mut Vec<Event>) -> bool {
+    /// Accepts a job. False where it is rejected, or overloads a cold server, which then shuts down.
+    pub fn try_accept(&mut self, now: Micros, job: Job, events: &mut Vec<Event>) -> bool {
         self.advance(now, events);
         if self.is_overloaded_by(now, job.work) {
             self.state = State::Down;
-            events.push(Event::Fell);
+            events.push(Event::OverloadShutdown);
             return false;
         }
         // A paused process reads nothing: what comes waits, as it would in its socket.
@@ -199,7 +199,7 @@
         self.queue.push_back(job);
         self.start_waiting(events);
         self.update_contention();
-        self.counters.max_in_flight = self.counters.max_in_flight.max(self.held());
+        self.counters.max_in_flight = self.counters.max_in_flight.max(self.in_flight());
         true
     }
 }
--- a/crates/testbed/src/server_model/pace.rs
+++ b/crates/testbed/src/server_model/pace.rs
@@ -42,8 +42,8 @@
     /// How many times slower the jobs make each other.
     fn thrashing(&self) -> f64 {
         let machine_type = &self.machine_type;
-        let held_per_core = self.held() as f64 / f64::from(machine_type.cores);
-        let beyond = (held_per_core - machine_type.thrash_at).max(0.0);
+        let in_flight_per_core = self.in_flight() as f64 / f64::from(machine_type.cores);
+        let beyond = (in_flight_per_core - machine_type.thrash_at).max(0.0);
         1.0 + machine_type.thrash * beyond
     }
 
--- a/crates/testbed/src/server_model/service.rs
+++ b/crates/testbed/src/server_model/service.rs
@@ -15,11 +15,11 @@
 
 impl ServerModel {
     /// When something will happen here by itself; nothing while it idles or stands still.
-    pub fn next(&self) -> Option<Micros> {
+    pub fn next_event_at(&self) -> Option<Micros> {
         if self.state != State::Up {
             return None;
         }
-        let changes = self.changes_by_itself(self.now) && self.held() > 0;
+        let changes = self.changes_by_itself(self.now) && self.in_flight() > 0;
         let step = (changes || self.contention.is_slowed()).then_some(self.now + STEP);
         [self.next_end(), step].into_iter().flatten().min()
     }
@@ -93,7 +93,7 @@
             self.load_reports.on_error(self.now);
         }
         self.slow_start.on_served();
-        events.push(Event::Ended { id, error });
+        events.push(Event::Completed { id, error });
         self.start_waiting(events);
     }
 
@@ -106,13 +106,13 @@
             let Some(job) = self.queue.pop_front() else {
                 return;
             };
-            if self.machine_type.drops_expired && job.until <= self.now {
-                self.counters.dropped += 1;
-                events.push(Event::Dropped(job.id));
+            if self.machine_type.drops_expired && job.deadline <= self.now {
+                self.counters.expired += 1;
+                events.push(Event::Expired(job.id));
                 continue;
             }
             self.running.on_started(job.id, job.work.max(MIN_WORK));
-            events.push(Event::Began(job.id));
+            events.push(Event::Started(job.id));
         }
     }
 }
--- a/crates/testbed/src/server_model/slow_start.rs
+++ b/crates/testbed/src/server_model/slow_start.rs
@@ -1,4 +1,4 @@
-//! A server that has just started: what it can do, and how much work brings it down.
+//! Slow start: what a cold server can do, and how much work overloads it.
 
 use std::collections::VecDeque;
 
@@ -70,7 +70,7 @@
             self.sent.pop_front();
         }
         let sent: f64 = self.sent.iter().map(|(_, work)| work).sum();
-        sent > budget(factor, capacity, window, work)
+        sent > cold_work_limit(factor, capacity, window, work)
     }
 }
 
@@ -84,7 +84,7 @@
         self.slow_start_factor(now) < 1.0
     }
 
-    /// Whether work that comes now brings it down.
+    /// Whether work that comes now overloads the cold server.
     pub(super) fn is_overloaded_by(&mut self, now: Micros, work: f64) -> bool {
         if !self.is_cold(now) {
             self.slow_start.sent.clear();
@@ -98,6 +98,6 @@
 /// Work that a cold server may be sent within the window of the overload rule, in microseconds of a
 /// standard core. The slack stands for chance: two requests as large as the largest, as the rule is
 /// about load and not about one request's luck.
-pub fn budget(factor: f64, capacity: f64, window: Micros, largest: f64) -> f64 {
+pub fn cold_work_limit(factor: f64, capacity: f64, window: Micros, largest: f64) -> f64 {
     factor * capacity * window as f64 + 2.0 * largest
 }
--- a/crates/testbed/src/server_model/state_change.rs
+++ b/crates/testbed/src/server_model/state_change.rs
@@ -1,4 +1,4 @@
-//! What is done to a server beside the jobs that it is offered.
+//! What is done to a server beside handing it jobs.
 
 use super::{Event, ServerModel, State};
 use crate::scenario::{Cancel, Micros};
@@ -7,7 +7,7 @@
 const MIN_SLOWDOWN: f64 = 1e-3;
 
 impl ServerModel {
-    /// Nobody waits for a job any more. True if it had not begun and never will.
+    /// Nobody waits for a job any more. True if it had not started and never will.
     pub fn cancel(&mut self, now: Micros, id: u64, events: &mut Vec<Event>) -> bool {
         self.advance(now, events);
         if self.machine_type.cancel == Cancel::None {
@@ -68,14 +68,14 @@
         self.connections = 0;
     }
 
-    /// Makes it so many times slower than usual; 1 for its usual pace.
-    pub fn set_slower(&mut self, now: Micros, times: f64, events: &mut Vec<Event>) {
+    /// Makes it so many times slower than usual; 1 for its usual speed.
+    pub fn set_slowdown(&mut self, now: Micros, factor: f64, events: &mut Vec<Event>) {
         self.advance(now, events);
-        self.slowdown = times.max(MIN_SLOWDOWN);
+        self.slowdown = factor.max(MIN_SLOWDOWN);
     }
 
     /// Makes it fail this share of its jobs; the machine type's own share where none is given.
-    pub fn set_errors(&mut self, share: Option<f64>) {
+    pub fn set_error_rate(&mut self, share: Option<f64>) {
         self.error_rate = share.unwrap_or(self.machine_type.error_rate);
     }
 }
--- a/crates/testbed/src/server_model/tests.rs
+++ b/crates/testbed/src/server_model/tests.rs
@@ -26,16 +26,16 @@
     Job {
         id,
         work,
-        until: Micros::MAX,
+        deadline: Micros::MAX,
     }
 }
 
 fn ends(server: &mut ServerModel, until: Micros) -> Vec<(u64, Micros)> {
     let (mut all, mut events) = (Vec::new(), Vec::new());
-    while let Some(at) = server.next().filter(|&at| at <= until) {
+    while let Some(at) = server.next_event_at().filter(|&at| at <= until) {
         server.advance(at, &mut events);
         for event in events.drain(..) {
-            if let Event::Ended { id, .. } = event {
+            if let Event::Completed { id, .. } = event {
                 all.push((id, at));
             }
         }
@@ -46,10 +46,10 @@
 #[test]
 fn jobs_wait_in_order_for_a_free_core_and_are_rejected_beyond_the_queue() {
     let (mut server, mut events) = (server_of(two_cores()), Vec::new());
-    let taken: Vec<bool> = (0..6)
-        .map(|id| server.offer(0, job(id, 10_000.0), &mut events))
+    let accepted: Vec<bool> = (0..6)
+        .map(|id| server.try_accept(0, job(id, 10_000.0), &mut events))
         .collect();
-    assert_eq!(taken, [true, true, true, true, true, false]);
+    assert_eq!(accepted, [true, true, true, true, true, false]);
     let ends = ends(&mut server, 1_000_000);
     assert_eq!(
         ends.iter().map(|e| e.0).collect::<Vec<_>>(),
@@ -64,10 +64,10 @@
 #[test]
 fn a_slowed_and_paused_server_ends_its_job_later_by_what_it_lost() {
     let (mut server, mut events) = (server_of(two_cores()), Vec::new());
-    server.offer(0, job(1, 10_000.0), &mut events);
-    server.set_slower(5_000, 2.0, &mut events);
+    server.try_accept(0, job(1, 10_000.0), &mut events);
+    server.set_slowdown(5_000, 2.0, &mut events);
     server.set_state(10_000, State::Paused, &mut events);
-    assert_eq!(server.next(), None);
+    assert_eq!(server.next_event_at(), None);
     server.set_state(40_000, State::Up, &mut events);
     let ends = ends(&mut server, 1_000_000);
     // 5 ms at full speed, 5 ms at half, 30 ms of pause, and 2.5 ms of work left at half speed.
@@ -91,7 +91,7 @@
         ..two_cores()
     };
     let (mut server, mut events) = (server_of(machine_type), Vec::new());
-    assert!((0..20).all(|id| server.offer(0, job(id, 20_000.0), &mut events)));
+    assert!((0..20).all(|id| server.try_accept(0, job(id, 20_000.0), &mut events)));
     let crowd = ends(&mut server, 60_000_000);
     let last = crowd.last().map_or(0, |e| e.1);
     assert!(
@@ -100,7 +100,7 @@
     );
     assert!(server.time_slowed() > 0);
     server.advance(last + 2_000_000, &mut events);
-    server.offer(last + 2_000_000, job(99, 20_000.0), &mut events);
+    server.try_accept(last + 2_000_000, job(99, 20_000.0), &mut events);
     assert_eq!(
         ends(&mut server, 60_000_000).last().map(|e| e.1 - last),
         Some(2_020_000)
@@ -116,10 +116,10 @@
     };
     let ends = |machine_type: MachineType, count: u64| {
         let (mut server, mut events) = (server_of(machine_type), Vec::new());
-        (0..count).for_each(|id| assert!(server.offer(0, job(id, 10_000.0), &mut events)));
+        (0..count).for_each(|id| assert!(server.try_accept(0, job(id, 10_000.0), &mut events)));
         let mut at = 0;
-        while server.held() > 0 {
-            at = server.next().expect("goes on");
+        while server.in_flight() > 0 {
+            at = server.next_event_at().expect("goes on");
             server.advance(at, &mut events);
         }
         at
@@ -146,15 +146,15 @@
         delay_ms: 50.0,
     });
     let mut events = Vec::new();
-    assert_eq!(server.answer_report(0), None, "nothing is old enough");
-    server.offer(1_000, job(1, 1e6), &mut events);
-    assert_eq!(server.answer_report(60_000), Some(0), "as of the start");
+    assert_eq!(server.response_report(0), None, "nothing is old enough");
+    server.try_accept(1_000, job(1, 1e6), &mut events);
+    assert_eq!(server.response_report(60_000), Some(0), "as of the start");
     assert_eq!(
-        server.answer_report(110_000),
+        server.response_report(110_000),
         Some(0),
         "sampled anew, not reported yet"
     );
-    assert_eq!(server.answer_report(170_000), Some(1));
+    assert_eq!(server.response_report(170_000), Some(1));
 }
 
 #[test]
@@ -168,16 +168,17 @@
     let (mut server, mut events) = (server_of(machine_type), Vec::new());
     server.set_state(0, State::Down, &mut events);
     server.set_state(0, State::Up, &mut events);
-    server.offer(0, job(1, 10_000.0), &mut events);
+    server.try_accept(0, job(1, 10_000.0), &mut events);
     assert_eq!(
         ends(&mut server, 1_000_000).first().map(|e| e.1 / 1_000),
         Some(40)
     );
     // 2.5 x (2 cores x 0.25) x 1.5 s are 1.875 s of work, and some for chance.
-    let taken = (0..400).take_while(|id| server.offer(50_000, job(10 + id, 10_000.0), &mut events));
-    let taken = taken.count() as f64 * 0.01;
-    assert!((1.8..2.0).contains(&taken), "{taken} s of work");
-    assert!(events.contains(&Event::Fell));
+    let accepted =
+        (0..400).take_while(|id| server.try_accept(50_000, job(10 + id, 10_000.0), &mut events));
+    let accepted = accepted.count() as f64 * 0.01;
+    assert!((1.8..2.0).contains(&accepted), "{accepted} s of work");
+    assert!(events.contains(&Event::OverloadShutdown));
     assert_eq!(server.state(), State::Down);
 }
 
@@ -189,12 +190,12 @@
         ..two_cores()
     };
     let (mut server, mut events) = (server_of(machine_type), Vec::new());
-    server.offer(0, job(1, 10_000.0), &mut events);
-    server.offer(0, job(2, 10_000.0), &mut events);
-    server.offer(
+    server.try_accept(0, job(1, 10_000.0), &mut events);
+    server.try_accept(0, job(2, 10_000.0), &mut events);
+    server.try_accept(
         0,
         Job {
-            until: 5_000,
+            deadline: 5_000,
             ..job(3, 10_000.0)
         },
         &mut events,
@@ -208,5 +209,5 @@
             .collect::<Vec<_>>(),
         [1]
     );
-    assert_eq!((server.counters.dropped, server.counters.cancelled), (1, 1));
+    assert_eq!((server.counters.expired, server.counters.cancelled), (1, 1));
 }
--- a/crates/testbed/src/simulator/discovery/endpoints.rs
+++ b/crates/testbed/src/simulator/discovery/endpoints.rs
@@ -125,7 +125,9 @@
             incarnation: launched,
             zone: server.zone,
             cell: server.zone,
-            machine_type: self.scenario.advertised_machine_type(server.machine.kind()),
+            machine_type: self
+                .scenario
+                .advertised_machine_type(server.machine.machine_type()),
         }
     }
 }
--- a/crates/testbed/src/simulator/faults/servers.rs
+++ b/crates/testbed/src/simulator/faults/servers.rs
@@ -13,7 +13,7 @@
         match (fault.kind, starts) {
             (FaultKind::Pause, _) => self.on_pause(number, starts),
             (FaultKind::Slow, _) => self.on_slowdown(number, starts.then_some(fault.factor)),
-            (FaultKind::Errors, _) => server.machine.set_errors(starts.then_some(fault.share)),
+            (FaultKind::Errors, _) => server.machine.set_error_rate(starts.then_some(fault.share)),
             (FaultKind::Spoilt, _) => server.set_malformed_share(share),
             (FaultKind::Resets, _) => server.set_reset_share(share),
             (FaultKind::Crash, true) => self.on_crash(number),
@@ -45,7 +45,7 @@
     fn on_slowdown(&mut self, number: u32, factor: Option<f64>) {
         let now = self.timeline.now();
         let machine = &mut self.servers[number as usize].machine;
-        machine.set_slower(now, factor.unwrap_or(1.0), &mut self.server_events);
+        machine.set_slowdown(now, factor.unwrap_or(1.0), &mut self.server_events);
         let state = if factor.is_some() {
             ServerState::Slow
         } else {
@@ -102,7 +102,7 @@
         self.announce(old, ListedStatus::Gone, scenario.discovery.notice_ms);
         let number = self.servers.len();
         let replaced = &self.servers[old as usize];
-        let (machine_type, zone) = (replaced.machine.kind().clone(), replaced.zone);
+        let (machine_type, zone) = (replaced.machine.machine_type().clone(), replaced.zone);
         let server = Server::new(scenario, &machine_type, number, zone, now, true);
         self.servers.push(server);
         let number = number as u32;
--- a/crates/testbed/src/simulator/mod.rs
+++ b/crates/testbed/src/simulator/mod.rs
@@ -158,7 +158,7 @@
             let machine = &self.servers[number].machine;
             let gauge = LogEvent::ServerGauge {
                 server: number as u32,
-                in_flight: machine.held() as u32,
+                in_flight: machine.in_flight() as u32,
                 connections: machine.connections() as u32,
             };
             self.record(gauge);
--- a/crates/testbed/src/simulator/server/attempts.rs
+++ b/crates/testbed/src/simulator/server/attempts.rs
@@ -1,4 +1,4 @@
-//! An attempt's way to its server: sent, offered, taken or rejected. Its connection is
+//! An attempt's way to its server: sent, received, accepted or rejected. Its connection is
 //! `connecting`'s.
 
 use std::collections::VecDeque;
@@ -101,12 +101,12 @@
             let reset = SimulatorEvent::ResultAtSidecar(key, Outcome::Reset);
             self.timeline.after(attempt.delay, reset);
         } else {
-            self.offer_attempt(key);
+            self.deliver_attempt(key);
         }
     }
 
-    /// Offers an attempt to the server, which takes it or rejects it.
-    fn offer_attempt(&mut self, key: AttemptKey) {
+    /// Hands an attempt to the server, which accepts or rejects it.
+    fn deliver_attempt(&mut self, key: AttemptKey) {
         let now = self.timeline.now();
         let Some(attempt) = self.open.attempts.get_mut(key) else {
             return;
@@ -118,7 +118,7 @@
         if attempt.fresh {
             server.machine.handshake(now, &mut self.server_events);
         }
-        let taken = server.take(now, key, attempt, &mut self.server_events);
+        let accepted = server.try_accept(now, key, attempt, &mut self.server_events);
         let (request, delay) = (attempt.request_number, attempt.delay);
         let received = LogEvent::AttemptReceived {
             request,
@@ -131,7 +131,7 @@
             self.record(LogEvent::ConnectionOpened { server: number });
         }
         self.record(received);
-        if !taken {
+        if !accepted {
             self.record(LogEvent::AttemptRejected {
                 request,
                 server: number,
@@ -144,8 +144,8 @@
 }
 
 impl Server {
-    /// Takes an attempt's job; false where it drains, or the job is rejected.
-    fn take(
+    /// Accepts an attempt's job; false where the server drains, or its model rejects the job.
+    fn try_accept(
         &mut self,
         now: Micros,
         key: AttemptKey,
@@ -155,13 +155,13 @@
         let job = Job {
             id: attempt.job,
             work: attempt.work,
-            until: attempt.due,
+            deadline: attempt.due,
         };
-        let taken = !self.draining && self.machine.offer(now, job, events);
-        if taken {
+        let accepted = !self.draining && self.machine.try_accept(now, job, events);
+        if accepted {
             self.jobs.insert(job.id, key);
         }
-        taken
+        accepted
     }
 }
 
--- a/crates/testbed/src/simulator/server/connecting.rs
+++ b/crates/testbed/src/simulator/server/connecting.rs
@@ -60,7 +60,7 @@
         }
         let (due, delay) = (attempt.due, attempt.delay);
         let machine = &self.servers[attempt.server as usize].machine;
-        let further_round_trips = (machine.kind().handshake_rtts - 1.0).max(0.0);
+        let further_round_trips = (machine.machine_type().handshake_rtts - 1.0).max(0.0);
         self.on_attempt_written(key);
         let timeline = &mut self.timeline;
         timeline.at(due, SimulatorEvent::AttemptTimeout(key));
--- a/crates/testbed/src/simulator/server/health_checks.rs
+++ b/crates/testbed/src/simulator/server/health_checks.rs
@@ -5,7 +5,7 @@
 use super::{Reachability, Server};
 use crate::event_log::LogEvent;
 use crate::scenario::{Micros, from_ms};
-use crate::server_model::{Report, State};
+use crate::server_model::{LoadReport, State};
 use crate::simulator::Simulator;
 use crate::simulator::event::{HealthCheck, HealthCheckResult, ReportedLoad, SimulatorEvent};
 
@@ -57,7 +57,7 @@
             server.machine.handshake(now, &mut self.server_events);
         }
         let start = server.start;
-        let report = server.machine.probe(now, &mut self.server_events);
+        let report = server.machine.health_check(now, &mut self.server_events);
         let outcome = if report.is_some() {
             Outcome::Served
         } else {
@@ -108,9 +108,9 @@
     })
 }
 
-fn reported_load(report: Report) -> ReportedLoad {
+fn reported_load(report: LoadReport) -> ReportedLoad {
     ReportedLoad {
-        in_flight: report.inflight as u32,
-        queued: report.queue as u32,
+        in_flight: report.in_flight as u32,
+        queued: report.queued as u32,
     }
 }
--- a/crates/testbed/src/simulator/server/machine.rs
+++ b/crates/testbed/src/simulator/server/machine.rs
@@ -19,15 +19,15 @@
 
     fn on_server_event(&mut self, number: u32, event: ServerModelEvent) {
         match event {
-            ServerModelEvent::Began(_) => {}
-            ServerModelEvent::Ended { id, error } => self.on_work_done(number, id, error),
-            ServerModelEvent::Dropped(id) => {
+            ServerModelEvent::Started(_) => {}
+            ServerModelEvent::Completed { id, error } => self.on_work_done(number, id, error),
+            ServerModelEvent::Expired(id) => {
                 let dropped = self.servers[number as usize].jobs.remove(&id);
                 if let Some(key) = dropped {
                     self.remove_if_ended(key);
                 }
             }
-            ServerModelEvent::Fell => {
+            ServerModelEvent::OverloadShutdown => {
                 self.record_server_state(number, ServerState::Fallen);
                 self.end_server_process(number);
             }
@@ -37,7 +37,7 @@
     fn plan_server(&mut self, number: u32) {
         let now = self.timeline.now();
         let server = &mut self.servers[number as usize];
-        let next = server.machine.next();
+        let next = server.machine.next_event_at();
         if next == server.planned && next.is_none_or(|at| at > now) {
             return;
         }
--- a/crates/testbed/src/simulator/server/mod.rs
+++ b/crates/testbed/src/simulator/server/mod.rs
@@ -65,7 +65,7 @@
         cold: bool,
     ) -> Self {
         Self {
-            machine: ServerModel::drawn(scenario, machine_type, number, now, cold),
+            machine: ServerModel::from_scenario(scenario, machine_type, number, now, cold),
             zone,
             reachability: Reachability::Open,
             start: 0,
