--- a/crates/testbed/src/emulator/client/mod.rs
+++ b/crates/testbed/src/emulator/client/mod.rs
@@ -19,7 +19,7 @@
 use super::lock::lock;
 use super::shared::Shared;
 use super::sidecars::Sidecars;
-use crate::workload::{ArrivalStream, TenantQuota, parts, quotas};
+use crate::workload::{ArrivalStream, TenantQuota, quotas, traffic_shares};
 
 use exchange::IdleConnections;
 
@@ -83,7 +83,7 @@
         open_arrivals: AtomicUsize::new(0),
     });
     let mut all = JoinSet::new();
-    for (number, part) in parts(scenario).into_iter().enumerate() {
+    for (number, traffic_share) in traffic_shares(scenario).into_iter().enumerate() {
         let clients = Arc::new(Clients {
             shared: Arc::clone(&emulation.shared),
             sidecars: Arc::clone(&emulation.sidecars),
@@ -92,7 +92,7 @@
             address: emulation.sidecars.address(number),
             idle: IdleConnections::default(),
         });
-        all.spawn(clients.play(ArrivalStream::new(scenario, number, part)));
+        all.spawn(clients.play(ArrivalStream::new(scenario, number, traffic_share)));
     }
     while all.join_next().await.is_some() {}
 }
--- a/crates/testbed/src/random.rs
+++ b/crates/testbed/src/random.rs
@@ -19,16 +19,16 @@
     Network = 4,
     /// Speed and errors of servers, by server; resets and malformed responses.
     Machines = 5,
-    /// Parts of the traffic that sidecars get.
-    TrafficParts = 6,
+    /// Shares of the traffic that sidecars get.
+    TrafficShares = 6,
     /// Whom faults hit, by fault.
     Faults = 7,
     /// How long changes of the endpoint list take.
     Discovery = 8,
     /// Seeds of balancers, by sidecar.
     Seeds = 9,
-    /// How the load wanders.
-    LoadLevel = 10,
+    /// How the load drifts.
+    LoadDrift = 10,
     /// Errors of work hints, by sidecar.
     WorkHints = 11,
 }
--- a/crates/testbed/src/scenario/check/faults.rs
+++ b/crates/testbed/src/scenario/check/faults.rs
@@ -20,7 +20,7 @@
         let in_run = fault.at_s < self.seconds;
         checker.require(in_run, key("at_s"), "lies after the end of the day");
         checker.not_negative(fault.for_s, key("for_s"));
-        checker.share(fault.part, key("part"));
+        checker.share(fault.target_share, key("part"));
         checker.share(fault.share, key("share"));
         checker.positive(fault.factor, key("factor"));
         checker.not_negative(fault.down_s, key("down_s"));
@@ -44,7 +44,7 @@
         }
         if fault.aims_at_servers() {
             checker.require(
-                !fault.servers.is_empty() || fault.part > 0.0 || fault.zone.is_some(),
+                !fault.servers.is_empty() || fault.target_share > 0.0 || fault.zone.is_some(),
                 path,
                 "names no servers: servers, part or zone is needed",
             );
--- a/crates/testbed/src/scenario/check/fleet.rs
+++ b/crates/testbed/src/scenario/check/fleet.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use super::Checker;
-use crate::scenario::{Choke, MachineType, Scenario};
+use crate::scenario::{Contention, MachineType, Scenario};
 
 /// The most servers that the simulator can hold in memory.
 const MAX_SERVERS: usize = 20_000;
@@ -85,25 +85,29 @@
     );
     checker.not_negative(machine_type.slow_start_s, key("slow_start_s"));
     checker.share(machine_type.error_rate, key("error_rate"));
-    checker.not_negative(machine_type.thrash, key("thrash"));
-    checker.positive(machine_type.thrash_at, key("thrash_at"));
+    checker.not_negative(machine_type.thrashing, key("thrash"));
+    checker.positive(machine_type.thrashing_threshold, key("thrash_at"));
     let slots = machine_type.slots == 0 || machine_type.slots >= machine_type.cores;
     checker.require(slots, key("slots"), "must be 0 or no less than cores");
-    checker.share(machine_type.full_tax, key("full_tax"));
+    checker.share(machine_type.connection_overhead, key("full_tax"));
     checker.not_negative(machine_type.handshake_ms, key("handshake_ms"));
     checker.not_negative(machine_type.handshake_rtts, key("handshake_rtts"));
     checker.not_negative(machine_type.health_check_ms, key("health_check_ms"));
     checker.not_negative(machine_type.health_checks_per_s, key("health_checks_per_s"));
-    if let Some(choke) = &machine_type.choke {
-        check_choke(checker, choke, &key("choke"));
+    if let Some(contention) = &machine_type.contention {
+        check_contention(checker, contention, &key("choke"));
     }
 }
 
-fn check_choke(checker: &mut Checker, choke: &Choke, path: &str) {
+fn check_contention(checker: &mut Checker, contention: &Contention, path: &str) {
     let key = |name: &str| format!("{path}.{name}");
-    checker.positive(choke.at, key("at"));
-    checker.require(choke.slower >= 1.0, key("slower"), "must be 1 or more");
-    let order = choke.below < choke.at;
+    checker.positive(contention.overload_threshold, key("at"));
+    checker.require(
+        contention.slowdown >= 1.0,
+        key("slower"),
+        "must be 1 or more",
+    );
+    let order = contention.recovery_threshold < contention.overload_threshold;
     checker.require(order, key("below"), "must be below choke.at");
-    checker.not_negative(choke.over_s, key("over_s"));
+    checker.not_negative(contention.overload_s, key("over_s"));
 }
--- a/crates/testbed/src/scenario/check/traffic.rs
+++ b/crates/testbed/src/scenario/check/traffic.rs
@@ -55,7 +55,7 @@
     }
 
     fn check_arrival_count(&self, checker: &mut Checker) {
-        let brim_rate = if self.load.shape == LoadShape::Brim {
+        let brim_rate = if self.load.shape == LoadShape::Drift {
             self.load.high * self.full_rate()
         } else {
             0.0
--- a/crates/testbed/src/scenario/faults.rs
+++ b/crates/testbed/src/scenario/faults.rs
@@ -50,8 +50,9 @@
         for_s: f64 = 10.0,
         /// Servers by name (`s0`, `s1` ...).
         servers: Vec<String> = Vec::new(),
-        /// Else this part of them, drawn.
-        part: f64 = 0.0,
+        /// Else this share of them, drawn.
+        #[serde(rename = "part")]
+        target_share: f64 = 0.0,
         /// Only those of this zone.
         zone: Option<String> = None,
         /// How many times slower, dearer or more.
--- a/crates/testbed/src/scenario/fleet.rs
+++ b/crates/testbed/src/scenario/fleet.rs
@@ -27,10 +27,12 @@
         cores: u32 = 2,
         /// Requests that run at a time and share the cores; 0 for one a core.
         slots: u32 = 0,
-        /// Share by which each request a core beyond `thrash_at` slows all of them down.
-        thrash: f64 = 0.0,
+        /// Share by which each request a core beyond `thrashing_threshold` slows all of them down.
+        #[serde(rename = "thrash")]
+        thrashing: f64 = 0.0,
         /// Requests a core from which on they slow each other down.
-        thrash_at: f64 = 4.0,
+        #[serde(rename = "thrash_at")]
+        thrashing_threshold: f64 = 4.0,
         /// Work done by one core in one second, in seconds of a standard core.
         speed: f64 = 1.0,
         /// Speeds are drawn within this share above and below `speed`.
@@ -48,7 +50,8 @@
         /// Connections it accepts.
         connections: usize = 1_500,
         /// Share of its capacity that a full connection table takes.
-        full_tax: f64 = 0.3,
+        #[serde(rename = "full_tax")]
+        connection_overhead: f64 = 0.3,
         /// Work of a new connection, in milliseconds of a standard core.
         handshake_ms: f64 = 3.0,
         /// Round trips before a new connection carries its first request.
@@ -62,7 +65,8 @@
         /// Whether a waiting request is dropped once its sidecar no longer waits for it.
         drops_expired: bool = true,
         /// How lasting overload slows it; absent where it does not.
-        choke: Option<Choke> = None,
+        #[serde(rename = "choke")]
+        contention: Option<Contention> = None,
     }
 }
 
@@ -79,21 +83,28 @@
 }
 
 section! {
-    /// Overload that lasts: once a server holds more than `at` requests a core for `over_s`, it is
-    /// slowed until it holds less than `below` a core for `rest_s`, or until `most_s` have passed.
-    Choke {
+    /// Overload that lasts: once a server has more than `overload_threshold` requests a core in flight for
+    /// `overload_s`, it is slowed until it has less than `recovery_threshold` a core for `recovery_s`, or
+    /// until `max_s` have passed.
+    Contention {
         /// Requests a core beyond which it is overloaded.
-        at: f64 = 5.5,
+        #[serde(rename = "at")]
+        overload_threshold: f64 = 5.5,
         /// Seconds of overload after which it is slowed.
-        over_s: f64 = 2.0,
+        #[serde(rename = "over_s")]
+        overload_s: f64 = 2.0,
         /// Factor by which it is slower; 1 or more.
-        slower: f64 = 2.6,
+        #[serde(rename = "slower")]
+        slowdown: f64 = 2.6,
         /// Requests a core below which it recovers.
-        below: f64 = 0.35,
+        #[serde(rename = "below")]
+        recovery_threshold: f64 = 0.35,
         /// Seconds that it takes to recover.
-        rest_s: f64 = 3.0,
+        #[serde(rename = "rest_s")]
+        recovery_s: f64 = 3.0,
         /// Seconds after which it has recovered in any case.
-        most_s: f64 = 22.0,
+        #[serde(rename = "most_s")]
+        max_s: f64 = 22.0,
     }
 }
 
@@ -116,7 +127,7 @@
     Sidecars {
         /// How many there are.
         count: usize = 3,
-        /// How unevenly traffic is spread over them: coefficient of variation of their parts.
+        /// How unevenly traffic is spread over them: coefficient of variation of their shares.
         skew: f64 = 0.0,
         /// Whether they know cores and speed of each machine type, as by an operator's table.
         knows_machine_types: bool = false,
--- a/crates/testbed/src/scenario/mod.rs
+++ b/crates/testbed/src/scenario/mod.rs
@@ -26,7 +26,7 @@
 pub use error::{ScenarioError, ScenarioErrors};
 pub use expectations::Expect;
 pub use faults::{Fault, FaultKind};
-pub use fleet::{Cancel, Choke, MachineType, Network, Servers, Sidecars};
+pub use fleet::{Cancel, Contention, MachineType, Network, Servers, Sidecars};
 pub use read::ScenarioFile;
 pub use rules::{LoadReports, Permissions, Prices, ReportSource, Rules};
 pub use time::{Micros, from_ms, from_s};
--- a/crates/testbed/src/scenario/rates.rs
+++ b/crates/testbed/src/scenario/rates.rs
@@ -29,9 +29,9 @@
         self.capacity() / self.mean_work().max(f64::MIN_POSITIVE)
     }
 
-    /// Requests a second at a moment; `wander` lies between 0 and 1 and counts for
-    /// [`LoadShape::Brim`].
-    pub fn rate_at(&self, at: Micros, wander: f64) -> f64 {
+    /// Requests a second at a moment; `load_drift` lies between 0 and 1 and counts for
+    /// [`LoadShape::Drift`].
+    pub fn rate_at(&self, at: Micros, load_drift: f64) -> f64 {
         let seconds = at as f64 / 1e6;
         let burst = self.burst_factor(at);
         let mean = self.rate() * burst;
@@ -42,10 +42,11 @@
                 let wave = (seconds / self.load.period_s * TAU).sin();
                 mean * (1.0 + self.load.swing * wave)
             }
-            LoadShape::Brim => {
+            LoadShape::Drift => {
                 burst
                     * self.full_rate()
-                    * (self.load.low + (self.load.high - self.load.low) * wander.clamp(0.0, 1.0))
+                    * (self.load.low
+                        + (self.load.high - self.load.low) * load_drift.clamp(0.0, 1.0))
             }
         }
     }
--- a/crates/testbed/src/scenario/traffic.rs
+++ b/crates/testbed/src/scenario/traffic.rs
@@ -90,8 +90,9 @@
         Ramp,
         /// A wave around the mean.
         Swing,
-        /// Wanders between `low` and `high` of capacity.
-        Brim,
+        /// Drifts at random between `low` and `high` of capacity.
+        #[serde(rename = "brim")]
+        Drift,
     }
 }
 
--- a/crates/testbed/src/server_model/contention.rs
+++ b/crates/testbed/src/server_model/contention.rs
@@ -1,11 +1,11 @@
 //! Lasting overload, which slows a server until it has had a rest.
 
 use super::ServerModel;
-use crate::scenario::{Choke, Micros, from_s};
+use crate::scenario::{Contention, Micros, from_s};
 
 /// Whether a server is overloaded, or slowed by it.
 #[derive(Debug, Default)]
-pub(super) struct Contention {
+pub(super) struct ContentionState {
     /// Since when too many jobs are in flight, while it is not slowed.
     overloaded_since: Option<Micros>,
     slowed: Option<Slowed>,
@@ -21,21 +21,22 @@
     recovering_since: Option<Micros>,
 }
 
-impl Contention {
+impl ContentionState {
     /// The number of jobs in flight, or the time, has changed.
-    fn on_load(&mut self, choke: &Choke, now: Micros, in_flight: f64, cores: f64) {
+    fn on_load(&mut self, contention: &Contention, now: Micros, in_flight: f64, cores: f64) {
         if let Some(slowed) = &mut self.slowed {
-            let recovering = in_flight < choke.below * cores;
+            let recovering = in_flight < contention.recovery_threshold * cores;
             slowed.recovering_since = recovering.then_some(slowed.recovering_since.unwrap_or(now));
             let recovering_since = slowed.recovering_since;
-            let recovered = recovering_since.is_some_and(|at| now >= at + from_s(choke.rest_s));
-            if recovered || now >= slowed.since + from_s(choke.most_s) {
+            let recovered =
+                recovering_since.is_some_and(|at| now >= at + from_s(contention.recovery_s));
+            if recovered || now >= slowed.since + from_s(contention.max_s) {
                 self.earlier_slowed_time += now - slowed.since;
                 self.reset();
             }
-        } else if in_flight <= choke.at * cores {
+        } else if in_flight <= contention.overload_threshold * cores {
             self.overloaded_since = None;
-        } else if now >= *self.overloaded_since.get_or_insert(now) + from_s(choke.over_s) {
+        } else if now >= *self.overloaded_since.get_or_insert(now) + from_s(contention.overload_s) {
             self.slowed = Some(Slowed {
                 since: now,
                 recovering_since: None,
@@ -59,10 +60,10 @@
     }
 
     /// How many times slower it makes the server.
-    pub(super) fn slowdown(&self, choke: Option<&Choke>) -> f64 {
-        choke
+    pub(super) fn slowdown(&self, contention: Option<&Contention>) -> f64 {
+        contention
             .filter(|_| self.is_slowed())
-            .map_or(1.0, |choke| choke.slower)
+            .map_or(1.0, |contention| contention.slowdown)
     }
 }
 
@@ -70,8 +71,9 @@
     pub(super) fn update_contention(&mut self) {
         let in_flight = self.in_flight() as f64;
         let cores = f64::from(self.machine_type.cores);
-        if let Some(choke) = &self.machine_type.choke {
-            self.contention.on_load(choke, self.now, in_flight, cores);
+        if let Some(contention) = &self.machine_type.contention {
+            self.contention
+                .on_load(contention, self.now, in_flight, cores);
         }
     }
 
--- a/crates/testbed/src/server_model/mod.rs
+++ b/crates/testbed/src/server_model/mod.rs
@@ -3,16 +3,16 @@
 //! machine.
 //!
 //! All running requests progress alike: `running_jobs` has their progress, `service` lets it grow
-//! with time at the `pace` of the moment. Slow start, contention and load reports each own their
+//! with time at the `speed` of the moment. Slow start, contention and load reports each own their
 //! state.
 
 mod contention;
 mod health_check_limiter;
 mod load_report;
-mod pace;
 mod running_jobs;
 mod service;
 mod slow_start;
+mod speed;
 mod state_change;
 
 use std::collections::VecDeque;
@@ -20,7 +20,7 @@
 use crate::random::{RandomStream, StreamId};
 use crate::scenario::{MachineType, Micros, Scenario, from_ms};
 
-use contention::Contention;
+use contention::ContentionState;
 use health_check_limiter::HealthCheckLimiter;
 use load_report::LoadReporter;
 use running_jobs::RunningJobs;
@@ -85,7 +85,7 @@
 pub struct ServerModel {
     machine_type: MachineType,
     /// Work of a warm core in a microsecond, in microseconds of a standard core.
-    speed: f64,
+    warm_core_speed: f64,
     state: State,
     /// Up to when time has passed here.
     now: Micros,
@@ -97,7 +97,7 @@
     slowdown: f64,
     error_rate: f64,
     slow_start: SlowStart,
-    contention: Contention,
+    contention: ContentionState,
     connections: usize,
     health_checks: HealthCheckLimiter,
     load_reports: LoadReporter,
@@ -110,14 +110,14 @@
     /// A server of a machine type, at the speed that was drawn for it; up from now on.
     fn new(
         machine_type: MachineType,
-        speed: f64,
+        warm_core_speed: f64,
         rule: OverloadRule,
         random: RandomStream,
         now: Micros,
         cold: bool,
     ) -> Self {
         Self {
-            speed,
+            warm_core_speed,
             state: State::Up,
             now,
             running: RunningJobs::default(),
@@ -126,7 +126,7 @@
             slowdown: 1.0,
             error_rate: machine_type.error_rate,
             slow_start: SlowStart::new(rule, cold.then_some(now)),
-            contention: Contention::default(),
+            contention: ContentionState::default(),
             connections: 0,
             health_checks: HealthCheckLimiter::new(machine_type.health_checks_per_s, now),
             load_reports: LoadReporter::default(),
@@ -146,12 +146,19 @@
     ) -> Self {
         let mut random = RandomStream::new(scenario.seed, StreamId::Machines, number + 1);
         let spread = machine_type.speed_spread;
-        let speed = machine_type.speed * random.between(1.0 - spread, 1.0 + spread);
+        let warm_core_speed = machine_type.speed * random.between(1.0 - spread, 1.0 + spread);
         let rule = OverloadRule {
             factor: scenario.rules.cold_overload_factor,
             window: from_ms(scenario.rules.cold_overload_window_ms),
         };
-        let mut server = Self::new(machine_type.clone(), speed, rule, random, now, cold);
+        let mut server = Self::new(
+            machine_type.clone(),
+            warm_core_speed,
+            rule,
+            random,
+            now,
+            cold,
+        );
         server.load_reports = LoadReporter::new(scenario.load_reports.clone());
         server
     }
@@ -179,7 +186,7 @@
     /// Work that it can do in a microsecond while it warms up, in microseconds of a standard core;
     /// faults and contention are left aside.
     pub fn capacity(&self, now: Micros) -> f64 {
-        f64::from(self.machine_type.cores) * self.speed * self.slow_start_factor(now)
+        f64::from(self.machine_type.cores) * self.warm_core_speed * self.slow_start_factor(now)
     }
 
     /// Accepts a job. False where it is rejected, or overloads a cold server, which then shuts down.
--- a/crates/testbed/src/server_model/service.rs
+++ b/crates/testbed/src/server_model/service.rs
@@ -3,13 +3,13 @@
 use super::{Event, ServerModel, State};
 use crate::scenario::Micros;
 
-/// How finely a pace that changes by itself is followed, in microseconds.
+/// How finely a speed that changes by itself is followed, in microseconds.
 const STEP: Micros = 50_000;
 /// Progress by which a job may end early, as progress is rounded: in microseconds of a standard
 /// core.
 const END_TOLERANCE: f64 = 1e-6;
-/// Least pace to divide by.
-const MIN_PACE: f64 = 1e-9;
+/// Least speed to divide by.
+const MIN_SPEED: f64 = 1e-9;
 /// Least work of a job, in microseconds of a standard core.
 const MIN_WORK: f64 = 1.0;
 
@@ -24,13 +24,13 @@
         [self.next_end(), step].into_iter().flatten().min()
     }
 
-    /// When the first job ends, at the pace of now.
+    /// When the first job ends, at the speed of now.
     fn next_end(&self) -> Option<Micros> {
         let end = self.running.first_end()?;
         let work = (end - self.running.progress()).max(0.0);
         let cores = f64::from(self.machine_type.cores);
-        let side_work = self.side_work / cores / self.core_pace(self.now).max(MIN_PACE);
-        let span = work / self.pace(self.now).max(MIN_PACE) + side_work;
+        let side_work = self.side_work / cores / self.core_speed(self.now).max(MIN_SPEED);
+        let span = work / self.job_speed(self.now).max(MIN_SPEED) + side_work;
         Some(self.now + (span.ceil() as Micros).max(1))
     }
 
@@ -42,7 +42,7 @@
             } else {
                 now
             };
-            if self.pace(self.now) > 0.0 {
+            if self.job_speed(self.now) > 0.0 {
                 self.work_until(step_end, events);
                 self.update_contention();
             } else {
@@ -53,14 +53,14 @@
 
     /// Works until a moment, or until the first job ends.
     fn work_until(&mut self, step_end: Micros, events: &mut Vec<Event>) {
-        let pace = self.pace(self.now);
+        let speed = self.job_speed(self.now);
         let span = self.do_side_work((step_end - self.now) as f64);
         let progress = self.running.progress();
-        let reach = progress + span * pace;
+        let reach = progress + span * speed;
         let first_end = self.running.first_end();
         match first_end.filter(|&end| end <= reach + END_TOLERANCE) {
             Some(end) => {
-                let used = ((end - progress) / pace).max(0.0);
+                let used = ((end - progress) / speed).max(0.0);
                 let idle = (span - used).max(0.0) as Micros;
                 let ended_at = step_end - idle.min(step_end - self.now);
                 self.now = ended_at.max(self.now);
@@ -78,10 +78,10 @@
     /// microseconds.
     fn do_side_work(&mut self, span: f64) -> f64 {
         let cores = f64::from(self.machine_type.cores);
-        let core_pace = self.core_pace(self.now);
-        let done = self.side_work.min(span * core_pace * cores);
+        let core_speed = self.core_speed(self.now);
+        let done = self.side_work.min(span * core_speed * cores);
         self.side_work -= done;
-        span - done / core_pace / cores
+        span - done / core_speed / cores
     }
 
     fn finish_first(&mut self, events: &mut Vec<Event>) {
--- a/crates/testbed/src/server_model/pace.rs
+++ b/crates/testbed/src/server_model/speed.rs
@@ -15,39 +15,41 @@
     }
 
     /// Growth of the jobs' progress in a microsecond: jobs beyond the cores share them.
-    pub(super) fn pace(&self, now: Micros) -> f64 {
+    pub(super) fn job_speed(&self, now: Micros) -> f64 {
         let cores = f64::from(self.machine_type.cores);
         let sharing = cores / (self.running.len().max(1) as f64);
-        self.core_pace(now) * sharing.min(1.0)
+        self.core_speed(now) * sharing.min(1.0)
     }
 
     /// Work that a core does in a microsecond, in microseconds of a standard core.
-    pub(super) fn core_pace(&self, now: Micros) -> f64 {
+    pub(super) fn core_speed(&self, now: Micros) -> f64 {
         if self.state != State::Up {
             return 0.0;
         }
-        self.speed * self.slow_start_factor(now) * self.connection_factor()
-            / self.contention.slowdown(self.machine_type.choke.as_ref())
+        self.warm_core_speed * self.slow_start_factor(now) * self.connection_factor()
+            / self
+                .contention
+                .slowdown(self.machine_type.contention.as_ref())
             / self.slowdown
-            / self.thrashing()
+            / self.thrashing_factor()
     }
 
     /// Share of its capacity that its connections leave.
     fn connection_factor(&self) -> f64 {
         let machine_type = &self.machine_type;
-        let full = self.connections as f64 / machine_type.connections.max(1) as f64;
-        1.0 - machine_type.full_tax * full.min(1.0)
+        let table_use = self.connections as f64 / machine_type.connections.max(1) as f64;
+        1.0 - machine_type.connection_overhead * table_use.min(1.0)
     }
 
-    /// How many times slower the jobs make each other.
-    fn thrashing(&self) -> f64 {
+    /// How many times slower the jobs in flight make each other.
+    fn thrashing_factor(&self) -> f64 {
         let machine_type = &self.machine_type;
         let in_flight_per_core = self.in_flight() as f64 / f64::from(machine_type.cores);
-        let beyond = (in_flight_per_core - machine_type.thrash_at).max(0.0);
-        1.0 + machine_type.thrash * beyond
+        let excess = (in_flight_per_core - machine_type.thrashing_threshold).max(0.0);
+        1.0 + machine_type.thrashing * excess
     }
 
-    /// Whether its pace changes while nothing happens to it.
+    /// Whether its speed changes while nothing happens to it.
     pub(super) fn changes_by_itself(&self, now: Micros) -> bool {
         self.is_cold(now) || self.contention.changes_by_itself()
     }
--- a/crates/testbed/src/server_model/state_change.rs
+++ b/crates/testbed/src/server_model/state_change.rs
@@ -3,7 +3,7 @@
 use super::{Event, ServerModel, State};
 use crate::scenario::{Cancel, Micros};
 
-/// Least slowdown, so that a pace stays finite.
+/// Least slowdown, so that a speed stays finite.
 const MIN_SLOWDOWN: f64 = 1e-3;
 
 impl ServerModel {
--- a/crates/testbed/src/server_model/tests.rs
+++ b/crates/testbed/src/server_model/tests.rs
@@ -2,7 +2,7 @@
 use super::slow_start::OverloadRule;
 use super::{Event, Job, ServerModel, State};
 use crate::random::{RandomStream, StreamId};
-use crate::scenario::{Choke, LoadReports, MachineType, Micros, ReportSource};
+use crate::scenario::{Contention, LoadReports, MachineType, Micros, ReportSource};
 
 fn server_of(machine_type: MachineType) -> ServerModel {
     let random = RandomStream::new(1, StreamId::Machines, 0);
@@ -76,18 +76,18 @@
 
 #[test]
 fn a_server_that_stays_overloaded_is_slowed_until_it_has_rested() {
-    let choke = Choke {
-        at: 2.0,
-        over_s: 0.1,
-        slower: 4.0,
-        below: 0.6,
-        rest_s: 0.2,
-        most_s: 60.0,
+    let contention = Contention {
+        overload_threshold: 2.0,
+        overload_s: 0.1,
+        slowdown: 4.0,
+        recovery_threshold: 0.6,
+        recovery_s: 0.2,
+        max_s: 60.0,
     };
     let machine_type = MachineType {
         cores: 1,
         queue: 100,
-        choke: Some(choke),
+        contention: Some(contention),
         ..two_cores()
     };
     let (mut server, mut events) = (server_of(machine_type), Vec::new());
@@ -96,7 +96,7 @@
     let last = crowd.last().map_or(0, |e| e.1);
     assert!(
         last > 1_200_000,
-        "20 x 20 ms take 0.4 s unchoked, and took {last} us"
+        "20 x 20 ms take 0.4 s without contention, and took {last} us"
     );
     assert!(server.time_slowed() > 0);
     server.advance(last + 2_000_000, &mut events);
@@ -129,8 +129,8 @@
             && ends(shared.clone(), 4).abs_diff(20_000) <= 2
     );
     let crowded = MachineType {
-        thrash: 0.5,
-        thrash_at: 2.0,
+        thrashing: 0.5,
+        thrashing_threshold: 2.0,
         ..shared
     };
     // Eight at two cores are two a core beyond the bound: twice as slow as without it.
--- a/crates/testbed/src/simulator/faults/mod.rs
+++ b/crates/testbed/src/simulator/faults/mod.rs
@@ -8,7 +8,7 @@
 use crate::random::{RandomStream, StreamId};
 use crate::scenario::{Fault, Micros, Scenario, from_s};
 
-/// The servers that the fault of this index hits: those named, or a part of them, drawn. `zones`
+/// The servers that the fault of this index hits: those named, or a share of them, drawn. `zones`
 /// has each server's zone.
 pub fn targets(scenario: &Scenario, index: usize, zones: &[u32]) -> Vec<u32> {
     let fault = &scenario.fault[index];
@@ -26,7 +26,7 @@
     let is_in_zone =
         |&server: &u32| zone.is_none_or(|zone| zones.get(server as usize) == Some(&(zone as u32)));
     let mut servers: Vec<u32> = (0..zones.len() as u32).filter(is_in_zone).collect();
-    let hit = (servers.len() as f64 * part(fault)).round() as usize;
+    let hit = (servers.len() as f64 * target_share(fault)).round() as usize;
     let count = hit.clamp(1, servers.len().max(1));
     draw(scenario, index, &mut servers, count)
 }
@@ -36,7 +36,7 @@
 pub fn roll(scenario: &Scenario, index: usize) -> Vec<(u32, Micros)> {
     let fault = &scenario.fault[index];
     let all = scenario.sidecars.count;
-    let count = ((all as f64 * part(fault)).round() as usize).clamp(1, all);
+    let count = ((all as f64 * target_share(fault)).round() as usize).clamp(1, all);
     let mut sidecars = (0..all as u32).collect();
     let drawn = draw(scenario, index, &mut sidecars, count);
     let batch = ((all as f64 * fault.batch).floor() as usize).max(1);
@@ -48,9 +48,13 @@
         .collect()
 }
 
-/// The part of the candidates that a fault hits; all of them where none is given.
-fn part(fault: &Fault) -> f64 {
-    if fault.part > 0.0 { fault.part } else { 1.0 }
+/// The share of the candidates that a fault hits; all of them where none is given.
+fn target_share(fault: &Fault) -> f64 {
+    if fault.target_share > 0.0 {
+        fault.target_share
+    } else {
+        1.0
+    }
 }
 
 /// So many of the candidates, drawn by the fault's own stream, in order.
--- a/crates/testbed/src/simulator/run.rs
+++ b/crates/testbed/src/simulator/run.rs
@@ -48,12 +48,12 @@
 
 fn overload_remark(simulator: &Simulator<'_>) -> String {
     let models = || simulator.servers.iter().map(|server| &server.machine);
-    let choked = models().filter(|model| model.time_slowed() > 0).count();
+    let slowed = models().filter(|model| model.time_slowed() > 0).count();
     let held = models()
         .map(|model| model.counters.max_in_flight)
         .max()
         .unwrap_or(0);
-    format!("{choked} servers were slowed by overload for a time; one held {held} at most")
+    format!("{slowed} servers were slowed by overload for a time; one held {held} at most")
 }
 
 fn not_played_remark(scenario: &Scenario, effort: Effort) -> String {
--- a/crates/testbed/src/simulator/sidecar/mod.rs
+++ b/crates/testbed/src/simulator/sidecar/mod.rs
@@ -21,7 +21,7 @@
 use crate::event_log::{LogEvent, ProcessState, RequestOutcome};
 use crate::random::{RandomStream, StreamId};
 use crate::scenario::{Micros, Scenario, from_ms};
-use crate::workload::{ArrivalStream, parts};
+use crate::workload::{ArrivalStream, traffic_shares};
 
 use connections::IdleConnections;
 use settings::balancer_settings;
@@ -60,8 +60,13 @@
 }
 
 impl Sidecar {
-    /// A sidecar that is down; `part` is its part of the traffic.
-    fn new(scenario: &Scenario, number: usize, part: f64, endpoints: KnownEndpoints) -> Self {
+    /// A sidecar that is down; `traffic_share` is its share of the traffic.
+    fn new(
+        scenario: &Scenario,
+        number: usize,
+        traffic_share: f64,
+        endpoints: KnownEndpoints,
+    ) -> Self {
         let stream = |cause, number| RandomStream::new(scenario.seed, cause, number);
         Self {
             zone: scenario.spread_zone(number),
@@ -72,7 +77,7 @@
             polls: 0,
             connections: IdleConnections::default(),
             open_requests: BTreeMap::new(),
-            arrivals: ArrivalStream::new(scenario, number, part),
+            arrivals: ArrivalStream::new(scenario, number, traffic_share),
             // Requests draw from a stream of their own, so that arrivals stay as they are.
             client_random: stream(StreamId::Clients, number + REQUEST_STREAMS),
             network_random: stream(StreamId::Network, number),
@@ -105,10 +110,10 @@
 impl Simulator<'_> {
     pub(super) fn build_sidecars(&mut self) -> Result<(), SimulatorError> {
         let scenario = self.scenario;
-        for (number, part) in parts(scenario).into_iter().enumerate() {
+        for (number, traffic_share) in traffic_shares(scenario).into_iter().enumerate() {
             balancer_settings(scenario, number).validate()?;
             let endpoints = self.discovery.cached_list();
-            let sidecar = Sidecar::new(scenario, number, part, endpoints);
+            let sidecar = Sidecar::new(scenario, number, traffic_share, endpoints);
             self.sidecars.push(sidecar);
         }
         for number in 0..self.sidecars.len() as u32 {
--- a/crates/testbed/src/workload.rs
+++ b/crates/testbed/src/workload.rs
@@ -7,14 +7,14 @@
 
 /// Microseconds of a second.
 const SECOND: f64 = 1e6;
-/// Largest step of the load's wandering in a second, as a share of its range.
-const WANDER_STEP: f64 = 0.12;
-/// Middle of the load's wandering, from which it starts.
-const WANDER_MIDDLE: f64 = 0.5;
+/// Largest step of the load's drift in a second, as a share of its range.
+const DRIFT_STEP: f64 = 0.12;
+/// Middle of the load's drift, from which it starts.
+const DRIFT_MIDDLE: f64 = 0.5;
 /// Part of its distance to the middle that it goes back in a second.
-const WANDER_RETURN: f64 = 0.05;
-/// Number of the stream for the sidecars' parts of the traffic.
-const PARTS_STREAM: usize = 1 << 20;
+const DRIFT_RETURN: f64 = 0.05;
+/// Number of the stream for the sidecars' shares of the traffic.
+const TRAFFIC_SHARES_STREAM: usize = 1 << 20;
 /// Longest time between two arrivals, in microseconds: beyond any scenario's length.
 const MAX_INTERVAL: f64 = 1e13;
 
@@ -39,36 +39,40 @@
 #[derive(Clone, Debug)]
 pub struct ArrivalStream {
     scenario: Scenario,
-    /// The sidecar's part of the traffic.
-    part: f64,
+    /// The sidecar's share of the traffic.
+    traffic_share: f64,
     arrival_random: RandomStream,
     work_random: RandomStream,
     client_random: RandomStream,
     hint_random: RandomStream,
-    /// How the load wanders, second by second.
-    wander: Vec<f64>,
+    /// How the load drifts, second by second.
+    load_drift: Vec<f64>,
     /// The last arrival drawn.
     now: Micros,
     class_weights: Vec<f64>,
     tenant_weights: Vec<f64>,
 }
 
-/// How the load wanders between 0 and 1, second by second: alike at all sidecars.
-fn wander(scenario: &Scenario) -> Vec<f64> {
-    let mut random = RandomStream::new(scenario.seed, StreamId::LoadLevel, 0);
-    let mut level: f64 = WANDER_MIDDLE;
+/// How the load drifts between 0 and 1, second by second: alike at all sidecars.
+fn load_drift(scenario: &Scenario) -> Vec<f64> {
+    let mut random = RandomStream::new(scenario.seed, StreamId::LoadDrift, 0);
+    let mut level: f64 = DRIFT_MIDDLE;
     let seconds = scenario.seconds.ceil() as usize + 1;
     let levels = (0..seconds).map(|_| {
-        let step = random.between(-WANDER_STEP, WANDER_STEP);
-        level = (level + step + WANDER_RETURN * (WANDER_MIDDLE - level)).clamp(0.0, 1.0);
+        let step = random.between(-DRIFT_STEP, DRIFT_STEP);
+        level = (level + step + DRIFT_RETURN * (DRIFT_MIDDLE - level)).clamp(0.0, 1.0);
         level
     });
     levels.collect()
 }
 
-/// Parts of the traffic that the sidecars get, adding up to 1.
-pub fn parts(scenario: &Scenario) -> Vec<f64> {
-    let mut random = RandomStream::new(scenario.seed, StreamId::TrafficParts, PARTS_STREAM);
+/// Shares of the traffic that the sidecars get, adding up to 1.
+pub fn traffic_shares(scenario: &Scenario) -> Vec<f64> {
+    let mut random = RandomStream::new(
+        scenario.seed,
+        StreamId::TrafficShares,
+        TRAFFIC_SHARES_STREAM,
+    );
     let sidecars = &scenario.sidecars;
     let weights: Vec<f64> = (0..sidecars.count)
         .map(|_| random.lognormal(sidecars.skew))
@@ -88,17 +92,17 @@
 }
 
 impl ArrivalStream {
-    /// The arrivals at the sidecar of a number, which gets a part of the traffic.
-    pub fn new(scenario: &Scenario, number: usize, part: f64) -> Self {
+    /// The arrivals at the sidecar of a number, which gets a share of the traffic.
+    pub fn new(scenario: &Scenario, number: usize, traffic_share: f64) -> Self {
         let stream = |cause| RandomStream::new(scenario.seed, cause, number);
         let tenants = scenario.tenant.iter();
         Self {
-            part,
+            traffic_share,
             arrival_random: stream(StreamId::Arrivals),
             work_random: stream(StreamId::Work),
             client_random: stream(StreamId::Clients),
             hint_random: stream(StreamId::WorkHints),
-            wander: wander(scenario),
+            load_drift: load_drift(scenario),
             now: 0,
             class_weights: scenario.class.iter().map(|class| class.share).collect(),
             tenant_weights: tenants.map(|tenant| tenant.share * tenant.usage).collect(),
@@ -150,11 +154,11 @@
     /// Arrivals a second now.
     fn rate(&self) -> f64 {
         let second = (self.now / SECOND as Micros) as usize;
-        let wander = self.wander.get(second).copied();
+        let load_drift = self.load_drift.get(second).copied();
         let all = self
             .scenario
-            .rate_at(self.now, wander.unwrap_or(WANDER_MIDDLE));
-        all * self.part
+            .rate_at(self.now, load_drift.unwrap_or(DRIFT_MIDDLE));
+        all * self.traffic_share
     }
 }
 
