--- a/crates/testbed/src/scenario/check/faults.rs
+++ b/crates/testbed/src/scenario/check/faults.rs
@@ -20,7 +20,7 @@
         let in_run = fault.at_s < self.seconds;
         checker.require(in_run, key("at_s"), "lies after the end of the day");
         checker.not_negative(fault.for_s, key("for_s"));
-        checker.share(fault.target_share, key("part"));
+        checker.share(fault.target_share, key("target_share"));
         checker.share(fault.share, key("share"));
         checker.positive(fault.factor, key("factor"));
         checker.not_negative(fault.down_s, key("down_s"));
@@ -46,7 +46,7 @@
             checker.require(
                 !fault.servers.is_empty() || fault.target_share > 0.0 || fault.zone.is_some(),
                 path,
-                "names no servers: servers, part or zone is needed",
+                "names no servers: servers, target_share or zone is needed",
             );
         }
     }
--- a/crates/testbed/src/scenario/check/fleet.rs
+++ b/crates/testbed/src/scenario/check/fleet.rs
@@ -85,29 +85,33 @@
     );
     checker.not_negative(machine_type.slow_start_s, key("slow_start_s"));
     checker.share(machine_type.error_rate, key("error_rate"));
-    checker.not_negative(machine_type.thrashing, key("thrash"));
-    checker.positive(machine_type.thrashing_threshold, key("thrash_at"));
+    checker.not_negative(machine_type.thrashing, key("thrashing"));
+    checker.positive(machine_type.thrashing_threshold, key("thrashing_threshold"));
     let slots = machine_type.slots == 0 || machine_type.slots >= machine_type.cores;
     checker.require(slots, key("slots"), "must be 0 or no less than cores");
-    checker.share(machine_type.connection_overhead, key("full_tax"));
+    checker.share(machine_type.connection_overhead, key("connection_overhead"));
     checker.not_negative(machine_type.handshake_ms, key("handshake_ms"));
     checker.not_negative(machine_type.handshake_rtts, key("handshake_rtts"));
     checker.not_negative(machine_type.health_check_ms, key("health_check_ms"));
     checker.not_negative(machine_type.health_checks_per_s, key("health_checks_per_s"));
     if let Some(contention) = &machine_type.contention {
-        check_contention(checker, contention, &key("choke"));
+        check_contention(checker, contention, &key("contention"));
     }
 }
 
 fn check_contention(checker: &mut Checker, contention: &Contention, path: &str) {
     let key = |name: &str| format!("{path}.{name}");
-    checker.positive(contention.overload_threshold, key("at"));
+    checker.positive(contention.overload_threshold, key("overload_threshold"));
     checker.require(
         contention.slowdown >= 1.0,
-        key("slower"),
+        key("slowdown"),
         "must be 1 or more",
     );
     let order = contention.recovery_threshold < contention.overload_threshold;
-    checker.require(order, key("below"), "must be below choke.at");
-    checker.not_negative(contention.overload_s, key("over_s"));
+    checker.require(
+        order,
+        key("recovery_threshold"),
+        "must be below overload_threshold",
+    );
+    checker.not_negative(contention.overload_s, key("overload_s"));
 }
--- a/crates/testbed/src/scenario/faults.rs
+++ b/crates/testbed/src/scenario/faults.rs
@@ -51,7 +51,6 @@
         /// Servers by name (`s0`, `s1` ...).
         servers: Vec<String> = Vec::new(),
         /// Else this share of them, drawn.
-        #[serde(rename = "part")]
         target_share: f64 = 0.0,
         /// Only those of this zone.
         zone: Option<String> = None,
--- a/crates/testbed/src/scenario/fleet.rs
+++ b/crates/testbed/src/scenario/fleet.rs
@@ -28,10 +28,8 @@
         /// Requests that run at a time and share the cores; 0 for one a core.
         slots: u32 = 0,
         /// Share by which each request a core beyond `thrashing_threshold` slows all of them down.
-        #[serde(rename = "thrash")]
         thrashing: f64 = 0.0,
         /// Requests a core from which on they slow each other down.
-        #[serde(rename = "thrash_at")]
         thrashing_threshold: f64 = 4.0,
         /// Work done by one core in one second, in seconds of a standard core.
         speed: f64 = 1.0,
@@ -50,7 +48,6 @@
         /// Connections it accepts.
         connections: usize = 1_500,
         /// Share of its capacity that a full connection table takes.
-        #[serde(rename = "full_tax")]
         connection_overhead: f64 = 0.3,
         /// Work of a new connection, in milliseconds of a standard core.
         handshake_ms: f64 = 3.0,
@@ -65,7 +62,6 @@
         /// Whether a waiting request is dropped once its sidecar no longer waits for it.
         drops_expired: bool = true,
         /// How lasting overload slows it; absent where it does not.
-        #[serde(rename = "choke")]
         contention: Option<Contention> = None,
     }
 }
@@ -83,27 +79,21 @@
 }
 
 section! {
-    /// Overload that lasts: once a server has more than `overload_threshold` requests a core in flight for
-    /// `overload_s`, it is slowed until it has less than `recovery_threshold` a core for `recovery_s`, or
-    /// until `max_s` have passed.
+    /// Overload that lasts: once a server has more than `overload_threshold` requests a core in
+    /// flight for `overload_s`, it is slowed until it has less than `recovery_threshold` a core for
+    /// `recovery_s`, or until `max_s` have passed.
     Contention {
         /// Requests a core beyond which it is overloaded.
-        #[serde(rename = "at")]
         overload_threshold: f64 = 5.5,
         /// Seconds of overload after which it is slowed.
-        #[serde(rename = "over_s")]
         overload_s: f64 = 2.0,
         /// Factor by which it is slower; 1 or more.
-        #[serde(rename = "slower")]
         slowdown: f64 = 2.6,
         /// Requests a core below which it recovers.
-        #[serde(rename = "below")]
         recovery_threshold: f64 = 0.35,
         /// Seconds that it takes to recover.
-        #[serde(rename = "rest_s")]
         recovery_s: f64 = 3.0,
         /// Seconds after which it has recovered in any case.
-        #[serde(rename = "most_s")]
         max_s: f64 = 22.0,
     }
 }
--- a/crates/testbed/src/scenario/renamed_keys.rs
+++ b/crates/testbed/src/scenario/renamed_keys.rs
@@ -26,7 +26,7 @@
 }
 
 /// All renamed keys. A section has at most one former name for a key.
-const RENAMED_KEYS: [RenamedKey; 38] = [
+const RENAMED_KEYS: [RenamedKey; 49] = [
     renamed("", "kind", "machine_type"),
     renamed("", "shop", "tenant"),
     renamed("", "terminals", "clients"),
@@ -37,6 +37,16 @@
     renamed("machine_type", "cold_s", "slow_start_s"),
     renamed("machine_type", "probe_ms", "health_check_ms"),
     renamed("machine_type", "probes_per_s", "health_checks_per_s"),
+    renamed("machine_type", "thrash", "thrashing"),
+    renamed("machine_type", "thrash_at", "thrashing_threshold"),
+    renamed("machine_type", "full_tax", "connection_overhead"),
+    renamed("machine_type", "choke", "contention"),
+    renamed("machine_type.contention", "at", "overload_threshold"),
+    renamed("machine_type.contention", "over_s", "overload_s"),
+    renamed("machine_type.contention", "slower", "slowdown"),
+    renamed("machine_type.contention", "below", "recovery_threshold"),
+    renamed("machine_type.contention", "rest_s", "recovery_s"),
+    renamed("machine_type.contention", "most_s", "max_s"),
     renamed("servers", "kind", "machine_type"),
     renamed("sidecars", "knows_kinds", "knows_machine_types"),
     renamed("class", "aim_ms", "latency_objective_ms"),
@@ -65,6 +75,7 @@
     renamed("prices", "probe", "health_check"),
     renamed("fault", "what", "kind"),
     renamed("fault", "times", "factor"),
+    renamed("fault", "part", "target_share"),
 ];
 
 /// A table that has a key under its present and its former name.
--- a/crates/testbed/src/scenario/renamed_keys/tests.rs
+++ b/crates/testbed/src/scenario/renamed_keys/tests.rs
@@ -1,14 +1,18 @@
 use super::{KeyPath, RENAMED_KEYS, Table, present_path, with_present_names, written_path};
-use crate::scenario::{Class, Fault, MachineType, Scenario, Servers};
+use crate::scenario::{Class, Contention, Fault, MachineType, Scenario, Servers};
 
 fn table(text: &str) -> Table {
     text.parse().expect("TOML")
 }
 
-/// A section as it is written today, with all its keys but those without a value.
-fn section(name: &str) -> Table {
+/// A section by its path, as it is written today, with all its keys but those without a value.
+fn section(path: &str) -> Table {
+    let machine_type = MachineType {
+        contention: Some(Contention::default()),
+        ..MachineType::default()
+    };
     let scenario = Scenario {
-        machine_type: vec![MachineType::default()],
+        machine_type: vec![machine_type],
         servers: vec![Servers::default()],
         class: vec![Class::default()],
         fault: vec![Fault::default()],
@@ -18,13 +22,14 @@
         },
         ..Scenario::default()
     };
-    let all = Table::try_from(scenario).expect("a table");
-    match all.get(name) {
-        None if name.is_empty() => all,
-        Some(toml::Value::Array(items)) => items[0].as_table().expect("a table").clone(),
-        Some(section) => section.as_table().expect("a table").clone(),
-        None => panic!("there is no section {name:?}"),
+    let mut section = Table::try_from(scenario).expect("a table");
+    for name in path.split('.').filter(|name| !name.is_empty()) {
+        let value = section.get(name);
+        let first = value.and_then(|value| value.get(0)).or(value);
+        let table = first.and_then(toml::Value::as_table).cloned();
+        section = table.unwrap_or_else(|| panic!("there is no section {path:?}"));
     }
+    section
 }
 
 #[test]
@@ -74,13 +79,20 @@
 
 #[test]
 fn paths_are_brought_to_present_names_and_back_to_those_of_the_file() {
-    let file = table("[[trouble]]\ntimes = 2.0\n[[class]]\nlatency_objective_ms = 1.0");
+    let file = table(
+        "[[trouble]]\ntimes = 2.0\n[[class]]\nlatency_objective_ms = 1.0\n\
+         [[machine_type]]\nchoke = { at = 2.0 }",
+    );
     for (written, present) in [
         ("trouble[0].times", "fault[0].factor"),
         (
             "class[0].latency_objective_ms",
             "class[0].latency_objective_ms",
         ),
+        (
+            "machine_type[0].choke.at",
+            "machine_type[0].contention.overload_threshold",
+        ),
         ("load.rate", "load.rate"),
     ] {
         let path = present_path(&KeyPath::parse(written));
--- a/crates/testbed/tests/emulator.rs
+++ b/crates/testbed/tests/emulator.rs
@@ -159,7 +159,7 @@
 kind = "roll"
 at_s = 1.0
 for_s = 1.5
-part = 1.0
+target_share = 1.0
 batch = 0.5
 down_s = 0.3
 [[fault]]
--- a/crates/testbed/tests/scenario/former_keys.rs
+++ b/crates/testbed/tests/scenario/former_keys.rs
@@ -15,6 +15,10 @@
 [[kind]]
 name = "std"
 cold_s = 4.0
+full_tax = 0.3
+thrash = 0.1
+thrash_at = 5.0
+choke = { at = 5.5, over_s = 2.0, slower = 2.6, below = 0.3, rest_s = 3.0, most_s = 22.0 }
 
 [[servers]]
 kind = "std"
@@ -33,6 +37,7 @@
 at_s = 2.0
 for_s = 3.0
 times = 2.0
+part = 0.5
 servers = ["s1"]
 "#;
 
@@ -56,6 +61,16 @@
     let cases = [
         ("cold_s = 4.0", "cold_s = -4.0", "kind[0].cold_s"),
         ("cold_s = 4.0", "cold_s = \"long\"", "kind[0].cold_s"),
+        ("full_tax = 0.3", "full_tax = 1.3", "kind[0].full_tax"),
+        ("thrash = 0.1", "thrash = -0.1", "kind[0].thrash"),
+        ("thrash_at = 5.0", "thrash_at = 0.0", "kind[0].thrash_at"),
+        ("{ at = 5.5,", "{ at = 0.0,", "kind[0].choke.at"),
+        ("over_s = 2.0", "over_s = -2.0", "kind[0].choke.over_s"),
+        ("slower = 2.6", "slower = 0.5", "kind[0].choke.slower"),
+        ("below = 0.3", "below = 5.5", "kind[0].choke.below"),
+        ("rest_s = 3.0", "rest_s = \"long\"", "kind[0].choke.rest_s"),
+        ("most_s = 22.0", "most_s = \"long\"", "kind[0].choke.most_s"),
+        ("part = 0.5", "part = 1.5", "trouble[0].part"),
         ("kind = \"std\"", "kind = \"other\"", "servers[0].kind"),
         ("aim_ms = 300.0", "aim_ms = 0.0", "class[0].aim_ms"),
         ("leave = 0.1", "leave = 2.0", "terminals.leave"),
@@ -93,6 +108,15 @@
             set("terminals.leave", 0.4.into()).clients.disconnect_share,
             0.4
         );
+        let machine_type = &set("kind[0].choke.slower", 3.5.into()).machine_type[0];
+        assert_eq!(
+            machine_type.contention.as_ref().map(|c| c.slowdown),
+            Some(3.5)
+        );
+        assert_eq!(
+            set("trouble[0].part", 0.4.into()).fault[0].target_share,
+            0.4
+        );
         assert_eq!(set("load.open_most", 60.into()).load.max_open_requests, 60);
         assert!(!set("allow.probes", false.into()).permissions.health_checks);
         let class = toml::toml! { name = "quote" aim_ms = 250.0 };
--- a/crates/testbed/tests/simulator/main.rs
+++ b/crates/testbed/tests/simulator/main.rs
@@ -138,7 +138,7 @@
 kind = "slow"
 at_s = 5.0
 for_s = 25.0
-part = 0.5
+target_share = 0.5
 factor = 8.0
 "#;
     let (slow, _) = play(&scenario_with_fault("calm", fault));
