--- a/crates/testbed/src/audit/endpoint_view.rs
+++ b/crates/testbed/src/audit/endpoint_view.rs
@@ -57,7 +57,7 @@
     /// A sidecar that starts or has ended knows nothing; one that is shutting down keeps what it
     /// knows.
     pub(super) fn on_sidecar_state(&mut self, sidecar: u32, state: ProcessState) {
-        if state != ProcessState::Ending {
+        if state != ProcessState::ShuttingDown {
             self.by_sidecar.remove(&sidecar);
         }
     }
--- a/crates/testbed/src/audit/execution.rs
+++ b/crates/testbed/src/audit/execution.rs
@@ -2,7 +2,7 @@
 //! there.
 
 use super::requests::ReceivedAttempt;
-use crate::scenario::{Class, DeduplicationGroup, Effect, Micros, from_ms};
+use crate::scenario::{Class, DeduplicationScope, Idempotency, Micros, from_ms};
 
 /// What an attempt that is received at `now` violates, after a `first` one that may have executed;
 /// nothing if its class allows it. `same_zone` says whether both reached servers of one zone.
@@ -14,16 +14,18 @@
 ) -> Option<String> {
     let server = first.server;
     match class.idempotency {
-        Effect::Safe => None,
-        Effect::Unsafe => Some(format!(
+        Idempotency::Idempotent => None,
+        Idempotency::NonIdempotent => Some(format!(
             "s{server} had received it and may have executed it"
         )),
-        Effect::Keyed if class.deduplication_scope == DeduplicationGroup::Zone && !same_zone => {
+        Idempotency::IdempotencyKey
+            if class.deduplication_scope == DeduplicationScope::Zone && !same_zone =>
+        {
             Some(format!("its key is known at s{server} in another zone"))
         }
-        Effect::Keyed if now > first.at + from_ms(class.deduplication_window_ms) => {
+        Idempotency::IdempotencyKey if now > first.at + from_ms(class.deduplication_window_ms) => {
             Some(format!("its key at s{server} had expired by then"))
         }
-        Effect::Keyed => None,
+        Idempotency::IdempotencyKey => None,
     }
 }
--- a/crates/testbed/src/audit/rejection.rs
+++ b/crates/testbed/src/audit/rejection.rs
@@ -2,11 +2,11 @@
 
 use super::requests::AcceptedRequest;
 use crate::event_log::RequestOutcome;
-use crate::scenario::{Class, DeduplicationGroup, Effect};
+use crate::scenario::{Class, DeduplicationScope, Idempotency};
 
 /// What an attempt violates that a server receives after the request was rejected.
 pub(super) fn violation_on_attempt(class: &Class, request: &AcceptedRequest) -> Option<String> {
-    let harmless = class.idempotency == Effect::Safe;
+    let harmless = class.idempotency == Idempotency::Idempotent;
     (request.was_rejected() && !harmless)
         .then(|| "a server received it after its rejection".to_owned())
 }
@@ -19,9 +19,9 @@
 ) -> Option<&'static str> {
     let may_have_executed = request.first_unrejected_attempt().is_some();
     let retry_harmful = class.is_some_and(|class| match class.idempotency {
-        Effect::Safe => false,
-        Effect::Unsafe => true,
-        Effect::Keyed => class.deduplication_scope != DeduplicationGroup::All,
+        Idempotency::Idempotent => false,
+        Idempotency::NonIdempotent => true,
+        Idempotency::IdempotencyKey => class.deduplication_scope != DeduplicationScope::All,
     });
     (outcome == RequestOutcome::Rejected && may_have_executed && retry_harmful)
         .then_some("it may have been executed")
--- a/crates/testbed/src/cli/mod.rs
+++ b/crates/testbed/src/cli/mod.rs
@@ -96,7 +96,7 @@
     };
     output::write_report(&report, arguments)?;
     print!("{report}");
-    Ok(report.holds())
+    Ok(report.passes())
 }
 
 fn experiment(arguments: &ExperimentArguments) -> Result<bool, CliError> {
@@ -140,5 +140,5 @@
     println!("Two emulated servers, one sidecar, {seconds} s of load ...");
     let report = emulator::run(&scenario.scenario, options, None)?;
     print!("{report}");
-    Ok(report.holds())
+    Ok(report.passes())
 }
--- a/crates/testbed/src/emulator/client/arrival.rs
+++ b/crates/testbed/src/emulator/client/arrival.rs
@@ -8,7 +8,7 @@
 use super::request::{OutgoingRequest, Response};
 use crate::event_log::{LogEvent, RequestOutcome};
 use crate::random::{RandomStream, StreamId};
-use crate::scenario::{Effect, Micros, from_ms};
+use crate::scenario::{Idempotency, Micros, from_ms};
 use crate::workload::Arrival;
 
 /// Numbers of the arrivals' random streams begin here, apart from those of the sidecars' clients.
@@ -20,7 +20,7 @@
     /// Plays an arrival with all its requests; `index` is its number at this sidecar.
     pub(super) async fn play_arrival(self: Arc<Self>, arrival: Arrival, index: usize) {
         let number = self.shared.next_id();
-        let within_share = self.within_quota(arrival.tenant);
+        let within_quota = self.within_quota(arrival.tenant);
         self.shared.note_at(
             arrival.at,
             LogEvent::ArrivalStarted {
@@ -28,7 +28,7 @@
                 sidecar: self.sidecar,
                 class: arrival.class,
                 tenant: arrival.tenant,
-                within_share,
+                within_quota,
                 work: arrival.work,
             },
         );
@@ -123,7 +123,7 @@
             RequestOutcome::Rejected | RequestOutcome::Unreachable => true,
             RequestOutcome::Failed
             | RequestOutcome::ConnectionLost
-            | RequestOutcome::Unanswered => class.idempotency == Effect::Safe,
+            | RequestOutcome::Unanswered => class.idempotency == Idempotency::Idempotent,
             _ => false,
         }
     }
--- a/crates/testbed/src/emulator/client/mod.rs
+++ b/crates/testbed/src/emulator/client/mod.rs
@@ -59,7 +59,7 @@
     fn within_quota(&self, tenant: u16) -> bool {
         lock(&self.load.quotas)
             .get_mut(usize::from(tenant))
-            .is_none_or(|quota| quota.take(self.shared.clock.now()))
+            .is_none_or(|quota| quota.try_take(self.shared.clock.now()))
     }
 
     /// Plays the sidecar's arrivals to their ends.
--- a/crates/testbed/src/emulator/client/request.rs
+++ b/crates/testbed/src/emulator/client/request.rs
@@ -5,7 +5,7 @@
 
 use crate::emulator::http::Message;
 use crate::event_log::RequestOutcome;
-use crate::scenario::{Effect, Micros, Scenario};
+use crate::scenario::{Idempotency, Micros, Scenario};
 use crate::workload::Arrival;
 
 /// Longest pause that a rejection may ask for, in seconds.
@@ -37,12 +37,12 @@
         let (id, class_name) = (self.number, &class.name);
         let timeout = self.due.saturating_sub(now).max(1);
         let (method, key, body) = match class.idempotency {
-            Effect::Safe => ("GET", String::new(), ""),
-            Effect::Keyed => {
+            Idempotency::Idempotent => ("GET", String::new(), ""),
+            Idempotency::IdempotencyKey => {
                 let key = format!("Idempotency-Key: k{id:016x}\r\n");
                 ("POST", key, "{\"order\":1}")
             }
-            Effect::Unsafe => ("POST", String::new(), "{\"slot\":3}"),
+            Idempotency::NonIdempotent => ("POST", String::new(), "{\"slot\":3}"),
         };
         let tenant = scenario.tenant.get(usize::from(arrival.tenant));
         let tenant = tenant.map_or("none", |tenant| tenant.name.as_str());
--- a/crates/testbed/src/emulator/client/request/tests.rs
+++ b/crates/testbed/src/emulator/client/request/tests.rs
@@ -3,7 +3,7 @@
 use super::{OutgoingRequest, Response};
 use crate::emulator::http::parsed_response;
 use crate::event_log::RequestOutcome;
-use crate::scenario::{Class, Effect, Scenario, Tenant};
+use crate::scenario::{Class, Idempotency, Scenario, Tenant};
 use crate::workload::Arrival;
 
 fn scenario() -> Scenario {
@@ -14,9 +14,9 @@
     };
     Scenario {
         class: vec![
-            class("job-status", Effect::Safe),
-            class("pay-order", Effect::Keyed),
-            class("book-slot", Effect::Unsafe),
+            class("job-status", Idempotency::Idempotent),
+            class("pay-order", Idempotency::IdempotencyKey),
+            class("book-slot", Idempotency::NonIdempotent),
         ],
         tenant: vec![Tenant {
             name: "oita-funai".into(),
--- a/crates/testbed/src/emulator/emulated_server/mod.rs
+++ b/crates/testbed/src/emulator/emulated_server/mod.rs
@@ -187,7 +187,7 @@
 
     /// It was overloaded while cold, and its process is gone.
     fn on_overloaded(&self) {
-        self.note_state(ServerState::Fallen);
+        self.note_state(ServerState::OverloadShutdown);
         self.network.send_modify(|network| {
             network.mode = NetworkMode::Refusing;
             network.epoch += 1;
--- a/crates/testbed/src/emulator/fault_schedule.rs
+++ b/crates/testbed/src/emulator/fault_schedule.rs
@@ -14,7 +14,7 @@
 use super::shared::Shared;
 use crate::event_log::{ListedStatus, ServerState};
 use crate::scenario::{Fault, FaultKind, Micros, from_ms, from_s};
-use crate::simulator::faults::{roll, targets};
+use crate::simulator::faults::{rolling_restart, targets};
 
 /// Plays the faults of the scenario to their ends.
 pub(super) async fn play(emulation: &Emulation) {
@@ -24,8 +24,8 @@
     for (index, fault) in emulation.shared.scenario.fault.iter().enumerate() {
         match fault.kind {
             // These change the load, as it is drawn.
-            FaultKind::Burst | FaultKind::Costly => {}
-            FaultKind::Roll | FaultKind::RestartAll => {
+            FaultKind::Burst | FaultKind::ExpensiveRequests => {}
+            FaultKind::RollingRestart | FaultKind::RestartAll => {
                 restart_sidecars(emulation, index, fault, &mut tasks);
             }
             FaultKind::DiscoveryDown => {
@@ -48,8 +48,8 @@
 
 fn restart_sidecars(emulation: &Emulation, index: usize, fault: &Fault, tasks: &mut JoinSet<()>) {
     let scenario = &emulation.shared.scenario;
-    let restarts = if fault.kind == FaultKind::Roll {
-        roll(scenario, index)
+    let restarts = if fault.kind == FaultKind::RollingRestart {
+        rolling_restart(scenario, index)
     } else {
         let all = 0..scenario.sidecars.count as u32;
         all.map(|sidecar| (sidecar, 0)).collect()
@@ -135,9 +135,13 @@
         match self.fault.kind {
             FaultKind::Pause => server.set_paused(true),
             FaultKind::Slow => server.set_slowdown(self.fault.factor),
-            FaultKind::Errors => server.set_response_fault(ResponseFault::Errors(Some(share))),
-            FaultKind::Spoilt => server.set_response_fault(ResponseFault::Malformed(share)),
-            FaultKind::Resets => server.set_response_fault(ResponseFault::Reset(share)),
+            FaultKind::ErrorResponses => {
+                server.set_response_fault(ResponseFault::Errors(Some(share)))
+            }
+            FaultKind::MalformedResponses => {
+                server.set_response_fault(ResponseFault::Malformed(share))
+            }
+            FaultKind::ConnectionResets => server.set_response_fault(ResponseFault::Reset(share)),
             FaultKind::Crash => {
                 server.note_state(ServerState::Down);
                 server.stop(NetworkMode::Refusing).await;
@@ -162,9 +166,11 @@
         match self.fault.kind {
             FaultKind::Pause => server.set_paused(false),
             FaultKind::Slow => server.set_slowdown(1.0),
-            FaultKind::Errors => server.set_response_fault(ResponseFault::Errors(None)),
-            FaultKind::Spoilt => server.set_response_fault(ResponseFault::Malformed(0.0)),
-            FaultKind::Resets => server.set_response_fault(ResponseFault::Reset(0.0)),
+            FaultKind::ErrorResponses => server.set_response_fault(ResponseFault::Errors(None)),
+            FaultKind::MalformedResponses => {
+                server.set_response_fault(ResponseFault::Malformed(0.0))
+            }
+            FaultKind::ConnectionResets => server.set_response_fault(ResponseFault::Reset(0.0)),
             FaultKind::Crash | FaultKind::Silence => {
                 server.restart(None).await;
                 self.list_later(number, ListedStatus::Ready, add_ms);
--- a/crates/testbed/src/emulator/mod.rs
+++ b/crates/testbed/src/emulator/mod.rs
@@ -156,8 +156,8 @@
     played.records.iter().for_each(|r| readers.note(r));
     auditor.finish();
     let mut report = statistics.report(EMULATOR, scenario.seed);
-    report.audited(&auditor);
-    report.expect(&scenario.expect);
+    report.add_audit(&auditor);
+    report.check_expectations(&scenario.expect);
     report.unreliable = played.unreliable;
     report.counter_differences = played.counters.differences;
     report.remarks = played.counters.remarks;
--- a/crates/testbed/src/emulator/sidecars/restart.rs
+++ b/crates/testbed/src/emulator/sidecars/restart.rs
@@ -44,12 +44,12 @@
 
     async fn shut_down(&self, number: usize) {
         let sidecar = &self.sidecars[number];
-        self.note_state(number, ProcessState::Ending);
+        self.note_state(number, ProcessState::ShuttingDown);
         let log = self.log(number);
         sidecar.signal(Signal::SIGTERM);
         sidecar.wait(self.shutdown_limit()).await;
         sidecar.on_ended();
-        self.note_state(number, ProcessState::Ended);
+        self.note_state(number, ProcessState::Exited);
         sidecar.add_counters_of(&read_log(&log));
     }
 
--- a/crates/testbed/src/emulator/sidecars/settings.rs
+++ b/crates/testbed/src/emulator/sidecars/settings.rs
@@ -7,7 +7,7 @@
 
 use serde_json::{Value, json};
 
-use crate::scenario::{Class, DeduplicationGroup, Effect, ReportSource, Scenario};
+use crate::scenario::{Class, DeduplicationScope, Idempotency, LoadReportSource, Scenario};
 
 /// Cores of a sidecar's container.
 const CORES: f64 = 1.0;
@@ -82,13 +82,13 @@
 
 fn class(class: &Class) -> Value {
     let semantics = match class.idempotency {
-        Effect::Safe => "pure",
-        Effect::Unsafe => "side_effect",
-        Effect::Keyed => "token",
+        Idempotency::Idempotent => "pure",
+        Idempotency::NonIdempotent => "side_effect",
+        Idempotency::IdempotencyKey => "token",
     };
     let scope = match class.deduplication_scope {
-        DeduplicationGroup::Zone => "zone",
-        DeduplicationGroup::All => "all",
+        DeduplicationScope::Zone => "zone",
+        DeduplicationScope::All => "all",
     };
     json!({
         "name": class.name,
@@ -120,10 +120,10 @@
 
 fn load_report(scenario: &Scenario) -> Value {
     match scenario.load_reports.source {
-        ReportSource::Probe => {
+        LoadReportSource::HealthChecks => {
             json!({"source": "probe", "fields": ["active", "err_rps", "waiting"]})
         }
-        ReportSource::Answers => json!({"source": "answers", "fields": ["active"]}),
+        LoadReportSource::Responses => json!({"source": "answers", "fields": ["active"]}),
     }
 }
 
--- a/crates/testbed/src/event_log/event.rs
+++ b/crates/testbed/src/event_log/event.rs
@@ -27,8 +27,8 @@
         #[serde(alias = "shop")]
         tenant: u16,
         /// Whether the tenant is within its quota.
-        #[serde(alias = "within")]
-        within_share: bool,
+        #[serde(rename = "within_share", alias = "within")]
+        within_quota: bool,
         /// Expected work; absent in logs of earlier versions.
         #[serde(default)]
         work: f64,
--- a/crates/testbed/src/event_log/state.rs
+++ b/crates/testbed/src/event_log/state.rs
@@ -71,9 +71,11 @@
     /// Started.
     Up,
     /// Notified to shut down: it still has to respond to what it has accepted.
-    Ending,
-    /// Ended by itself, after it was notified.
-    Ended,
+    #[serde(rename = "ending")]
+    ShuttingDown,
+    /// Exited by itself, after it was notified.
+    #[serde(rename = "ended")]
+    Exited,
     /// Killed outright.
     Killed,
 }
@@ -96,6 +98,7 @@
     Draining,
     /// Its process is gone: connections are refused.
     Down,
-    /// Was overloaded while cold, and is gone.
-    Fallen,
+    /// Was overloaded while cold, and has shut down.
+    #[serde(rename = "fallen")]
+    OverloadShutdown,
 }
--- a/crates/testbed/src/event_log/tests.rs
+++ b/crates/testbed/src/event_log/tests.rs
@@ -65,7 +65,7 @@
                 sidecar: 2,
                 class: 2,
                 tenant: 0,
-                within_share: true,
+                within_quota: true,
                 work: 9_873.518_844_543_214,
             },
         ),
@@ -132,7 +132,7 @@
             LogEvent::ServerStateChanged {
                 server: 7,
                 zone: 1,
-                state: ServerState::Fallen,
+                state: ServerState::OverloadShutdown,
             },
         ),
         (
@@ -166,8 +166,8 @@
         LogEvent::ClientDisconnected { request: 2 }
     );
     for (name, state) in [
-        ("ending", ProcessState::Ending),
-        ("ended", ProcessState::Ended),
+        ("ending", ProcessState::ShuttingDown),
+        ("ended", ProcessState::Exited),
     ] {
         let line = format!(r#"{{"at":1,"what":"sidecar","sidecar":2,"life":"{name}"}}"#);
         let expected = LogEvent::SidecarStateChanged { sidecar: 2, state };
--- a/crates/testbed/src/report/mod.rs
+++ b/crates/testbed/src/report/mod.rs
@@ -140,7 +140,7 @@
 
 impl Report {
     /// Takes over what the auditor found.
-    pub fn audited(&mut self, auditor: &Auditor) {
+    pub fn add_audit(&mut self, auditor: &Auditor) {
         self.violations = auditor.violations().map(ToString::to_string).collect();
         self.violation_count = auditor.violation_count();
     }
@@ -164,7 +164,7 @@
     }
 
     /// Compares the figures with the scenario's expectations, and lists those that are missed.
-    pub fn expect(&mut self, expect: &Expect) {
+    pub fn check_expectations(&mut self, expect: &Expect) {
         let mut missed = Vec::new();
         let mut at_least = |name: &str, actual: f64, expected: Option<f64>| {
             if let Some(expected) = expected.filter(|expected| actual < *expected) {
@@ -187,7 +187,7 @@
 
     /// True for a run that passes: no violations, no missed expectations, equal counters, reliable
     /// figures.
-    pub fn holds(&self) -> bool {
+    pub fn passes(&self) -> bool {
         self.violation_count == 0
             && self.missed_expectations.is_empty()
             && self.counter_differences.is_empty()
--- a/crates/testbed/src/report/tests.rs
+++ b/crates/testbed/src/report/tests.rs
@@ -116,7 +116,7 @@
         report.remarks,
         ["0 job servers were choked for a time; one held 5 at most"]
     );
-    assert!(report.holds(), "{report}");
+    assert!(report.passes(), "{report}");
 }
 
 #[test]
@@ -128,10 +128,10 @@
     };
     let report = with("broken", vec!["rule 'one final answer'"].into());
     assert_eq!(report.violations, ["rule 'one final answer'"]);
-    assert!(!with("broken_count", 1.into()).holds());
-    assert!(!with("missed", vec!["service is 0.9"].into()).holds());
-    assert!(!with("uncounted", vec!["answers served"].into()).holds());
-    assert!(!with("late", "the machine ran late".into()).holds());
+    assert!(!with("broken_count", 1.into()).passes());
+    assert!(!with("missed", vec!["service is 0.9"].into()).passes());
+    assert!(!with("uncounted", vec!["answers served"].into()).passes());
+    assert!(!with("late", "the machine ran late".into()).passes());
 }
 
 #[test]
--- a/crates/testbed/src/scenario/faults.rs
+++ b/crates/testbed/src/scenario/faults.rs
@@ -21,15 +21,20 @@
         /// The load is `factor` times the usual one.
         Burst,
         /// A share of one class needs `factor` times its work.
-        Costly,
+        #[serde(rename = "costly")]
+        ExpensiveRequests,
         /// A share of the responses is malformed.
-        Spoilt,
+        #[serde(rename = "spoilt")]
+        MalformedResponses,
         /// A share of the connections is reset amid a request.
-        Resets,
+        #[serde(rename = "resets")]
+        ConnectionResets,
         /// A share of the requests fails.
-        Errors,
+        #[serde(rename = "errors")]
+        ErrorResponses,
         /// Part of the sidecars is restarted one batch after the other.
-        Roll,
+        #[serde(rename = "roll")]
+        RollingRestart,
         /// All sidecars are restarted together.
         RestartAll,
         /// Discovery ends its watches and refuses polls.
@@ -54,7 +59,7 @@
         target_share: f64 = 0.0,
         /// Only those of this zone.
         zone: Option<String> = None,
-        /// How many times slower, dearer or more.
+        /// How many times slower, more expensive or more frequent.
         factor: f64 = 4.0,
         /// Share of requests, responses or connections concerned.
         share: f64 = 1.0,
@@ -75,8 +80,8 @@
         !matches!(
             self.kind,
             FaultKind::Burst
-                | FaultKind::Costly
-                | FaultKind::Roll
+                | FaultKind::ExpensiveRequests
+                | FaultKind::RollingRestart
                 | FaultKind::RestartAll
                 | FaultKind::DiscoveryDown
                 | FaultKind::DiscoverySilent
--- a/crates/testbed/src/scenario/fleet.rs
+++ b/crates/testbed/src/scenario/fleet.rs
@@ -58,7 +58,7 @@
         /// Health checks a second that it answers; 0 for no cap. Further ones are rejected.
         health_checks_per_s: f64 = 0.0,
         /// What the cancellation of an attempt stops.
-        cancel: Cancel = Cancel::Queued,
+        cancel: CancellationScope = CancellationScope::Queued,
         /// Whether a waiting request is dropped once its sidecar no longer waits for it.
         drops_expired: bool = true,
         /// How lasting overload slows it; absent where it does not.
@@ -68,7 +68,7 @@
 
 choice! {
     /// What the cancellation of an attempt stops at a server.
-    Cancel {
+    CancellationScope {
         /// Nothing.
         None,
         /// Requests that wait.
--- a/crates/testbed/src/scenario/mod.rs
+++ b/crates/testbed/src/scenario/mod.rs
@@ -26,12 +26,12 @@
 pub use error::{ScenarioError, ScenarioErrors};
 pub use expectations::Expect;
 pub use faults::{Fault, FaultKind};
-pub use fleet::{Cancel, Contention, MachineType, Network, Servers, Sidecars};
+pub use fleet::{CancellationScope, Contention, MachineType, Network, Servers, Sidecars};
 pub use read::ScenarioFile;
-pub use rules::{LoadReports, Permissions, Prices, ReportSource, Rules};
+pub use rules::{LoadReportSource, LoadReports, Permissions, Prices, Rules};
 pub use time::{Micros, from_ms, from_s};
 pub use traffic::{
-    Class, Clients, DeduplicationGroup, Effect, Load, LoadShape, Tenant, WorkDistribution,
+    Class, Clients, DeduplicationScope, Idempotency, Load, LoadShape, Tenant, WorkDistribution,
 };
 
 use section::section;
--- a/crates/testbed/src/scenario/rules.rs
+++ b/crates/testbed/src/scenario/rules.rs
@@ -28,11 +28,13 @@
 
 choice! {
     /// Where servers report their load.
-    ReportSource {
+    LoadReportSource {
         /// In responses to health checks, as of now.
-        Probe,
+        #[serde(rename = "probe")]
+        HealthChecks,
         /// In every response: requests in flight, and nothing else.
-        Answers,
+        #[serde(rename = "answers")]
+        Responses,
     }
 }
 
@@ -40,7 +42,7 @@
     /// How servers report their load in responses.
     LoadReports {
         /// Where they report it.
-        source: ReportSource = ReportSource::Probe,
+        source: LoadReportSource = LoadReportSource::HealthChecks,
         /// Milliseconds between two measurements of the load.
         every_ms: f64 = 300.0,
         /// Milliseconds from a measurement until it is reported.
--- a/crates/testbed/src/scenario/traffic.rs
+++ b/crates/testbed/src/scenario/traffic.rs
@@ -4,19 +4,22 @@
 
 choice! {
     /// Whether a request may run more than once.
-    Effect {
-        /// Idempotent: it may.
-        Safe,
-        /// Not idempotent: it must not.
-        Unsafe,
-        /// Carries an idempotency key, by which servers of a scope drop repeats for a while.
-        Keyed,
+    Idempotency {
+        /// It may.
+        #[serde(rename = "safe")]
+        Idempotent,
+        /// It must not.
+        #[serde(rename = "unsafe")]
+        NonIdempotent,
+        /// It carries an idempotency key, by which servers of a scope drop repeats for a while.
+        #[serde(rename = "keyed")]
+        IdempotencyKey,
     }
 }
 
 choice! {
     /// Among which servers repeats of an idempotency key are dropped.
-    DeduplicationGroup {
+    DeduplicationScope {
         /// Among all servers.
         All,
         /// Among the servers of one zone.
@@ -30,7 +33,8 @@
         /// All requests need the mean.
         Fixed,
         /// Exponential.
-        Exp,
+        #[serde(rename = "exp")]
+        Exponential,
         /// Lognormal, with the class's coefficient of variation.
         Lognormal,
     }
@@ -61,9 +65,9 @@
         /// Share of the weight that a response after the objective and before the deadline keeps.
         late_value: f64 = 0.0,
         /// Whether its requests may run more than once.
-        idempotency: Effect = Effect::Safe,
+        idempotency: Idempotency = Idempotency::Idempotent,
         /// Among which servers repeats of a key are dropped, for `keyed`.
-        deduplication_scope: DeduplicationGroup = DeduplicationGroup::All,
+        deduplication_scope: DeduplicationScope = DeduplicationScope::All,
         /// How long repeats of a key are dropped, in milliseconds, for `keyed`.
         deduplication_window_ms: f64 = 10_000.0,
     }
--- a/crates/testbed/src/server_model/load_report.rs
+++ b/crates/testbed/src/server_model/load_report.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use super::{Event, ServerModel};
-use crate::scenario::{LoadReports, Micros, ReportSource, from_ms};
+use crate::scenario::{LoadReportSource, LoadReports, Micros, from_ms};
 
 /// The load report for health checks is refreshed this often, as the site's are, in microseconds.
 const REFRESH_INTERVAL: Micros = 3_000;
@@ -76,7 +76,7 @@
 
     /// The jobs that a response reports: those of the last sample that is old enough.
     fn in_flight_to_report(&mut self, now: Micros, in_flight: usize) -> Option<usize> {
-        if self.settings.source != ReportSource::Answers {
+        if self.settings.source != LoadReportSource::Responses {
             return None;
         }
         let interval = from_ms(self.settings.every_ms);
--- a/crates/testbed/src/server_model/state_change.rs
+++ b/crates/testbed/src/server_model/state_change.rs
@@ -1,7 +1,7 @@
 //! What is done to a server beside handing it jobs.
 
 use super::{Event, ServerModel, State};
-use crate::scenario::{Cancel, Micros};
+use crate::scenario::{CancellationScope, Micros};
 
 /// Least slowdown, so that a speed stays finite.
 const MIN_SLOWDOWN: f64 = 1e-3;
@@ -10,7 +10,7 @@
     /// Nobody waits for a job any more. True if it had not started and never will.
     pub fn cancel(&mut self, now: Micros, id: u64, events: &mut Vec<Event>) -> bool {
         self.advance(now, events);
-        if self.machine_type.cancel == Cancel::None {
+        if self.machine_type.cancel == CancellationScope::None {
             return false;
         }
         if let Some(position) = self.queue.iter().position(|job| job.id == id) {
@@ -19,7 +19,7 @@
             self.update_contention();
             return true;
         }
-        if self.machine_type.cancel == Cancel::All && self.running.cancel(id) {
+        if self.machine_type.cancel == CancellationScope::All && self.running.cancel(id) {
             self.counters.cancelled += 1;
             self.start_waiting(events);
             self.update_contention();
--- a/crates/testbed/src/server_model/tests.rs
+++ b/crates/testbed/src/server_model/tests.rs
@@ -2,7 +2,7 @@
 use super::slow_start::OverloadRule;
 use super::{Event, Job, ServerModel, State};
 use crate::random::{RandomStream, StreamId};
-use crate::scenario::{Contention, LoadReports, MachineType, Micros, ReportSource};
+use crate::scenario::{Contention, LoadReportSource, LoadReports, MachineType, Micros};
 
 fn server_of(machine_type: MachineType) -> ServerModel {
     let random = RandomStream::new(1, StreamId::Machines, 0);
@@ -141,7 +141,7 @@
 fn a_response_reports_the_jobs_held_as_of_the_last_sample_that_is_old_enough() {
     let mut server = server_of(two_cores());
     server.load_reports = LoadReporter::new(LoadReports {
-        source: ReportSource::Answers,
+        source: LoadReportSource::Responses,
         every_ms: 100.0,
         delay_ms: 50.0,
     });
--- a/crates/testbed/src/simulator/client.rs
+++ b/crates/testbed/src/simulator/client.rs
@@ -7,7 +7,7 @@
 use super::process::SidecarProcess;
 use super::request::{ArrivalKey, OpenArrival, Request, RequestKey};
 use crate::event_log::{LogEvent, RequestOutcome};
-use crate::scenario::{Effect, Micros, from_ms};
+use crate::scenario::{Idempotency, Micros, from_ms};
 use crate::workload::Arrival;
 
 impl Simulator<'_> {
@@ -20,13 +20,13 @@
 
     pub(super) fn on_arrival(&mut self, sidecar: u32, arrival: Arrival) {
         let number = self.open.take_number();
-        let within_share = self.takes_quota(arrival.tenant);
+        let within_quota = self.within_quota(arrival.tenant);
         self.record(LogEvent::ArrivalStarted {
             arrival: number,
             sidecar,
             class: arrival.class,
             tenant: arrival.tenant,
-            within_share,
+            within_quota,
             work: arrival.work,
         });
         let class = &self.scenario.class[usize::from(arrival.class)];
@@ -49,12 +49,12 @@
         self.schedule_next_arrival(sidecar);
     }
 
-    /// Whether an arrival lies within its tenant's share; without tenants all do.
-    fn takes_quota(&mut self, tenant: u16) -> bool {
+    /// whether an arrival lies within its tenant's quota; without tenants all do.
+    fn within_quota(&mut self, tenant: u16) -> bool {
         let now = self.timeline.now();
         self.quotas
             .get_mut(usize::from(tenant))
-            .is_none_or(|quota| quota.take(now))
+            .is_none_or(|quota| quota.try_take(now))
     }
 
     /// Sends the first request of an arrival, or a retry.
@@ -187,11 +187,11 @@
 
 /// Whether a client may repeat a request: where it has certainly not run, or where running twice
 /// does no harm.
-fn may_retry(outcome: RequestOutcome, idempotency: Effect) -> bool {
+fn may_retry(outcome: RequestOutcome, idempotency: Idempotency) -> bool {
     match outcome {
         RequestOutcome::Rejected | RequestOutcome::Unreachable => true,
         RequestOutcome::Failed | RequestOutcome::ConnectionLost | RequestOutcome::Unanswered => {
-            idempotency == Effect::Safe
+            idempotency == Idempotency::Idempotent
         }
         _ => false,
     }
--- a/crates/testbed/src/simulator/faults/mod.rs
+++ b/crates/testbed/src/simulator/faults/mod.rs
@@ -31,9 +31,9 @@
     draw(scenario, index, &mut servers, count)
 }
 
-/// When each sidecar goes down in a roll, in microseconds from its start: batch after batch over
+/// When each sidecar goes down in a rolling restart, in microseconds from its start: batch after batch over
 /// its length.
-pub fn roll(scenario: &Scenario, index: usize) -> Vec<(u32, Micros)> {
+pub fn rolling_restart(scenario: &Scenario, index: usize) -> Vec<(u32, Micros)> {
     let fault = &scenario.fault[index];
     let all = scenario.sidecars.count;
     let count = ((all as f64 * target_share(fault)).round() as usize).clamp(1, all);
--- a/crates/testbed/src/simulator/faults/schedule.rs
+++ b/crates/testbed/src/simulator/faults/schedule.rs
@@ -1,6 +1,6 @@
 //! When the simulator's faults start and end.
 
-use super::{roll, targets};
+use super::{rolling_restart, targets};
 use crate::scenario::{Fault, FaultKind, Micros, from_s};
 use crate::simulator::Simulator;
 use crate::simulator::discovery::Availability;
@@ -14,8 +14,8 @@
             self.fault_targets.push(targets(scenario, index, &zones));
             let start = from_s(fault.at_s);
             match fault.kind {
-                FaultKind::Roll => {
-                    for (sidecar, later) in roll(scenario, index) {
+                FaultKind::RollingRestart => {
+                    for (sidecar, later) in rolling_restart(scenario, index) {
                         self.schedule_restart(sidecar, start + later, fault);
                     }
                 }
@@ -54,7 +54,10 @@
             FaultKind::DiscoveryDown | FaultKind::DiscoverySilent => {
                 self.on_discovery_fault(Availability::Up);
             }
-            FaultKind::Burst | FaultKind::Costly | FaultKind::Roll | FaultKind::RestartAll => {}
+            FaultKind::Burst
+            | FaultKind::ExpensiveRequests
+            | FaultKind::RollingRestart
+            | FaultKind::RestartAll => {}
             _ => {
                 for server in self.fault_targets[index].clone() {
                     self.on_server_fault(server, fault, starts);
--- a/crates/testbed/src/simulator/faults/servers.rs
+++ b/crates/testbed/src/simulator/faults/servers.rs
@@ -13,9 +13,11 @@
         match (fault.kind, starts) {
             (FaultKind::Pause, _) => self.on_pause(number, starts),
             (FaultKind::Slow, _) => self.on_slowdown(number, starts.then_some(fault.factor)),
-            (FaultKind::Errors, _) => server.machine.set_error_rate(starts.then_some(fault.share)),
-            (FaultKind::Spoilt, _) => server.set_malformed_share(share),
-            (FaultKind::Resets, _) => server.set_reset_share(share),
+            (FaultKind::ErrorResponses, _) => {
+                server.machine.set_error_rate(starts.then_some(fault.share))
+            }
+            (FaultKind::MalformedResponses, _) => server.set_malformed_share(share),
+            (FaultKind::ConnectionResets, _) => server.set_reset_share(share),
             (FaultKind::Crash, true) => self.on_crash(number),
             (FaultKind::Silence, true) => self.on_silence(number),
             (FaultKind::Crash | FaultKind::Silence, false) => self.restart_server(number),
--- a/crates/testbed/src/simulator/run.rs
+++ b/crates/testbed/src/simulator/run.rs
@@ -37,8 +37,8 @@
     let overload = overload_remark(&simulator);
     auditor.finish();
     let mut report = statistics.report("model", scenario.seed);
-    report.audited(&auditor);
-    report.expect(&scenario.expect);
+    report.add_audit(&auditor);
+    report.check_expectations(&scenario.expect);
     report.remarks.push(overload);
     if effort.not_played > 0 {
         report.remarks.push(not_played_remark(scenario, effort));
--- a/crates/testbed/src/simulator/server/machine.rs
+++ b/crates/testbed/src/simulator/server/machine.rs
@@ -28,7 +28,7 @@
                 }
             }
             ServerModelEvent::OverloadShutdown => {
-                self.record_server_state(number, ServerState::Fallen);
+                self.record_server_state(number, ServerState::OverloadShutdown);
                 self.end_server_process(number);
             }
         }
--- a/crates/testbed/src/simulator/sidecar/mod.rs
+++ b/crates/testbed/src/simulator/sidecar/mod.rs
@@ -166,7 +166,7 @@
         }
         self.record(LogEvent::SidecarStateChanged {
             sidecar: restart.sidecar,
-            state: ProcessState::Ending,
+            state: ProcessState::ShuttingDown,
         });
         let kill = SimulatorEvent::SidecarRestart(SidecarRestart {
             sidecar: restart.sidecar,
--- a/crates/testbed/src/simulator/sidecar/settings.rs
+++ b/crates/testbed/src/simulator/sidecar/settings.rs
@@ -1,9 +1,10 @@
 //! The balancer's settings at a scenario's sidecars, as the real program would read them.
 
-use arrowstand_balancer::{DeduplicationScope, Idempotency, RequestClass, Settings};
+use arrowstand_balancer::{self as balancer, RequestClass, Settings};
 
 use crate::scenario::{
-    Class, DeduplicationGroup, Effect, MachineType, Micros, ReportSource, Scenario, from_ms, from_s,
+    Class, DeduplicationScope, Idempotency, LoadReportSource, MachineType, Micros, Scenario,
+    from_ms, from_s,
 };
 
 /// A sidecar responds this long before the client gives up, in microseconds: the real program's
@@ -12,13 +13,13 @@
 
 fn request_class(class: &Class) -> RequestClass {
     let idempotency = match class.idempotency {
-        Effect::Safe => Idempotency::Idempotent,
-        Effect::Unsafe => Idempotency::NonIdempotent,
-        Effect::Keyed => Idempotency::IdempotencyKey,
+        Idempotency::Idempotent => balancer::Idempotency::Idempotent,
+        Idempotency::NonIdempotent => balancer::Idempotency::NonIdempotent,
+        Idempotency::IdempotencyKey => balancer::Idempotency::IdempotencyKey,
     };
     let deduplication_scope = match class.deduplication_scope {
-        DeduplicationGroup::Zone => DeduplicationScope::Zone,
-        DeduplicationGroup::All => DeduplicationScope::All,
+        DeduplicationScope::Zone => balancer::DeduplicationScope::Zone,
+        DeduplicationScope::All => balancer::DeduplicationScope::All,
     };
     let objective = from_ms(class.latency_objective_ms);
     let deadline = from_ms(class.deadline_ms);
@@ -54,7 +55,7 @@
         connection_fee: 0.0,
         cross_zone_fee: scenario.prices.cross_zone,
         load_reports: true,
-        load_reports_in_responses: scenario.load_reports.source == ReportSource::Answers,
+        load_reports_in_responses: scenario.load_reports.source == LoadReportSource::Responses,
         weight_by_work: scenario.load.weight_by_work,
         poll_endpoints: true,
         max_poll_interval: from_ms(permissions.max_poll_interval_ms),
--- a/crates/testbed/src/statistics/mod.rs
+++ b/crates/testbed/src/statistics/mod.rs
@@ -185,7 +185,7 @@
                 arrival,
                 class,
                 tenant,
-                within_share: within_quota,
+                within_quota,
                 work,
                 ..
             } => {
--- a/crates/testbed/src/statistics/traffic.rs
+++ b/crates/testbed/src/statistics/traffic.rs
@@ -107,7 +107,7 @@
     fn on_server_event(&mut self, event: LogEvent) {
         match event {
             LogEvent::ServerStateChanged { server, state, .. } => {
-                self.server(server).overloaded_cold |= state == ServerState::Fallen;
+                self.server(server).overloaded_cold |= state == ServerState::OverloadShutdown;
             }
             LogEvent::ServerGauge {
                 server,
--- a/crates/testbed/src/workload.rs
+++ b/crates/testbed/src/workload.rs
@@ -86,7 +86,7 @@
     let mean = class.work_ms * 1_000.0;
     match class.dist {
         WorkDistribution::Fixed => mean,
-        WorkDistribution::Exp => mean * random.exponential(),
+        WorkDistribution::Exponential => mean * random.exponential(),
         WorkDistribution::Lognormal => mean * random.lognormal(class.cv),
     }
 }
@@ -132,7 +132,7 @@
         let mut work = draw_work(&mut self.work_random, class);
         for fault in &self.scenario.fault {
             let of_class = fault.class.as_ref().is_none_or(|name| *name == class.name);
-            if fault.kind != FaultKind::Costly || !of_class {
+            if fault.kind != FaultKind::ExpensiveRequests || !of_class {
                 continue;
             }
             // Drawn whether or not it is on, so that a fault moves no other draw.
@@ -187,8 +187,8 @@
     }
 }
 
-/// What a tenant may ask for within its share: a bucket of tokens that come at its share of the
-/// quota.
+/// A tenant's quota: a token bucket, filled at the tenant's share of what all tenants are entitled
+/// to.
 #[derive(Clone, Copy, Debug)]
 pub struct TenantQuota {
     /// Tokens a second.
@@ -207,14 +207,14 @@
         }
     }
 
-    /// Takes a token; false for what lies beyond the share.
-    pub fn take(&mut self, now: Micros) -> bool {
+    /// Takes a token; false for what lies beyond the quota.
+    pub fn try_take(&mut self, now: Micros) -> bool {
         let passed_s = now.saturating_sub(self.refilled_at) as f64 / SECOND;
         self.tokens = (self.tokens + passed_s * self.rate).min(self.rate.max(1.0));
         self.refilled_at = now;
-        let within_share = self.tokens >= 1.0;
-        self.tokens -= if within_share { 1.0 } else { 0.0 };
-        within_share
+        let within_quota = self.tokens >= 1.0;
+        self.tokens -= if within_quota { 1.0 } else { 0.0 };
+        within_quota
     }
 }
 
--- a/crates/testbed/tests/auditor/main.rs
+++ b/crates/testbed/tests/auditor/main.rs
@@ -11,7 +11,7 @@
 use arrowstand_testbed::event_log::{
     EventLog, ListedStatus, LogEvent, LogRecord, RequestOutcome, ServerState,
 };
-use arrowstand_testbed::scenario::{Class, DeduplicationGroup, Effect, Micros, Scenario};
+use arrowstand_testbed::scenario::{Class, DeduplicationScope, Idempotency, Micros, Scenario};
 
 const MS: Micros = 1_000;
 const S: Micros = 1_000_000;
@@ -24,10 +24,10 @@
         ..Class::default()
     };
     let classes = [
-        class(Effect::Safe, DeduplicationGroup::All),
-        class(Effect::Unsafe, DeduplicationGroup::All),
-        class(Effect::Keyed, DeduplicationGroup::Zone),
-        class(Effect::Keyed, DeduplicationGroup::All),
+        class(Idempotency::Idempotent, DeduplicationScope::All),
+        class(Idempotency::NonIdempotent, DeduplicationScope::All),
+        class(Idempotency::IdempotencyKey, DeduplicationScope::Zone),
+        class(Idempotency::IdempotencyKey, DeduplicationScope::All),
     ];
     Scenario {
         class: classes.to_vec(),
--- a/crates/testbed/tests/auditor/response.rs
+++ b/crates/testbed/tests/auditor/response.rs
@@ -74,8 +74,8 @@
     assert_eq!(
         audit(&[
             accepted(1, 0),
-            state(ProcessState::Ending),
-            state(ProcessState::Ended)
+            state(ProcessState::ShuttingDown),
+            state(ProcessState::Exited)
         ])
         .len(),
         1
