--- a/crates/testbed/src/audit/dispatch.rs
+++ b/crates/testbed/src/audit/dispatch.rs
@@ -7,7 +7,7 @@
 use crate::scenario::Micros;
 
 impl EventLog for Auditor {
-    fn note(&mut self, record: &LogRecord) {
+    fn record(&mut self, record: &LogRecord) {
         let at = record.at;
         self.advance(at);
         match record.event {
--- a/crates/testbed/src/audit/requests.rs
+++ b/crates/testbed/src/audit/requests.rs
@@ -9,7 +9,7 @@
 use crate::scenario::Micros;
 
 /// How long a request is remembered beyond its deadline, to catch what comes after it.
-const REMEMBERED_AFTER_DEADLINE: Micros = 12_000_000;
+const RETENTION_AFTER_DEADLINE: Micros = 12_000_000;
 
 /// An attempt that a server received.
 pub(super) struct ReceivedAttempt {
@@ -92,7 +92,7 @@
 impl Requests {
     pub(super) fn insert(&mut self, number: u64, request: AcceptedRequest, response_limit: Micros) {
         self.forget_at
-            .push_back((request.due + REMEMBERED_AFTER_DEADLINE, number));
+            .push_back((request.due + RETENTION_AFTER_DEADLINE, number));
         self.response_limits.push(Reverse((response_limit, number)));
         self.accepted.insert(number, request);
     }
--- a/crates/testbed/src/audit/violation.rs
+++ b/crates/testbed/src/audit/violation.rs
@@ -7,7 +7,7 @@
 use crate::scenario::Micros;
 
 /// Violations that are listed; further ones are only counted.
-const LISTED_MAX: usize = 50;
+const MAX_LISTED: usize = 50;
 
 /// What every run must keep.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize)]
@@ -90,7 +90,7 @@
         why: String,
     ) {
         self.count += 1;
-        if self.listed.len() < LISTED_MAX {
+        if self.listed.len() < MAX_LISTED {
             self.listed.push(Violation {
                 at,
                 rule,
--- a/crates/testbed/src/emulator/client/arrival.rs
+++ b/crates/testbed/src/emulator/client/arrival.rs
@@ -21,7 +21,7 @@
     pub(super) async fn play_arrival(self: Arc<Self>, arrival: Arrival, index: usize) {
         let number = self.shared.next_id();
         let within_quota = self.within_quota(arrival.tenant);
-        self.shared.note_at(
+        self.shared.record_at(
             arrival.at,
             LogEvent::ArrivalStarted {
                 arrival: number,
@@ -34,16 +34,16 @@
         );
         let limit = self.shared.scenario.load.max_open_requests;
         if !self.load.try_open(limit) {
-            self.note_ended(number, RequestOutcome::NotPlayed, 0);
+            self.record_arrival_ended(number, RequestOutcome::NotPlayed, 0);
             return;
         }
         let (outcome, requests) = self.send_requests(&arrival, number, index).await;
-        self.note_ended(number, outcome, requests);
+        self.record_arrival_ended(number, outcome, requests);
         self.load.on_ended();
     }
 
-    fn note_ended(&self, arrival: u64, outcome: RequestOutcome, requests: u32) {
-        self.shared.note(LogEvent::ArrivalEnded {
+    fn record_arrival_ended(&self, arrival: u64, outcome: RequestOutcome, requests: u32) {
+        self.shared.record(LogEvent::ArrivalEnded {
             arrival,
             outcome,
             requests,
@@ -69,7 +69,7 @@
             let request = self.draw_request(&mut random, arrival, number, from, deadline);
             let response = self.exchange(arrival, &request).await;
             let outcome = request.outcome(response.outcome);
-            self.note_outcome(request.number, outcome);
+            self.record_outcome(request.number, outcome);
             let pause = self.retry_pause(&mut random, arrival, outcome, response);
             let too_late = self.shared.clock.now() + pause >= deadline;
             let retries = scenario.clients.retries;
@@ -105,15 +105,15 @@
         }
     }
 
-    fn note_outcome(&self, request: u64, outcome: RequestOutcome) {
+    fn record_outcome(&self, request: u64, outcome: RequestOutcome) {
         match outcome {
             RequestOutcome::Unreachable | RequestOutcome::Unanswered => {}
             RequestOutcome::Disconnected => {
-                self.shared.note(LogEvent::ClientDisconnected { request });
+                self.shared.record(LogEvent::ClientDisconnected { request });
             }
             outcome => self
                 .shared
-                .note(LogEvent::ResponseReceived { request, outcome }),
+                .record(LogEvent::ResponseReceived { request, outcome }),
         }
     }
 
--- a/crates/testbed/src/emulator/client/exchange.rs
+++ b/crates/testbed/src/emulator/client/exchange.rs
@@ -126,7 +126,7 @@
         connection.write(&text).await?;
         if !*accepted {
             *accepted = true;
-            self.shared.note(LogEvent::RequestAccepted {
+            self.shared.record(LogEvent::RequestAccepted {
                 request: request.number,
                 arrival: request.arrival,
                 sidecar: self.sidecar,
--- a/crates/testbed/src/emulator/client/request.rs
+++ b/crates/testbed/src/emulator/client/request.rs
@@ -9,7 +9,7 @@
 use crate::workload::Arrival;
 
 /// Longest pause that a rejection may ask for, in seconds.
-const RETRY_AFTER_MAX_S: f64 = 600.0;
+const MAX_RETRY_AFTER_S: f64 = 600.0;
 
 /// One request of an arrival.
 pub(super) struct OutgoingRequest {
@@ -91,7 +91,7 @@
         let seconds = message
             .header("retry-after")
             .and_then(|s| s.parse::<f64>().ok());
-        let micros = |seconds: f64| (seconds.clamp(0.0, RETRY_AFTER_MAX_S) * 1e6) as Micros;
+        let micros = |seconds: f64| (seconds.clamp(0.0, MAX_RETRY_AFTER_S) * 1e6) as Micros;
         Self {
             outcome,
             retry_after: seconds.map(micros),
--- a/crates/testbed/src/emulator/discovery/connection.rs
+++ b/crates/testbed/src/emulator/discovery/connection.rs
@@ -63,7 +63,7 @@
 
     async fn serve_request(&self, connection: &mut HttpConnection, sidecar: u32) -> io::Result<()> {
         let request = connection.read_request().await?;
-        self.shared.note(LogEvent::DiscoveryPolled { sidecar });
+        self.shared.record(LogEvent::DiscoveryPolled { sidecar });
         self.while_silent().await;
         let turn = self.take_turn();
         self.shared.clock.sleep_until(turn.at).await;
@@ -87,7 +87,7 @@
         let (list, notifications) = self.whole_list(sidecar);
         let text = response("200 OK", "", &format!("{list}\n"));
         connection.write(&text).await?;
-        self.note(sidecar, &notifications);
+        self.record_notifications(sidecar, &notifications);
         Ok(())
     }
 
@@ -106,7 +106,7 @@
             let (list, version, notifications) = self.list_since(sidecar, since);
             since = Some(version);
             write_chunk(connection, &format!("{list}\n")).await?;
-            self.note(sidecar, &notifications);
+            self.record_notifications(sidecar, &notifications);
             if !self.next_change(connection, &mut versions).await? {
                 return Ok(());
             }
--- a/crates/testbed/src/emulator/discovery/mod.rs
+++ b/crates/testbed/src/emulator/discovery/mod.rs
@@ -162,9 +162,9 @@
     }
 
     /// Records what a sidecar was notified of.
-    pub(super) fn note(&self, sidecar: u32, notifications: &[Notification]) {
+    pub(super) fn record_notifications(&self, sidecar: u32, notifications: &[Notification]) {
         for &(server, status, incarnation) in notifications {
-            self.shared.note(LogEvent::EndpointListed {
+            self.shared.record(LogEvent::EndpointListed {
                 sidecar,
                 server,
                 status,
--- a/crates/testbed/src/emulator/emulated_server/attempt.rs
+++ b/crates/testbed/src/emulator/emulated_server/attempt.rs
@@ -15,7 +15,7 @@
 use crate::scenario::Micros;
 
 /// How long an attempt without a timeout may wait: ten minutes, beyond the length of any run.
-const LONGEST_WAIT: Micros = 600_000_000;
+const MAX_WAIT: Micros = 600_000_000;
 /// A response whose head cannot be parsed; its connection is of no further use.
 const MALFORMED_RESPONSE: &str = "HTTP/1.1 2oo OK\r\nContent-Length: -7\r\n\r\n";
 /// Header field that promises that a rejected attempt was not executed.
@@ -70,7 +70,7 @@
         let Some(attempt) = Attempt::parse(message) else {
             return Ok(Reply::Send(response("400 Bad Request", "", "")));
         };
-        self.note_started(&attempt, incoming);
+        self.record_attempt_started(&attempt, incoming);
         sleep_for(incoming.delay + self.handshake_delay(incoming)).await;
         if self.is_silent() {
             self.shared.on_attempt_swallowed();
@@ -96,8 +96,8 @@
         }
     }
 
-    fn note_started(&self, attempt: &Attempt, incoming: &Incoming) {
-        self.shared.note_at(
+    fn record_attempt_started(&self, attempt: &Attempt, incoming: &Incoming) {
+        self.shared.record_at(
             incoming.first_byte_at,
             LogEvent::AttemptStarted {
                 request: attempt.request,
@@ -127,16 +127,22 @@
             new_connection: incoming.new_connection,
             deadline: incoming
                 .first_byte_at
-                .saturating_add(attempt.timeout.unwrap_or(LONGEST_WAIT)),
+                .saturating_add(attempt.timeout.unwrap_or(MAX_WAIT)),
         };
         self.update(|process, now| {
             let admission = process.try_accept(now, request);
-            self.note_received(now, attempt.request, incoming.server, &admission);
+            self.record_attempt_received(now, attempt.request, incoming.server, &admission);
             admission.accepted
         })
     }
 
-    fn note_received(&self, at: Micros, request: u64, server: u32, admission: &Admission) {
+    fn record_attempt_received(
+        &self,
+        at: Micros,
+        request: u64,
+        server: u32,
+        admission: &Admission,
+    ) {
         let received = LogEvent::AttemptReceived {
             request,
             server,
@@ -144,10 +150,10 @@
             capacity: admission.capacity,
             cold: admission.cold,
         };
-        self.shared.note_at(at, received);
+        self.shared.record_at(at, received);
         if admission.accepted.is_none() {
             let rejected = LogEvent::AttemptRejected { request, server };
-            self.shared.note_at(at, rejected);
+            self.shared.record_at(at, rejected);
         }
     }
 
--- a/crates/testbed/src/emulator/emulated_server/connection.rs
+++ b/crates/testbed/src/emulator/emulated_server/connection.rs
@@ -49,7 +49,7 @@
         if !fits {
             return;
         }
-        self.shared.note(LogEvent::ConnectionOpened {
+        self.shared.record(LogEvent::ConnectionOpened {
             server: self.number(),
         });
         let mut connection = HttpConnection::new(stream);
--- a/crates/testbed/src/emulator/emulated_server/faults.rs
+++ b/crates/testbed/src/emulator/emulated_server/faults.rs
@@ -49,7 +49,7 @@
         self.listeners.close().await;
         let now = self.shared.clock.now();
         lock(&self.process).on_started(now);
-        self.note_state_at(now, ServerState::Cold);
+        self.record_state_at(now, ServerState::Cold);
         self.network.send_modify(|network| {
             network.mode = NetworkMode::Open;
             network.epoch += 1;
@@ -70,7 +70,7 @@
 
     pub(in crate::emulator) fn set_paused(&self, paused: bool) {
         self.update(|process, now| process.set_paused(now, paused));
-        self.note_state(if paused {
+        self.record_state(if paused {
             ServerState::Paused
         } else {
             ServerState::Up
@@ -80,7 +80,7 @@
     /// Serves slower by a factor; 1 for as usual.
     pub(in crate::emulator) fn set_slowdown(&self, factor: f64) {
         self.update(|process, now| process.set_slowdown(now, factor));
-        self.note_state(if factor > 1.0 {
+        self.record_state(if factor > 1.0 {
             ServerState::Slow
         } else {
             ServerState::Up
@@ -89,7 +89,7 @@
 
     pub(in crate::emulator) fn set_draining(&self) {
         self.update(|process, _| process.set_draining());
-        self.note_state(ServerState::Draining);
+        self.record_state(ServerState::Draining);
     }
 
     pub(in crate::emulator) fn set_response_fault(&self, fault: ResponseFault) {
--- a/crates/testbed/src/emulator/emulated_server/health_check.rs
+++ b/crates/testbed/src/emulator/emulated_server/health_check.rs
@@ -14,7 +14,7 @@
 
 impl EmulatedServer {
     pub(super) async fn on_health_check(&self, incoming: &Incoming) -> Reply {
-        self.shared.note(LogEvent::HealthChecked {
+        self.shared.record(LogEvent::HealthChecked {
             sidecar: incoming.sidecar,
             server: incoming.server,
         });
--- a/crates/testbed/src/emulator/emulated_server/listeners.rs
+++ b/crates/testbed/src/emulator/emulated_server/listeners.rs
@@ -13,7 +13,7 @@
 
 /// How often, and how long at most, the end of the listeners' tasks is waited for.
 const CLOSE_POLL: Duration = Duration::from_millis(1);
-const CLOSE_POLLS_MAX: usize = 200;
+const MAX_CLOSE_POLLS: usize = 200;
 /// Backlog of a listener that holds one connection and accepts none.
 const FULL_BACKLOG: u32 = 0;
 
@@ -38,7 +38,7 @@
     /// Ends the tasks and waits until their sockets are closed.
     pub(super) async fn close(&self) {
         let tasks = self.abort();
-        for _ in 0..CLOSE_POLLS_MAX {
+        for _ in 0..MAX_CLOSE_POLLS {
             if tasks.iter().all(AbortHandle::is_finished) {
                 return;
             }
--- a/crates/testbed/src/emulator/emulated_server/mod.rs
+++ b/crates/testbed/src/emulator/emulated_server/mod.rs
@@ -100,7 +100,7 @@
             network: watch::channel(network).0,
         });
         server.listen().await?;
-        server.note_state(if group.cold {
+        server.record_state(if group.cold {
             ServerState::Cold
         } else {
             ServerState::Up
@@ -139,12 +139,12 @@
         }
     }
 
-    pub(super) fn note_state(&self, state: ServerState) {
-        self.note_state_at(self.shared.clock.now(), state);
+    pub(super) fn record_state(&self, state: ServerState) {
+        self.record_state_at(self.shared.clock.now(), state);
     }
 
-    fn note_state_at(&self, at: Micros, state: ServerState) {
-        self.shared.note_at(
+    fn record_state_at(&self, at: Micros, state: ServerState) {
+        self.shared.record_at(
             at,
             LogEvent::ServerStateChanged {
                 server: self.number(),
@@ -164,7 +164,8 @@
         let (result, overloaded) = {
             let mut process = lock(&self.process);
             let result = change(&mut process, now);
-            let overloaded = process.settle(|request, work| self.note_work(now, request, work));
+            let overloaded =
+                process.settle(|request, work| self.record_work_done(now, request, work));
             (result, overloaded)
         };
         if overloaded {
@@ -174,8 +175,8 @@
         result
     }
 
-    fn note_work(&self, at: Micros, request: u64, work: f64) {
-        self.shared.note_at(
+    fn record_work_done(&self, at: Micros, request: u64, work: f64) {
+        self.shared.record_at(
             at,
             LogEvent::WorkDone {
                 request,
@@ -187,7 +188,7 @@
 
     /// It was overloaded while cold, and its process is gone.
     fn on_overloaded(&self) {
-        self.note_state(ServerState::OverloadShutdown);
+        self.record_state(ServerState::OverloadShutdown);
         self.network.send_modify(|network| {
             network.mode = NetworkMode::Refusing;
             network.epoch += 1;
@@ -215,7 +216,7 @@
         let mut process = lock(&self.process);
         let now = self.shared.clock.now();
         process.advance(now);
-        process.settle(|request, work| self.note_work(now, request, work));
+        process.settle(|request, work| self.record_work_done(now, request, work));
         process.next_event_at()
     }
 }
@@ -227,7 +228,7 @@
         shared.clock.sleep_until(second * 1_000_000).await;
         for server in &emulation.servers {
             let (in_flight, connections) = lock(&server.process).gauge();
-            shared.note(LogEvent::ServerGauge {
+            shared.record(LogEvent::ServerGauge {
                 server: server.number(),
                 in_flight,
                 connections,
--- a/crates/testbed/src/emulator/error.rs
+++ b/crates/testbed/src/emulator/error.rs
@@ -12,7 +12,7 @@
     /// The scenario needs more sockets than one machine bears: use fewer servers or sidecars, or
     /// the simulator.
     #[error("{pairs} pairs of server and sidecar are more than {max}")]
-    TooManyPairs {
+    TooManyConnectionPairs {
         /// Servers times sidecars.
         pairs: usize,
         /// What the emulator bears.
--- a/crates/testbed/src/emulator/fault_schedule.rs
+++ b/crates/testbed/src/emulator/fault_schedule.rs
@@ -143,12 +143,12 @@
             }
             FaultKind::ConnectionResets => server.set_response_fault(ResponseFault::Reset(share)),
             FaultKind::Crash => {
-                server.note_state(ServerState::Down);
+                server.record_state(ServerState::Down);
                 server.stop(NetworkMode::Refusing).await;
                 self.list_later(number, ListedStatus::Gone, discovery.notice_ms);
             }
             FaultKind::Silence => {
-                server.note_state(ServerState::Silent);
+                server.record_state(ServerState::Silent);
                 server.stop(NetworkMode::Silent).await;
                 self.list_later(number, ListedStatus::Gone, discovery.silent_notice_ms);
             }
@@ -189,7 +189,7 @@
     async fn replace(&self, number: u32) {
         let discovery = &self.shared.scenario.discovery;
         self.server.stop(NetworkMode::Refusing).await;
-        self.server.note_state(ServerState::Down);
+        self.server.record_state(ServerState::Down);
         self.list_later(number, ListedStatus::Gone, discovery.notice_ms);
         let replacement = self.next_number.fetch_add(1, Ordering::Relaxed);
         self.server.restart(Some(replacement)).await;
--- a/crates/testbed/src/emulator/http.rs
+++ b/crates/testbed/src/emulator/http.rs
@@ -14,9 +14,9 @@
 use tokio::net::TcpStream;
 
 /// Bytes of a head or body beyond which reading fails: far more than any message of an emulation.
-const MESSAGE_BYTES_MAX: usize = 256 * 1024;
+const MAX_MESSAGE_BYTES: usize = 256 * 1024;
 /// Header fields of a message beyond which reading fails.
-const HEADERS_MAX: usize = 64;
+const MAX_HEADERS: usize = 64;
 
 /// A message, read to its last byte.
 #[derive(Debug, Default)]
@@ -108,7 +108,7 @@
     }
 
     async fn read_more(&mut self) -> io::Result<()> {
-        if self.buffer.len() > MESSAGE_BYTES_MAX {
+        if self.buffer.len() > MAX_MESSAGE_BYTES {
             return Err(invalid("too long"));
         }
         match self.stream.read_buf(&mut self.buffer).await? {
@@ -130,7 +130,7 @@
             .map(|length| length.parse::<usize>().map_err(|_| invalid("length")));
         match (length.transpose()?, chunked) {
             (_, true) => self.read_chunks(&mut message.body).await?,
-            (Some(length), false) if length <= MESSAGE_BYTES_MAX => {
+            (Some(length), false) if length <= MAX_MESSAGE_BYTES => {
                 message.body = self.read_exactly(length).await?;
             }
             (Some(_), false) => return Err(invalid("too long")),
@@ -155,7 +155,7 @@
             let digits = std::str::from_utf8(&line).unwrap_or_default().trim();
             let length = usize::from_str_radix(digits, 16)
                 .map_err(|_| invalid("a chunk without a length"))?;
-            if body.len().saturating_add(length) > MESSAGE_BYTES_MAX {
+            if body.len().saturating_add(length) > MAX_MESSAGE_BYTES {
                 return Err(invalid("too long"));
             }
             let chunk = self.read_exactly(length + 2).await?;
@@ -178,7 +178,7 @@
 
 /// The head of a request and its length in bytes; nothing while it is not complete.
 fn parse_request_head(buffer: &[u8]) -> io::Result<Option<(usize, Message)>> {
-    let mut headers = [httparse::EMPTY_HEADER; HEADERS_MAX];
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
     let status = request
         .parse(buffer)
@@ -196,7 +196,7 @@
 
 /// As [`parse_request_head`], of a response.
 fn parse_response_head(buffer: &[u8]) -> io::Result<Option<(usize, Message)>> {
-    let mut headers = [httparse::EMPTY_HEADER; HEADERS_MAX];
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
     let status = response
         .parse(buffer)
--- a/crates/testbed/src/emulator/http/tests.rs
+++ b/crates/testbed/src/emulator/http/tests.rs
@@ -5,7 +5,7 @@
 
 use tokio::net::TcpStream;
 
-use super::{HttpConnection, MESSAGE_BYTES_MAX, Message, parse_response_head, response};
+use super::{HttpConnection, MAX_MESSAGE_BYTES, Message, parse_response_head, response};
 
 /// A response of this head and body.
 pub(in crate::emulator) fn parsed_response(head: &str, body: &str) -> Message {
@@ -63,7 +63,7 @@
 async fn what_is_malformed_too_long_or_cut_short_is_an_error() {
     let too_long = format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n",
-        MESSAGE_BYTES_MAX + 1
+        MAX_MESSAGE_BYTES + 1
     );
     let huge_chunk = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nffffffffffffffff\r\n";
     for (text, kind) in [
--- a/crates/testbed/src/emulator/mod.rs
+++ b/crates/testbed/src/emulator/mod.rs
@@ -40,7 +40,7 @@
 pub use error::EmulatorError;
 
 /// Servers times sidecars that one emulation may have: sockets and descriptors are the bound.
-const PAIRS_MAX: usize = 20_000;
+const MAX_CONNECTION_PAIRS: usize = 20_000;
 /// Time to set everything up before the run begins: in all, and for each sidecar's process and each
 /// pair's sockets.
 const SETUP_TIME_MS: u64 = 1_500;
@@ -69,7 +69,7 @@
 }
 
 /// What came of an emulation.
-struct Played {
+struct EmulationResult {
     records: Vec<LogRecord>,
     unreliable: Option<String>,
     counters: Comparison,
@@ -80,10 +80,10 @@
         let fleet = scenario.fleet();
         let sidecars = scenario.sidecars.count;
         let pairs = fleet.len() * sidecars;
-        if pairs > PAIRS_MAX {
-            return Err(EmulatorError::TooManyPairs {
+        if pairs > MAX_CONNECTION_PAIRS {
+            return Err(EmulatorError::TooManyConnectionPairs {
                 pairs,
-                max: PAIRS_MAX,
+                max: MAX_CONNECTION_PAIRS,
             });
         }
         let clock = Clock::starting_in(Duration::from_millis(
@@ -107,7 +107,7 @@
     }
 
     /// Plays the scenario to its end.
-    async fn play(&self) -> Result<Played, EmulatorError> {
+    async fn play(&self) -> Result<EmulationResult, EmulatorError> {
         self.sidecars.start_all().await?;
         let faults = fault_schedule::play(self);
         let load = client::play(self);
@@ -120,7 +120,7 @@
         let counters = self.sidecars.end_all().await;
         let records = self.shared.recorder.sorted();
         let counters = counter_check::compare(&self.shared, &records, &counters);
-        Ok(Played {
+        Ok(EmulationResult {
             records,
             unreliable: self.shared.timeliness.unreliable(),
             counters,
@@ -137,14 +137,18 @@
     options: &Options,
     further: Option<&mut dyn EventLog>,
 ) -> Result<Report, EmulatorError> {
-    let played = runtime()?.block_on(async {
+    let result = runtime()?.block_on(async {
         let emulation = Emulation::set_up(scenario, options).await?;
         emulation.play().await
     })?;
-    Ok(report(scenario, played, further))
+    Ok(report(scenario, result, further))
 }
 
-fn report(scenario: &Scenario, played: Played, further: Option<&mut dyn EventLog>) -> Report {
+fn report(
+    scenario: &Scenario,
+    result: EmulationResult,
+    further: Option<&mut dyn EventLog>,
+) -> Report {
     let extra = from_ms(scenario.rules.emulator_extra_ms);
     let mut auditor = Auditor::new(scenario, extra);
     let mut statistics = Statistics::new(scenario);
@@ -153,14 +157,14 @@
         second: &mut statistics,
         further,
     };
-    played.records.iter().for_each(|r| readers.note(r));
+    result.records.iter().for_each(|r| readers.record(r));
     auditor.finish();
     let mut report = statistics.report(EMULATOR, scenario.seed);
     report.add_audit(&auditor);
     report.check_expectations(&scenario.expect);
-    report.unreliable = played.unreliable;
-    report.counter_differences = played.counters.differences;
-    report.remarks = played.counters.remarks;
+    report.unreliable = result.unreliable;
+    report.counter_differences = result.counters.differences;
+    report.remarks = result.counters.remarks;
     report
 }
 
--- a/crates/testbed/src/emulator/recorder.rs
+++ b/crates/testbed/src/emulator/recorder.rs
@@ -16,7 +16,7 @@
 }
 
 impl Recorder {
-    pub(super) fn note(&self, at: Micros, event: LogEvent) {
+    pub(super) fn record(&self, at: Micros, event: LogEvent) {
         lock(&self.records).push(LogRecord { at, event });
     }
 
--- a/crates/testbed/src/emulator/shared.rs
+++ b/crates/testbed/src/emulator/shared.rs
@@ -34,12 +34,12 @@
         }
     }
 
-    pub(super) fn note_at(&self, at: Micros, event: LogEvent) {
-        self.recorder.note(at, event);
+    pub(super) fn record_at(&self, at: Micros, event: LogEvent) {
+        self.recorder.record(at, event);
     }
 
-    pub(super) fn note(&self, event: LogEvent) {
-        self.note_at(self.clock.now(), event);
+    pub(super) fn record(&self, event: LogEvent) {
+        self.record_at(self.clock.now(), event);
     }
 
     /// Records that something due at `due` is done now.
--- a/crates/testbed/src/emulator/sidecars/mod.rs
+++ b/crates/testbed/src/emulator/sidecars/mod.rs
@@ -118,8 +118,8 @@
         self.sidecars[number as usize].kill_settled().await;
     }
 
-    fn note_state(&self, number: usize, state: ProcessState) {
-        self.shared.note(LogEvent::SidecarStateChanged {
+    fn record_state(&self, number: usize, state: ProcessState) {
+        self.shared.record(LogEvent::SidecarStateChanged {
             sidecar: number as u32,
             state,
         });
--- a/crates/testbed/src/emulator/sidecars/restart.rs
+++ b/crates/testbed/src/emulator/sidecars/restart.rs
@@ -11,7 +11,7 @@
 use crate::scenario::{Micros, from_ms};
 
 /// A sidecar that shuts down is given the longest deadline, this at least, and what follows.
-const LEAST_DEADLINE_MS: f64 = 3_000.0;
+const MIN_DEADLINE_MS: f64 = 3_000.0;
 const SHUTDOWN_MARGIN: Micros = 900_000;
 
 impl Sidecars {
@@ -33,23 +33,23 @@
     async fn kill(&self, number: usize) {
         let sidecar = &self.sidecars[number];
         sidecar.count_kill();
-        self.note_state(number, ProcessState::Killed);
+        self.record_state(number, ProcessState::Killed);
         sidecar.on_kill_started();
         sidecar.signal(Signal::SIGKILL);
         sidecar.wait(READY_LIMIT).await;
         // What came between the signal and its effect was lost by the same kill.
-        self.note_state(number, ProcessState::Killed);
+        self.record_state(number, ProcessState::Killed);
         sidecar.on_kill_ended();
     }
 
     async fn shut_down(&self, number: usize) {
         let sidecar = &self.sidecars[number];
-        self.note_state(number, ProcessState::ShuttingDown);
+        self.record_state(number, ProcessState::ShuttingDown);
         let log = self.log(number);
         sidecar.signal(Signal::SIGTERM);
         sidecar.wait(self.shutdown_limit()).await;
         sidecar.on_ended();
-        self.note_state(number, ProcessState::Exited);
+        self.record_state(number, ProcessState::Exited);
         sidecar.add_counters_of(&read_log(&log));
     }
 
@@ -57,7 +57,7 @@
         let classes = self.shared.scenario.class.iter();
         let longest_ms = classes
             .map(|class| class.deadline_ms)
-            .fold(LEAST_DEADLINE_MS, f64::max);
+            .fold(MIN_DEADLINE_MS, f64::max);
         Duration::from_micros(from_ms(longest_ms) + SHUTDOWN_MARGIN)
     }
 }
--- a/crates/testbed/src/emulator/sidecars/start.rs
+++ b/crates/testbed/src/emulator/sidecars/start.rs
@@ -71,7 +71,7 @@
 
     /// Starts a sidecar's next process.
     pub(super) fn start(&self, number: usize) -> Result<(), EmulatorError> {
-        self.note_state(number, ProcessState::Up);
+        self.record_state(number, ProcessState::Up);
         let sidecar = &self.sidecars[number];
         let configuration = self.write_configuration(number)?;
         let log = File::create(self.log(number)).map_err(|source| EmulatorError::CreateLog {
@@ -102,7 +102,8 @@
     fn write_configuration(&self, number: usize) -> Result<PathBuf, EmulatorError> {
         let sidecar = &self.sidecars[number];
         let (known, notifications) = self.discovery.whole_list(number as u32);
-        self.discovery.note(number as u32, &notifications);
+        self.discovery
+            .record_notifications(number as u32, &notifications);
         let identity = Identity {
             number,
             address: sidecar.address,
--- a/crates/testbed/src/emulator/timeliness.rs
+++ b/crates/testbed/src/emulator/timeliness.rs
@@ -15,7 +15,7 @@
 /// Share of them that makes the figures unreliable.
 const LATE_SHARE: f64 = 0.01;
 /// Longest delay that is measured: ten minutes, beyond the length of any run.
-const LONGEST_DELAY: Micros = 600_000_000;
+const MAX_MEASURED_DELAY: Micros = 600_000_000;
 /// Significant digits of a delay.
 const DELAY_DIGITS: u8 = 3;
 
@@ -26,7 +26,7 @@
 
 impl Default for Timeliness {
     fn default() -> Self {
-        let delays = Histogram::new_with_bounds(1, LONGEST_DELAY, DELAY_DIGITS)
+        let delays = Histogram::new_with_bounds(1, MAX_MEASURED_DELAY, DELAY_DIGITS)
             .unwrap_or_else(|_| unreachable!("fixed bounds that hdrhistogram accepts"));
         Self {
             delays: Mutex::new(delays),
--- a/crates/testbed/src/event_log/writer.rs
+++ b/crates/testbed/src/event_log/writer.rs
@@ -7,11 +7,11 @@
 /// Receives records in the order of their times.
 pub trait EventLog {
     /// Takes the next record.
-    fn note(&mut self, record: &LogRecord);
+    fn record(&mut self, record: &LogRecord);
 }
 
 impl EventLog for Vec<LogRecord> {
-    fn note(&mut self, record: &LogRecord) {
+    fn record(&mut self, record: &LogRecord) {
         self.push(*record);
     }
 }
@@ -27,11 +27,11 @@
 }
 
 impl<A: EventLog, B: EventLog> EventLog for Tee<'_, '_, A, B> {
-    fn note(&mut self, record: &LogRecord) {
-        self.first.note(record);
-        self.second.note(record);
+    fn record(&mut self, record: &LogRecord) {
+        self.first.record(record);
+        self.second.record(record);
         if let Some(further) = &mut self.further {
-            further.note(record);
+            further.record(record);
         }
     }
 }
@@ -61,7 +61,7 @@
 }
 
 impl<W: Write> EventLog for Writer<W> {
-    fn note(&mut self, record: &LogRecord) {
+    fn record(&mut self, record: &LogRecord) {
         if self.error.is_none() {
             let written = serde_json::to_writer(&mut self.out, record).map_err(io::Error::from);
             self.error = written.and_then(|()| self.out.write_all(b"\n")).err();
--- a/crates/testbed/src/experiment/plan.rs
+++ b/crates/testbed/src/experiment/plan.rs
@@ -8,7 +8,7 @@
 use crate::scenario::{ScenarioError, ScenarioErrors, ScenarioFile};
 
 /// Runs that one experiment may ask for: a day of simulation on one core.
-const RUNS_MAX: u64 = 100_000;
+const MAX_RUNS: u64 = 100_000;
 
 /// One key and the values it takes.
 #[derive(Clone, Debug, Deserialize)]
@@ -100,8 +100,8 @@
         }
         let cells: usize = self.axis.iter().map(|axis| axis.values.len()).product();
         let runs = cells as u64 * self.seeds;
-        if runs > RUNS_MAX {
-            let why = format!("{runs} runs are more than {RUNS_MAX}");
+        if runs > MAX_RUNS {
+            let why = format!("{runs} runs are more than {MAX_RUNS}");
             return Err(error(path, "axis", why, None));
         }
         Ok(())
--- a/crates/testbed/src/plot/experiment.rs
+++ b/crates/testbed/src/plot/experiment.rs
@@ -14,8 +14,8 @@
 /// An axis that spans this factor is logarithmic.
 const LOGARITHMIC_FROM: f64 = 50.0;
 /// Room beside the outermost points, as a share of the axis, and its least.
-const SIDE_ROOM: f64 = 0.03;
-const SIDE_ROOM_MIN: f64 = 1e-3;
+const SIDE_MARGIN: f64 = 0.03;
+const MIN_SIDE_MARGIN: f64 = 1e-3;
 /// Room above the highest point, as a share of the height.
 const HEADROOM: f64 = 0.08;
 /// Width of an error bar's ends, in pixels.
@@ -50,7 +50,7 @@
         };
         let from = axis.place(least);
         let to = axis.place(most.max(least + f64::MIN_POSITIVE));
-        let gap = ((to - from) * SIDE_ROOM).max(SIDE_ROOM_MIN);
+        let gap = ((to - from) * SIDE_MARGIN).max(MIN_SIDE_MARGIN);
         axis.range = (from - gap)..(to + gap);
         axis
     }
--- a/crates/testbed/src/simulator/client.rs
+++ b/crates/testbed/src/simulator/client.rs
@@ -41,7 +41,7 @@
             honours_retry_after: arrival.honours_retry_after,
         });
         if self.open.requests.len() >= self.scenario.load.max_open_requests {
-            self.effort.not_played += 1;
+            self.run_statistics.not_played += 1;
             self.close_arrival(key, RequestOutcome::NotPlayed);
         } else {
             self.send_request(key);
--- a/crates/testbed/src/simulator/mod.rs
+++ b/crates/testbed/src/simulator/mod.rs
@@ -35,7 +35,7 @@
 use timeline::Timeline;
 
 pub use error::SimulatorError;
-pub use run::{Effort, run};
+pub use run::{RunStatistics, run};
 
 /// Where the balancers' clock stands when the run begins: servers' incarnations count from here.
 const EPOCH: Micros = 1_000_000_000_000;
@@ -63,7 +63,7 @@
     server_events: Vec<ServerModelEvent>,
     /// Buffer of what a balancer asks for.
     actions: Vec<Action>,
-    effort: Effort,
+    run_statistics: RunStatistics,
 }
 
 impl<'a> Simulator<'a> {
@@ -82,7 +82,7 @@
             fault_targets: Vec::new(),
             server_events: Vec::new(),
             actions: Vec::new(),
-            effort: Effort::default(),
+            run_statistics: RunStatistics::default(),
         };
         simulator.build_servers();
         simulator.build_sidecars()?;
@@ -100,7 +100,7 @@
             if self.timeline.now() > last_arrival && self.open.arrivals.is_empty() {
                 return;
             }
-            self.effort.events_played += 1;
+            self.run_statistics.events_played += 1;
             self.handle(event);
         }
     }
@@ -137,7 +137,7 @@
 
     fn record(&mut self, event: LogEvent) {
         let at = self.timeline.now();
-        self.log.note(&LogRecord { at, event });
+        self.log.record(&LogRecord { at, event });
     }
 
     /// One way between a sidecar and a server in microseconds, drawn by the sidecar's stream.
--- a/crates/testbed/src/simulator/run.rs
+++ b/crates/testbed/src/simulator/run.rs
@@ -3,13 +3,13 @@
 use super::{Simulator, SimulatorError};
 use crate::audit::Auditor;
 use crate::event_log::{EventLog, Tee};
-use crate::report::Report;
+use crate::report::{Report, SIMULATOR};
 use crate::scenario::Scenario;
 use crate::statistics::Statistics;
 
 /// What a simulation took, beside its report.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Effort {
+pub struct RunStatistics {
     /// Events played.
     pub events_played: u64,
     /// Arrivals that were not played, as too many requests were open.
@@ -23,7 +23,7 @@
 pub fn run(
     scenario: &Scenario,
     further: Option<&mut dyn EventLog>,
-) -> Result<(Report, Effort), SimulatorError> {
+) -> Result<(Report, RunStatistics), SimulatorError> {
     let mut auditor = Auditor::new(scenario, 0);
     let mut statistics = Statistics::new(scenario);
     let mut readers = Tee {
@@ -33,17 +33,19 @@
     };
     let mut simulator = Simulator::new(scenario, &mut readers)?;
     simulator.play();
-    let effort = simulator.effort;
+    let run_statistics = simulator.run_statistics;
     let overload = overload_remark(&simulator);
     auditor.finish();
-    let mut report = statistics.report("model", scenario.seed);
+    let mut report = statistics.report(SIMULATOR, scenario.seed);
     report.add_audit(&auditor);
     report.check_expectations(&scenario.expect);
     report.remarks.push(overload);
-    if effort.not_played > 0 {
-        report.remarks.push(not_played_remark(scenario, effort));
+    if run_statistics.not_played > 0 {
+        report
+            .remarks
+            .push(not_played_remark(scenario, run_statistics));
     }
-    Ok((report, effort))
+    Ok((report, run_statistics))
 }
 
 fn overload_remark(simulator: &Simulator<'_>) -> String {
@@ -56,8 +58,8 @@
     format!("{slowed} servers were slowed by overload for a time; one held {held} at most")
 }
 
-fn not_played_remark(scenario: &Scenario, effort: Effort) -> String {
+fn not_played_remark(scenario: &Scenario, run_statistics: RunStatistics) -> String {
     let most = scenario.load.max_open_requests;
-    let n = effort.not_played;
+    let n = run_statistics.not_played;
     format!("{n} arrivals were cut off: load.max_open_requests is {most}")
 }
--- a/crates/testbed/src/statistics/mod.rs
+++ b/crates/testbed/src/statistics/mod.rs
@@ -178,7 +178,7 @@
 }
 
 impl EventLog for Statistics {
-    fn note(&mut self, record: &LogRecord) {
+    fn record(&mut self, record: &LogRecord) {
         let at = record.at;
         match record.event {
             LogEvent::ArrivalStarted {
--- a/crates/testbed/src/statistics/outcomes.rs
+++ b/crates/testbed/src/statistics/outcomes.rs
@@ -10,7 +10,7 @@
 /// Quantiles of the latencies in a report.
 const QUANTILES: [f64; 5] = [0.5, 0.9, 0.99, 0.999, 1.0];
 /// Longest latency that is measured, in microseconds: ten minutes, beyond every deadline.
-const LONGEST_LATENCY: u64 = 600_000_000;
+const MAX_MEASURED_LATENCY: u64 = 600_000_000;
 /// Significant digits of a latency.
 const LATENCY_DIGITS: u8 = 3;
 
@@ -26,7 +26,7 @@
 }
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, LONGEST_LATENCY, LATENCY_DIGITS)
+    Histogram::new_with_bounds(1, MAX_MEASURED_LATENCY, LATENCY_DIGITS)
         .unwrap_or_else(|_| unreachable!("fixed bounds that hdrhistogram accepts"))
 }
 
--- a/crates/testbed/tests/auditor/main.rs
+++ b/crates/testbed/tests/auditor/main.rs
@@ -43,7 +43,7 @@
     let mut auditor = Auditor::new(&scenario(), 0);
     // Two servers in zone 0, one in zone 1.
     for (server, zone) in [(0, 0), (1, 0), (2, 1)] {
-        auditor.note(&LogRecord {
+        auditor.record(&LogRecord {
             at: 0,
             event: LogEvent::ServerStateChanged {
                 server,
@@ -53,7 +53,7 @@
         });
     }
     for &(at, event) in events {
-        auditor.note(&LogRecord { at, event });
+        auditor.record(&LogRecord { at, event });
     }
     auditor.finish();
     assert_eq!(auditor.violation_count(), auditor.violations().len() as u64);
@@ -131,7 +131,7 @@
             received(S + 2_000, request, 1),
             responded(S + 3_000, request, RequestOutcome::Served),
         ] {
-            auditor.note(&LogRecord { at, event });
+            auditor.record(&LogRecord { at, event });
         }
     }
     auditor.finish();
--- a/crates/testbed/tests/scenario/main.rs
+++ b/crates/testbed/tests/scenario/main.rs
@@ -87,6 +87,56 @@
     }
 }
 
+/// Keys of choices, and all values that scenario files have for them, whatever the code calls the
+/// variants.
+const CHOICES: [(&str, &[&str]); 8] = [
+    (
+        "fault[0].kind",
+        &[
+            "pause", "silence", "slow", "crash", "drain", "replace", "burst", "costly", "spoilt",
+        ],
+    ),
+    (
+        "fault[0].kind",
+        &[
+            "resets",
+            "errors",
+            "roll",
+            "restart_all",
+            "discovery_down",
+            "discovery_silent",
+        ],
+    ),
+    ("class[0].idempotency", &["safe", "unsafe", "keyed"]),
+    ("class[0].deduplication_scope", &["all", "zone"]),
+    ("class[0].dist", &["fixed", "exp", "lognormal"]),
+    ("load.shape", &["steady", "ramp", "swing", "brim"]),
+    ("load_reports.source", &["probe", "answers"]),
+    ("machine_type[0].cancel", &["none", "queued", "all"]),
+];
+
+/// The value of a key such as `fault[0].kind` in a table.
+fn value_at<'a>(table: &'a toml::Value, key: &str) -> Option<&'a toml::Value> {
+    key.split(['.', '['])
+        .try_fold(table, |parent, segment| match segment.strip_suffix(']') {
+            Some(index) => parent.get(index.parse::<usize>().ok()?),
+            None => parent.get(segment),
+        })
+}
+
+#[test]
+fn every_value_of_a_choice_is_read_and_written_under_its_stored_name() {
+    let scenario = ScenarioFile::read("small.toml", GOOD).expect("good");
+    for (key, values) in CHOICES {
+        for value in values {
+            let changed = scenario.with(&[(key.to_owned(), (*value).into())]);
+            let changed = changed.unwrap_or_else(|errors| panic!("{errors}"));
+            let written = toml::Value::try_from(&changed.scenario).expect("a table");
+            assert_eq!(value_at(&written, key), Some(&(*value).into()), "{key}");
+        }
+    }
+}
+
 #[test]
 fn shares_above_one_and_a_drain_of_a_crashed_server_are_refused() {
     let more = "\n[[class]]\nname = \"quote\"\nshare = 0.5\n";
