--- a/crates/testbed/src/emulator/client/exchange.rs
+++ b/crates/testbed/src/emulator/client/exchange.rs
@@ -86,7 +86,7 @@
                 Ok(message) => return self.on_response(opened.connection, &message, request),
                 Err(error) => error,
             };
-            self.sidecars.kill_settled(self.sidecar).await;
+            self.sidecars.wait_until_killed(self.sidecar).await;
             let same_process = self.sidecars.incarnation(self.sidecar) == incarnation;
             if !(opened.reused && is_close(&error) && same_process) {
                 return Response::none(if accepted {
--- a/crates/testbed/src/emulator/counter_check.rs
+++ b/crates/testbed/src/emulator/counter_check.rs
@@ -113,9 +113,9 @@
         observed.accepted,
         observed.attempts,
         counters.sum.get("attempts_started"),
-        shared.swallowed_attempts(),
+        shared.blackholed_attempts(),
         observed.health_checks,
-        shared.swallowed_health_checks()
+        shared.blackholed_health_checks()
     ));
     found
 }
--- a/crates/testbed/src/emulator/discovery/endpoint_list.rs
+++ b/crates/testbed/src/emulator/discovery/endpoint_list.rs
@@ -15,7 +15,7 @@
 
 /// One server as it is listed.
 #[derive(Clone, Copy)]
-pub(super) struct Listing {
+pub(super) struct ListEntry {
     /// Index of the emulated server.
     pub(super) index: usize,
     pub(super) status: ListedStatus,
@@ -28,24 +28,24 @@
 /// All servers by their numbers.
 pub(super) struct EndpointList {
     version: u64,
-    listings: BTreeMap<u32, Listing>,
+    entries: BTreeMap<u32, ListEntry>,
 }
 
 impl EndpointList {
     /// A list of servers that are ready, from when they started.
     pub(super) fn of_ready(started_at: impl Iterator<Item = Micros>) -> Self {
-        let listing = |(index, started_at)| {
-            let listing = Listing {
+        let entry = |(index, started_at)| {
+            let entry = ListEntry {
                 index,
                 status: ListedStatus::Ready,
                 started_at,
                 version: FIRST_VERSION,
             };
-            (index as u32, listing)
+            (index as u32, entry)
         };
         Self {
             version: FIRST_VERSION,
-            listings: started_at.enumerate().map(listing).collect(),
+            entries: started_at.enumerate().map(entry).collect(),
         }
     }
 
@@ -61,31 +61,31 @@
         status: ListedStatus,
         started_at: Micros,
     ) -> bool {
-        let listed = self.listings.get(&server);
-        if listed.is_some_and(|listing| listing.started_at > started_at) {
+        let listed = self.entries.get(&server);
+        if listed.is_some_and(|entry| entry.started_at > started_at) {
             return false;
         }
         self.version += 1;
-        let listing = Listing {
+        let entry = ListEntry {
             index,
             status,
             started_at,
             version: self.version,
         };
-        self.listings.insert(server, listing);
+        self.entries.insert(server, entry);
         true
     }
 
     /// What is new since a version, or everything that is not gone.
-    pub(super) fn since(&self, version: Option<u64>) -> impl Iterator<Item = (u32, &Listing)> {
-        let wanted = move |listing: &Listing| match version {
-            Some(version) => listing.version > version,
-            None => listing.status != ListedStatus::Gone,
+    pub(super) fn since(&self, version: Option<u64>) -> impl Iterator<Item = (u32, &ListEntry)> {
+        let wanted = move |entry: &ListEntry| match version {
+            Some(version) => entry.version > version,
+            None => entry.status != ListedStatus::Gone,
         };
-        self.listings
+        self.entries
             .iter()
-            .filter(move |(_, listing)| wanted(listing))
-            .map(|(&server, listing)| (server, listing))
+            .filter(move |(_, entry)| wanted(entry))
+            .map(|(&server, entry)| (server, entry))
     }
 }
 
--- a/crates/testbed/src/emulator/discovery/endpoint_list/tests.rs
+++ b/crates/testbed/src/emulator/discovery/endpoint_list/tests.rs
@@ -6,7 +6,7 @@
 
 fn listed(list: &EndpointList, since: Option<u64>) -> Vec<(u32, ListedStatus, Micros)> {
     list.since(since)
-        .map(|(server, listing)| (server, listing.status, listing.started_at))
+        .map(|(server, entry)| (server, entry.status, entry.started_at))
         .collect()
 }
 
--- a/crates/testbed/src/emulator/discovery/mod.rs
+++ b/crates/testbed/src/emulator/discovery/mod.rs
@@ -22,7 +22,7 @@
 use crate::random::{RandomStream, StreamId};
 use crate::scenario::{Micros, from_ms};
 
-use endpoint_list::{EndpointList, Listing};
+use endpoint_list::{EndpointList, ListEntry};
 
 /// How the service responds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -131,12 +131,12 @@
         let list = lock(&self.list);
         let mut targets = Vec::new();
         let mut notifications = Vec::new();
-        for (number, listing) in list.since(since) {
-            let Some(server) = self.servers.get(listing.index) else {
+        for (number, entry) in list.since(since) {
+            let Some(server) = self.servers.get(entry.index) else {
                 continue;
             };
-            targets.push(self.target(sidecar, number, server, listing));
-            notifications.push((number, listing.status, listing.started_at));
+            targets.push(self.target(sidecar, number, server, entry));
+            notifications.push((number, entry.status, entry.started_at));
         }
         let version = list.version();
         let value = endpoint_list::message(version, since.is_none(), targets);
@@ -148,7 +148,7 @@
         sidecar: u32,
         number: u32,
         server: &EmulatedServer,
-        listing: &Listing,
+        entry: &ListEntry,
     ) -> Value {
         let zones = &self.shared.scenario.network.zones;
         endpoint_list::target(
@@ -156,8 +156,8 @@
             server,
             sidecar,
             zones.get(server.zone() as usize),
-            listing.status,
-            self.shared.clock.unix_ms(listing.started_at),
+            entry.status,
+            self.shared.clock.unix_ms(entry.started_at),
         )
     }
 
--- a/crates/testbed/src/emulator/emulated_server/attempt.rs
+++ b/crates/testbed/src/emulator/emulated_server/attempt.rs
@@ -73,7 +73,7 @@
         self.record_attempt_started(&attempt, incoming);
         sleep_for(incoming.delay + self.handshake_delay(incoming)).await;
         if self.is_silent() {
-            self.shared.on_attempt_swallowed();
+            self.shared.on_attempt_blackholed();
             return Ok(Reply::StaySilent);
         }
         let Some(accepted) = self.try_accept(&attempt, incoming) else {
--- a/crates/testbed/src/emulator/emulated_server/health_check.rs
+++ b/crates/testbed/src/emulator/emulated_server/health_check.rs
@@ -24,7 +24,7 @@
             tokio::time::sleep(PAUSE_POLL).await;
         }
         if self.is_silent() {
-            self.shared.on_health_check_swallowed();
+            self.shared.on_health_check_blackholed();
             return Reply::StaySilent;
         }
         let report = self.update(|process, now| process.health_check(now));
--- a/crates/testbed/src/emulator/emulated_server/mod.rs
+++ b/crates/testbed/src/emulator/emulated_server/mod.rs
@@ -165,7 +165,7 @@
             let mut process = lock(&self.process);
             let result = change(&mut process, now);
             let overloaded =
-                process.settle(|request, work| self.record_work_done(now, request, work));
+                process.apply_events(|request, work| self.record_work_done(now, request, work));
             (result, overloaded)
         };
         if overloaded {
@@ -216,7 +216,7 @@
         let mut process = lock(&self.process);
         let now = self.shared.clock.now();
         process.advance(now);
-        process.settle(|request, work| self.record_work_done(now, request, work));
+        process.apply_events(|request, work| self.record_work_done(now, request, work));
         process.next_event_at()
     }
 }
--- a/crates/testbed/src/emulator/emulated_server/process.rs
+++ b/crates/testbed/src/emulator/emulated_server/process.rs
@@ -82,7 +82,7 @@
 
     /// Hands on what the model did; true if it was overloaded and is gone. `on_work_done` gets the
     /// request and the work of each execution that ended.
-    pub(super) fn settle(&mut self, mut on_work_done: impl FnMut(u64, f64)) -> bool {
+    pub(super) fn apply_events(&mut self, mut on_work_done: impl FnMut(u64, f64)) -> bool {
         let mut overloaded = false;
         for event in std::mem::take(&mut self.events) {
             match event {
--- a/crates/testbed/src/emulator/fault_schedule.rs
+++ b/crates/testbed/src/emulator/fault_schedule.rs
@@ -29,12 +29,12 @@
                 restart_sidecars(emulation, index, fault, &mut tasks);
             }
             FaultKind::DiscoveryDown => {
-                tasks.spawn(disturb_discovery(emulation, fault, Mode::Down));
+                tasks.spawn(play_discovery_fault(emulation, fault, Mode::Down));
             }
             FaultKind::DiscoverySilent => {
-                tasks.spawn(disturb_discovery(emulation, fault, Mode::Silent));
+                tasks.spawn(play_discovery_fault(emulation, fault, Mode::Silent));
             }
-            _ => disturb_servers(emulation, index, fault, &next_number, &mut tasks),
+            _ => schedule_server_faults(emulation, index, fault, &next_number, &mut tasks),
         }
     }
     while tasks.join_next().await.is_some() {}
@@ -66,7 +66,7 @@
 }
 
 /// Sets discovery to a mode for as long as the fault lasts.
-fn disturb_discovery(
+fn play_discovery_fault(
     emulation: &Emulation,
     fault: &Fault,
     mode: Mode,
@@ -82,7 +82,7 @@
     }
 }
 
-fn disturb_servers(
+fn schedule_server_faults(
     emulation: &Emulation,
     index: usize,
     fault: &Fault,
@@ -124,12 +124,12 @@
         let (at, length) = (from_s(self.fault.at_s), from_s(self.fault.for_s));
         self.shared.clock.sleep_until(at).await;
         let number = self.server.number();
-        self.begin(number).await;
+        self.start(number).await;
         self.shared.clock.sleep_until(at + length).await;
         self.end(number).await;
     }
 
-    async fn begin(&self, number: u32) {
+    async fn start(&self, number: u32) {
         let (server, share) = (&self.server, self.fault.share);
         let discovery = &self.shared.scenario.discovery;
         match self.fault.kind {
@@ -145,16 +145,16 @@
             FaultKind::Crash => {
                 server.record_state(ServerState::Down);
                 server.stop(NetworkMode::Refusing).await;
-                self.list_later(number, ListedStatus::Gone, discovery.notice_ms);
+                self.update_list_later(number, ListedStatus::Gone, discovery.notice_ms);
             }
             FaultKind::Silence => {
                 server.record_state(ServerState::Silent);
                 server.stop(NetworkMode::Silent).await;
-                self.list_later(number, ListedStatus::Gone, discovery.silent_notice_ms);
+                self.update_list_later(number, ListedStatus::Gone, discovery.silent_notice_ms);
             }
             FaultKind::Drain | FaultKind::Replace => {
                 server.set_draining();
-                self.list_later(number, ListedStatus::Draining, discovery.notice_ms);
+                self.update_list_later(number, ListedStatus::Draining, discovery.notice_ms);
             }
             _ => {}
         }
@@ -173,12 +173,12 @@
             FaultKind::ConnectionResets => server.set_response_fault(ResponseFault::Reset(0.0)),
             FaultKind::Crash | FaultKind::Silence => {
                 server.restart(None).await;
-                self.list_later(number, ListedStatus::Ready, add_ms);
+                self.update_list_later(number, ListedStatus::Ready, add_ms);
             }
             FaultKind::Drain => {
                 server.stop(NetworkMode::Refusing).await;
                 server.restart(None).await;
-                self.list_later(number, ListedStatus::Ready, add_ms);
+                self.update_list_later(number, ListedStatus::Ready, add_ms);
             }
             FaultKind::Replace => self.replace(number).await,
             _ => {}
@@ -190,14 +190,14 @@
         let discovery = &self.shared.scenario.discovery;
         self.server.stop(NetworkMode::Refusing).await;
         self.server.record_state(ServerState::Down);
-        self.list_later(number, ListedStatus::Gone, discovery.notice_ms);
+        self.update_list_later(number, ListedStatus::Gone, discovery.notice_ms);
         let replacement = self.next_number.fetch_add(1, Ordering::Relaxed);
         self.server.restart(Some(replacement)).await;
-        self.list_later(replacement, ListedStatus::Ready, discovery.add_ms);
+        self.update_list_later(replacement, ListedStatus::Ready, discovery.add_ms);
     }
 
     /// Has discovery list a status once it has noticed.
-    fn list_later(&self, number: u32, status: ListedStatus, delay_ms: f64) {
+    fn update_list_later(&self, number: u32, status: ListedStatus, delay_ms: f64) {
         let discovery = Arc::clone(&self.discovery);
         let (index, started_at): (usize, Micros) = (self.index, self.server.started_at());
         let delay = Duration::from_micros(from_ms(delay_ms));
--- a/crates/testbed/src/emulator/mod.rs
+++ b/crates/testbed/src/emulator/mod.rs
@@ -169,18 +169,18 @@
 }
 
 /// Runs the emulated servers, for a person to try a sidecar by hand, until the program is
-/// interrupted. `say` gets the commands that start the sidecars.
+/// interrupted. `on_ready` gets the commands that start the sidecars.
 ///
 /// # Errors
 /// What could not be set up.
 pub fn serve(
     scenario: &Scenario,
     options: &Options,
-    say: impl FnOnce(String),
+    on_ready: impl FnOnce(String),
 ) -> Result<(), EmulatorError> {
     runtime()?.block_on(async {
         let emulation = Emulation::set_up(scenario, options).await?;
-        say(emulation.sidecars.commands()?);
+        on_ready(emulation.sidecars.commands()?);
         tokio::select! {
             () = fault_schedule::play_for_ever(&emulation) => {}
             interrupted = tokio::signal::ctrl_c() => {
--- a/crates/testbed/src/emulator/shared.rs
+++ b/crates/testbed/src/emulator/shared.rs
@@ -1,5 +1,5 @@
 //! What all parts of an emulation share: the scenario, the clock, the event record and the counts
-//! of what was swallowed in silence.
+//! of what was sent into silence.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -17,8 +17,8 @@
     pub(super) recorder: Recorder,
     pub(super) timeliness: Timeliness,
     next_id: AtomicU64,
-    swallowed_attempts: AtomicU64,
-    swallowed_health_checks: AtomicU64,
+    blackholed_attempts: AtomicU64,
+    blackholed_health_checks: AtomicU64,
 }
 
 impl Shared {
@@ -29,8 +29,8 @@
             recorder: Recorder::default(),
             timeliness: Timeliness::default(),
             next_id: AtomicU64::new(1),
-            swallowed_attempts: AtomicU64::new(0),
-            swallowed_health_checks: AtomicU64::new(0),
+            blackholed_attempts: AtomicU64::new(0),
+            blackholed_health_checks: AtomicU64::new(0),
         }
     }
 
@@ -64,20 +64,21 @@
     }
 
     /// An attempt reached a server that is silent.
-    pub(super) fn on_attempt_swallowed(&self) {
-        self.swallowed_attempts.fetch_add(1, Ordering::Relaxed);
+    pub(super) fn on_attempt_blackholed(&self) {
+        self.blackholed_attempts.fetch_add(1, Ordering::Relaxed);
     }
 
     /// A health check reached a server that is silent.
-    pub(super) fn on_health_check_swallowed(&self) {
-        self.swallowed_health_checks.fetch_add(1, Ordering::Relaxed);
+    pub(super) fn on_health_check_blackholed(&self) {
+        self.blackholed_health_checks
+            .fetch_add(1, Ordering::Relaxed);
     }
 
-    pub(super) fn swallowed_attempts(&self) -> u64 {
-        self.swallowed_attempts.load(Ordering::Relaxed)
+    pub(super) fn blackholed_attempts(&self) -> u64 {
+        self.blackholed_attempts.load(Ordering::Relaxed)
     }
 
-    pub(super) fn swallowed_health_checks(&self) -> u64 {
-        self.swallowed_health_checks.load(Ordering::Relaxed)
+    pub(super) fn blackholed_health_checks(&self) -> u64 {
+        self.blackholed_health_checks.load(Ordering::Relaxed)
     }
 }
--- a/crates/testbed/src/emulator/sidecars/mod.rs
+++ b/crates/testbed/src/emulator/sidecars/mod.rs
@@ -114,8 +114,8 @@
 
     /// Waits until a sidecar that is being killed is recorded as gone: what it closed was lost by
     /// the kill.
-    pub(super) async fn kill_settled(&self, number: u32) {
-        self.sidecars[number as usize].kill_settled().await;
+    pub(super) async fn wait_until_killed(&self, number: u32) {
+        self.sidecars[number as usize].wait_until_killed().await;
     }
 
     fn record_state(&self, number: usize, state: ProcessState) {
--- a/crates/testbed/src/emulator/sidecars/process.rs
+++ b/crates/testbed/src/emulator/sidecars/process.rs
@@ -85,7 +85,7 @@
     }
 
     /// Waits until a process that is being killed is known to be gone.
-    pub(super) async fn kill_settled(&self) {
+    pub(super) async fn wait_until_killed(&self) {
         while self.being_killed.load(Ordering::SeqCst) {
             tokio::time::sleep(KILL_POLL).await;
         }
--- a/crates/testbed/src/emulator/sidecars/settings.rs
+++ b/crates/testbed/src/emulator/sidecars/settings.rs
@@ -19,7 +19,7 @@
     pub(super) discovery: SocketAddr,
     pub(super) seed: u64,
     /// The endpoint list that the sidecar starts with.
-    pub(super) known: &'a Value,
+    pub(super) cached_endpoints: &'a Value,
 }
 
 /// A sidecar's configuration.
@@ -35,7 +35,7 @@
             "memory_mb": container.memory_mb,
             "sockets": container.sockets,
         },
-        "known": identity.known,
+        "known": identity.cached_endpoints,
         "settings": settings(scenario, identity.number),
     })
 }
--- a/crates/testbed/src/emulator/sidecars/settings/tests.rs
+++ b/crates/testbed/src/emulator/sidecars/settings/tests.rs
@@ -38,7 +38,7 @@
         address: ([127, 0, 0, 1], 12_001).into(),
         discovery: ([127, 0, 0, 1], 12_002).into(),
         seed: 0xab,
-        known: &known,
+        cached_endpoints: &known,
     };
     let written = configuration(&scenario, &identity);
     let expected = json!({
--- a/crates/testbed/src/emulator/sidecars/start.rs
+++ b/crates/testbed/src/emulator/sidecars/start.rs
@@ -101,7 +101,7 @@
     /// the servers.
     fn write_configuration(&self, number: usize) -> Result<PathBuf, EmulatorError> {
         let sidecar = &self.sidecars[number];
-        let (known, notifications) = self.discovery.whole_list(number as u32);
+        let (endpoints, notifications) = self.discovery.whole_list(number as u32);
         self.discovery
             .record_notifications(number as u32, &notifications);
         let identity = Identity {
@@ -109,7 +109,7 @@
             address: sidecar.address,
             discovery: self.discovery.address(number),
             seed: sidecar.next_seed(),
-            known: &known,
+            cached_endpoints: &endpoints,
         };
         let text = configuration(&self.shared.scenario, &identity).to_string();
         write(self.folder.join(format!("{}.json", sidecar.name)), &text)
--- a/crates/testbed/src/experiment/plan.rs
+++ b/crates/testbed/src/experiment/plan.rs
@@ -47,7 +47,7 @@
     };
     ScenarioErrors {
         file: file.display().to_string(),
-        faults: vec![error],
+        errors: vec![error],
     }
 }
 
--- a/crates/testbed/src/scenario/error.rs
+++ b/crates/testbed/src/scenario/error.rs
@@ -1,11 +1,11 @@
-//! What is wrong with a scenario: faults that name file, line and key.
+//! What is wrong with a scenario: errors that name file, line and key.
 
 use std::fmt;
 
 /// One thing wrong with a scenario.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ScenarioError {
-    /// The key as the file has it, such as `fault[2].at_s`; empty for a fault of the whole text.
+    /// The key as the file has it, such as `fault[2].at_s`; empty for an error of the whole text.
     pub key: String,
     /// What is wrong with it.
     pub why: String,
@@ -53,24 +53,24 @@
     /// Where it came from.
     pub file: String,
     /// At least one.
-    pub faults: Vec<ScenarioError>,
+    pub errors: Vec<ScenarioError>,
 }
 
 impl ScenarioErrors {
     /// One error of a file.
-    pub(super) fn single(file: &str, fault: ScenarioError) -> Self {
+    pub(super) fn single(file: &str, error: ScenarioError) -> Self {
         Self {
             file: file.to_owned(),
-            faults: vec![fault],
+            errors: vec![error],
         }
     }
 }
 
 impl fmt::Display for ScenarioErrors {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (i, fault) in self.faults.iter().enumerate() {
+        for (i, error) in self.errors.iter().enumerate() {
             let gap = if i > 0 { "\n" } else { "" };
-            write!(f, "{gap}{}{fault}", self.file)?;
+            write!(f, "{gap}{}{error}", self.file)?;
         }
         Ok(())
     }
--- a/crates/testbed/src/scenario/key_path.rs
+++ b/crates/testbed/src/scenario/key_path.rs
@@ -15,31 +15,31 @@
         Self(dotted.split('.').map(str::to_owned).collect())
     }
 
-    /// A path of these parts.
-    pub(super) fn of(parts: Vec<String>) -> Self {
-        Self(parts)
+    /// A path of these segments.
+    pub(super) fn of(segments: Vec<String>) -> Self {
+        Self(segments)
     }
 
-    /// The parts from the top, indexes as decimal numbers.
-    pub(super) fn parts(&self) -> &[String] {
+    /// The segments from the top, indexes as decimal numbers.
+    pub(super) fn segments(&self) -> &[String] {
         &self.0
     }
 }
 
 impl fmt::Display for KeyPath {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (position, part) in self.0.iter().enumerate() {
-            match (index(part), position) {
+        for (position, segment) in self.0.iter().enumerate() {
+            match (index(segment), position) {
                 (Some(index), _) => write!(f, "[{index}]")?,
-                (None, 0) => f.write_str(part)?,
-                (None, _) => write!(f, ".{part}")?,
+                (None, 0) => f.write_str(segment)?,
+                (None, _) => write!(f, ".{segment}")?,
             }
         }
         Ok(())
     }
 }
 
-/// The index that a part stands for; nothing where it is a name.
-pub(super) fn index(part: &str) -> Option<usize> {
-    part.parse().ok()
+/// The index that a segment stands for; nothing where it is a name.
+pub(super) fn index(segment: &str) -> Option<usize> {
+    segment.parse().ok()
 }
--- a/crates/testbed/src/scenario/read.rs
+++ b/crates/testbed/src/scenario/read.rs
@@ -83,29 +83,29 @@
             let why = error.inner().message().trim().to_owned();
             self.located(vec![ScenarioError::at_key(key, why)])
         })?;
-        let faults = self.scenario.check();
-        if faults.is_empty() {
+        let errors = self.scenario.check();
+        if errors.is_empty() {
             Ok(self)
         } else {
-            Err(self.located(faults))
+            Err(self.located(errors))
         }
     }
 
     /// The errors with their keys as the file has them, and their lines, in the order of the file.
-    fn located(&self, mut faults: Vec<ScenarioError>) -> ScenarioErrors {
+    fn located(&self, mut errors: Vec<ScenarioError>) -> ScenarioErrors {
         let written = self.text.parse::<Table>().unwrap_or_default();
-        for fault in &mut faults {
-            let present = KeyPath::parse(&fault.key);
+        for error in &mut errors {
+            let present = KeyPath::parse(&error.key);
             let path = written_path(&written, &present);
-            fault.line = line_of(&self.text, &path);
+            error.line = line_of(&self.text, &path);
             if path != present {
-                fault.key = path.to_string();
+                error.key = path.to_string();
             }
         }
-        faults.sort_by_key(|fault| fault.line.unwrap_or(usize::MAX));
+        errors.sort_by_key(|error| error.line.unwrap_or(usize::MAX));
         ScenarioErrors {
             file: self.file.clone(),
-            faults,
+            errors,
         }
     }
 }
--- a/crates/testbed/src/scenario/renamed_keys.rs
+++ b/crates/testbed/src/scenario/renamed_keys.rs
@@ -166,11 +166,11 @@
 /// A path with all its keys under their present names.
 pub(super) fn present_path(path: &KeyPath) -> KeyPath {
     let mut section = String::new();
-    let present = path.parts().iter().map(|part| {
-        if index(part).is_some() {
-            return part.clone();
+    let present = path.segments().iter().map(|segment| {
+        if index(segment).is_some() {
+            return segment.clone();
         }
-        let present = present_name(&section, part).to_owned();
+        let present = present_name(&section, segment).to_owned();
         section = join(&section, &present);
         present
     });
@@ -181,23 +181,23 @@
 pub(super) fn written_path(written: &Table, present: &KeyPath) -> KeyPath {
     let mut section = String::new();
     let mut parent = Some(Value::Table(written.clone()));
-    let parts = present.parts().iter().map(|part| {
-        if let Some(index) = index(part) {
+    let segments = present.segments().iter().map(|segment| {
+        if let Some(index) = index(segment) {
             parent = parent.take().and_then(|value| value.get(index).cloned());
-            return part.clone();
+            return segment.clone();
         }
         let table = parent.as_ref().and_then(Value::as_table);
-        let former = former_name(&section, part);
+        let former = former_name(&section, segment);
         let name = former
             .filter(|former| table.is_some_and(|t| t.contains_key(*former)))
-            .unwrap_or(part)
+            .unwrap_or(segment)
             .to_owned();
         let child = table.and_then(|table| table.get(&name)).cloned();
         parent = child;
-        section = join(&section, part);
+        section = join(&section, segment);
         name
     });
-    KeyPath::of(parts.collect())
+    KeyPath::of(segments.collect())
 }
 
 #[cfg(test)]
--- a/crates/testbed/src/scenario/set_key.rs
+++ b/crates/testbed/src/scenario/set_key.rs
@@ -8,7 +8,7 @@
 /// Why a key cannot be set. Names keys as the path that was asked for does.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum SetKeyError {
-    /// The path has no parts.
+    /// The path has no segments.
     #[error("is empty")]
     Empty,
     /// The list has fewer items.
@@ -30,17 +30,17 @@
 /// Where something on the way to the key is no table. The table may have grown by then.
 pub(super) fn set_key(table: &mut Table, path: &KeyPath, value: Value) -> Result<(), SetKeyError> {
     let present = present_path(path);
-    let (last, parents) = present.parts().split_last().ok_or(SetKeyError::Empty)?;
+    let (last, parents) = present.segments().split_last().ok_or(SetKeyError::Empty)?;
     let mut parent = table;
-    let mut parts = parents.iter().zip(path.parts()).peekable();
-    while let Some((part, written)) = parts.next() {
+    let mut segments = parents.iter().zip(path.segments()).peekable();
+    while let Some((segment, written)) = segments.next() {
         let child = parent
-            .entry(part.clone())
+            .entry(segment.clone())
             .or_insert_with(|| Value::Table(Table::new()));
-        let index = parts.peek().and_then(|(next, _)| index(next));
+        let index = segments.peek().and_then(|(next, _)| index(next));
         parent = match (child, index) {
             (Value::Array(items), Some(index)) => {
-                parts.next();
+                segments.next();
                 table_in_list(items, written, index)?
             }
             (Value::Table(child), None) => child,
--- a/crates/testbed/src/scenario/source_lines.rs
+++ b/crates/testbed/src/scenario/source_lines.rs
@@ -19,10 +19,10 @@
     let line = |span: Range<usize>| line_at(text, span.start);
     let mut item: &Item = document.as_item();
     let mut nearest = None;
-    for (position, part) in path.parts().iter().enumerate() {
-        let child = match (item, index(part)) {
+    for (position, segment) in path.segments().iter().enumerate() {
+        let child = match (item, index(segment)) {
             (Item::ArrayOfTables(tables), Some(index)) => {
-                let key = path.parts().get(position + 1);
+                let key = path.segments().get(position + 1);
                 return span_in_table(tables.get(index)?, key).map(line).or(nearest);
             }
             (Item::Value(Value::Array(array)), Some(index)) => {
@@ -30,7 +30,7 @@
             }
             (item, _) => item
                 .as_table_like()
-                .and_then(|table| table.get_key_value(part)),
+                .and_then(|table| table.get_key_value(segment)),
         };
         let Some((key, inner)) = child else {
             return nearest;
--- a/crates/testbed/src/simulator/client.rs
+++ b/crates/testbed/src/simulator/client.rs
@@ -88,15 +88,15 @@
             work_hint: arrival.work_hint,
             due,
             attempts: Vec::new(),
-            answered: false,
+            responded: false,
         });
         self.schedule_request(request, due, disconnects.then_some(disconnects_at));
     }
 
     fn schedule_request(&mut self, key: RequestKey, due: Micros, disconnects_at: Option<Micros>) {
-        let way = from_ms(self.scenario.network.client_ms);
+        let delay = from_ms(self.scenario.network.client_ms);
         let timeline = &mut self.timeline;
-        timeline.after(way, SimulatorEvent::RequestAtSidecar(key));
+        timeline.after(delay, SimulatorEvent::RequestAtSidecar(key));
         timeline.at(due, SimulatorEvent::ClientTimeout(key));
         if let Some(at) = disconnects_at {
             timeline.at(at, SimulatorEvent::ClientDisconnect(key));
@@ -146,7 +146,7 @@
         self.open
             .requests
             .get(key)
-            .is_some_and(|request| !request.answered)
+            .is_some_and(|request| !request.responded)
     }
 
     /// Retries an arrival whose request has ended, or closes it.
--- a/crates/testbed/src/simulator/discovery/endpoint_list.rs
+++ b/crates/testbed/src/simulator/discovery/endpoint_list.rs
@@ -2,12 +2,12 @@
 
 use std::collections::BTreeMap;
 
-use super::endpoints::{KnownEndpoints, ListedEndpoint};
+use super::endpoints::{CachedEndpoints, ListedEndpoint};
 use crate::event_log::ListedStatus;
 use crate::random::{RandomStream, StreamId};
 use crate::scenario::{self, Micros, Scenario, from_ms};
 
-/// A poll that is not answered at all is given up after this, in microseconds.
+/// A poll without a response is given up after this, in microseconds.
 const POLL_TIMEOUT: Micros = 5_000_000;
 /// A refused poll is back after this, in microseconds.
 const REFUSAL_DELAY: Micros = 2_000;
@@ -75,11 +75,11 @@
     }
 
     /// The list as a sidecar caches it.
-    pub(in crate::simulator) fn cached_list(&self) -> KnownEndpoints {
+    pub(in crate::simulator) fn cached_list(&self) -> CachedEndpoints {
         let there = self.entries.iter();
         let there = there.filter(|(_, entry)| entry.status != ListedStatus::Gone);
         let endpoints = there.map(|(&server, entry)| (server, (entry.status, entry.incarnation)));
-        KnownEndpoints::new(self.version, endpoints.collect())
+        CachedEndpoints::new(self.version, endpoints.collect())
     }
 
     /// What has changed since a version, in the order of the servers' numbers.
@@ -106,12 +106,12 @@
         self.changes.len() - 1
     }
 
-    /// A change is noticed, of a server that started last at `launched`; false where it says
+    /// A change is noticed, of a server that started last at `started_at`; false where it says
     /// nothing new: a death that is noticed after the return is none, and what came back is not
     /// listed as it was before.
-    pub(super) fn on_noticed(&mut self, server: u32, change: usize, launched: Micros) -> bool {
+    pub(super) fn on_noticed(&mut self, server: u32, change: usize, started_at: Micros) -> bool {
         let change = self.changes.get(change);
-        let Some(&change) = change.filter(|change| launched <= change.incarnation) else {
+        let Some(&change) = change.filter(|change| started_at <= change.incarnation) else {
             return false;
         };
         self.version += 1;
--- a/crates/testbed/src/simulator/discovery/endpoints.rs
+++ b/crates/testbed/src/simulator/discovery/endpoints.rs
@@ -19,12 +19,12 @@
 }
 
 /// The list as a sidecar had it last, which outlives its process.
-pub(in crate::simulator) struct KnownEndpoints {
+pub(in crate::simulator) struct CachedEndpoints {
     version: u64,
     endpoints: BTreeMap<u32, (ListedStatus, Micros)>,
 }
 
-impl KnownEndpoints {
+impl CachedEndpoints {
     pub(super) fn new(version: u64, endpoints: BTreeMap<u32, (ListedStatus, Micros)>) -> Self {
         Self { version, endpoints }
     }
@@ -56,9 +56,9 @@
 impl Simulator<'_> {
     /// Gives a new balancer the list that its sidecar had last.
     pub(in crate::simulator) fn restore_endpoints(&mut self, number: u32) {
-        let known = &self.sidecars[number as usize].endpoints;
-        let (version, entries) = (known.version, known.entries());
-        self.give_endpoints(number, UpdateKind::Cached, version, &entries);
+        let cached = &self.sidecars[number as usize].endpoints;
+        let (version, entries) = (cached.version, cached.entries());
+        self.deliver_endpoints(number, UpdateKind::Cached, version, &entries);
     }
 
     /// Gives a balancer changes of the list.
@@ -68,11 +68,11 @@
         version: u64,
         changes: &[ListedEndpoint],
     ) {
-        self.give_endpoints(number, UpdateKind::Incremental, version, changes);
+        self.deliver_endpoints(number, UpdateKind::Incremental, version, changes);
     }
 
     /// Tells a balancer that its list can no longer be followed.
-    pub(super) fn lose_endpoints(&mut self, number: u32) {
+    pub(super) fn on_endpoints_lost(&mut self, number: u32) {
         self.sidecars[number as usize].watches = false;
         let lost = BalancerEvent::EndpointsUpdated {
             kind: UpdateKind::Lost,
@@ -82,7 +82,7 @@
         self.handle_balancer_event(number, lost);
     }
 
-    fn give_endpoints(
+    fn deliver_endpoints(
         &mut self,
         number: u32,
         kind: UpdateKind,
@@ -97,8 +97,8 @@
                 status: endpoint.status,
                 incarnation: endpoint.incarnation,
             });
-            let known = &mut self.sidecars[number as usize].endpoints;
-            known.on_listed(endpoint);
+            let cached = &mut self.sidecars[number as usize].endpoints;
+            cached.on_listed(endpoint);
             endpoints.push(self.balancer_endpoint(endpoint));
         }
         self.sidecars[number as usize].endpoints.version = version;
@@ -113,7 +113,7 @@
     /// A list entry as balancers take it.
     fn balancer_endpoint(&self, listed: ListedEndpoint) -> Endpoint {
         let server = &self.servers[listed.server as usize];
-        let launched = (listed.incarnation > 0).then_some(EPOCH + listed.incarnation);
+        let incarnation = (listed.incarnation > 0).then_some(EPOCH + listed.incarnation);
         Endpoint {
             server: ServerId(listed.server),
             stable_hash: stable_hash(&format!("s{}", listed.server)),
@@ -122,12 +122,12 @@
                 ListedStatus::Draining => EndpointStatus::Draining,
                 ListedStatus::Gone => EndpointStatus::Removed,
             },
-            incarnation: launched,
+            incarnation,
             zone: server.zone,
             cell: server.zone,
             machine_type: self
                 .scenario
-                .advertised_machine_type(server.machine.machine_type()),
+                .advertised_machine_type(server.model.machine_type()),
         }
     }
 }
--- a/crates/testbed/src/simulator/discovery/mod.rs
+++ b/crates/testbed/src/simulator/discovery/mod.rs
@@ -13,7 +13,7 @@
 use crate::scenario::{Micros, from_ms};
 
 pub(super) use endpoint_list::{Availability, Discovery};
-pub(super) use endpoints::KnownEndpoints;
+pub(super) use endpoints::CachedEndpoints;
 
 /// A watch that says nothing is given up after this, in microseconds.
 const WATCH_TIMEOUT: Micros = 3_000_000;
@@ -23,15 +23,15 @@
 impl Simulator<'_> {
     /// Something happened to a server that discovery notices after a while, in milliseconds.
     pub(super) fn announce(&mut self, server: u32, status: ListedStatus, after_ms: f64) {
-        let incarnation = self.servers[server as usize].launched;
+        let incarnation = self.servers[server as usize].started_at;
         let change = self.discovery.on_announced(status, incarnation);
         let event = SimulatorEvent::ListChange { server, change };
         self.timeline.after(from_ms(after_ms), event);
     }
 
     pub(super) fn on_list_change(&mut self, server: u32, change: usize) {
-        let launched = self.servers[server as usize].launched;
-        let is_news = self.discovery.on_noticed(server, change, launched);
+        let started_at = self.servers[server as usize].started_at;
+        let is_news = self.discovery.on_noticed(server, change, started_at);
         if is_news && self.discovery.is_up() {
             self.notify_watches();
         }
@@ -71,7 +71,7 @@
             return;
         }
         if result.lost || !self.discovery.is_up() {
-            self.lose_endpoints(number);
+            self.on_endpoints_lost(number);
             return;
         }
         self.sidecars[number as usize].watches = true;
@@ -89,9 +89,9 @@
 
     /// Gives a sidecar what has changed since its list, which may be nothing.
     fn send_changes(&mut self, number: u32) {
-        let known = self.sidecars[number as usize].endpoints.version();
+        let cached = self.sidecars[number as usize].endpoints.version();
         let version = self.discovery.version();
-        let changes = self.discovery.changes_since(known);
+        let changes = self.discovery.changes_since(cached);
         self.update_endpoints(number, version, &changes);
     }
 
--- a/crates/testbed/src/simulator/event.rs
+++ b/crates/testbed/src/simulator/event.rs
@@ -93,7 +93,7 @@
     /// One way to the server, in microseconds.
     pub(super) delay: u32,
     /// Whether it opens a connection of its own.
-    pub(super) fresh: bool,
+    pub(super) new_connection: bool,
 }
 
 /// How a health check ended.
--- a/crates/testbed/src/simulator/event_queue.rs
+++ b/crates/testbed/src/simulator/event_queue.rs
@@ -17,7 +17,7 @@
 struct Queued<T> {
     at: Micros,
     /// Counts all pushes: orders events of one moment.
-    turn: u64,
+    sequence: u64,
     event: T,
 }
 
@@ -38,7 +38,7 @@
 impl<T> Ord for Queued<T> {
     /// The earliest is the greatest; among equals the one that was queued first.
     fn cmp(&self, other: &Self) -> Ordering {
-        (other.at, other.turn).cmp(&(self.at, self.turn))
+        (other.at, other.sequence).cmp(&(self.at, self.sequence))
     }
 }
 
@@ -52,7 +52,7 @@
     wheel: Vec<Vec<Queued<T>>>,
     /// Events beyond the wheel by slice, unsorted.
     far: BTreeMap<u64, Vec<Queued<T>>>,
-    turn: u64,
+    sequence: u64,
     count: usize,
 }
 
@@ -65,17 +65,21 @@
             near: BinaryHeap::new(),
             wheel,
             far: BTreeMap::new(),
-            turn: 0,
+            sequence: 0,
             count: 0,
         }
     }
 
     /// Adds an event; `at` must not lie before the event that was popped last.
     pub(super) fn push(&mut self, at: Micros, event: T) {
-        self.turn += 1;
+        self.sequence += 1;
         self.count += 1;
-        let turn = self.turn;
-        let queued = Queued { at, turn, event };
+        let sequence = self.sequence;
+        let queued = Queued {
+            at,
+            sequence,
+            event,
+        };
         let slice = at >> SLICE_BITS;
         match slice.saturating_sub(self.slice) {
             0 => self.near.push(queued),
--- a/crates/testbed/src/simulator/faults/servers.rs
+++ b/crates/testbed/src/simulator/faults/servers.rs
@@ -14,7 +14,7 @@
             (FaultKind::Pause, _) => self.on_pause(number, starts),
             (FaultKind::Slow, _) => self.on_slowdown(number, starts.then_some(fault.factor)),
             (FaultKind::ErrorResponses, _) => {
-                server.machine.set_error_rate(starts.then_some(fault.share))
+                server.model.set_error_rate(starts.then_some(fault.share))
             }
             (FaultKind::MalformedResponses, _) => server.set_malformed_share(share),
             (FaultKind::ConnectionResets, _) => server.set_reset_share(share),
@@ -26,7 +26,7 @@
             (FaultKind::Replace, false) => self.replace_server(number),
             _ => {}
         }
-        self.settle_server(number);
+        self.apply_server_events(number);
     }
 
     fn on_pause(&mut self, number: u32, starts: bool) {
@@ -36,9 +36,9 @@
             (State::Paused, State::Up, ServerState::Up)
         };
         let now = self.timeline.now();
-        let machine = &mut self.servers[number as usize].machine;
-        if machine.state() == from {
-            machine.set_state(now, to, &mut self.server_events);
+        let model = &mut self.servers[number as usize].model;
+        if model.state() == from {
+            model.set_state(now, to, &mut self.server_events);
             self.record_server_state(number, recorded);
         }
     }
@@ -46,8 +46,8 @@
     /// Slows a server by a factor, or ends its slowness.
     fn on_slowdown(&mut self, number: u32, factor: Option<f64>) {
         let now = self.timeline.now();
-        let machine = &mut self.servers[number as usize].machine;
-        machine.set_slowdown(now, factor.unwrap_or(1.0), &mut self.server_events);
+        let model = &mut self.servers[number as usize].model;
+        model.set_slowdown(now, factor.unwrap_or(1.0), &mut self.server_events);
         let state = if factor.is_some() {
             ServerState::Slow
         } else {
@@ -104,7 +104,7 @@
         self.announce(old, ListedStatus::Gone, scenario.discovery.notice_ms);
         let number = self.servers.len();
         let replaced = &self.servers[old as usize];
-        let (machine_type, zone) = (replaced.machine.machine_type().clone(), replaced.zone);
+        let (machine_type, zone) = (replaced.model.machine_type().clone(), replaced.zone);
         let server = Server::new(scenario, &machine_type, number, zone, now, true);
         self.servers.push(server);
         let number = number as u32;
--- a/crates/testbed/src/simulator/mod.rs
+++ b/crates/testbed/src/simulator/mod.rs
@@ -122,7 +122,7 @@
             Event::ResultAtSidecar(attempt, outcome) => self.on_result_at_sidecar(attempt, outcome),
             Event::AttemptTimeout(attempt) => self.on_attempt_timeout(attempt),
             Event::CancellationAtServer(cancellation) => self.on_cancellation(&cancellation),
-            Event::ServerDue(server, turn) => self.on_server_due(server, turn),
+            Event::ServerDue(server, generation) => self.on_server_due(server, generation),
             Event::HealthCheckAtServer(check) => self.on_health_check_at_server(&check),
             Event::HealthCheckResult(result) => self.on_health_check_result(&result),
             Event::PollResult(result) => self.on_poll_result(&result),
@@ -155,11 +155,11 @@
     /// Records gauges of all servers, and closes idle connections.
     fn on_gauge_tick(&mut self) {
         for number in 0..self.servers.len() {
-            let machine = &self.servers[number].machine;
+            let model = &self.servers[number].model;
             let gauge = LogEvent::ServerGauge {
                 server: number as u32,
-                in_flight: machine.in_flight() as u32,
-                connections: machine.connections() as u32,
+                in_flight: model.in_flight() as u32,
+                connections: model.connections() as u32,
             };
             self.record(gauge);
         }
--- a/crates/testbed/src/simulator/request.rs
+++ b/crates/testbed/src/simulator/request.rs
@@ -79,7 +79,7 @@
     pub(super) due: Micros,
     pub(super) attempts: Vec<AttemptKey>,
     /// The sidecar has given its final response, which may still be on its way.
-    pub(super) answered: bool,
+    pub(super) responded: bool,
 }
 
 /// One attempt of a sidecar at a server.
@@ -102,7 +102,7 @@
     /// Its connection, by the server's start that this belongs to.
     pub(super) connection: Option<u32>,
     /// Whether it opens a connection of its own.
-    pub(super) fresh: bool,
+    pub(super) new_connection: bool,
     /// Its last byte is written.
     pub(super) written: bool,
     /// Its sidecar knows how it ended.
--- a/crates/testbed/src/simulator/run.rs
+++ b/crates/testbed/src/simulator/run.rs
@@ -49,7 +49,7 @@
 }
 
 fn overload_remark(simulator: &Simulator<'_>) -> String {
-    let models = || simulator.servers.iter().map(|server| &server.machine);
+    let models = || simulator.servers.iter().map(|server| &server.model);
     let slowed = models().filter(|model| model.time_slowed() > 0).count();
     let held = models()
         .map(|model| model.counters.max_in_flight)
--- a/crates/testbed/src/simulator/server/attempts.rs
+++ b/crates/testbed/src/simulator/server/attempts.rs
@@ -23,7 +23,7 @@
         events: &mut VecDeque<BalancerEvent>,
     ) {
         let request = self.open.requests.get(request_key);
-        let Some(request) = request.filter(|request| !request.answered) else {
+        let Some(request) = request.filter(|request| !request.responded) else {
             return;
         };
         let class = request.class;
@@ -39,8 +39,8 @@
         if is_known {
             attempt.connection = self.reuse_connection(sidecar, server);
         }
-        attempt.fresh = attempt.connection.is_none();
-        attempt.written = !attempt.fresh;
+        attempt.new_connection = attempt.connection.is_none();
+        attempt.written = !attempt.new_connection;
         let key = self.open.attempts.insert(attempt);
         if let Some(request) = self.open.requests.get_mut(request_key) {
             request.attempts.push(key);
@@ -69,7 +69,7 @@
             return;
         };
         let (delay, due) = (attempt.delay, attempt.due);
-        if attempt.fresh {
+        if attempt.new_connection {
             let connect_timeout = from_ms(self.scenario.permissions.connect_timeout_ms);
             let connect_due = self.timeline.now() + connect_timeout;
             let timeline = &mut self.timeline;
@@ -89,14 +89,14 @@
             return;
         };
         // Its connection was closed before all of it had arrived.
-        if attempt.ended && attempt.fresh {
+        if attempt.ended && attempt.new_connection {
             self.open.attempts.remove(key);
             return;
         }
         let server = &mut self.servers[attempt.server as usize];
         let open_start = server.open_start();
         if server.reachability == Reachability::Silent {
-            server.lost.push(key);
+            server.blackholed.push(key);
         } else if open_start.is_none() || attempt.connection.is_some_and(|c| c != server.start) {
             let reset = SimulatorEvent::ResultAtSidecar(key, Outcome::Reset);
             self.timeline.after(attempt.delay, reset);
@@ -113,10 +113,10 @@
         };
         let number = attempt.server;
         let server = &mut self.servers[number as usize];
-        let (capacity, cold) = (server.machine.capacity(now), server.machine.is_cold(now));
+        let (capacity, cold) = (server.model.capacity(now), server.model.is_cold(now));
         attempt.reset_pending = self.server_random.chance(server.reset_share);
-        if attempt.fresh {
-            server.machine.handshake(now, &mut self.server_events);
+        if attempt.new_connection {
+            server.model.handshake(now, &mut self.server_events);
         }
         let accepted = server.try_accept(now, key, attempt, &mut self.server_events);
         let (request, delay) = (attempt.request_number, attempt.delay);
@@ -127,7 +127,7 @@
             capacity,
             cold,
         };
-        if attempt.fresh {
+        if attempt.new_connection {
             self.record(LogEvent::ConnectionOpened { server: number });
         }
         self.record(received);
@@ -139,7 +139,7 @@
             let result = SimulatorEvent::ResultAtSidecar(key, Outcome::Rejected);
             self.timeline.after(delay, result);
         }
-        self.settle_server(number);
+        self.apply_server_events(number);
     }
 }
 
@@ -157,7 +157,7 @@
             work: attempt.work,
             deadline: attempt.due,
         };
-        let accepted = !self.draining && self.machine.try_accept(now, job, events);
+        let accepted = !self.draining && self.model.try_accept(now, job, events);
         if accepted {
             self.jobs.insert(job.id, key);
         }
@@ -186,7 +186,7 @@
         work: request.work,
         delay: 0,
         connection: None,
-        fresh: true,
+        new_connection: true,
         written: false,
         ended: false,
         reset_pending: false,
--- a/crates/testbed/src/simulator/server/connecting.rs
+++ b/crates/testbed/src/simulator/server/connecting.rs
@@ -39,7 +39,7 @@
             self.open.attempts.remove(key);
             return;
         }
-        let accepted = server.reachability == Reachability::Open && server.machine.connect();
+        let accepted = server.reachability == Reachability::Open && server.model.connect();
         let answer = if accepted {
             attempt.connection = Some(server.start);
             SimulatorEvent::ConnectionOpen(key)
@@ -59,8 +59,8 @@
             return;
         }
         let (due, delay) = (attempt.due, attempt.delay);
-        let machine = &self.servers[attempt.server as usize].machine;
-        let further_round_trips = (machine.machine_type().handshake_rtts - 1.0).max(0.0);
+        let model = &self.servers[attempt.server as usize].model;
+        let further_round_trips = (model.machine_type().handshake_rtts - 1.0).max(0.0);
         self.on_attempt_written(key);
         let timeline = &mut self.timeline;
         timeline.at(due, SimulatorEvent::AttemptTimeout(key));
--- a/crates/testbed/src/simulator/server/health_checks.rs
+++ b/crates/testbed/src/simulator/server/health_checks.rs
@@ -9,17 +9,17 @@
 use crate::simulator::Simulator;
 use crate::simulator::event::{HealthCheck, HealthCheckResult, ReportedLoad, SimulatorEvent};
 
-/// Ways between sidecar and server until a health check on a new connection has arrived.
-const WAYS_OF_NEW_CONNECTION: Micros = 3;
+/// One-way delays until a health check on a new connection has arrived.
+const DELAYS_OF_NEW_CONNECTION: Micros = 3;
 
 impl Simulator<'_> {
     pub(in crate::simulator) fn send_health_check(&mut self, sidecar: u32, server: u32) {
         self.record(LogEvent::HealthChecked { sidecar, server });
         let process = self.process(sidecar);
         let delay = self.draw_delay(sidecar, server);
-        let fresh = self.reuse_connection(sidecar, server).is_none();
-        let way = if fresh {
-            WAYS_OF_NEW_CONNECTION * delay
+        let new_connection = self.reuse_connection(sidecar, server).is_none();
+        let arrives_after = if new_connection {
+            DELAYS_OF_NEW_CONNECTION * delay
         } else {
             delay
         };
@@ -27,9 +27,9 @@
             process,
             server,
             delay: delay as u32,
-            fresh,
+            new_connection,
         });
-        self.timeline.after(way, check);
+        self.timeline.after(arrives_after, check);
     }
 
     pub(in crate::simulator) fn on_health_check_at_server(&mut self, check: &HealthCheck) {
@@ -53,11 +53,11 @@
         let (now, delay) = (self.timeline.now(), Micros::from(check.delay));
         let (sidecar, number) = (check.process.sidecar, check.server);
         let server = &mut self.servers[number as usize];
-        if check.fresh {
-            server.machine.handshake(now, &mut self.server_events);
+        if check.new_connection {
+            server.model.handshake(now, &mut self.server_events);
         }
         let start = server.start;
-        let report = server.machine.health_check(now, &mut self.server_events);
+        let report = server.model.health_check(now, &mut self.server_events);
         let outcome = if report.is_some() {
             Outcome::Served
         } else {
@@ -65,7 +65,7 @@
         };
         let answer = result(check, outcome, report.map(reported_load));
         self.timeline.after(delay, answer);
-        if check.fresh {
+        if check.new_connection {
             self.record(LogEvent::ConnectionOpened { server: number });
         }
         if self.is_current(check.process) {
@@ -73,7 +73,7 @@
         } else {
             self.servers[number as usize].close_connection(start);
         }
-        self.settle_server(number);
+        self.apply_server_events(number);
     }
 }
 
@@ -82,19 +82,19 @@
     fn refuses(&mut self, check: &HealthCheck) -> bool {
         match self.reachability {
             Reachability::Refusing => true,
-            Reachability::Open => check.fresh && !self.machine.connect(),
+            Reachability::Open => check.new_connection && !self.model.connect(),
             Reachability::Silent => false,
         }
     }
 
     fn answers_health_checks(&self) -> bool {
-        self.reachability != Reachability::Silent && self.machine.state() == State::Up
+        self.reachability != Reachability::Silent && self.model.state() == State::Up
     }
 
     /// The health check's connection is closed, where there is anybody to close it.
     fn on_unanswered_health_check(&mut self) {
         if self.reachability == Reachability::Open {
-            self.machine.disconnect();
+            self.model.disconnect();
         }
     }
 }
--- a/crates/testbed/src/simulator/server/mod.rs
+++ b/crates/testbed/src/simulator/server/mod.rs
@@ -1,13 +1,13 @@
 //! The simulator's servers, and everything on the way to them and back.
 //!
 //! This file owns a server's state. `attempts` is an attempt's way to the server, `connecting` its
-//! connection, `results` its way back, `machine` what the server model does by itself,
+//! connection, `results` its way back, `model` what the server model does by itself,
 //! `health_checks` the way of a health check.
 
 mod attempts;
 mod connecting;
 mod health_checks;
-mod machine;
+mod model;
 mod results;
 
 use std::collections::BTreeMap;
@@ -25,33 +25,33 @@
     Open,
     /// Its process is gone: connections are refused.
     Refusing,
-    /// Its machine is gone: nothing is answered.
+    /// Its machine is gone: nothing responds.
     Silent,
 }
 
 /// A server: its model, and what the network does for it.
 pub(super) struct Server {
-    pub(super) machine: ServerModel,
+    pub(super) model: ServerModel,
     pub(super) zone: u32,
     reachability: Reachability,
     /// Counts its starts: connections belong to one.
     start: u32,
     /// When its process started; 0 where it was there before the run.
-    pub(super) launched: Micros,
+    pub(super) started_at: Micros,
     /// It rejects what is new.
     draining: bool,
     /// Attempts that it works on, by their jobs.
     jobs: BTreeMap<u64, AttemptKey>,
-    /// Attempts that went into silence.
-    lost: Vec<AttemptKey>,
+    /// Attempts that were sent into silence.
+    blackholed: Vec<AttemptKey>,
     /// Share of its responses that is malformed.
     malformed_share: f64,
-    /// Share of its connections that is reset amid a request.
+    /// Share of its connections that is reset during a request.
     reset_share: f64,
-    /// Counts the plans for its model: only the last one counts.
-    turn: u32,
+    /// Counts the changes of its next event: only the last one counts.
+    generation: u32,
     /// When its model has something to do by itself.
-    planned: Option<Micros>,
+    next_event_at: Option<Micros>,
 }
 
 impl Server {
@@ -65,18 +65,18 @@
         cold: bool,
     ) -> Self {
         Self {
-            machine: ServerModel::from_scenario(scenario, machine_type, number, now, cold),
+            model: ServerModel::from_scenario(scenario, machine_type, number, now, cold),
             zone,
             reachability: Reachability::Open,
             start: 0,
-            launched: if cold { now.max(1) } else { 0 },
+            started_at: if cold { now.max(1) } else { 0 },
             draining: false,
             jobs: BTreeMap::new(),
-            lost: Vec::new(),
+            blackholed: Vec::new(),
             malformed_share: 0.0,
             reset_share: 0.0,
-            turn: 0,
-            planned: None,
+            generation: 0,
+            next_event_at: None,
         }
     }
 
@@ -88,7 +88,7 @@
     /// A connection that belongs to a start is closed; one to an earlier start went with it.
     pub(super) fn close_connection(&mut self, start: u32) {
         if start == self.start {
-            self.machine.disconnect();
+            self.model.disconnect();
         }
     }
 
@@ -115,16 +115,16 @@
     ) -> Vec<AttemptKey> {
         self.reachability = Reachability::Refusing;
         self.start += 1;
-        self.machine.set_state(now, State::Down, events);
+        self.model.set_state(now, State::Down, events);
         std::mem::take(&mut self.jobs).into_values().collect()
     }
 
     /// Its machine vanishes without a reset.
     pub(super) fn on_machine_vanished(&mut self, now: Micros, events: &mut Vec<ServerModelEvent>) {
         self.reachability = Reachability::Silent;
-        self.machine.set_state(now, State::Down, events);
+        self.model.set_state(now, State::Down, events);
         let held = std::mem::take(&mut self.jobs).into_values();
-        self.lost.extend(held);
+        self.blackholed.extend(held);
     }
 
     /// It is back, cold; gives back the attempts that went into silence.
@@ -136,9 +136,9 @@
         self.start += 1;
         self.reachability = Reachability::Open;
         self.draining = false;
-        self.launched = now;
-        self.machine.set_state(now, State::Up, events);
-        std::mem::take(&mut self.lost)
+        self.started_at = now;
+        self.model.set_state(now, State::Up, events);
+        std::mem::take(&mut self.blackholed)
     }
 }
 
@@ -148,7 +148,7 @@
         for (number, (machine_type, group)) in scenario.fleet().into_iter().enumerate() {
             let zone = scenario.server_zone(group, number);
             let server = Server::new(scenario, machine_type, number, zone, 0, group.cold);
-            let launched = server.launched;
+            let started_at = server.started_at;
             self.servers.push(server);
             let state = if group.cold {
                 ServerState::Cold
@@ -156,7 +156,7 @@
                 ServerState::Up
             };
             self.record_server_state(number as u32, state);
-            self.discovery.add_initial(number as u32, launched);
+            self.discovery.add_initial(number as u32, started_at);
         }
     }
 
--- a/crates/testbed/src/simulator/server/machine.rs
+++ b/crates/testbed/src/simulator/server/model.rs
@@ -8,13 +8,13 @@
 
 impl Simulator<'_> {
     /// Carries out what a server's model did, and plans when to look at it next.
-    pub(in crate::simulator) fn settle_server(&mut self, number: u32) {
+    pub(in crate::simulator) fn apply_server_events(&mut self, number: u32) {
         let mut events = std::mem::take(&mut self.server_events);
         for event in events.drain(..) {
             self.on_server_event(number, event);
         }
         self.server_events = events;
-        self.plan_server(number);
+        self.schedule_server_event(number);
     }
 
     fn on_server_event(&mut self, number: u32, event: ServerModelEvent) {
@@ -34,28 +34,28 @@
         }
     }
 
-    fn plan_server(&mut self, number: u32) {
+    fn schedule_server_event(&mut self, number: u32) {
         let now = self.timeline.now();
         let server = &mut self.servers[number as usize];
-        let next = server.machine.next_event_at();
-        if next == server.planned && next.is_none_or(|at| at > now) {
+        let next = server.model.next_event_at();
+        if next == server.next_event_at && next.is_none_or(|at| at > now) {
             return;
         }
-        server.planned = next;
-        server.turn += 1;
+        server.next_event_at = next;
+        server.generation += 1;
         if let Some(at) = next {
-            let due = SimulatorEvent::ServerDue(number, server.turn);
+            let due = SimulatorEvent::ServerDue(number, server.generation);
             self.timeline.at(at, due);
         }
     }
 
-    pub(in crate::simulator) fn on_server_due(&mut self, number: u32, turn: u32) {
+    pub(in crate::simulator) fn on_server_due(&mut self, number: u32, generation: u32) {
         let now = self.timeline.now();
         let server = &mut self.servers[number as usize];
-        if server.turn == turn {
-            server.planned = None;
-            server.machine.advance(now, &mut self.server_events);
-            self.settle_server(number);
+        if server.generation == generation {
+            server.next_event_at = None;
+            server.model.advance(now, &mut self.server_events);
+            self.apply_server_events(number);
         }
     }
 
@@ -69,11 +69,11 @@
             return;
         }
         let job = cancellation.job;
-        let never_runs = server.machine.cancel(now, job, &mut self.server_events);
+        let never_runs = server.model.cancel(now, job, &mut self.server_events);
         if never_runs && let Some(key) = server.jobs.remove(&job) {
             self.remove_if_ended(key);
         }
-        self.settle_server(number);
+        self.apply_server_events(number);
     }
 
     /// A server's process ends with resets.
--- a/crates/testbed/src/simulator/server/results.rs
+++ b/crates/testbed/src/simulator/server/results.rs
@@ -20,7 +20,7 @@
         let Some(attempt) = self.open.attempts.get_mut(key) else {
             return;
         };
-        attempt.reported_in_flight = server.machine.response_report(now);
+        attempt.reported_in_flight = server.model.response_report(now);
         // Drawn whether or not the connection breaks, so that one fault moves no other's draws.
         let malformed = self.server_random.chance(server.malformed_share);
         let outcome = if attempt.reset_pending || malformed {
--- a/crates/testbed/src/simulator/sidecar/mod.rs
+++ b/crates/testbed/src/simulator/sidecar/mod.rs
@@ -13,7 +13,7 @@
 
 use arrowstand_control::WorkAwareBalancer;
 
-use super::discovery::KnownEndpoints;
+use super::discovery::CachedEndpoints;
 use super::event::{ClientResponse, SidecarRestart, SimulatorEvent};
 use super::process::SidecarProcess;
 use super::request::RequestKey;
@@ -41,7 +41,7 @@
     /// Absent while it is down.
     balancer: Option<WorkAwareBalancer>,
     /// The endpoint list as it last had it.
-    pub(super) endpoints: KnownEndpoints,
+    pub(super) endpoints: CachedEndpoints,
     /// Whether it watches the list.
     pub(super) watches: bool,
     /// Polls of the list so far: only the last one's result counts.
@@ -65,7 +65,7 @@
         scenario: &Scenario,
         number: usize,
         traffic_share: f64,
-        endpoints: KnownEndpoints,
+        endpoints: CachedEndpoints,
     ) -> Self {
         let stream = |cause, number| RandomStream::new(scenario.seed, cause, number);
         Self {
@@ -197,18 +197,18 @@
         let Some(request) = self.open.requests.get_mut(key) else {
             return;
         };
-        let was_answered = std::mem::replace(&mut request.answered, true);
+        let had_response = std::mem::replace(&mut request.responded, true);
         for attempt in std::mem::take(&mut request.attempts) {
             self.close_attempt_connection(attempt);
         }
-        if !was_answered {
-            let way = from_ms(self.scenario.network.client_ms);
+        if !had_response {
+            let delay = from_ms(self.scenario.network.client_ms);
             let lost = SimulatorEvent::ResponseAtClient(ClientResponse {
                 request: key,
                 outcome: RequestOutcome::ConnectionLost,
                 retry_after: 0,
             });
-            self.timeline.after(way, lost);
+            self.timeline.after(delay, lost);
         }
     }
 }
--- a/crates/testbed/src/simulator/sidecar/requests.rs
+++ b/crates/testbed/src/simulator/sidecar/requests.rs
@@ -60,7 +60,7 @@
             .open
             .requests
             .get(key)
-            .filter(|request| !request.answered);
+            .filter(|request| !request.responded);
         let Some(request) = unanswered else {
             return;
         };
@@ -79,7 +79,7 @@
         let Some(request) = self.open.requests.get_mut(key) else {
             return;
         };
-        if std::mem::replace(&mut request.answered, true) {
+        if std::mem::replace(&mut request.responded, true) {
             return;
         }
         let (sidecar, number) = (request.process.sidecar, request.number);
@@ -99,17 +99,17 @@
         let Some(request) = self.open.requests.get_mut(key) else {
             return;
         };
-        if std::mem::replace(&mut request.answered, true) {
+        if std::mem::replace(&mut request.responded, true) {
             return;
         }
         self.close_request(key, events);
-        let way = from_ms(self.scenario.network.client_ms);
+        let delay = from_ms(self.scenario.network.client_ms);
         let response = SimulatorEvent::ResponseAtClient(ClientResponse {
             request: key,
             outcome,
             retry_after: retry_after as u32,
         });
-        self.timeline.after(way, response);
+        self.timeline.after(delay, response);
     }
 
     fn close_request(&mut self, key: RequestKey, events: &mut VecDeque<BalancerEvent>) {
@@ -158,11 +158,11 @@
             return;
         }
         let request = attempt.request;
-        let answered = self.open.requests.get(request).is_none_or(|r| r.answered);
-        let finished = answered || outcome == Outcome::Served;
+        let responded = self.open.requests.get(request).is_none_or(|r| r.responded);
+        let finished = responded || outcome == Outcome::Served;
         let end = attempt_end(attempt, outcome, finished, self.timeline.now());
         events.push_back(BalancerEvent::AttemptEnded(end));
-        if outcome == Outcome::Served && !answered {
+        if outcome == Outcome::Served && !responded {
             self.respond(request, RequestOutcome::Served, 0, events);
         }
     }
--- a/crates/testbed/tests/scenario/main.rs
+++ b/crates/testbed/tests/scenario/main.rs
@@ -35,7 +35,7 @@
     match ScenarioFile::read("small.toml", text) {
         Ok(_) => Vec::new(),
         Err(errors) => {
-            let errors = errors.faults.into_iter();
+            let errors = errors.errors.into_iter();
             errors.map(|error| (error.key, error.line)).collect()
         }
     }
