--- a/crates/testbed/src/audit/cold_server.rs
+++ b/crates/testbed/src/audit/cold_server.rs
@@ -5,6 +5,7 @@
 use rustc_hash::FxHashMap;
 
 use crate::event_log::ServerState;
+use crate::index::ServerIndex;
 use crate::scenario::Micros;
 use crate::server_model::cold_work_limit;
 
@@ -58,7 +59,7 @@
     overload_factor: f64,
     /// Time over which the work is added up.
     window: Micros,
-    servers: FxHashMap<u32, Server>,
+    servers: FxHashMap<ServerIndex, Server>,
 }
 
 impl ColdServers {
@@ -71,14 +72,14 @@
     }
 
     /// A server's zone; 0 for one that is unknown.
-    pub(super) fn zone(&self, server: u32) -> u32 {
+    pub(super) fn zone(&self, server: ServerIndex) -> u32 {
         self.servers.get(&server).map_or(0, |server| server.zone)
     }
 
     pub(super) fn on_server_state(
         &mut self,
         at: Micros,
-        server: u32,
+        server: ServerIndex,
         zone: u32,
         state: ServerState,
     ) {
@@ -94,7 +95,7 @@
     /// the latest start of the server that the sending sidecar knows of.
     pub(super) fn on_work_received(
         &mut self,
-        server: u32,
+        server: ServerIndex,
         received: ReceivedWork,
         notified_start: Option<Micros>,
     ) -> Option<String> {
--- a/crates/testbed/src/audit/endpoint_view.rs
+++ b/crates/testbed/src/audit/endpoint_view.rs
@@ -3,6 +3,7 @@
 use rustc_hash::FxHashMap;
 
 use crate::event_log::ProcessState;
+use crate::index::ServerIndex;
 use crate::scenario::Micros;
 
 /// A server as one sidecar knows it.
@@ -17,22 +18,22 @@
 /// All views, by sidecar and server.
 #[derive(Default)]
 pub(super) struct EndpointViews {
-    by_sidecar: FxHashMap<u32, FxHashMap<u32, EndpointView>>,
+    by_sidecar: FxHashMap<u32, FxHashMap<ServerIndex, EndpointView>>,
 }
 
 impl EndpointViews {
-    fn get(&self, sidecar: u32, server: u32) -> Option<&EndpointView> {
+    fn get(&self, sidecar: u32, server: ServerIndex) -> Option<&EndpointView> {
         self.by_sidecar.get(&sidecar)?.get(&server)
     }
 
     /// When the sidecar was notified that the server drains or is gone.
-    pub(super) fn unavailable_since(&self, sidecar: u32, server: u32) -> Option<Micros> {
+    pub(super) fn unavailable_since(&self, sidecar: u32, server: ServerIndex) -> Option<Micros> {
         self.get(sidecar, server)?.unavailable_since
     }
 
     /// The latest start of the server that the sidecar was notified of; nothing if it does not know
     /// the server.
-    pub(super) fn notified_start(&self, sidecar: u32, server: u32) -> Option<Micros> {
+    pub(super) fn notified_start(&self, sidecar: u32, server: ServerIndex) -> Option<Micros> {
         Some(self.get(sidecar, server)?.started_at)
     }
 
@@ -40,7 +41,7 @@
         &mut self,
         at: Micros,
         sidecar: u32,
-        server: u32,
+        server: ServerIndex,
         ready: bool,
         started_at: Micros,
     ) {
--- a/crates/testbed/src/audit/execution.rs
+++ b/crates/testbed/src/audit/execution.rs
@@ -15,16 +15,16 @@
     let server = first.server;
     match class.idempotency {
         Idempotency::Idempotent => None,
-        Idempotency::NonIdempotent => Some(format!(
-            "s{server} had received it and may have executed it"
-        )),
+        Idempotency::NonIdempotent => {
+            Some(format!("{server} had received it and may have executed it"))
+        }
         Idempotency::IdempotencyKey
             if class.deduplication_scope == DeduplicationScope::Zone && !same_zone =>
         {
-            Some(format!("its key is known at s{server} in another zone"))
+            Some(format!("its key is known at {server} in another zone"))
         }
         Idempotency::IdempotencyKey if now > first.at + from_ms(class.deduplication_window_ms) => {
-            Some(format!("its key at s{server} had expired by then"))
+            Some(format!("its key at {server} had expired by then"))
         }
         Idempotency::IdempotencyKey => None,
     }
--- a/crates/testbed/src/audit/mod.rs
+++ b/crates/testbed/src/audit/mod.rs
@@ -14,6 +14,7 @@
 mod violation;
 
 use crate::event_log::RequestOutcome;
+use crate::index::ServerIndex;
 use crate::scenario::{Class, Micros, Scenario, from_ms};
 
 use cold_server::{ColdServers, ReceivedWork};
@@ -96,7 +97,7 @@
         self.requests.insert(request, accepted, response_limit);
     }
 
-    fn on_attempt_started(&mut self, at: Micros, request: u64, sidecar: u32, server: u32) {
+    fn on_attempt_started(&mut self, at: Micros, request: u64, sidecar: u32, server: ServerIndex) {
         let notified_at = self.endpoint_views.unavailable_since(sidecar, server);
         if let Some(why) = self.drain.violation(at, notified_at) {
             let rule = Rule::NoAttemptAfterDrain;
@@ -105,7 +106,7 @@
         }
     }
 
-    fn on_attempt_received(&mut self, at: Micros, request: u64, server: u32) {
+    fn on_attempt_received(&mut self, at: Micros, request: u64, server: ServerIndex) {
         let Some(open) = self.requests.get_mut(request) else {
             return;
         };
@@ -130,7 +131,7 @@
         }
     }
 
-    fn on_work_received(&mut self, request: u64, server: u32, received: ReceivedWork) {
+    fn on_work_received(&mut self, request: u64, server: ServerIndex, received: ReceivedWork) {
         let sidecar = self.requests.get(request).map(AcceptedRequest::sidecar);
         let notified_start =
             sidecar.and_then(|sidecar| self.endpoint_views.notified_start(sidecar, server));
--- a/crates/testbed/src/audit/requests.rs
+++ b/crates/testbed/src/audit/requests.rs
@@ -6,6 +6,7 @@
 use rustc_hash::FxHashMap;
 
 use crate::event_log::{ProcessState, RequestOutcome};
+use crate::index::ServerIndex;
 use crate::scenario::Micros;
 
 /// How long a request is remembered beyond its deadline, to catch what comes after it.
@@ -14,7 +15,7 @@
 /// An attempt that a server received.
 pub(super) struct ReceivedAttempt {
     pub(super) at: Micros,
-    pub(super) server: u32,
+    pub(super) server: ServerIndex,
     rejected: bool,
 }
 
@@ -63,7 +64,7 @@
         self.response == Some(RequestOutcome::Rejected)
     }
 
-    pub(super) fn on_attempt_received(&mut self, at: Micros, server: u32) {
+    pub(super) fn on_attempt_received(&mut self, at: Micros, server: ServerIndex) {
         self.attempts.push(ReceivedAttempt {
             at,
             server,
@@ -142,7 +143,7 @@
     }
 
     /// The server's latest attempt of the request was rejected without being executed.
-    pub(super) fn on_attempt_rejected(&mut self, number: u64, server: u32) {
+    pub(super) fn on_attempt_rejected(&mut self, number: u64, server: ServerIndex) {
         let Some(request) = self.accepted.get_mut(&number) else {
             return;
         };
--- a/crates/testbed/src/audit/violation.rs
+++ b/crates/testbed/src/audit/violation.rs
@@ -4,6 +4,7 @@
 
 use serde::Serialize;
 
+use crate::index::ServerIndex;
 use crate::scenario::Micros;
 
 /// Violations that are listed; further ones are only counted.
@@ -47,7 +48,7 @@
     /// The request concerned.
     pub request: Option<u64>,
     /// The server concerned.
-    pub server: Option<u32>,
+    pub server: Option<ServerIndex>,
     /// What happened.
     pub why: String,
 }
@@ -59,7 +60,7 @@
             write!(f, "request {request:016x}, ")?;
         }
         if let Some(server) = self.server {
-            write!(f, "server s{server}, ")?;
+            write!(f, "server {server}, ")?;
         }
         write!(f, "rule '{}': {}", self.rule, self.why)
     }
@@ -86,7 +87,7 @@
         at: Micros,
         rule: Rule,
         request: Option<u64>,
-        server: Option<u32>,
+        server: Option<ServerIndex>,
         why: String,
     ) {
         self.count += 1;
--- a/crates/testbed/src/emulator/counter_check/tests.rs
+++ b/crates/testbed/src/emulator/counter_check/tests.rs
@@ -7,6 +7,7 @@
 use crate::emulator::shared::Shared;
 use crate::emulator::sidecars::{Counters, FleetCounters};
 use crate::event_log::{LogEvent, LogRecord, RequestOutcome};
+use crate::index::ServerIndex;
 use crate::scenario::Scenario;
 
 /// What agrees with [`records`]: one request of each end, one of them over capacity, and four
@@ -36,12 +37,12 @@
     let attempts = (1..=4).map(|request| LogEvent::AttemptStarted {
         request,
         sidecar: 0,
-        server: 0,
+        server: ServerIndex::new(0),
         cross_zone: false,
     });
     let health_check = LogEvent::HealthChecked {
         sidecar: 0,
-        server: 0,
+        server: ServerIndex::new(0),
     };
     accepted
         .chain(responses)
@@ -50,7 +51,7 @@
             LogEvent::ClientDisconnected { request: 5 },
             LogEvent::AttemptRejected {
                 request: 2,
-                server: 0,
+                server: ServerIndex::new(0),
             },
         ])
         .chain([health_check; 3])
--- a/crates/testbed/src/emulator/discovery/endpoint_list.rs
+++ b/crates/testbed/src/emulator/discovery/endpoint_list.rs
@@ -9,6 +9,7 @@
 
 use crate::emulator::emulated_server::EmulatedServer;
 use crate::event_log::ListedStatus;
+use crate::index::ServerIndex;
 use crate::scenario::Micros;
 
 const FIRST_VERSION: u64 = 1;
@@ -28,7 +29,7 @@
 /// All servers by their numbers.
 pub(super) struct EndpointList {
     version: u64,
-    entries: BTreeMap<u32, ListEntry>,
+    entries: BTreeMap<ServerIndex, ListEntry>,
 }
 
 impl EndpointList {
@@ -41,7 +42,7 @@
                 started_at,
                 version: FIRST_VERSION,
             };
-            (index as u32, entry)
+            (ServerIndex::from_position(index), entry)
         };
         Self {
             version: FIRST_VERSION,
@@ -56,7 +57,7 @@
     /// Lists a new status; false where a later start of the server is listed already.
     pub(super) fn set(
         &mut self,
-        server: u32,
+        server: ServerIndex,
         index: usize,
         status: ListedStatus,
         started_at: Micros,
@@ -77,7 +78,10 @@
     }
 
     /// What is new since a version, or everything that is not gone.
-    pub(super) fn since(&self, version: Option<u64>) -> impl Iterator<Item = (u32, &ListEntry)> {
+    pub(super) fn since(
+        &self,
+        version: Option<u64>,
+    ) -> impl Iterator<Item = (ServerIndex, &ListEntry)> {
         let wanted = move |entry: &ListEntry| match version {
             Some(version) => entry.version > version,
             None => entry.status != ListedStatus::Gone,
@@ -96,7 +100,7 @@
 
 /// A server on the wire, with its address for a sidecar.
 pub(super) fn target(
-    number: u32,
+    number: ServerIndex,
     server: &EmulatedServer,
     sidecar: u32,
     zone: Option<&String>,
@@ -104,7 +108,7 @@
     boot_ms: f64,
 ) -> Value {
     json!({
-        "uid": format!("s{number}"),
+        "uid": number.to_string(),
         "endpoint": server.address(sidecar).map(|address| address.to_string()),
         "az": zone,
         "model": server.listed_machine_type(),
--- a/crates/testbed/src/emulator/discovery/mod.rs
+++ b/crates/testbed/src/emulator/discovery/mod.rs
@@ -19,6 +19,7 @@
 use super::ports::free_address;
 use super::shared::Shared;
 use crate::event_log::{ListedStatus, LogEvent};
+use crate::index::ServerIndex;
 use crate::random::{RandomStream, StreamId};
 use crate::scenario::{Micros, from_ms};
 
@@ -36,7 +37,7 @@
 }
 
 /// What a response says of one server: its number, its status, and when it last started.
-pub(super) type Notification = (u32, ListedStatus, Micros);
+pub(super) type Notification = (ServerIndex, ListedStatus, Micros);
 
 /// When a poll is responded to, and whether with the list or with an overload rejection.
 struct Turn {
@@ -113,7 +114,13 @@
 
     /// Lists a server's new status, unless a later start of it is listed already. `index` is that
     /// of the emulated server, `server` its number in the event log.
-    pub(super) fn set(&self, server: u32, index: usize, status: ListedStatus, started_at: Micros) {
+    pub(super) fn set(
+        &self,
+        server: ServerIndex,
+        index: usize,
+        status: ListedStatus,
+        started_at: Micros,
+    ) {
         let mut list = lock(&self.list);
         if list.set(server, index, status, started_at) {
             self.version.send_replace(list.version());
@@ -146,7 +153,7 @@
     fn target(
         &self,
         sidecar: u32,
-        number: u32,
+        number: ServerIndex,
         server: &EmulatedServer,
         entry: &ListEntry,
     ) -> Value {
--- a/crates/testbed/src/emulator/emulated_server/attempt.rs
+++ b/crates/testbed/src/emulator/emulated_server/attempt.rs
@@ -12,6 +12,7 @@
 use crate::emulator::http::{HttpConnection, Message, response};
 use crate::emulator::lock::lock;
 use crate::event_log::LogEvent;
+use crate::index::ServerIndex;
 use crate::scenario::Micros;
 
 /// How long an attempt without a timeout may wait: ten minutes, beyond the length of any run.
@@ -140,7 +141,7 @@
         &self,
         at: Micros,
         request: u64,
-        server: u32,
+        server: ServerIndex,
         admission: &Admission,
     ) {
         let received = LogEvent::AttemptReceived {
@@ -182,7 +183,7 @@
 }
 
 /// The response to an attempt that was executed.
-fn final_response(request: u64, server: u32, error: bool, draw: &ResponseDraw) -> String {
+fn final_response(request: u64, server: ServerIndex, error: bool, draw: &ResponseDraw) -> String {
     if draw.malformed {
         return MALFORMED_RESPONSE.to_owned();
     }
@@ -193,7 +194,7 @@
         return response("500 Internal Server Error", &load, "");
     }
     let headers = format!("Content-Type: text/plain\r\n{load}");
-    let body = format!("done {request:016x} at s{server}\n");
+    let body = format!("done {request:016x} at {server}\n");
     response("200 OK", &headers, &body)
 }
 
--- a/crates/testbed/src/emulator/emulated_server/connection.rs
+++ b/crates/testbed/src/emulator/emulated_server/connection.rs
@@ -10,6 +10,7 @@
 use crate::emulator::http::HttpConnection;
 use crate::emulator::lock::lock;
 use crate::event_log::LogEvent;
+use crate::index::ServerIndex;
 use crate::scenario::Micros;
 
 /// Target of the health checks.
@@ -26,7 +27,7 @@
 /// A request as it comes in.
 pub(super) struct Incoming {
     /// Number of the server that receives it.
-    pub(super) server: u32,
+    pub(super) server: ServerIndex,
     /// The sidecar that sends it.
     pub(super) sidecar: u32,
     /// Whether the sidecar is in the server's zone.
@@ -65,7 +66,7 @@
             () = reset => Ok(()),
         };
         if let Err(error) = ended {
-            tracing::debug!("server s{}: {error}", self.number());
+            tracing::debug!("server {}: {error}", self.number());
         }
         if self.network.borrow().epoch == epoch {
             lock(&self.process).disconnect();
--- a/crates/testbed/src/emulator/emulated_server/faults.rs
+++ b/crates/testbed/src/emulator/emulated_server/faults.rs
@@ -7,6 +7,7 @@
 use super::{EmulatedServer, NetworkMode};
 use crate::emulator::lock::lock;
 use crate::event_log::ServerState;
+use crate::index::ServerIndex;
 
 /// How often a start tries to listen on the server's addresses, and the pause between: a closed
 /// listener's socket may linger in a process that was being started.
@@ -42,9 +43,9 @@
     }
 
     /// Starts it again, cold; under another number where it replaces the one before.
-    pub(in crate::emulator) async fn restart(self: &Arc<Self>, number: Option<u32>) {
+    pub(in crate::emulator) async fn restart(self: &Arc<Self>, number: Option<ServerIndex>) {
         if let Some(number) = number {
-            self.number.store(number, Ordering::Relaxed);
+            self.number.store(number.value(), Ordering::Relaxed);
         }
         self.listeners.close().await;
         let now = self.shared.clock.now();
--- a/crates/testbed/src/emulator/emulated_server/mod.rs
+++ b/crates/testbed/src/emulator/emulated_server/mod.rs
@@ -23,6 +23,7 @@
 use super::ports::free_address;
 use super::shared::Shared;
 use crate::event_log::{LogEvent, ServerState};
+use crate::index::ServerIndex;
 use crate::random::{RandomStream, StreamId};
 use crate::scenario::{MachineType, Micros, Servers};
 use crate::server_model::ServerModel;
@@ -74,14 +75,14 @@
     /// Where an address is missing or cannot be listened on.
     pub(super) async fn start(
         shared: &Arc<Shared>,
-        number: usize,
+        index: ServerIndex,
         machine_type: &MachineType,
         group: &Servers,
     ) -> Result<Arc<Self>, EmulatorError> {
         let scenario = &shared.scenario;
-        let stream = STREAM_OFFSET + number;
+        let stream = STREAM_OFFSET + index.index();
         let random = RandomStream::new(scenario.seed, StreamId::Machines, stream);
-        let model = ServerModel::from_scenario(scenario, machine_type, number, 0, group.cold);
+        let model = ServerModel::from_scenario(scenario, machine_type, index, 0, group.cold);
         let addresses = (0..scenario.sidecars.count)
             .map(|_| free_address())
             .collect::<Result<_, _>>()?;
@@ -91,8 +92,8 @@
         };
         let server = Arc::new(Self {
             shared: Arc::clone(shared),
-            number: AtomicU32::new(number as u32),
-            zone: scenario.server_zone(group, number),
+            number: AtomicU32::new(index.value()),
+            zone: scenario.server_zone(group, index),
             addresses,
             process: Mutex::new(ServerProcess::new(model, group.cold, random)),
             listeners: Listeners::default(),
@@ -110,8 +111,8 @@
     }
 
     /// Its number in the event log.
-    pub(super) fn number(&self) -> u32 {
-        self.number.load(Ordering::Relaxed)
+    pub(super) fn number(&self) -> ServerIndex {
+        ServerIndex::new(self.number.load(Ordering::Relaxed))
     }
 
     /// Index of its zone.
--- a/crates/testbed/src/emulator/fault_schedule.rs
+++ b/crates/testbed/src/emulator/fault_schedule.rs
@@ -13,6 +13,7 @@
 use super::emulated_server::{EmulatedServer, NetworkMode, ResponseFault};
 use super::shared::Shared;
 use crate::event_log::{ListedStatus, ServerState};
+use crate::index::ServerIndex;
 use crate::scenario::{Fault, FaultKind, Micros, from_ms, from_s};
 use crate::simulator::faults::{rolling_restart, targets};
 
@@ -91,7 +92,7 @@
 ) {
     let zones: Vec<u32> = emulation.servers.iter().map(|s| s.zone()).collect();
     for target in targets(&emulation.shared.scenario, index, &zones) {
-        let index = target as usize;
+        let index = target.index();
         let Some(server) = emulation.servers.get(index) else {
             continue;
         };
@@ -129,7 +130,7 @@
         self.end(number).await;
     }
 
-    async fn start(&self, number: u32) {
+    async fn start(&self, number: ServerIndex) {
         let (server, share) = (&self.server, self.fault.share);
         let discovery = &self.shared.scenario.discovery;
         match self.fault.kind {
@@ -160,7 +161,7 @@
         }
     }
 
-    async fn end(&self, number: u32) {
+    async fn end(&self, number: ServerIndex) {
         let server = &self.server;
         let add_ms = self.shared.scenario.discovery.add_ms;
         match self.fault.kind {
@@ -186,18 +187,18 @@
     }
 
     /// Stops the server, and starts another one at its addresses.
-    async fn replace(&self, number: u32) {
+    async fn replace(&self, number: ServerIndex) {
         let discovery = &self.shared.scenario.discovery;
         self.server.stop(NetworkMode::Refusing).await;
         self.server.record_state(ServerState::Down);
         self.update_list_later(number, ListedStatus::Gone, discovery.notice_ms);
-        let replacement = self.next_number.fetch_add(1, Ordering::Relaxed);
+        let replacement = ServerIndex::new(self.next_number.fetch_add(1, Ordering::Relaxed));
         self.server.restart(Some(replacement)).await;
         self.update_list_later(replacement, ListedStatus::Ready, discovery.add_ms);
     }
 
     /// Has discovery list a status once it has noticed.
-    fn update_list_later(&self, number: u32, status: ListedStatus, delay_ms: f64) {
+    fn update_list_later(&self, number: ServerIndex, status: ListedStatus, delay_ms: f64) {
         let discovery = Arc::clone(&self.discovery);
         let (index, started_at): (usize, Micros) = (self.index, self.server.started_at());
         let delay = Duration::from_micros(from_ms(delay_ms));
--- a/crates/testbed/src/emulator/mod.rs
+++ b/crates/testbed/src/emulator/mod.rs
@@ -26,6 +26,7 @@
 
 use crate::audit::Auditor;
 use crate::event_log::{EventLog, LogRecord, Tee};
+use crate::index::ServerIndex;
 use crate::report::{EMULATOR, Report};
 use crate::scenario::{Scenario, from_ms};
 use crate::statistics::Statistics;
@@ -93,8 +94,9 @@
         ));
         let shared = Arc::new(Shared::new(scenario, clock));
         let mut servers = Vec::new();
-        for (number, (machine_type, group)) in fleet.into_iter().enumerate() {
-            servers.push(EmulatedServer::start(&shared, number, machine_type, group).await?);
+        for (position, (machine_type, group)) in fleet.into_iter().enumerate() {
+            let index = ServerIndex::from_position(position);
+            servers.push(EmulatedServer::start(&shared, index, machine_type, group).await?);
         }
         let discovery = Discovery::start(&shared, &servers).await?;
         let sidecars = Sidecars::new(&shared, &discovery, options)?;
--- a/crates/testbed/src/event_log/event.rs
+++ b/crates/testbed/src/event_log/event.rs
@@ -5,6 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::state::{ListedStatus, ProcessState, RequestOutcome, ServerState};
+use crate::index::ServerIndex;
 use crate::scenario::Micros;
 
 /// One event. An `arrival` is what a client wants, a `request` one try of it at the sidecar, an
@@ -58,7 +59,7 @@
         /// The sidecar that forwards it.
         sidecar: u32,
         /// The server it goes to.
-        server: u32,
+        server: ServerIndex,
         /// Whether sidecar and server are in different zones.
         #[serde(alias = "crossing")]
         cross_zone: bool,
@@ -70,7 +71,7 @@
         #[serde(alias = "tx")]
         request: u64,
         /// The server that received it.
-        server: u32,
+        server: ServerIndex,
         /// The work that it takes there.
         work: f64,
         /// Work that the server can do per microsecond now.
@@ -85,7 +86,7 @@
         #[serde(alias = "tx")]
         request: u64,
         /// The server that rejected it.
-        server: u32,
+        server: ServerIndex,
     },
     /// The server executed the attempt.
     #[serde(alias = "ran")]
@@ -94,7 +95,7 @@
         #[serde(alias = "tx")]
         request: u64,
         /// The server that executed it.
-        server: u32,
+        server: ServerIndex,
         /// The work that was done.
         work: f64,
     },
@@ -134,7 +135,7 @@
         /// The sidecar that was notified.
         sidecar: u32,
         /// The server it was notified of.
-        server: u32,
+        server: ServerIndex,
         /// The server's status.
         #[serde(alias = "listing")]
         status: ListedStatus,
@@ -155,7 +156,7 @@
     #[serde(alias = "server")]
     ServerStateChanged {
         /// The server.
-        server: u32,
+        server: ServerIndex,
         /// Index of its zone.
         zone: u32,
         /// Its new state.
@@ -168,13 +169,13 @@
         /// The sidecar that checks.
         sidecar: u32,
         /// The server that is checked.
-        server: u32,
+        server: ServerIndex,
     },
     /// A new connection has cost a server its handshake.
     #[serde(alias = "opened")]
     ConnectionOpened {
         /// The server.
-        server: u32,
+        server: ServerIndex,
     },
     /// A sidecar polled discovery.
     #[serde(alias = "called")]
@@ -186,7 +187,7 @@
     #[serde(alias = "gauge")]
     ServerGauge {
         /// The server.
-        server: u32,
+        server: ServerIndex,
         /// Attempts in flight.
         #[serde(alias = "held")]
         in_flight: u32,
--- a/crates/testbed/src/event_log/tests.rs
+++ b/crates/testbed/src/event_log/tests.rs
@@ -6,6 +6,7 @@
     EventLog as _, ListedStatus, LogEvent, LogRecord, ProcessState, RequestOutcome, ServerState,
     Writer, read,
 };
+use crate::index::ServerIndex;
 
 /// The first 200 lines of a calm run, and one of every other kind in it.
 const OLD_LOG: &str = include_str!("../../tests/data/records/calm-1.ledger");
@@ -74,7 +75,7 @@
             LogEvent::AttemptStarted {
                 request: 8,
                 sidecar: 3,
-                server: 0,
+                server: ServerIndex::new(0),
                 cross_zone: false,
             },
         ),
@@ -82,7 +83,7 @@
             22_031,
             LogEvent::AttemptReceived {
                 request: 8,
-                server: 0,
+                server: ServerIndex::new(0),
                 work: 19_654.795_076_852_744,
                 capacity: 2.996_052_179_303_716_5,
                 cold: false,
@@ -92,14 +93,14 @@
             2_032_496,
             LogEvent::AttemptRejected {
                 request: 920,
-                server: 0,
+                server: ServerIndex::new(0),
             },
         ),
         (
             37_226,
             LogEvent::WorkDone {
                 request: 14,
-                server: 13,
+                server: ServerIndex::new(13),
                 work: 6_476.019_318_328_092,
             },
         ),
@@ -122,7 +123,7 @@
             3_522_082,
             LogEvent::EndpointListed {
                 sidecar: 2,
-                server: 0,
+                server: ServerIndex::new(0),
                 status: ListedStatus::Draining,
                 incarnation: 0,
             },
@@ -130,7 +131,7 @@
         (
             59_652_895,
             LogEvent::ServerStateChanged {
-                server: 7,
+                server: ServerIndex::new(7),
                 zone: 1,
                 state: ServerState::OverloadShutdown,
             },
@@ -145,12 +146,17 @@
         (
             1_000_000,
             LogEvent::ServerGauge {
-                server: 0,
+                server: ServerIndex::new(0),
                 in_flight: 3,
                 connections: 14,
             },
         ),
-        (11_294, LogEvent::ConnectionOpened { server: 7 }),
+        (
+            11_294,
+            LogEvent::ConnectionOpened {
+                server: ServerIndex::new(7),
+            },
+        ),
     ];
     for (at, expected) in expected {
         assert_eq!(event(at), expected, "at {at}");
@@ -211,7 +217,7 @@
         );
     }
     let overloaded = line(LogEvent::ServerStateChanged {
-        server: 7,
+        server: ServerIndex::new(7),
         zone: 1,
         state: ServerState::OverloadShutdown,
     });
--- /dev/null
+++ b/crates/testbed/src/index.rs
@@ -0,0 +1,64 @@
+//! Index types: each says what it is an index of, so that the compiler tells them apart.
+//!
+//! All are stored as bare integers.
+
+use std::fmt;
+
+use serde::{Deserialize, Serialize};
+
+/// Declares the index of a thing in the list of all such things, kept as a small integer.
+macro_rules! index_type {
+    ($(#[$doc:meta])* $name:ident($integer:ty)) => {
+        $(#[$doc])*
+        #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
+        #[serde(transparent)]
+        pub struct $name($integer);
+
+        impl $name {
+            /// The index of this value.
+            pub const fn new(value: $integer) -> Self {
+                Self(value)
+            }
+
+            /// The index of a place in the list; the greatest one for a place beyond the integer's
+            /// range, which no list reaches.
+            pub fn from_position(position: usize) -> Self {
+                Self(<$integer>::try_from(position).unwrap_or(<$integer>::MAX))
+            }
+
+            /// All indexes of a list of this length, in order.
+            pub fn all(length: usize) -> impl Iterator<Item = Self> {
+                (0..length).map(Self::from_position)
+            }
+
+            /// The place in the list.
+            pub const fn index(self) -> usize {
+                self.0 as usize
+            }
+
+            /// The value as an integer, for those who have no such type.
+            pub const fn value(self) -> $integer {
+                self.0
+            }
+        }
+    };
+}
+
+index_type! {
+    /// A server; those that replace others in the course of a run follow the scenario's.
+    ServerIndex(u32)
+}
+
+impl ServerIndex {
+    /// The server of a name such as `s3`; nothing where it is no server's name.
+    pub fn from_name(name: &str) -> Option<Self> {
+        name.strip_prefix('s')?.parse().ok().map(Self)
+    }
+}
+
+/// Its name in scenarios and messages, such as `s3`.
+impl fmt::Display for ServerIndex {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "s{}", self.0)
+    }
+}
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -10,6 +10,7 @@
 pub mod emulator;
 pub mod event_log;
 pub mod experiment;
+pub mod index;
 pub mod plot;
 pub mod random;
 pub mod report;
--- a/crates/testbed/src/scenario/capacity.rs
+++ b/crates/testbed/src/scenario/capacity.rs
@@ -1,6 +1,7 @@
 //! What a scenario's fleet is made of, where it stands, and how much work it can do.
 
 use super::{MachineType, Scenario, Servers};
+use crate::index::ServerIndex;
 
 impl Scenario {
     /// Machine type and group of each server, in the order of the servers' names. Groups of unknown
@@ -49,13 +50,13 @@
             .sum()
     }
 
-    /// Zone of a server by its number and group.
-    pub fn server_zone(&self, group: &Servers, number: usize) -> u32 {
+    /// Zone of a server by its index and group.
+    pub fn server_zone(&self, group: &Servers, server: ServerIndex) -> u32 {
         let named = group
             .zone
             .as_ref()
             .and_then(|zone| self.network.zones.iter().position(|name| name == zone));
-        named.map_or(self.spread_zone(number), |zone| zone as u32)
+        named.map_or(self.spread_zone(server.index()), |zone| zone as u32)
     }
 
     /// Zone of a server or sidecar by its number where no zone is named: spread in turn.
--- a/crates/testbed/src/scenario/check/faults.rs
+++ b/crates/testbed/src/scenario/check/faults.rs
@@ -1,6 +1,7 @@
 //! Checks of the schedule of faults.
 
 use super::Checker;
+use crate::index::ServerIndex;
 use crate::scenario::{Fault, FaultKind, Scenario};
 
 impl Scenario {
@@ -37,8 +38,8 @@
     fn check_fault_servers(&self, checker: &mut Checker, fault: &Fault, path: &str) {
         let count = self.fleet().len();
         for (i, name) in fault.servers.iter().enumerate() {
-            let number = name.strip_prefix('s').and_then(|n| n.parse::<usize>().ok());
-            let known = number.is_some_and(|number| number < count);
+            let server = ServerIndex::from_name(name);
+            let known = server.is_some_and(|server| server.index() < count);
             let key = format!("{path}.servers[{i}]");
             checker.require(known, key, format!("there is no server {name:?}"));
         }
--- a/crates/testbed/src/server_model/mod.rs
+++ b/crates/testbed/src/server_model/mod.rs
@@ -17,6 +17,7 @@
 
 use std::collections::VecDeque;
 
+use crate::index::ServerIndex;
 use crate::random::{RandomStream, StreamId};
 use crate::scenario::{MachineType, Micros, Scenario, from_ms};
 
@@ -136,15 +137,15 @@
         }
     }
 
-    /// The scenario's server of that number. Its speed is drawn, alike in both engines.
+    /// The scenario's server of this index. Its speed is drawn, alike in both engines.
     pub fn from_scenario(
         scenario: &Scenario,
         machine_type: &MachineType,
-        number: usize,
+        index: ServerIndex,
         now: Micros,
         cold: bool,
     ) -> Self {
-        let mut random = RandomStream::new(scenario.seed, StreamId::Machines, number + 1);
+        let mut random = RandomStream::new(scenario.seed, StreamId::Machines, index.index() + 1);
         let spread = machine_type.speed_spread;
         let warm_core_speed = machine_type.speed * random.between(1.0 - spread, 1.0 + spread);
         let rule = OverloadRule {
--- a/crates/testbed/src/simulator/discovery/endpoint_list.rs
+++ b/crates/testbed/src/simulator/discovery/endpoint_list.rs
@@ -4,6 +4,7 @@
 
 use super::endpoints::{CachedEndpoints, ListedEndpoint};
 use crate::event_log::ListedStatus;
+use crate::index::ServerIndex;
 use crate::random::{RandomStream, StreamId};
 use crate::scenario::{self, Micros, Scenario, from_ms};
 
@@ -42,7 +43,7 @@
 /// The service that lists servers.
 pub(in crate::simulator) struct Discovery {
     version: u64,
-    entries: BTreeMap<u32, ListEntry>,
+    entries: BTreeMap<ServerIndex, ListEntry>,
     /// All changes of the run, by their numbers.
     changes: Vec<ListChange>,
     /// When the polls that wait will have been served.
@@ -65,7 +66,7 @@
     }
 
     /// Lists a server that was there before the run.
-    pub(in crate::simulator) fn add_initial(&mut self, server: u32, incarnation: Micros) {
+    pub(in crate::simulator) fn add_initial(&mut self, server: ServerIndex, incarnation: Micros) {
         let entry = ListEntry {
             status: ListedStatus::Ready,
             incarnation,
@@ -109,7 +110,12 @@
     /// A change is noticed, of a server that started last at `started_at`; false where it says
     /// nothing new: a death that is noticed after the return is none, and what came back is not
     /// listed as it was before.
-    pub(super) fn on_noticed(&mut self, server: u32, change: usize, started_at: Micros) -> bool {
+    pub(super) fn on_noticed(
+        &mut self,
+        server: ServerIndex,
+        change: usize,
+        started_at: Micros,
+    ) -> bool {
         let change = self.changes.get(change);
         let Some(&change) = change.filter(|change| started_at <= change.incarnation) else {
             return false;
--- a/crates/testbed/src/simulator/discovery/endpoints.rs
+++ b/crates/testbed/src/simulator/discovery/endpoints.rs
@@ -6,13 +6,14 @@
 use arrowstand_control::stable_hash;
 
 use crate::event_log::{ListedStatus, LogEvent};
+use crate::index::ServerIndex;
 use crate::scenario::Micros;
 use crate::simulator::{EPOCH, Simulator};
 
 /// An entry of a list that is given to a sidecar.
 #[derive(Clone, Copy)]
 pub(in crate::simulator) struct ListedEndpoint {
-    pub(in crate::simulator) server: u32,
+    pub(in crate::simulator) server: ServerIndex,
     pub(in crate::simulator) status: ListedStatus,
     /// Start of the server's process; 0 where it was there before the run.
     pub(in crate::simulator) incarnation: Micros,
@@ -21,11 +22,14 @@
 /// The list as a sidecar had it last, which outlives its process.
 pub(in crate::simulator) struct CachedEndpoints {
     version: u64,
-    endpoints: BTreeMap<u32, (ListedStatus, Micros)>,
+    endpoints: BTreeMap<ServerIndex, (ListedStatus, Micros)>,
 }
 
 impl CachedEndpoints {
-    pub(super) fn new(version: u64, endpoints: BTreeMap<u32, (ListedStatus, Micros)>) -> Self {
+    pub(super) fn new(
+        version: u64,
+        endpoints: BTreeMap<ServerIndex, (ListedStatus, Micros)>,
+    ) -> Self {
         Self { version, endpoints }
     }
 
@@ -112,11 +116,11 @@
 
     /// A list entry as balancers take it.
     fn balancer_endpoint(&self, listed: ListedEndpoint) -> Endpoint {
-        let server = &self.servers[listed.server as usize];
+        let server = &self.servers[listed.server.index()];
         let incarnation = (listed.incarnation > 0).then_some(EPOCH + listed.incarnation);
         Endpoint {
-            server: ServerId(listed.server),
-            stable_hash: stable_hash(&format!("s{}", listed.server)),
+            server: ServerId(listed.server.value()),
+            stable_hash: stable_hash(&listed.server.to_string()),
             status: match listed.status {
                 ListedStatus::Ready => EndpointStatus::Ready,
                 ListedStatus::Draining => EndpointStatus::Draining,
--- a/crates/testbed/src/simulator/discovery/mod.rs
+++ b/crates/testbed/src/simulator/discovery/mod.rs
@@ -10,6 +10,7 @@
 use super::event::{PollResult, SimulatorEvent};
 use super::process::SidecarProcess;
 use crate::event_log::{ListedStatus, LogEvent};
+use crate::index::ServerIndex;
 use crate::scenario::{Micros, from_ms};
 
 pub(super) use endpoint_list::{Availability, Discovery};
@@ -22,15 +23,15 @@
 
 impl Simulator<'_> {
     /// Something happened to a server that discovery notices after a while, in milliseconds.
-    pub(super) fn announce(&mut self, server: u32, status: ListedStatus, after_ms: f64) {
-        let incarnation = self.servers[server as usize].started_at;
+    pub(super) fn announce(&mut self, server: ServerIndex, status: ListedStatus, after_ms: f64) {
+        let incarnation = self.servers[server.index()].started_at;
         let change = self.discovery.on_announced(status, incarnation);
         let event = SimulatorEvent::ListChange { server, change };
         self.timeline.after(from_ms(after_ms), event);
     }
 
-    pub(super) fn on_list_change(&mut self, server: u32, change: usize) {
-        let started_at = self.servers[server as usize].started_at;
+    pub(super) fn on_list_change(&mut self, server: ServerIndex, change: usize) {
+        let started_at = self.servers[server.index()].started_at;
         let is_news = self.discovery.on_noticed(server, change, started_at);
         if is_news && self.discovery.is_up() {
             self.notify_watches();
--- a/crates/testbed/src/simulator/event.rs
+++ b/crates/testbed/src/simulator/event.rs
@@ -8,6 +8,7 @@
 use super::process::SidecarProcess;
 use super::request::{ArrivalKey, AttemptKey, RequestKey};
 use crate::event_log::RequestOutcome;
+use crate::index::ServerIndex;
 use crate::scenario::Micros;
 use crate::workload::Arrival;
 
@@ -42,7 +43,7 @@
     /// A server notices that an attempt's connection was closed.
     CancellationAtServer(Cancellation),
     /// A server has something to do by itself; the number tells stale events from the present one.
-    ServerDue(u32, u32),
+    ServerDue(ServerIndex, u32),
     /// A health check is at its server.
     HealthCheckAtServer(HealthCheck),
     /// The end of a health check is at its sidecar.
@@ -52,7 +53,7 @@
     /// A change of the endpoint list has reached a sidecar's watch.
     WatchNotification(SidecarProcess),
     /// Discovery notices the change of this number about a server.
-    ListChange { server: u32, change: usize },
+    ListChange { server: ServerIndex, change: usize },
     /// The fault of this index starts, or ends.
     Fault { index: usize, starts: bool },
     /// A sidecar is to be restarted.
@@ -80,7 +81,7 @@
 
 /// An attempt whose connection was closed by its sidecar.
 pub(super) struct Cancellation {
-    pub(super) server: u32,
+    pub(super) server: ServerIndex,
     /// The server's start that the connection belongs to.
     pub(super) server_start: u32,
     pub(super) job: u64,
@@ -89,7 +90,7 @@
 /// A health check on its way.
 pub(super) struct HealthCheck {
     pub(super) process: SidecarProcess,
-    pub(super) server: u32,
+    pub(super) server: ServerIndex,
     /// One way to the server, in microseconds.
     pub(super) delay: u32,
     /// Whether it opens a connection of its own.
@@ -99,7 +100,7 @@
 /// How a health check ended.
 pub(super) struct HealthCheckResult {
     pub(super) process: SidecarProcess,
-    pub(super) server: u32,
+    pub(super) server: ServerIndex,
     pub(super) outcome: Outcome,
     pub(super) load: Option<ReportedLoad>,
 }
--- a/crates/testbed/src/simulator/faults/mod.rs
+++ b/crates/testbed/src/simulator/faults/mod.rs
@@ -5,34 +5,38 @@
 mod schedule;
 mod servers;
 
+use crate::index::ServerIndex;
 use crate::random::{RandomStream, StreamId};
 use crate::scenario::{Fault, Micros, Scenario, from_s};
 
 /// The servers that the fault of this index hits: those named, or a share of them, drawn. `zones`
 /// has each server's zone.
-pub fn targets(scenario: &Scenario, index: usize, zones: &[u32]) -> Vec<u32> {
+pub fn targets(scenario: &Scenario, index: usize, zones: &[u32]) -> Vec<ServerIndex> {
     let fault = &scenario.fault[index];
     if !fault.aims_at_servers() {
         return Vec::new();
     }
     if !fault.servers.is_empty() {
-        let number = |name: &String| name.strip_prefix('s').and_then(|n| n.parse().ok());
-        return fault.servers.iter().filter_map(number).collect();
+        let names = fault.servers.iter();
+        return names
+            .filter_map(|name| ServerIndex::from_name(name))
+            .collect();
     }
     let zone = fault
         .zone
         .as_ref()
         .and_then(|zone| scenario.network.zones.iter().position(|name| name == zone));
-    let is_in_zone =
-        |&server: &u32| zone.is_none_or(|zone| zones.get(server as usize) == Some(&(zone as u32)));
-    let mut servers: Vec<u32> = (0..zones.len() as u32).filter(is_in_zone).collect();
+    let is_in_zone = |&server: &ServerIndex| {
+        zone.is_none_or(|zone| zones.get(server.index()) == Some(&(zone as u32)))
+    };
+    let mut servers: Vec<ServerIndex> = ServerIndex::all(zones.len()).filter(is_in_zone).collect();
     let hit = (servers.len() as f64 * target_share(fault)).round() as usize;
     let count = hit.clamp(1, servers.len().max(1));
     draw(scenario, index, &mut servers, count)
 }
 
-/// When each sidecar goes down in a rolling restart, in microseconds from its start: batch after batch over
-/// its length.
+/// When each sidecar goes down in a rolling restart, in microseconds from its start: batch after
+/// batch over its length.
 pub fn rolling_restart(scenario: &Scenario, index: usize) -> Vec<(u32, Micros)> {
     let fault = &scenario.fault[index];
     let all = scenario.sidecars.count;
@@ -58,7 +62,12 @@
 }
 
 /// So many of the candidates, drawn by the fault's own stream, in order.
-fn draw(scenario: &Scenario, index: usize, candidates: &mut Vec<u32>, count: usize) -> Vec<u32> {
+fn draw<T: Copy + Ord>(
+    scenario: &Scenario,
+    index: usize,
+    candidates: &mut Vec<T>,
+    count: usize,
+) -> Vec<T> {
     let mut random = RandomStream::new(scenario.seed, StreamId::Faults, index);
     let mut drawn = Vec::with_capacity(count);
     while drawn.len() < count && !candidates.is_empty() {
--- a/crates/testbed/src/simulator/mod.rs
+++ b/crates/testbed/src/simulator/mod.rs
@@ -22,6 +22,7 @@
 use arrowstand_balancer::Action;
 
 use crate::event_log::{EventLog, LogEvent, LogRecord};
+use crate::index::ServerIndex;
 use crate::random::{RandomStream, StreamId};
 use crate::scenario::{Micros, Scenario, from_ms, from_s};
 use crate::server_model::Event as ServerModelEvent;
@@ -58,7 +59,7 @@
     server_random: RandomStream,
     quotas: Vec<TenantQuota>,
     /// Servers that each fault hits.
-    fault_targets: Vec<Vec<u32>>,
+    fault_targets: Vec<Vec<ServerIndex>>,
     /// Buffer of what a server did, until it is carried out.
     server_events: Vec<ServerModelEvent>,
     /// Buffer of what a balancer asks for.
@@ -141,10 +142,10 @@
     }
 
     /// One way between a sidecar and a server in microseconds, drawn by the sidecar's stream.
-    fn draw_delay(&mut self, sidecar: u32, server: u32) -> Micros {
+    fn draw_delay(&mut self, sidecar: u32, server: ServerIndex) -> Micros {
         let network = &self.scenario.network;
         let sidecar = &mut self.sidecars[sidecar as usize];
-        let base_ms = if sidecar.zone == self.servers[server as usize].zone {
+        let base_ms = if sidecar.zone == self.servers[server.index()].zone {
             network.same_ms
         } else {
             network.cross_ms
@@ -154,10 +155,10 @@
 
     /// Records gauges of all servers, and closes idle connections.
     fn on_gauge_tick(&mut self) {
-        for number in 0..self.servers.len() {
-            let model = &self.servers[number].model;
+        for server in ServerIndex::all(self.servers.len()) {
+            let model = &self.servers[server.index()].model;
             let gauge = LogEvent::ServerGauge {
-                server: number as u32,
+                server,
                 in_flight: model.in_flight() as u32,
                 connections: model.connections() as u32,
             };
--- a/crates/testbed/src/simulator/request.rs
+++ b/crates/testbed/src/simulator/request.rs
@@ -3,6 +3,7 @@
 use slotmap::{SlotMap, new_key_type};
 
 use super::process::SidecarProcess;
+use crate::index::ServerIndex;
 use crate::scenario::Micros;
 
 new_key_type! {
@@ -89,7 +90,7 @@
     /// Counts the request's attempts from 0.
     pub(super) index: u32,
     pub(super) sidecar: u32,
-    pub(super) server: u32,
+    pub(super) server: ServerIndex,
     /// Its number at the server's model.
     pub(super) job: u64,
     pub(super) sent_at: Micros,
--- a/crates/testbed/src/simulator/server/attempts.rs
+++ b/crates/testbed/src/simulator/server/attempts.rs
@@ -7,6 +7,7 @@
 
 use super::{Reachability, Server};
 use crate::event_log::LogEvent;
+use crate::index::ServerIndex;
 use crate::scenario::{Micros, from_ms};
 use crate::server_model::{Event as ServerModelEvent, Job};
 use crate::simulator::Simulator;
@@ -18,7 +19,7 @@
     pub(in crate::simulator) fn send_attempt(
         &mut self,
         request_key: RequestKey,
-        server: u32,
+        server: ServerIndex,
         timeout: Option<Micros>,
         events: &mut VecDeque<BalancerEvent>,
     ) {
@@ -31,7 +32,7 @@
         let mut attempt = new_attempt(request_key, request, server, timeout, now);
         let sidecar = attempt.sidecar;
         attempt.job = self.open.take_job();
-        let is_known = self.servers.get(server as usize).is_some();
+        let is_known = self.servers.get(server.index()).is_some();
         if is_known {
             attempt.delay = self.draw_delay(sidecar, server);
         }
@@ -93,7 +94,7 @@
             self.open.attempts.remove(key);
             return;
         }
-        let server = &mut self.servers[attempt.server as usize];
+        let server = &mut self.servers[attempt.server.index()];
         let open_start = server.open_start();
         if server.reachability == Reachability::Silent {
             server.blackholed.push(key);
@@ -111,8 +112,8 @@
         let Some(attempt) = self.open.attempts.get_mut(key) else {
             return;
         };
-        let number = attempt.server;
-        let server = &mut self.servers[number as usize];
+        let server_index = attempt.server;
+        let server = &mut self.servers[server_index.index()];
         let (capacity, cold) = (server.model.capacity(now), server.model.is_cold(now));
         attempt.reset_pending = self.server_random.chance(server.reset_share);
         if attempt.new_connection {
@@ -122,24 +123,26 @@
         let (request, delay) = (attempt.request_number, attempt.delay);
         let received = LogEvent::AttemptReceived {
             request,
-            server: number,
+            server: server_index,
             work: attempt.work,
             capacity,
             cold,
         };
         if attempt.new_connection {
-            self.record(LogEvent::ConnectionOpened { server: number });
+            self.record(LogEvent::ConnectionOpened {
+                server: server_index,
+            });
         }
         self.record(received);
         if !accepted {
             self.record(LogEvent::AttemptRejected {
                 request,
-                server: number,
+                server: server_index,
             });
             let result = SimulatorEvent::ResultAtSidecar(key, Outcome::Rejected);
             self.timeline.after(delay, result);
         }
-        self.apply_server_events(number);
+        self.apply_server_events(server_index);
     }
 }
 
@@ -169,7 +172,7 @@
 fn new_attempt(
     key: RequestKey,
     request: &Request,
-    server: u32,
+    server: ServerIndex,
     timeout: Option<Micros>,
     now: Micros,
 ) -> Attempt {
--- a/crates/testbed/src/simulator/server/connecting.rs
+++ b/crates/testbed/src/simulator/server/connecting.rs
@@ -21,7 +21,7 @@
             request: attempt.request_number,
             sidecar,
             server,
-            cross_zone: sidecar_zone != self.servers[server as usize].zone,
+            cross_zone: sidecar_zone != self.servers[server.index()].zone,
         };
         self.record(started);
     }
@@ -31,7 +31,7 @@
         let Some(attempt) = self.open.attempts.get_mut(key) else {
             return;
         };
-        let server = &mut self.servers[attempt.server as usize];
+        let server = &mut self.servers[attempt.server.index()];
         if server.reachability == Reachability::Silent {
             return;
         }
@@ -59,7 +59,7 @@
             return;
         }
         let (due, delay) = (attempt.due, attempt.delay);
-        let model = &self.servers[attempt.server as usize].model;
+        let model = &self.servers[attempt.server.index()].model;
         let further_round_trips = (model.machine_type().handshake_rtts - 1.0).max(0.0);
         self.on_attempt_written(key);
         let timeline = &mut self.timeline;
@@ -76,7 +76,7 @@
         let Some(server_start) = attempt.connection.take() else {
             return;
         };
-        self.servers[attempt.server as usize].close_connection(server_start);
+        self.servers[attempt.server.index()].close_connection(server_start);
         if attempt.written {
             let noticed = SimulatorEvent::CancellationAtServer(Cancellation {
                 server: attempt.server,
--- a/crates/testbed/src/simulator/server/health_checks.rs
+++ b/crates/testbed/src/simulator/server/health_checks.rs
@@ -4,6 +4,7 @@
 
 use super::{Reachability, Server};
 use crate::event_log::LogEvent;
+use crate::index::ServerIndex;
 use crate::scenario::{Micros, from_ms};
 use crate::server_model::{LoadReport, State};
 use crate::simulator::Simulator;
@@ -13,7 +14,7 @@
 const DELAYS_OF_NEW_CONNECTION: Micros = 3;
 
 impl Simulator<'_> {
-    pub(in crate::simulator) fn send_health_check(&mut self, sidecar: u32, server: u32) {
+    pub(in crate::simulator) fn send_health_check(&mut self, sidecar: u32, server: ServerIndex) {
         self.record(LogEvent::HealthChecked { sidecar, server });
         let process = self.process(sidecar);
         let delay = self.draw_delay(sidecar, server);
@@ -34,7 +35,7 @@
 
     pub(in crate::simulator) fn on_health_check_at_server(&mut self, check: &HealthCheck) {
         let delay = Micros::from(check.delay);
-        let server = &mut self.servers[check.server as usize];
+        let server = &mut self.servers[check.server.index()];
         if server.refuses(check) {
             let refused = result(check, Outcome::ConnectFailed, None);
             self.timeline.after(delay, refused);
@@ -51,8 +52,8 @@
 
     fn answer_health_check(&mut self, check: &HealthCheck) {
         let (now, delay) = (self.timeline.now(), Micros::from(check.delay));
-        let (sidecar, number) = (check.process.sidecar, check.server);
-        let server = &mut self.servers[number as usize];
+        let (sidecar, server_index) = (check.process.sidecar, check.server);
+        let server = &mut self.servers[server_index.index()];
         if check.new_connection {
             server.model.handshake(now, &mut self.server_events);
         }
@@ -66,14 +67,16 @@
         let answer = result(check, outcome, report.map(reported_load));
         self.timeline.after(delay, answer);
         if check.new_connection {
-            self.record(LogEvent::ConnectionOpened { server: number });
+            self.record(LogEvent::ConnectionOpened {
+                server: server_index,
+            });
         }
         if self.is_current(check.process) {
-            self.keep_connection(sidecar, number, now + delay, start);
+            self.keep_connection(sidecar, server_index, now + delay, start);
         } else {
-            self.servers[number as usize].close_connection(start);
+            self.servers[server_index.index()].close_connection(start);
         }
-        self.apply_server_events(number);
+        self.apply_server_events(server_index);
     }
 }
 
--- a/crates/testbed/src/simulator/server/mod.rs
+++ b/crates/testbed/src/simulator/server/mod.rs
@@ -15,6 +15,7 @@
 use super::Simulator;
 use super::request::AttemptKey;
 use crate::event_log::{LogEvent, ServerState};
+use crate::index::ServerIndex;
 use crate::scenario::{MachineType, Micros, Scenario};
 use crate::server_model::{Event as ServerModelEvent, ServerModel, State};
 
@@ -59,13 +60,13 @@
     pub(super) fn new(
         scenario: &Scenario,
         machine_type: &MachineType,
-        number: usize,
+        index: ServerIndex,
         zone: u32,
         now: Micros,
         cold: bool,
     ) -> Self {
         Self {
-            model: ServerModel::from_scenario(scenario, machine_type, number, now, cold),
+            model: ServerModel::from_scenario(scenario, machine_type, index, now, cold),
             zone,
             reachability: Reachability::Open,
             start: 0,
@@ -145,9 +146,10 @@
 impl Simulator<'_> {
     pub(super) fn build_servers(&mut self) {
         let scenario = self.scenario;
-        for (number, (machine_type, group)) in scenario.fleet().into_iter().enumerate() {
-            let zone = scenario.server_zone(group, number);
-            let server = Server::new(scenario, machine_type, number, zone, 0, group.cold);
+        for (position, (machine_type, group)) in scenario.fleet().into_iter().enumerate() {
+            let index = ServerIndex::from_position(position);
+            let zone = scenario.server_zone(group, index);
+            let server = Server::new(scenario, machine_type, index, zone, 0, group.cold);
             let started_at = server.started_at;
             self.servers.push(server);
             let state = if group.cold {
@@ -155,13 +157,13 @@
             } else {
                 ServerState::Up
             };
-            self.record_server_state(number as u32, state);
-            self.discovery.add_initial(number as u32, started_at);
+            self.record_server_state(index, state);
+            self.discovery.add_initial(index, started_at);
         }
     }
 
-    pub(super) fn record_server_state(&mut self, server: u32, state: ServerState) {
-        let zone = self.servers[server as usize].zone;
+    pub(super) fn record_server_state(&mut self, server: ServerIndex, state: ServerState) {
+        let zone = self.servers[server.index()].zone;
         self.record(LogEvent::ServerStateChanged {
             server,
             zone,
--- a/crates/testbed/src/simulator/server/results.rs
+++ b/crates/testbed/src/simulator/server/results.rs
@@ -5,15 +5,16 @@
 use arrowstand_balancer::Outcome;
 
 use crate::event_log::LogEvent;
+use crate::index::ServerIndex;
 use crate::simulator::Simulator;
 use crate::simulator::event::SimulatorEvent;
 use crate::simulator::request::AttemptKey;
 
 impl Simulator<'_> {
     /// A server has done an attempt's work; `failed` where it ends in an error.
-    pub(super) fn on_work_done(&mut self, number: u32, job: u64, failed: bool) {
+    pub(super) fn on_work_done(&mut self, server_index: ServerIndex, job: u64, failed: bool) {
         let now = self.timeline.now();
-        let server = &mut self.servers[number as usize];
+        let server = &mut self.servers[server_index.index()];
         let Some(key) = server.jobs.remove(&job) else {
             return;
         };
@@ -33,7 +34,7 @@
         let (ended, delay) = (attempt.ended, attempt.delay);
         let done = LogEvent::WorkDone {
             request: attempt.request_number,
-            server: number,
+            server: server_index,
             work: attempt.work,
         };
         self.record(done);
@@ -79,7 +80,7 @@
                     let now = self.timeline.now();
                     self.keep_connection(sidecar, server, now, start);
                 } else {
-                    self.servers[server as usize].close_connection(start);
+                    self.servers[server.index()].close_connection(start);
                 }
             }
             let mut events = VecDeque::new();
@@ -109,7 +110,7 @@
         let mut events = VecDeque::new();
         self.end_attempt(key, outcome, &mut events);
         self.handle_balancer_events(sidecar, events);
-        let works_on_it = self.servers[server as usize].jobs.contains_key(&job);
+        let works_on_it = self.servers[server.index()].jobs.contains_key(&job);
         if !works_on_it && outcome == Outcome::ConnectFailed {
             self.open.attempts.remove(key);
         }
--- a/crates/testbed/src/simulator/sidecar/connections.rs
+++ b/crates/testbed/src/simulator/sidecar/connections.rs
@@ -4,6 +4,7 @@
 
 use rustc_hash::FxHashMap;
 
+use crate::index::ServerIndex;
 use crate::scenario::{Micros, from_s};
 use crate::simulator::Simulator;
 
@@ -21,18 +22,18 @@
 /// Idle connections by server; the one that was used last is used first.
 #[derive(Default)]
 pub(super) struct IdleConnections {
-    pools: FxHashMap<u32, VecDeque<IdleConnection>>,
+    pools: FxHashMap<ServerIndex, VecDeque<IdleConnection>>,
 }
 
 impl IdleConnections {
-    fn add(&mut self, server: u32, connection: IdleConnection) {
+    fn add(&mut self, server: ServerIndex, connection: IdleConnection) {
         self.pools.entry(server).or_default().push_back(connection);
     }
 
     /// The connection that was used last, of those to the server's present start; all others are
     /// forgotten, as the server's process that they belonged to has reset them. `open_start` is
     /// absent where it refuses.
-    fn take(&mut self, server: u32, open_start: Option<u32>) -> Option<IdleConnection> {
+    fn take(&mut self, server: ServerIndex, open_start: Option<u32>) -> Option<IdleConnection> {
         let pool = self.pools.get_mut(&server)?;
         pool.retain(|connection| Some(connection.server_start) == open_start);
         pool.pop_back()
@@ -40,7 +41,7 @@
 
     /// Removes the connections that have been idle since before a moment, and calls `close` for
     /// each.
-    fn remove_idle_since(&mut self, before: Micros, mut close: impl FnMut(u32, u32)) {
+    fn remove_idle_since(&mut self, before: Micros, mut close: impl FnMut(ServerIndex, u32)) {
         for (&server, pool) in &mut self.pools {
             pool.retain(|connection| {
                 let expired = connection.idle_since <= before;
@@ -54,7 +55,7 @@
     }
 
     /// All connections, as server and server's start.
-    pub(super) fn into_connections(self) -> impl Iterator<Item = (u32, u32)> {
+    pub(super) fn into_connections(self) -> impl Iterator<Item = (ServerIndex, u32)> {
         self.pools.into_iter().flat_map(|(server, pool)| {
             pool.into_iter()
                 .map(move |connection| (server, connection.server_start))
@@ -73,10 +74,10 @@
     pub(in crate::simulator) fn reuse_connection(
         &mut self,
         sidecar: u32,
-        server: u32,
+        server: ServerIndex,
     ) -> Option<u32> {
         let reuse_time = self.reuse_time();
-        let target = &mut self.servers[server as usize];
+        let target = &mut self.servers[server.index()];
         let connections = &mut self.sidecars[sidecar as usize].connections;
         let connection = connections.take(server, target.open_start())?;
         if connection.idle_since + reuse_time > self.timeline.now() {
@@ -90,7 +91,7 @@
     pub(in crate::simulator) fn keep_connection(
         &mut self,
         sidecar: u32,
-        server: u32,
+        server: ServerIndex,
         idle_since: Micros,
         server_start: u32,
     ) {
@@ -102,7 +103,7 @@
             let connections = &mut self.sidecars[sidecar as usize].connections;
             connections.add(server, connection);
         } else {
-            self.servers[server as usize].close_connection(server_start);
+            self.servers[server.index()].close_connection(server_start);
         }
     }
 
@@ -117,7 +118,7 @@
             sidecar
                 .connections
                 .remove_idle_since(before, |server, start| {
-                    servers[server as usize].close_connection(start);
+                    servers[server.index()].close_connection(start);
                 });
         }
     }
--- a/crates/testbed/src/simulator/sidecar/host.rs
+++ b/crates/testbed/src/simulator/sidecar/host.rs
@@ -5,6 +5,7 @@
 use arrowstand_balancer::{Action, Event as BalancerEvent, LoadReport, RequestId, ServerId};
 
 use crate::event_log::RequestOutcome;
+use crate::index::ServerIndex;
 use crate::scenario::{Micros, from_ms};
 use crate::simulator::event::{BalancerTimer, HealthCheckResult, SimulatorEvent};
 use crate::simulator::request::RequestKey;
@@ -53,7 +54,7 @@
                 timeout,
             } => {
                 if let Some(key) = self.open_request(number, request) {
-                    self.send_attempt(key, server.0, timeout, events);
+                    self.send_attempt(key, ServerIndex::new(server.0), timeout, events);
                 }
             }
             Action::Cancel { request, attempt } => {
@@ -80,7 +81,9 @@
                 self.respond_if_open(number, request, RequestOutcome::Failed, retry_after, events);
             }
             Action::SetTimer { token, after } => self.set_balancer_timer(number, token, after),
-            Action::HealthCheck { server } => self.send_health_check(number, server.0),
+            Action::HealthCheck { server } => {
+                self.send_health_check(number, ServerIndex::new(server.0))
+            }
             Action::PollEndpoints => self.poll_endpoints(number),
             Action::SendGossip { .. } | Action::Log { .. } => {}
         }
@@ -132,7 +135,7 @@
             queued: f64::from(load.queued),
         });
         let ended = BalancerEvent::HealthCheckEnded {
-            server: ServerId(result.server),
+            server: ServerId(result.server.value()),
             outcome: result.outcome,
             load_report,
         };
--- a/crates/testbed/src/simulator/sidecar/mod.rs
+++ b/crates/testbed/src/simulator/sidecar/mod.rs
@@ -183,7 +183,7 @@
         });
         let (connections, open) = self.sidecars[number as usize].on_killed();
         for (server, server_start) in connections.into_connections() {
-            self.servers[server as usize].close_connection(server_start);
+            self.servers[server.index()].close_connection(server_start);
         }
         for request in open.into_values() {
             self.lose_request(request);
--- a/crates/testbed/src/simulator/sidecar/requests.rs
+++ b/crates/testbed/src/simulator/sidecar/requests.rs
@@ -182,7 +182,7 @@
     AttemptEnd {
         request: RequestId(attempt.request_number),
         attempt: attempt.index,
-        server: ServerId(attempt.server),
+        server: ServerId(attempt.server.value()),
         outcome,
         finished,
         elapsed: now - attempt.sent_at,
--- a/crates/testbed/src/statistics/traffic.rs
+++ b/crates/testbed/src/statistics/traffic.rs
@@ -4,6 +4,7 @@
 use rustc_hash::FxHashMap;
 
 use crate::event_log::{LogEvent, RequestOutcome, ServerState};
+use crate::index::ServerIndex;
 use crate::report::ServerFigures;
 
 /// Counts of a run.
@@ -118,21 +119,21 @@
         }
     }
 
-    fn server(&mut self, number: u32) -> &mut ServerFigures {
-        let index = number as usize;
+    fn server(&mut self, server: ServerIndex) -> &mut ServerFigures {
+        let index = server.index();
         if self.servers.len() <= index {
             self.servers.resize_with(index + 1, ServerFigures::default);
         }
         &mut self.servers[index]
     }
 
-    fn on_attempt_started(&mut self, server: u32, cross_zone: bool) {
+    fn on_attempt_started(&mut self, server: ServerIndex, cross_zone: bool) {
         self.attempts += 1;
         self.cross_zone_attempts += u64::from(cross_zone);
         self.server(server).attempts += 1;
     }
 
-    fn on_work_done(&mut self, request: u64, server: u32, work: f64) {
+    fn on_work_done(&mut self, request: u64, server: ServerIndex, work: f64) {
         self.work_done += work;
         self.server(server).work_s += work / 1e6;
         self.work_by_request.insert(request, work);
@@ -144,7 +145,7 @@
         }
     }
 
-    fn on_gauge(&mut self, server: u32, in_flight: u32, connections: u32) {
+    fn on_gauge(&mut self, server: ServerIndex, in_flight: u32, connections: u32) {
         let server = self.server(server);
         server.gauges += 1;
         server.in_flight_sum += u64::from(in_flight);
--- a/crates/testbed/tests/auditor/cold_server.rs
+++ b/crates/testbed/tests/auditor/cold_server.rs
@@ -2,6 +2,7 @@
 
 use arrowstand_testbed::audit::Rule;
 use arrowstand_testbed::event_log::{ListedStatus, LogEvent, RequestOutcome, ServerState};
+use arrowstand_testbed::index::ServerIndex;
 
 use super::{Finding, S, audit, listed};
 
@@ -12,7 +13,7 @@
     let mut events = vec![(
         S,
         LogEvent::ServerStateChanged {
-            server: 0,
+            server: ServerIndex::new(0),
             zone: 0,
             state: ServerState::Cold,
         },
@@ -36,7 +37,7 @@
             at,
             LogEvent::AttemptReceived {
                 request: n,
-                server: 0,
+                server: ServerIndex::new(0),
                 work: 100_000.0,
                 capacity: 0.4,
                 cold,
--- a/crates/testbed/tests/auditor/main.rs
+++ b/crates/testbed/tests/auditor/main.rs
@@ -11,6 +11,7 @@
 use arrowstand_testbed::event_log::{
     EventLog, ListedStatus, LogEvent, LogRecord, RequestOutcome, ServerState,
 };
+use arrowstand_testbed::index::ServerIndex;
 use arrowstand_testbed::scenario::{Class, DeduplicationScope, Idempotency, Micros, Scenario};
 
 const MS: Micros = 1_000;
@@ -46,7 +47,7 @@
         auditor.record(&LogRecord {
             at: 0,
             event: LogEvent::ServerStateChanged {
-                server,
+                server: ServerIndex::new(server),
                 zone,
                 state: ServerState::Up,
             },
@@ -59,7 +60,7 @@
     assert_eq!(auditor.violation_count(), auditor.violations().len() as u64);
     auditor
         .violations()
-        .map(|v| (v.rule, v.request, v.server, v.at))
+        .map(|v| (v.rule, v.request, v.server.map(ServerIndex::value), v.at))
         .collect()
 }
 
@@ -81,7 +82,7 @@
         at,
         LogEvent::AttemptReceived {
             request,
-            server,
+            server: ServerIndex::new(server),
             work: 10_000.0,
             capacity: 2.0,
             cold: false,
@@ -94,6 +95,7 @@
 }
 
 fn rejected(at: Micros, request: u64, server: u32) -> (Micros, LogEvent) {
+    let server = ServerIndex::new(server);
     (at, LogEvent::AttemptRejected { request, server })
 }
 
@@ -103,7 +105,7 @@
         LogEvent::AttemptStarted {
             request: 1,
             sidecar,
-            server: 0,
+            server: ServerIndex::new(0),
             cross_zone: false,
         },
     )
@@ -114,7 +116,7 @@
         at,
         LogEvent::EndpointListed {
             sidecar: 0,
-            server: 0,
+            server: ServerIndex::new(0),
             status,
             incarnation,
         },
--- a/crates/testbed/tests/simulator/main.rs
+++ b/crates/testbed/tests/simulator/main.rs
@@ -89,7 +89,7 @@
     assert!(has_response(&log, RequestOutcome::Failed));
     // Nothing ran there while it was away.
     let ran = |record: &&LogRecord| {
-        matches!(record.event, LogEvent::WorkDone { server: 0, .. })
+        matches!(record.event, LogEvent::WorkDone { server, .. } if server.index() == 0)
             && (3_000_000..7_000_000).contains(&record.at)
     };
     assert_eq!(log.iter().filter(ran).count(), 0);
