--- a/crates/testbed/src/audit/endpoint_view.rs
+++ b/crates/testbed/src/audit/endpoint_view.rs
@@ -3,7 +3,7 @@
 use rustc_hash::FxHashMap;
 
 use crate::event_log::ProcessState;
-use crate::index::ServerIndex;
+use crate::index::{ServerIndex, SidecarIndex};
 use crate::scenario::Micros;
 
 /// A server as one sidecar knows it.
@@ -18,29 +18,37 @@
 /// All views, by sidecar and server.
 #[derive(Default)]
 pub(super) struct EndpointViews {
-    by_sidecar: FxHashMap<u32, FxHashMap<ServerIndex, EndpointView>>,
+    by_sidecar: FxHashMap<SidecarIndex, FxHashMap<ServerIndex, EndpointView>>,
 }
 
 impl EndpointViews {
-    fn get(&self, sidecar: u32, server: ServerIndex) -> Option<&EndpointView> {
+    fn get(&self, sidecar: SidecarIndex, server: ServerIndex) -> Option<&EndpointView> {
         self.by_sidecar.get(&sidecar)?.get(&server)
     }
 
     /// When the sidecar was notified that the server drains or is gone.
-    pub(super) fn unavailable_since(&self, sidecar: u32, server: ServerIndex) -> Option<Micros> {
+    pub(super) fn unavailable_since(
+        &self,
+        sidecar: SidecarIndex,
+        server: ServerIndex,
+    ) -> Option<Micros> {
         self.get(sidecar, server)?.unavailable_since
     }
 
     /// The latest start of the server that the sidecar was notified of; nothing if it does not know
     /// the server.
-    pub(super) fn notified_start(&self, sidecar: u32, server: ServerIndex) -> Option<Micros> {
+    pub(super) fn notified_start(
+        &self,
+        sidecar: SidecarIndex,
+        server: ServerIndex,
+    ) -> Option<Micros> {
         Some(self.get(sidecar, server)?.started_at)
     }
 
     pub(super) fn on_notified(
         &mut self,
         at: Micros,
-        sidecar: u32,
+        sidecar: SidecarIndex,
         server: ServerIndex,
         ready: bool,
         started_at: Micros,
@@ -57,7 +65,7 @@
 
     /// A sidecar that starts or has ended knows nothing; one that is shutting down keeps what it
     /// knows.
-    pub(super) fn on_sidecar_state(&mut self, sidecar: u32, state: ProcessState) {
+    pub(super) fn on_sidecar_state(&mut self, sidecar: SidecarIndex, state: ProcessState) {
         if state != ProcessState::ShuttingDown {
             self.by_sidecar.remove(&sidecar);
         }
--- a/crates/testbed/src/audit/mod.rs
+++ b/crates/testbed/src/audit/mod.rs
@@ -14,7 +14,7 @@
 mod violation;
 
 use crate::event_log::RequestOutcome;
-use crate::index::ServerIndex;
+use crate::index::{ServerIndex, SidecarIndex};
 use crate::scenario::{Class, Micros, Scenario, from_ms};
 
 use cold_server::{ColdServers, ReceivedWork};
@@ -97,7 +97,13 @@
         self.requests.insert(request, accepted, response_limit);
     }
 
-    fn on_attempt_started(&mut self, at: Micros, request: u64, sidecar: u32, server: ServerIndex) {
+    fn on_attempt_started(
+        &mut self,
+        at: Micros,
+        request: u64,
+        sidecar: SidecarIndex,
+        server: ServerIndex,
+    ) {
         let notified_at = self.endpoint_views.unavailable_since(sidecar, server);
         if let Some(why) = self.drain.violation(at, notified_at) {
             let rule = Rule::NoAttemptAfterDrain;
--- a/crates/testbed/src/audit/requests.rs
+++ b/crates/testbed/src/audit/requests.rs
@@ -6,7 +6,7 @@
 use rustc_hash::FxHashMap;
 
 use crate::event_log::{ProcessState, RequestOutcome};
-use crate::index::ServerIndex;
+use crate::index::{ServerIndex, SidecarIndex};
 use crate::scenario::Micros;
 
 /// How long a request is remembered beyond its deadline, to catch what comes after it.
@@ -21,7 +21,7 @@
 
 /// A request that a sidecar accepted.
 pub(super) struct AcceptedRequest {
-    sidecar: u32,
+    sidecar: SidecarIndex,
     class: u16,
     accepted_at: Micros,
     due: Micros,
@@ -31,7 +31,7 @@
 }
 
 impl AcceptedRequest {
-    pub(super) fn new(accepted_at: Micros, sidecar: u32, class: u16, due: Micros) -> Self {
+    pub(super) fn new(accepted_at: Micros, sidecar: SidecarIndex, class: u16, due: Micros) -> Self {
         Self {
             sidecar,
             class,
@@ -43,7 +43,7 @@
         }
     }
 
-    pub(super) fn sidecar(&self) -> u32 {
+    pub(super) fn sidecar(&self) -> SidecarIndex {
         self.sidecar
     }
 
@@ -87,7 +87,7 @@
     /// When a request may be forgotten, in the order of acceptance.
     forget_at: VecDeque<(Micros, u64)>,
     /// When a sidecar was last killed.
-    killed_at: FxHashMap<u32, Micros>,
+    killed_at: FxHashMap<SidecarIndex, Micros>,
 }
 
 impl Requests {
@@ -159,7 +159,12 @@
         }
     }
 
-    pub(super) fn on_sidecar_state(&mut self, at: Micros, sidecar: u32, state: ProcessState) {
+    pub(super) fn on_sidecar_state(
+        &mut self,
+        at: Micros,
+        sidecar: SidecarIndex,
+        state: ProcessState,
+    ) {
         if state == ProcessState::Killed {
             self.killed_at.insert(sidecar, at);
         }
--- a/crates/testbed/src/emulator/client/arrival.rs
+++ b/crates/testbed/src/emulator/client/arrival.rs
@@ -58,7 +58,7 @@
         index: usize,
     ) -> (RequestOutcome, u32) {
         let scenario = &self.shared.scenario;
-        let stream = STREAM_OFFSET + ((self.sidecar as usize) << STREAM_BITS) + index;
+        let stream = STREAM_OFFSET + ((self.sidecar.index()) << STREAM_BITS) + index;
         let mut random = RandomStream::new(scenario.seed, StreamId::Clients, stream);
         let time_limit = from_ms(scenario.class[usize::from(arrival.class)].deadline_ms);
         let deadline = arrival.at + time_limit;
--- a/crates/testbed/src/emulator/client/mod.rs
+++ b/crates/testbed/src/emulator/client/mod.rs
@@ -19,6 +19,7 @@
 use super::lock::lock;
 use super::shared::Shared;
 use super::sidecars::Sidecars;
+use crate::index::SidecarIndex;
 use crate::workload::{ArrivalStream, TenantQuota, quotas, traffic_shares};
 
 use exchange::IdleConnections;
@@ -49,7 +50,7 @@
     shared: Arc<Shared>,
     sidecars: Arc<Sidecars>,
     load: Arc<Load>,
-    sidecar: u32,
+    sidecar: SidecarIndex,
     address: SocketAddr,
     idle: IdleConnections,
 }
@@ -83,16 +84,17 @@
         open_arrivals: AtomicUsize::new(0),
     });
     let mut all = JoinSet::new();
-    for (number, traffic_share) in traffic_shares(scenario).into_iter().enumerate() {
+    for (position, traffic_share) in traffic_shares(scenario).into_iter().enumerate() {
+        let sidecar = SidecarIndex::from_position(position);
         let clients = Arc::new(Clients {
             shared: Arc::clone(&emulation.shared),
             sidecars: Arc::clone(&emulation.sidecars),
             load: Arc::clone(&load),
-            sidecar: number as u32,
-            address: emulation.sidecars.address(number),
+            sidecar,
+            address: emulation.sidecars.address(sidecar),
             idle: IdleConnections::default(),
         });
-        all.spawn(clients.play(ArrivalStream::new(scenario, number, traffic_share)));
+        all.spawn(clients.play(ArrivalStream::new(scenario, sidecar, traffic_share)));
     }
     while all.join_next().await.is_some() {}
 }
--- a/crates/testbed/src/emulator/counter_check/tests.rs
+++ b/crates/testbed/src/emulator/counter_check/tests.rs
@@ -7,7 +7,7 @@
 use crate::emulator::shared::Shared;
 use crate::emulator::sidecars::{Counters, FleetCounters};
 use crate::event_log::{LogEvent, LogRecord, RequestOutcome};
-use crate::index::ServerIndex;
+use crate::index::{ServerIndex, SidecarIndex};
 use crate::scenario::Scenario;
 
 /// What agrees with [`records`]: one request of each end, one of them over capacity, and four
@@ -21,7 +21,7 @@
     let accepted = (1..=5).map(|request| LogEvent::RequestAccepted {
         request,
         arrival: request,
-        sidecar: 0,
+        sidecar: SidecarIndex::new(0),
         class: 0,
         due: 1_000,
     });
@@ -36,12 +36,12 @@
         responses.map(|(request, outcome)| LogEvent::ResponseReceived { request, outcome });
     let attempts = (1..=4).map(|request| LogEvent::AttemptStarted {
         request,
-        sidecar: 0,
+        sidecar: SidecarIndex::new(0),
         server: ServerIndex::new(0),
         cross_zone: false,
     });
     let health_check = LogEvent::HealthChecked {
-        sidecar: 0,
+        sidecar: SidecarIndex::new(0),
         server: ServerIndex::new(0),
     };
     accepted
--- a/crates/testbed/src/emulator/discovery/connection.rs
+++ b/crates/testbed/src/emulator/discovery/connection.rs
@@ -9,6 +9,7 @@
 use super::{Discovery, Mode};
 use crate::emulator::http::{HttpConnection, response};
 use crate::event_log::LogEvent;
+use crate::index::SidecarIndex;
 
 /// An empty line comes this often on a watch while nothing changes.
 const HEARTBEAT: Duration = Duration::from_secs(2);
@@ -27,7 +28,7 @@
 
 impl Discovery {
     /// Serves a connection until it ends, or the service goes down.
-    pub(super) async fn serve(self: Arc<Self>, stream: TcpStream, sidecar: u32) {
+    pub(super) async fn serve(self: Arc<Self>, stream: TcpStream, sidecar: SidecarIndex) {
         let mut mode = self.mode.subscribe();
         let mut connection = HttpConnection::new(stream);
         let down = *self.mode.borrow() == Mode::Down;
@@ -61,7 +62,11 @@
         }
     }
 
-    async fn serve_request(&self, connection: &mut HttpConnection, sidecar: u32) -> io::Result<()> {
+    async fn serve_request(
+        &self,
+        connection: &mut HttpConnection,
+        sidecar: SidecarIndex,
+    ) -> io::Result<()> {
         let request = connection.read_request().await?;
         self.shared.record(LogEvent::DiscoveryPolled { sidecar });
         self.while_silent().await;
@@ -82,7 +87,7 @@
     async fn send_whole_list(
         &self,
         connection: &mut HttpConnection,
-        sidecar: u32,
+        sidecar: SidecarIndex,
     ) -> io::Result<()> {
         let (list, notifications) = self.whole_list(sidecar);
         let text = response("200 OK", "", &format!("{list}\n"));
@@ -95,7 +100,7 @@
     async fn watch(
         &self,
         connection: &mut HttpConnection,
-        sidecar: u32,
+        sidecar: SidecarIndex,
         since: u64,
     ) -> io::Result<()> {
         let mut versions = self.version.subscribe();
--- a/crates/testbed/src/emulator/discovery/endpoint_list.rs
+++ b/crates/testbed/src/emulator/discovery/endpoint_list.rs
@@ -9,7 +9,7 @@
 
 use crate::emulator::emulated_server::EmulatedServer;
 use crate::event_log::ListedStatus;
-use crate::index::ServerIndex;
+use crate::index::{ServerIndex, SidecarIndex};
 use crate::scenario::Micros;
 
 const FIRST_VERSION: u64 = 1;
@@ -102,7 +102,7 @@
 pub(super) fn target(
     number: ServerIndex,
     server: &EmulatedServer,
-    sidecar: u32,
+    sidecar: SidecarIndex,
     zone: Option<&String>,
     status: ListedStatus,
     boot_ms: f64,
--- a/crates/testbed/src/emulator/discovery/mod.rs
+++ b/crates/testbed/src/emulator/discovery/mod.rs
@@ -19,7 +19,7 @@
 use super::ports::free_address;
 use super::shared::Shared;
 use crate::event_log::{ListedStatus, LogEvent};
-use crate::index::ServerIndex;
+use crate::index::{ServerIndex, SidecarIndex};
 use crate::random::{RandomStream, StreamId};
 use crate::scenario::{Micros, from_ms};
 
@@ -90,22 +90,22 @@
             random: Mutex::new(RandomStream::new(seed, StreamId::Discovery, 0)),
             mode: watch::channel(Mode::Up).0,
         });
-        for (sidecar, listener) in listeners.into_iter().enumerate() {
-            let accepting = Arc::clone(&discovery).accept(listener, sidecar as u32);
+        for (sidecar, listener) in SidecarIndex::all(listeners.len()).zip(listeners) {
+            let accepting = Arc::clone(&discovery).accept(listener, sidecar);
             tokio::spawn(accepting);
         }
         Ok(discovery)
     }
 
-    async fn accept(self: Arc<Self>, listener: TcpListener, sidecar: u32) {
+    async fn accept(self: Arc<Self>, listener: TcpListener, sidecar: SidecarIndex) {
         while let Ok((stream, _)) = listener.accept().await {
             tokio::spawn(Arc::clone(&self).serve(stream, sidecar));
         }
     }
 
     /// The service's address for a sidecar.
-    pub(super) fn address(&self, sidecar: usize) -> SocketAddr {
-        self.addresses[sidecar]
+    pub(super) fn address(&self, sidecar: SidecarIndex) -> SocketAddr {
+        self.addresses[sidecar.index()]
     }
 
     pub(super) fn set_mode(&self, mode: Mode) {
@@ -128,13 +128,17 @@
     }
 
     /// The whole list as a sidecar gets it, and what it is notified of by it.
-    pub(super) fn whole_list(&self, sidecar: u32) -> (Value, Vec<Notification>) {
+    pub(super) fn whole_list(&self, sidecar: SidecarIndex) -> (Value, Vec<Notification>) {
         let (list, _, notifications) = self.list_since(sidecar, None);
         (list, notifications)
     }
 
     /// What has changed since a version, or the whole list, with its version.
-    fn list_since(&self, sidecar: u32, since: Option<u64>) -> (Value, u64, Vec<Notification>) {
+    fn list_since(
+        &self,
+        sidecar: SidecarIndex,
+        since: Option<u64>,
+    ) -> (Value, u64, Vec<Notification>) {
         let list = lock(&self.list);
         let mut targets = Vec::new();
         let mut notifications = Vec::new();
@@ -152,7 +156,7 @@
 
     fn target(
         &self,
-        sidecar: u32,
+        sidecar: SidecarIndex,
         number: ServerIndex,
         server: &EmulatedServer,
         entry: &ListEntry,
@@ -169,7 +173,11 @@
     }
 
     /// Records what a sidecar was notified of.
-    pub(super) fn record_notifications(&self, sidecar: u32, notifications: &[Notification]) {
+    pub(super) fn record_notifications(
+        &self,
+        sidecar: SidecarIndex,
+        notifications: &[Notification],
+    ) {
         for &(server, status, incarnation) in notifications {
             self.shared.record(LogEvent::EndpointListed {
                 sidecar,
--- a/crates/testbed/src/emulator/emulated_server/connection.rs
+++ b/crates/testbed/src/emulator/emulated_server/connection.rs
@@ -10,7 +10,7 @@
 use crate::emulator::http::HttpConnection;
 use crate::emulator::lock::lock;
 use crate::event_log::LogEvent;
-use crate::index::ServerIndex;
+use crate::index::{ServerIndex, SidecarIndex};
 use crate::scenario::Micros;
 
 /// Target of the health checks.
@@ -29,7 +29,7 @@
     /// Number of the server that receives it.
     pub(super) server: ServerIndex,
     /// The sidecar that sends it.
-    pub(super) sidecar: u32,
+    pub(super) sidecar: SidecarIndex,
     /// Whether the sidecar is in the server's zone.
     pub(super) same_zone: bool,
     /// When its first byte came.
@@ -42,7 +42,7 @@
 
 impl EmulatedServer {
     /// Serves a connection until it ends, or is reset with the process.
-    pub(super) async fn serve(self: Arc<Self>, stream: TcpStream, sidecar: u32) {
+    pub(super) async fn serve(self: Arc<Self>, stream: TcpStream, sidecar: SidecarIndex) {
         let mut network = self.network.subscribe();
         let epoch = network.borrow().epoch;
         let fits = lock(&self.process).connect();
@@ -76,9 +76,9 @@
     async fn serve_requests(
         &self,
         connection: &mut HttpConnection,
-        sidecar: u32,
+        sidecar: SidecarIndex,
     ) -> io::Result<()> {
-        let same_zone = self.shared.scenario.spread_zone(sidecar as usize) == self.zone;
+        let same_zone = self.shared.scenario.sidecar_zone(sidecar) == self.zone;
         let mut new_connection = true;
         while connection.has_next().await? {
             let first_byte_at = self.shared.clock.now();
--- a/crates/testbed/src/emulator/emulated_server/listeners.rs
+++ b/crates/testbed/src/emulator/emulated_server/listeners.rs
@@ -10,6 +10,7 @@
 use super::EmulatedServer;
 use crate::emulator::error::EmulatorError;
 use crate::emulator::lock::lock;
+use crate::index::SidecarIndex;
 
 /// How often, and how long at most, the end of the listeners' tasks is waited for.
 const CLOSE_POLL: Duration = Duration::from_millis(1);
@@ -51,14 +52,14 @@
     /// Listens on all addresses and serves what connects.
     pub(super) async fn listen(self: &Arc<Self>) -> Result<(), EmulatorError> {
         let mut tasks = Vec::new();
-        for (sidecar, &address) in self.addresses.iter().enumerate() {
+        for (sidecar, &address) in SidecarIndex::all(self.addresses.len()).zip(&self.addresses) {
             let listener = TcpListener::bind(address)
                 .await
                 .map_err(|source| EmulatorError::Listen { address, source })?;
             let server = Arc::clone(self);
             let task = tokio::spawn(async move {
                 while let Ok((stream, _)) = listener.accept().await {
-                    tokio::spawn(Arc::clone(&server).serve(stream, sidecar as u32));
+                    tokio::spawn(Arc::clone(&server).serve(stream, sidecar));
                 }
             });
             tasks.push(task.abort_handle());
--- a/crates/testbed/src/emulator/emulated_server/mod.rs
+++ b/crates/testbed/src/emulator/emulated_server/mod.rs
@@ -23,7 +23,7 @@
 use super::ports::free_address;
 use super::shared::Shared;
 use crate::event_log::{LogEvent, ServerState};
-use crate::index::ServerIndex;
+use crate::index::{ServerIndex, SidecarIndex};
 use crate::random::{RandomStream, StreamId};
 use crate::scenario::{MachineType, Micros, Servers};
 use crate::server_model::ServerModel;
@@ -121,8 +121,8 @@
     }
 
     /// Its address for a sidecar.
-    pub(super) fn address(&self, sidecar: u32) -> Option<SocketAddr> {
-        self.addresses.get(sidecar as usize).copied()
+    pub(super) fn address(&self, sidecar: SidecarIndex) -> Option<SocketAddr> {
+        self.addresses.get(sidecar.index()).copied()
     }
 
     /// When it last started; 0 for before the run.
--- a/crates/testbed/src/emulator/fault_schedule.rs
+++ b/crates/testbed/src/emulator/fault_schedule.rs
@@ -13,7 +13,7 @@
 use super::emulated_server::{EmulatedServer, NetworkMode, ResponseFault};
 use super::shared::Shared;
 use crate::event_log::{ListedStatus, ServerState};
-use crate::index::ServerIndex;
+use crate::index::{ServerIndex, SidecarIndex};
 use crate::scenario::{Fault, FaultKind, Micros, from_ms, from_s};
 use crate::simulator::faults::{rolling_restart, targets};
 
@@ -52,7 +52,7 @@
     let restarts = if fault.kind == FaultKind::RollingRestart {
         rolling_restart(scenario, index)
     } else {
-        let all = 0..scenario.sidecars.count as u32;
+        let all = SidecarIndex::all(scenario.sidecars.count);
         all.map(|sidecar| (sidecar, 0)).collect()
     };
     let (at, down, kill) = (from_s(fault.at_s), from_s(fault.down_s), fault.kill);
@@ -61,7 +61,7 @@
         let clock = emulation.shared.clock;
         tasks.spawn(async move {
             clock.sleep_until(at + delay).await;
-            sidecars.restart(sidecar as usize, down, kill).await;
+            sidecars.restart(sidecar, down, kill).await;
         });
     }
 }
--- a/crates/testbed/src/emulator/sidecars/mod.rs
+++ b/crates/testbed/src/emulator/sidecars/mod.rs
@@ -23,6 +23,7 @@
 use super::ports::free_address;
 use super::shared::Shared;
 use crate::event_log::{LogEvent, ProcessState};
+use crate::index::SidecarIndex;
 use crate::random::{RandomStream, StreamId};
 
 use process::Sidecar;
@@ -81,11 +82,11 @@
     ) -> Result<Arc<Self>, EmulatorError> {
         let folder = create_folder(options)?;
         let scenario = &shared.scenario;
-        let sidecar = |number| {
-            let seeds = RandomStream::new(scenario.seed, StreamId::Seeds, number);
-            Ok(Sidecar::new(number, free_address()?, seeds))
+        let sidecar = |index: SidecarIndex| {
+            let seeds = RandomStream::new(scenario.seed, StreamId::Seeds, index.index());
+            Ok(Sidecar::new(index, free_address()?, seeds))
         };
-        let sidecars = (0..scenario.sidecars.count)
+        let sidecars = SidecarIndex::all(scenario.sidecars.count)
             .map(sidecar)
             .collect::<Result<_, EmulatorError>>()?;
         // Written once: guards against a sidecar that reads it, as it starts, while it is written
@@ -103,31 +104,35 @@
     }
 
     /// Where a sidecar listens for clients.
-    pub(super) fn address(&self, number: usize) -> SocketAddr {
-        self.sidecars[number].address
+    pub(super) fn address(&self, index: SidecarIndex) -> SocketAddr {
+        self.sidecars[index.index()].address
     }
 
     /// A number that rises as a sidecar's process begins to end.
-    pub(super) fn incarnation(&self, number: u32) -> u32 {
-        self.sidecars[number as usize].incarnation()
+    pub(super) fn incarnation(&self, index: SidecarIndex) -> u32 {
+        self.sidecars[index.index()].incarnation()
     }
 
     /// Waits until a sidecar that is being killed is recorded as gone: what it closed was lost by
     /// the kill.
-    pub(super) async fn wait_until_killed(&self, number: u32) {
-        self.sidecars[number as usize].wait_until_killed().await;
+    pub(super) async fn wait_until_killed(&self, index: SidecarIndex) {
+        self.sidecars[index.index()].wait_until_killed().await;
     }
 
-    fn record_state(&self, number: usize, state: ProcessState) {
+    fn record_state(&self, index: SidecarIndex, state: ProcessState) {
         self.shared.record(LogEvent::SidecarStateChanged {
-            sidecar: number as u32,
+            sidecar: index,
             state,
         });
     }
 
+    fn enumerate(&self) -> impl Iterator<Item = (SidecarIndex, &Sidecar)> {
+        SidecarIndex::all(self.sidecars.len()).zip(&self.sidecars)
+    }
+
     /// The log of a sidecar's present process.
-    fn log(&self, number: usize) -> PathBuf {
-        let sidecar = &self.sidecars[number];
+    fn log(&self, index: SidecarIndex) -> PathBuf {
+        let sidecar = &self.sidecars[index.index()];
         let (name, incarnation) = (&sidecar.name, sidecar.incarnation());
         self.folder.join(format!("{name}-{incarnation}.log"))
     }
@@ -138,8 +143,8 @@
         for sidecar in &self.sidecars {
             sidecar.signal(Signal::SIGTERM);
         }
-        for (number, sidecar) in self.sidecars.iter().enumerate() {
-            let log = self.log(number);
+        for (index, sidecar) in self.enumerate() {
+            let log = self.log(index);
             sidecar.wait(SHUTDOWN_LIMIT).await;
             let printed = sidecar.add_counters_of(&read_log(&log));
             fleet.missing += u32::from(!printed);
--- a/crates/testbed/src/emulator/sidecars/process.rs
+++ b/crates/testbed/src/emulator/sidecars/process.rs
@@ -13,6 +13,7 @@
 
 use super::counters::Counters;
 use crate::emulator::lock::lock;
+use crate::index::SidecarIndex;
 use crate::random::RandomStream;
 
 /// How often the end of a kill is waited for.
@@ -34,9 +35,9 @@
 }
 
 impl Sidecar {
-    pub(super) fn new(number: usize, address: SocketAddr, seeds: RandomStream) -> Self {
+    pub(super) fn new(index: SidecarIndex, address: SocketAddr, seeds: RandomStream) -> Self {
         Self {
-            name: format!("n{number}"),
+            name: index.to_string(),
             address,
             incarnation: AtomicU32::new(0),
             child: Mutex::new(None),
--- a/crates/testbed/src/emulator/sidecars/restart.rs
+++ b/crates/testbed/src/emulator/sidecars/restart.rs
@@ -8,6 +8,7 @@
 use super::start::READY_LIMIT;
 use super::{Sidecars, read_log};
 use crate::event_log::ProcessState;
+use crate::index::SidecarIndex;
 use crate::scenario::{Micros, from_ms};
 
 /// A sidecar that shuts down is given the longest deadline, this at least, and what follows.
@@ -16,40 +17,40 @@
 
 impl Sidecars {
     /// Restarts a sidecar so that it is back after `down`, or later where its end takes longer.
-    pub(in crate::emulator) async fn restart(&self, number: usize, down: Micros, kill: bool) {
+    pub(in crate::emulator) async fn restart(&self, index: SidecarIndex, down: Micros, kill: bool) {
         let back_at = Instant::now() + Duration::from_micros(down);
         if kill {
-            self.kill(number).await;
+            self.kill(index).await;
         } else {
-            self.shut_down(number).await;
+            self.shut_down(index).await;
         }
         tokio::time::sleep_until(back_at).await;
-        if let Err(error) = self.start(number) {
-            let name = &self.sidecars[number].name;
+        if let Err(error) = self.start(index) {
+            let name = &self.sidecars[index.index()].name;
             tracing::error!("{name} did not start again: {error}");
         }
     }
 
-    async fn kill(&self, number: usize) {
-        let sidecar = &self.sidecars[number];
+    async fn kill(&self, index: SidecarIndex) {
+        let sidecar = &self.sidecars[index.index()];
         sidecar.count_kill();
-        self.record_state(number, ProcessState::Killed);
+        self.record_state(index, ProcessState::Killed);
         sidecar.on_kill_started();
         sidecar.signal(Signal::SIGKILL);
         sidecar.wait(READY_LIMIT).await;
         // What came between the signal and its effect was lost by the same kill.
-        self.record_state(number, ProcessState::Killed);
+        self.record_state(index, ProcessState::Killed);
         sidecar.on_kill_ended();
     }
 
-    async fn shut_down(&self, number: usize) {
-        let sidecar = &self.sidecars[number];
-        self.record_state(number, ProcessState::ShuttingDown);
-        let log = self.log(number);
+    async fn shut_down(&self, index: SidecarIndex) {
+        let sidecar = &self.sidecars[index.index()];
+        self.record_state(index, ProcessState::ShuttingDown);
+        let log = self.log(index);
         sidecar.signal(Signal::SIGTERM);
         sidecar.wait(self.shutdown_limit()).await;
         sidecar.on_ended();
-        self.record_state(number, ProcessState::Exited);
+        self.record_state(index, ProcessState::Exited);
         sidecar.add_counters_of(&read_log(&log));
     }
 
--- a/crates/testbed/src/emulator/sidecars/settings.rs
+++ b/crates/testbed/src/emulator/sidecars/settings.rs
@@ -7,6 +7,7 @@
 
 use serde_json::{Value, json};
 
+use crate::index::SidecarIndex;
 use crate::scenario::{Class, DeduplicationScope, Idempotency, LoadReportSource, Scenario};
 
 /// Cores of a sidecar's container.
@@ -14,7 +15,7 @@
 
 /// What one sidecar's configuration says beside its settings.
 pub(super) struct Identity<'a> {
-    pub(super) number: usize,
+    pub(super) index: SidecarIndex,
     pub(super) address: SocketAddr,
     pub(super) discovery: SocketAddr,
     pub(super) seed: u64,
@@ -26,7 +27,7 @@
 pub(super) fn configuration(scenario: &Scenario, identity: &Identity<'_>) -> Value {
     let container = &scenario.sidecars;
     json!({
-        "name": format!("n{}", identity.number),
+        "name": identity.index.to_string(),
         "listen": identity.address.to_string(),
         "discovery": identity.discovery.to_string(),
         "seed": format!("{:016x}", identity.seed),
@@ -36,7 +37,7 @@
             "sockets": container.sockets,
         },
         "known": identity.cached_endpoints,
-        "settings": settings(scenario, identity.number),
+        "settings": settings(scenario, identity.index),
     })
 }
 
@@ -53,7 +54,7 @@
 }
 
 /// A sidecar's settings; those of the simulator's sidecars say the same to the decision module.
-fn settings(scenario: &Scenario, number: usize) -> Value {
+fn settings(scenario: &Scenario, sidecar: SidecarIndex) -> Value {
     let classes: Vec<Value> = scenario.class.iter().map(class).collect();
     let weight = if scenario.load.weight_by_work {
         "work"
@@ -61,10 +62,10 @@
         "request"
     };
     json!({
-        "az": scenario.network.zones.get(scenario.spread_zone(number) as usize),
+        "az": scenario.network.zones.get(scenario.sidecar_zone(sidecar) as usize),
         "zones": scenario.network.zones,
         "balancers": scenario.sidecars.count,
-        "my-number": number,
+        "my-number": sidecar,
         "membership-mode": "on_request",
         "worth-by": weight,
         "step-ms": 5.0,
--- a/crates/testbed/src/emulator/sidecars/settings/tests.rs
+++ b/crates/testbed/src/emulator/sidecars/settings/tests.rs
@@ -3,6 +3,7 @@
 use serde_json::json;
 
 use super::{Identity, configuration, machine_types, settings};
+use crate::index::SidecarIndex;
 use crate::scenario::{Scenario, ScenarioFile};
 
 fn scenario(name: &str) -> Scenario {
@@ -14,9 +15,12 @@
 #[test]
 fn settings_and_machine_types_of_shipped_scenarios_are_as_recorded() {
     let recorded = include_str!("../../../../tests/data/records/settings-calm.json");
-    assert_eq!(settings(&scenario("calm"), 1).to_string(), recorded.trim());
+    assert_eq!(
+        settings(&scenario("calm"), SidecarIndex::new(1)).to_string(),
+        recorded.trim()
+    );
     let recorded = include_str!("../../../../tests/data/records/settings-consulta-burst.json");
-    let written = settings(&scenario("consulta-burst"), 1).to_string();
+    let written = settings(&scenario("consulta-burst"), SidecarIndex::new(1)).to_string();
     assert_eq!(written, recorded.trim());
     let recorded = include_str!("../../../../tests/data/records/machines-mass-zone.json");
     let written = machine_types(&scenario("mass-zone")).to_string();
@@ -34,7 +38,7 @@
     let scenario = scenario("calm");
     let known = json!({"rev": 1});
     let identity = Identity {
-        number: 3,
+        index: SidecarIndex::new(3),
         address: ([127, 0, 0, 1], 12_001).into(),
         discovery: ([127, 0, 0, 1], 12_002).into(),
         seed: 0xab,
@@ -52,7 +56,7 @@
             "sockets": scenario.sidecars.sockets,
         },
         "known": {"rev": 1},
-        "settings": settings(&scenario, 3),
+        "settings": settings(&scenario, SidecarIndex::new(3)),
     });
     assert_eq!(written, expected);
 }
--- a/crates/testbed/src/emulator/sidecars/start.rs
+++ b/crates/testbed/src/emulator/sidecars/start.rs
@@ -15,6 +15,7 @@
 use crate::emulator::error::EmulatorError;
 use crate::emulator::http::{HttpConnection, Message};
 use crate::event_log::ProcessState;
+use crate::index::SidecarIndex;
 
 /// How long a sidecar may take until it is ready.
 pub(super) const READY_LIMIT: Duration = Duration::from_secs(20);
@@ -30,18 +31,18 @@
     /// # Errors
     /// Where one cannot be started, ends, or does not become ready in time.
     pub(in crate::emulator) async fn start_all(&self) -> Result<(), EmulatorError> {
-        for number in 0..self.sidecars.len() {
-            self.start(number)?;
+        for index in SidecarIndex::all(self.sidecars.len()) {
+            self.start(index)?;
         }
-        for (number, sidecar) in self.sidecars.iter().enumerate() {
-            let ready = self.ready(number, sidecar);
+        for (index, sidecar) in self.enumerate() {
+            let ready = self.ready(index, sidecar);
             match tokio::time::timeout(READY_LIMIT, ready).await {
                 Ok(ready) => ready?,
                 Err(_) => {
                     return Err(EmulatorError::NotReady {
                         sidecar: sidecar.name.clone(),
                         limit: READY_LIMIT,
-                        log: self.log(number),
+                        log: self.log(index),
                     });
                 }
             }
@@ -50,14 +51,14 @@
     }
 
     /// Waits until a sidecar is ready or has ended.
-    async fn ready(&self, number: usize, sidecar: &Sidecar) -> Result<(), EmulatorError> {
+    async fn ready(&self, index: SidecarIndex, sidecar: &Sidecar) -> Result<(), EmulatorError> {
         loop {
             let response = get(sidecar.address, READY_TARGET).await;
             if response.is_ok_and(|response| response.status == READY_STATUS) {
                 return Ok(());
             }
             if let Some(status) = sidecar.exit_status() {
-                let log = read_log(&self.log(number));
+                let log = read_log(&self.log(index));
                 let last_line = log.lines().last().unwrap_or("nothing in its log");
                 return Err(EmulatorError::EndedAtStart {
                     sidecar: sidecar.name.clone(),
@@ -70,11 +71,11 @@
     }
 
     /// Starts a sidecar's next process.
-    pub(super) fn start(&self, number: usize) -> Result<(), EmulatorError> {
-        self.record_state(number, ProcessState::Up);
-        let sidecar = &self.sidecars[number];
-        let configuration = self.write_configuration(number)?;
-        let log = File::create(self.log(number)).map_err(|source| EmulatorError::CreateLog {
+    pub(super) fn start(&self, index: SidecarIndex) -> Result<(), EmulatorError> {
+        self.record_state(index, ProcessState::Up);
+        let sidecar = &self.sidecars[index.index()];
+        let configuration = self.write_configuration(index)?;
+        let log = File::create(self.log(index)).map_err(|source| EmulatorError::CreateLog {
             sidecar: sidecar.name.clone(),
             source,
         })?;
@@ -99,15 +100,14 @@
 
     /// Writes a sidecar's configuration with the present endpoint list, and records what it says of
     /// the servers.
-    fn write_configuration(&self, number: usize) -> Result<PathBuf, EmulatorError> {
-        let sidecar = &self.sidecars[number];
-        let (endpoints, notifications) = self.discovery.whole_list(number as u32);
-        self.discovery
-            .record_notifications(number as u32, &notifications);
+    fn write_configuration(&self, index: SidecarIndex) -> Result<PathBuf, EmulatorError> {
+        let sidecar = &self.sidecars[index.index()];
+        let (endpoints, notifications) = self.discovery.whole_list(index);
+        self.discovery.record_notifications(index, &notifications);
         let identity = Identity {
-            number,
+            index,
             address: sidecar.address,
-            discovery: self.discovery.address(number),
+            discovery: self.discovery.address(index),
             seed: sidecar.next_seed(),
             cached_endpoints: &endpoints,
         };
@@ -121,14 +121,16 @@
     /// Where a configuration cannot be written.
     pub(in crate::emulator) fn commands(&self) -> Result<String, EmulatorError> {
         let program = self.program.display();
-        let command = |number| {
-            let configuration = self.write_configuration(number)?;
+        let command = |index| {
+            let configuration = self.write_configuration(index)?;
             Ok(format!(
                 "NODE_CONFIG={} {program}\n",
                 configuration.display()
             ))
         };
-        (0..self.sidecars.len()).map(command).collect()
+        SidecarIndex::all(self.sidecars.len())
+            .map(command)
+            .collect()
     }
 }
 
--- a/crates/testbed/src/event_log/event.rs
+++ b/crates/testbed/src/event_log/event.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::state::{ListedStatus, ProcessState, RequestOutcome, ServerState};
-use crate::index::ServerIndex;
+use crate::index::{ServerIndex, SidecarIndex};
 use crate::scenario::Micros;
 
 /// One event. An `arrival` is what a client wants, a `request` one try of it at the sidecar, an
@@ -21,7 +21,7 @@
         #[serde(alias = "ask")]
         arrival: u64,
         /// The client's sidecar.
-        sidecar: u32,
+        sidecar: SidecarIndex,
         /// Index of the request class.
         class: u16,
         /// Index of the tenant.
@@ -44,7 +44,7 @@
         #[serde(alias = "ask")]
         arrival: u64,
         /// The sidecar that accepted it.
-        sidecar: u32,
+        sidecar: SidecarIndex,
         /// Index of the request class.
         class: u16,
         /// The client's deadline.
@@ -57,7 +57,7 @@
         #[serde(alias = "tx")]
         request: u64,
         /// The sidecar that forwards it.
-        sidecar: u32,
+        sidecar: SidecarIndex,
         /// The server it goes to.
         server: ServerIndex,
         /// Whether sidecar and server are in different zones.
@@ -133,7 +133,7 @@
     #[serde(alias = "listed")]
     EndpointListed {
         /// The sidecar that was notified.
-        sidecar: u32,
+        sidecar: SidecarIndex,
         /// The server it was notified of.
         server: ServerIndex,
         /// The server's status.
@@ -147,7 +147,7 @@
     #[serde(alias = "sidecar")]
     SidecarStateChanged {
         /// The sidecar.
-        sidecar: u32,
+        sidecar: SidecarIndex,
         /// Its new state.
         #[serde(alias = "life")]
         state: ProcessState,
@@ -167,7 +167,7 @@
     #[serde(alias = "probed")]
     HealthChecked {
         /// The sidecar that checks.
-        sidecar: u32,
+        sidecar: SidecarIndex,
         /// The server that is checked.
         server: ServerIndex,
     },
@@ -181,7 +181,7 @@
     #[serde(alias = "called")]
     DiscoveryPolled {
         /// The sidecar.
-        sidecar: u32,
+        sidecar: SidecarIndex,
     },
     /// What a server has in flight, once a second.
     #[serde(alias = "gauge")]
--- a/crates/testbed/src/event_log/tests.rs
+++ b/crates/testbed/src/event_log/tests.rs
@@ -6,7 +6,7 @@
     EventLog as _, ListedStatus, LogEvent, LogRecord, ProcessState, RequestOutcome, ServerState,
     Writer, read,
 };
-use crate::index::ServerIndex;
+use crate::index::{ServerIndex, SidecarIndex};
 
 /// The first 200 lines of a calm run, and one of every other kind in it.
 const OLD_LOG: &str = include_str!("../../tests/data/records/calm-1.ledger");
@@ -63,7 +63,7 @@
             4_419,
             LogEvent::ArrivalStarted {
                 arrival: 1,
-                sidecar: 2,
+                sidecar: SidecarIndex::new(2),
                 class: 2,
                 tenant: 0,
                 within_quota: true,
@@ -74,7 +74,7 @@
             21_712,
             LogEvent::AttemptStarted {
                 request: 8,
-                sidecar: 3,
+                sidecar: SidecarIndex::new(3),
                 server: ServerIndex::new(0),
                 cross_zone: false,
             },
@@ -122,7 +122,7 @@
         (
             3_522_082,
             LogEvent::EndpointListed {
-                sidecar: 2,
+                sidecar: SidecarIndex::new(2),
                 server: ServerIndex::new(0),
                 status: ListedStatus::Draining,
                 incarnation: 0,
@@ -139,7 +139,7 @@
         (
             60_000_000,
             LogEvent::SidecarStateChanged {
-                sidecar: 0,
+                sidecar: SidecarIndex::new(0),
                 state: ProcessState::Killed,
             },
         ),
@@ -176,7 +176,10 @@
         ("ended", ProcessState::Exited),
     ] {
         let line = format!(r#"{{"at":1,"what":"sidecar","sidecar":2,"life":"{name}"}}"#);
-        let expected = LogEvent::SidecarStateChanged { sidecar: 2, state };
+        let expected = LogEvent::SidecarStateChanged {
+            sidecar: SidecarIndex::new(2),
+            state,
+        };
         assert_eq!(read_one(&line), expected);
     }
     for (name, outcome) in [
@@ -201,7 +204,7 @@
         let records = [LogRecord { at: 1, event }];
         written(&records)
     };
-    let sidecar = 2;
+    let sidecar = SidecarIndex::new(2);
     for (state, name) in [
         (ProcessState::Up, "up"),
         (ProcessState::ShuttingDown, "ending"),
--- a/crates/testbed/src/index.rs
+++ b/crates/testbed/src/index.rs
@@ -49,6 +49,11 @@
     ServerIndex(u32)
 }
 
+index_type! {
+    /// A sidecar.
+    SidecarIndex(u32)
+}
+
 impl ServerIndex {
     /// The server of a name such as `s3`; nothing where it is no server's name.
     pub fn from_name(name: &str) -> Option<Self> {
@@ -62,3 +67,10 @@
         write!(f, "s{}", self.0)
     }
 }
+
+/// Its name in messages, such as `n3`.
+impl fmt::Display for SidecarIndex {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "n{}", self.0)
+    }
+}
--- a/crates/testbed/src/scenario/capacity.rs
+++ b/crates/testbed/src/scenario/capacity.rs
@@ -1,7 +1,7 @@
 //! What a scenario's fleet is made of, where it stands, and how much work it can do.
 
 use super::{MachineType, Scenario, Servers};
-use crate::index::ServerIndex;
+use crate::index::{ServerIndex, SidecarIndex};
 
 impl Scenario {
     /// Machine type and group of each server, in the order of the servers' names. Groups of unknown
@@ -59,8 +59,13 @@
         named.map_or(self.spread_zone(server.index()), |zone| zone as u32)
     }
 
-    /// Zone of a server or sidecar by its number where no zone is named: spread in turn.
-    pub fn spread_zone(&self, number: usize) -> u32 {
-        (number % self.network.zones.len().max(1)) as u32
+    /// Zone of a sidecar by its index: they are spread in turn.
+    pub fn sidecar_zone(&self, sidecar: SidecarIndex) -> u32 {
+        self.spread_zone(sidecar.index())
+    }
+
+    /// Zone of the server or sidecar at a place in its list, where they are spread in turn.
+    fn spread_zone(&self, position: usize) -> u32 {
+        (position % self.network.zones.len().max(1)) as u32
     }
 }
--- a/crates/testbed/src/simulator/client.rs
+++ b/crates/testbed/src/simulator/client.rs
@@ -7,18 +7,19 @@
 use super::process::SidecarProcess;
 use super::request::{ArrivalKey, OpenArrival, Request, RequestKey};
 use crate::event_log::{LogEvent, RequestOutcome};
+use crate::index::SidecarIndex;
 use crate::scenario::{Idempotency, Micros, from_ms};
 use crate::workload::Arrival;
 
 impl Simulator<'_> {
-    pub(super) fn schedule_next_arrival(&mut self, sidecar: u32) {
-        if let Some(arrival) = self.sidecars[sidecar as usize].arrivals.next() {
+    pub(super) fn schedule_next_arrival(&mut self, sidecar: SidecarIndex) {
+        if let Some(arrival) = self.sidecars[sidecar.index()].arrivals.next() {
             let event = SimulatorEvent::Arrival(sidecar, arrival);
             self.timeline.at(arrival.at, event);
         }
     }
 
-    pub(super) fn on_arrival(&mut self, sidecar: u32, arrival: Arrival) {
+    pub(super) fn on_arrival(&mut self, sidecar: SidecarIndex, arrival: Arrival) {
         let number = self.open.take_number();
         let within_quota = self.within_quota(arrival.tenant);
         self.record(LogEvent::ArrivalStarted {
@@ -66,7 +67,7 @@
             return;
         };
         arrival.requests += 1;
-        let sidecar = &mut self.sidecars[arrival.sidecar as usize];
+        let sidecar = &mut self.sidecars[arrival.sidecar.index()];
         let random = &mut sidecar.client_random;
         let class = &self.scenario.class[usize::from(arrival.class)];
         let [shortest, longest] = clients.timeout_share;
@@ -156,7 +157,7 @@
             return;
         };
         let class = &scenario.class[usize::from(arrival.class)];
-        let random = &mut self.sidecars[arrival.sidecar as usize].client_random;
+        let random = &mut self.sidecars[arrival.sidecar.index()].client_random;
         let [shortest, longest] = scenario.clients.backoff_ms;
         // Drawn whether or not it counts, so that an outcome moves no other draw.
         let backoff = from_ms(random.between(shortest, longest));
--- a/crates/testbed/src/simulator/discovery/endpoints.rs
+++ b/crates/testbed/src/simulator/discovery/endpoints.rs
@@ -6,7 +6,7 @@
 use arrowstand_control::stable_hash;
 
 use crate::event_log::{ListedStatus, LogEvent};
-use crate::index::ServerIndex;
+use crate::index::{ServerIndex, SidecarIndex};
 use crate::scenario::Micros;
 use crate::simulator::{EPOCH, Simulator};
 
@@ -59,36 +59,36 @@
 
 impl Simulator<'_> {
     /// Gives a new balancer the list that its sidecar had last.
-    pub(in crate::simulator) fn restore_endpoints(&mut self, number: u32) {
-        let cached = &self.sidecars[number as usize].endpoints;
+    pub(in crate::simulator) fn restore_endpoints(&mut self, sidecar_index: SidecarIndex) {
+        let cached = &self.sidecars[sidecar_index.index()].endpoints;
         let (version, entries) = (cached.version, cached.entries());
-        self.deliver_endpoints(number, UpdateKind::Cached, version, &entries);
+        self.deliver_endpoints(sidecar_index, UpdateKind::Cached, version, &entries);
     }
 
     /// Gives a balancer changes of the list.
     pub(super) fn update_endpoints(
         &mut self,
-        number: u32,
+        sidecar_index: SidecarIndex,
         version: u64,
         changes: &[ListedEndpoint],
     ) {
-        self.deliver_endpoints(number, UpdateKind::Incremental, version, changes);
+        self.deliver_endpoints(sidecar_index, UpdateKind::Incremental, version, changes);
     }
 
     /// Tells a balancer that its list can no longer be followed.
-    pub(super) fn on_endpoints_lost(&mut self, number: u32) {
-        self.sidecars[number as usize].watches = false;
+    pub(super) fn on_endpoints_lost(&mut self, sidecar_index: SidecarIndex) {
+        self.sidecars[sidecar_index.index()].watches = false;
         let lost = BalancerEvent::EndpointsUpdated {
             kind: UpdateKind::Lost,
             version: 0,
             endpoints: Vec::new(),
         };
-        self.handle_balancer_event(number, lost);
+        self.handle_balancer_event(sidecar_index, lost);
     }
 
     fn deliver_endpoints(
         &mut self,
-        number: u32,
+        sidecar_index: SidecarIndex,
         kind: UpdateKind,
         version: u64,
         listed: &[ListedEndpoint],
@@ -96,22 +96,22 @@
         let mut endpoints = Vec::with_capacity(listed.len());
         for &endpoint in listed {
             self.record(LogEvent::EndpointListed {
-                sidecar: number,
+                sidecar: sidecar_index,
                 server: endpoint.server,
                 status: endpoint.status,
                 incarnation: endpoint.incarnation,
             });
-            let cached = &mut self.sidecars[number as usize].endpoints;
+            let cached = &mut self.sidecars[sidecar_index.index()].endpoints;
             cached.on_listed(endpoint);
             endpoints.push(self.balancer_endpoint(endpoint));
         }
-        self.sidecars[number as usize].endpoints.version = version;
+        self.sidecars[sidecar_index.index()].endpoints.version = version;
         let update = BalancerEvent::EndpointsUpdated {
             kind,
             version,
             endpoints,
         };
-        self.handle_balancer_event(number, update);
+        self.handle_balancer_event(sidecar_index, update);
     }
 
     /// A list entry as balancers take it.
--- a/crates/testbed/src/simulator/discovery/mod.rs
+++ b/crates/testbed/src/simulator/discovery/mod.rs
@@ -10,7 +10,7 @@
 use super::event::{PollResult, SimulatorEvent};
 use super::process::SidecarProcess;
 use crate::event_log::{ListedStatus, LogEvent};
-use crate::index::ServerIndex;
+use crate::index::{ServerIndex, SidecarIndex};
 use crate::scenario::{Micros, from_ms};
 
 pub(super) use endpoint_list::{Availability, Discovery};
@@ -40,10 +40,10 @@
 
     fn notify_watches(&mut self) {
         let spread_ms = self.scenario.discovery.spread_ms;
-        for number in 0..self.sidecars.len() as u32 {
-            if self.sidecars[number as usize].watches {
+        for sidecar_index in SidecarIndex::all(self.sidecars.len()) {
+            if self.sidecars[sidecar_index.index()].watches {
                 let delay = self.discovery.draw_notification_delay(spread_ms);
-                let process = self.process(number);
+                let process = self.process(sidecar_index);
                 let event = SimulatorEvent::WatchNotification(process);
                 self.timeline.after(delay, event);
             }
@@ -51,10 +51,12 @@
     }
 
     /// A sidecar polls the list, and watches it from then on.
-    pub(super) fn poll_endpoints(&mut self, number: u32) {
-        self.record(LogEvent::DiscoveryPolled { sidecar: number });
-        let process = self.process(number);
-        let poll = self.sidecars[number as usize].on_poll_started();
+    pub(super) fn poll_endpoints(&mut self, sidecar_index: SidecarIndex) {
+        self.record(LogEvent::DiscoveryPolled {
+            sidecar: sidecar_index,
+        });
+        let process = self.process(sidecar_index);
+        let poll = self.sidecars[sidecar_index.index()].on_poll_started();
         let now = self.timeline.now();
         let (at, lost) = self.discovery.on_poll(now, &self.scenario.discovery);
         let result = PollResult {
@@ -66,22 +68,25 @@
     }
 
     pub(super) fn on_poll_result(&mut self, result: &PollResult) {
-        let number = result.process.sidecar;
-        let sidecar = &self.sidecars[number as usize];
-        if !self.is_current(result.process) || sidecar.polls != result.poll || !self.is_up(number) {
+        let sidecar_index = result.process.sidecar;
+        let sidecar = &self.sidecars[sidecar_index.index()];
+        if !self.is_current(result.process)
+            || sidecar.polls != result.poll
+            || !self.is_up(sidecar_index)
+        {
             return;
         }
         if result.lost || !self.discovery.is_up() {
-            self.on_endpoints_lost(number);
+            self.on_endpoints_lost(sidecar_index);
             return;
         }
-        self.sidecars[number as usize].watches = true;
-        self.send_changes(number);
+        self.sidecars[sidecar_index.index()].watches = true;
+        self.send_changes(sidecar_index);
     }
 
     /// A change has reached a watch.
     pub(super) fn on_watch_notification(&mut self, process: SidecarProcess) {
-        let sidecar = &self.sidecars[process.sidecar as usize];
+        let sidecar = &self.sidecars[process.sidecar.index()];
         let is_news = sidecar.endpoints.version() < self.discovery.version();
         if self.is_current(process) && sidecar.watches && self.discovery.is_up() && is_news {
             self.send_changes(process.sidecar);
@@ -89,11 +94,11 @@
     }
 
     /// Gives a sidecar what has changed since its list, which may be nothing.
-    fn send_changes(&mut self, number: u32) {
-        let cached = self.sidecars[number as usize].endpoints.version();
+    fn send_changes(&mut self, sidecar_index: SidecarIndex) {
+        let cached = self.sidecars[sidecar_index.index()].endpoints.version();
         let version = self.discovery.version();
         let changes = self.discovery.changes_since(cached);
-        self.update_endpoints(number, version, &changes);
+        self.update_endpoints(sidecar_index, version, &changes);
     }
 
     /// Discovery goes down or silent, or comes back.
@@ -105,9 +110,9 @@
             Availability::Down => WATCH_CLOSE_DELAY,
             Availability::Silent => WATCH_TIMEOUT,
         };
-        for number in 0..self.sidecars.len() as u32 {
-            let process = self.process(number);
-            let sidecar = &mut self.sidecars[number as usize];
+        for sidecar_index in SidecarIndex::all(self.sidecars.len()) {
+            let process = self.process(sidecar_index);
+            let sidecar = &mut self.sidecars[sidecar_index.index()];
             if std::mem::take(&mut sidecar.watches) {
                 let result = PollResult {
                     process,
--- a/crates/testbed/src/simulator/event.rs
+++ b/crates/testbed/src/simulator/event.rs
@@ -8,14 +8,14 @@
 use super::process::SidecarProcess;
 use super::request::{ArrivalKey, AttemptKey, RequestKey};
 use crate::event_log::RequestOutcome;
-use crate::index::ServerIndex;
+use crate::index::{ServerIndex, SidecarIndex};
 use crate::scenario::Micros;
 use crate::workload::Arrival;
 
 /// An event on the timeline.
 pub(super) enum SimulatorEvent {
     /// A client of this sidecar wants something.
-    Arrival(u32, Arrival),
+    Arrival(SidecarIndex, Arrival),
     /// A client's backoff is over.
     RetryDue(ArrivalKey),
     /// A request's last byte is at its sidecar.
@@ -59,7 +59,7 @@
     /// A sidecar is to be restarted.
     SidecarRestart(SidecarRestart),
     /// A sidecar is up again.
-    SidecarUp(u32),
+    SidecarUp(SidecarIndex),
     /// Gauges are recorded, and idle connections closed.
     GaugeTick,
 }
@@ -123,7 +123,7 @@
 
 /// A restart of a sidecar.
 pub(super) struct SidecarRestart {
-    pub(super) sidecar: u32,
+    pub(super) sidecar: SidecarIndex,
     /// How long it is down, in microseconds.
     pub(super) down_time: Micros,
     /// Whether it is killed; else it responds first to what it has accepted.
--- a/crates/testbed/src/simulator/faults/mod.rs
+++ b/crates/testbed/src/simulator/faults/mod.rs
@@ -5,7 +5,7 @@
 mod schedule;
 mod servers;
 
-use crate::index::ServerIndex;
+use crate::index::{ServerIndex, SidecarIndex};
 use crate::random::{RandomStream, StreamId};
 use crate::scenario::{Fault, Micros, Scenario, from_s};
 
@@ -37,11 +37,11 @@
 
 /// When each sidecar goes down in a rolling restart, in microseconds from its start: batch after
 /// batch over its length.
-pub fn rolling_restart(scenario: &Scenario, index: usize) -> Vec<(u32, Micros)> {
+pub fn rolling_restart(scenario: &Scenario, index: usize) -> Vec<(SidecarIndex, Micros)> {
     let fault = &scenario.fault[index];
     let all = scenario.sidecars.count;
     let count = ((all as f64 * target_share(fault)).round() as usize).clamp(1, all);
-    let mut sidecars = (0..all as u32).collect();
+    let mut sidecars = SidecarIndex::all(all).collect();
     let drawn = draw(scenario, index, &mut sidecars, count);
     let batch = ((all as f64 * fault.batch).floor() as usize).max(1);
     let batches = drawn.len().div_ceil(batch);
--- a/crates/testbed/src/simulator/faults/schedule.rs
+++ b/crates/testbed/src/simulator/faults/schedule.rs
@@ -1,6 +1,7 @@
 //! When the simulator's faults start and end.
 
 use super::{rolling_restart, targets};
+use crate::index::SidecarIndex;
 use crate::scenario::{Fault, FaultKind, Micros, from_s};
 use crate::simulator::Simulator;
 use crate::simulator::discovery::Availability;
@@ -20,7 +21,7 @@
                     }
                 }
                 FaultKind::RestartAll => {
-                    for sidecar in 0..self.sidecars.len() as u32 {
+                    for sidecar in SidecarIndex::all(self.sidecars.len()) {
                         self.schedule_restart(sidecar, start, fault);
                     }
                 }
@@ -29,7 +30,7 @@
         }
     }
 
-    fn schedule_restart(&mut self, sidecar: u32, at: Micros, fault: &Fault) {
+    fn schedule_restart(&mut self, sidecar: SidecarIndex, at: Micros, fault: &Fault) {
         let restart = SimulatorEvent::SidecarRestart(SidecarRestart {
             sidecar,
             down_time: from_s(fault.down_s),
--- a/crates/testbed/src/simulator/mod.rs
+++ b/crates/testbed/src/simulator/mod.rs
@@ -22,7 +22,7 @@
 use arrowstand_balancer::Action;
 
 use crate::event_log::{EventLog, LogEvent, LogRecord};
-use crate::index::ServerIndex;
+use crate::index::{ServerIndex, SidecarIndex};
 use crate::random::{RandomStream, StreamId};
 use crate::scenario::{Micros, Scenario, from_ms, from_s};
 use crate::server_model::Event as ServerModelEvent;
@@ -142,9 +142,9 @@
     }
 
     /// One way between a sidecar and a server in microseconds, drawn by the sidecar's stream.
-    fn draw_delay(&mut self, sidecar: u32, server: ServerIndex) -> Micros {
+    fn draw_delay(&mut self, sidecar: SidecarIndex, server: ServerIndex) -> Micros {
         let network = &self.scenario.network;
-        let sidecar = &mut self.sidecars[sidecar as usize];
+        let sidecar = &mut self.sidecars[sidecar.index()];
         let base_ms = if sidecar.zone == self.servers[server.index()].zone {
             network.same_ms
         } else {
--- a/crates/testbed/src/simulator/request.rs
+++ b/crates/testbed/src/simulator/request.rs
@@ -3,7 +3,7 @@
 use slotmap::{SlotMap, new_key_type};
 
 use super::process::SidecarProcess;
-use crate::index::ServerIndex;
+use crate::index::{ServerIndex, SidecarIndex};
 use crate::scenario::Micros;
 
 new_key_type! {
@@ -53,7 +53,7 @@
 /// What a client wants, with all its requests.
 pub(super) struct OpenArrival {
     pub(super) number: u64,
-    pub(super) sidecar: u32,
+    pub(super) sidecar: SidecarIndex,
     pub(super) class: u16,
     /// Work in microseconds of a standard core.
     pub(super) work: f64,
@@ -89,7 +89,7 @@
     pub(super) request_number: u64,
     /// Counts the request's attempts from 0.
     pub(super) index: u32,
-    pub(super) sidecar: u32,
+    pub(super) sidecar: SidecarIndex,
     pub(super) server: ServerIndex,
     /// Its number at the server's model.
     pub(super) job: u64,
--- a/crates/testbed/src/simulator/server/connecting.rs
+++ b/crates/testbed/src/simulator/server/connecting.rs
@@ -16,7 +16,7 @@
         };
         attempt.written = true;
         let (sidecar, server) = (attempt.sidecar, attempt.server);
-        let sidecar_zone = self.sidecars[sidecar as usize].zone;
+        let sidecar_zone = self.sidecars[sidecar.index()].zone;
         let started = LogEvent::AttemptStarted {
             request: attempt.request_number,
             sidecar,
--- a/crates/testbed/src/simulator/server/health_checks.rs
+++ b/crates/testbed/src/simulator/server/health_checks.rs
@@ -4,7 +4,7 @@
 
 use super::{Reachability, Server};
 use crate::event_log::LogEvent;
-use crate::index::ServerIndex;
+use crate::index::{ServerIndex, SidecarIndex};
 use crate::scenario::{Micros, from_ms};
 use crate::server_model::{LoadReport, State};
 use crate::simulator::Simulator;
@@ -14,7 +14,11 @@
 const DELAYS_OF_NEW_CONNECTION: Micros = 3;
 
 impl Simulator<'_> {
-    pub(in crate::simulator) fn send_health_check(&mut self, sidecar: u32, server: ServerIndex) {
+    pub(in crate::simulator) fn send_health_check(
+        &mut self,
+        sidecar: SidecarIndex,
+        server: ServerIndex,
+    ) {
         self.record(LogEvent::HealthChecked { sidecar, server });
         let process = self.process(sidecar);
         let delay = self.draw_delay(sidecar, server);
--- a/crates/testbed/src/simulator/sidecar/connections.rs
+++ b/crates/testbed/src/simulator/sidecar/connections.rs
@@ -4,7 +4,7 @@
 
 use rustc_hash::FxHashMap;
 
-use crate::index::ServerIndex;
+use crate::index::{ServerIndex, SidecarIndex};
 use crate::scenario::{Micros, from_s};
 use crate::simulator::Simulator;
 
@@ -73,12 +73,12 @@
     /// Takes an idle connection to a server, as the server's start that it belongs to.
     pub(in crate::simulator) fn reuse_connection(
         &mut self,
-        sidecar: u32,
+        sidecar: SidecarIndex,
         server: ServerIndex,
     ) -> Option<u32> {
         let reuse_time = self.reuse_time();
         let target = &mut self.servers[server.index()];
-        let connections = &mut self.sidecars[sidecar as usize].connections;
+        let connections = &mut self.sidecars[sidecar.index()].connections;
         let connection = connections.take(server, target.open_start())?;
         if connection.idle_since + reuse_time > self.timeline.now() {
             return Some(connection.server_start);
@@ -90,7 +90,7 @@
     /// Keeps a connection that is idle from a moment on; a sidecar that is down has closed it.
     pub(in crate::simulator) fn keep_connection(
         &mut self,
-        sidecar: u32,
+        sidecar: SidecarIndex,
         server: ServerIndex,
         idle_since: Micros,
         server_start: u32,
@@ -100,7 +100,7 @@
                 idle_since,
                 server_start,
             };
-            let connections = &mut self.sidecars[sidecar as usize].connections;
+            let connections = &mut self.sidecars[sidecar.index()].connections;
             connections.add(server, connection);
         } else {
             self.servers[server.index()].close_connection(server_start);
--- a/crates/testbed/src/simulator/sidecar/host.rs
+++ b/crates/testbed/src/simulator/sidecar/host.rs
@@ -5,7 +5,7 @@
 use arrowstand_balancer::{Action, Event as BalancerEvent, LoadReport, RequestId, ServerId};
 
 use crate::event_log::RequestOutcome;
-use crate::index::ServerIndex;
+use crate::index::{ServerIndex, SidecarIndex};
 use crate::scenario::{Micros, from_ms};
 use crate::simulator::event::{BalancerTimer, HealthCheckResult, SimulatorEvent};
 use crate::simulator::request::RequestKey;
@@ -15,7 +15,7 @@
     /// Gives an event to a balancer and carries out what it asks for, and what follows from that.
     pub(in crate::simulator) fn handle_balancer_event(
         &mut self,
-        number: u32,
+        sidecar: SidecarIndex,
         event: BalancerEvent,
     ) {
         let now = EPOCH + self.timeline.now();
@@ -23,12 +23,12 @@
         while let Some(event) = events.pop_front() {
             let mut actions = std::mem::take(&mut self.actions);
             actions.clear();
-            let Some(balancer) = &mut self.sidecars[number as usize].balancer else {
+            let Some(balancer) = &mut self.sidecars[sidecar.index()].balancer else {
                 return;
             };
             balancer.handle(now, event, &mut actions);
             for action in actions.drain(..) {
-                self.execute(number, action, &mut events);
+                self.execute(sidecar, action, &mut events);
             }
             self.actions = actions;
         }
@@ -37,28 +37,33 @@
     /// Gives a balancer events one after the other, each with all that follows from it.
     pub(in crate::simulator) fn handle_balancer_events(
         &mut self,
-        number: u32,
+        sidecar: SidecarIndex,
         events: VecDeque<BalancerEvent>,
     ) {
         for event in events {
-            self.handle_balancer_event(number, event);
+            self.handle_balancer_event(sidecar, event);
         }
     }
 
     /// Carries out an action; what the balancer is to learn of it is added to `events`.
-    fn execute(&mut self, number: u32, action: Action, events: &mut VecDeque<BalancerEvent>) {
+    fn execute(
+        &mut self,
+        sidecar: SidecarIndex,
+        action: Action,
+        events: &mut VecDeque<BalancerEvent>,
+    ) {
         match action {
             Action::Send {
                 request,
                 server,
                 timeout,
             } => {
-                if let Some(key) = self.open_request(number, request) {
+                if let Some(key) = self.open_request(sidecar, request) {
                     self.send_attempt(key, ServerIndex::new(server.0), timeout, events);
                 }
             }
             Action::Cancel { request, attempt } => {
-                let open = self.open_request(number, request);
+                let open = self.open_request(sidecar, request);
                 if let Some(key) = open.and_then(|key| self.attempt_of(key, attempt)) {
                     self.cancel_attempt(key, events);
                 }
@@ -66,25 +71,13 @@
             Action::Reject {
                 request,
                 retry_after,
-            } => {
-                let retry_after = retry_after.unwrap_or(self.max_retry_after());
-                self.respond_if_open(
-                    number,
-                    request,
-                    RequestOutcome::Rejected,
-                    retry_after,
-                    events,
-                );
-            }
-            Action::Fail { request } => {
-                let retry_after = self.max_retry_after();
-                self.respond_if_open(number, request, RequestOutcome::Failed, retry_after, events);
-            }
-            Action::SetTimer { token, after } => self.set_balancer_timer(number, token, after),
+            } => self.reject_request(sidecar, request, retry_after, events),
+            Action::Fail { request } => self.fail_request(sidecar, request, events),
+            Action::SetTimer { token, after } => self.set_balancer_timer(sidecar, token, after),
             Action::HealthCheck { server } => {
-                self.send_health_check(number, ServerIndex::new(server.0))
+                self.send_health_check(sidecar, ServerIndex::new(server.0))
             }
-            Action::PollEndpoints => self.poll_endpoints(number),
+            Action::PollEndpoints => self.poll_endpoints(sidecar),
             Action::SendGossip { .. } | Action::Log { .. } => {}
         }
     }
@@ -94,14 +87,14 @@
         from_ms(self.scenario.permissions.max_retry_after_ms)
     }
 
-    fn open_request(&self, sidecar: u32, request: RequestId) -> Option<RequestKey> {
-        let open = &self.sidecars[sidecar as usize].open_requests;
+    fn open_request(&self, sidecar: SidecarIndex, request: RequestId) -> Option<RequestKey> {
+        let open = &self.sidecars[sidecar.index()].open_requests;
         open.get(&request.0).copied()
     }
 
     fn respond_if_open(
         &mut self,
-        sidecar: u32,
+        sidecar: SidecarIndex,
         request: RequestId,
         outcome: RequestOutcome,
         retry_after: Micros,
@@ -112,8 +105,31 @@
         }
     }
 
-    fn set_balancer_timer(&mut self, number: u32, token: u64, after: Micros) {
-        let process = self.process(number);
+    fn reject_request(
+        &mut self,
+        sidecar: SidecarIndex,
+        request: RequestId,
+        retry_after: Option<Micros>,
+        events: &mut VecDeque<BalancerEvent>,
+    ) {
+        let outcome = RequestOutcome::Rejected;
+        let retry_after = retry_after.unwrap_or(self.max_retry_after());
+        self.respond_if_open(sidecar, request, outcome, retry_after, events);
+    }
+
+    fn fail_request(
+        &mut self,
+        sidecar: SidecarIndex,
+        request: RequestId,
+        events: &mut VecDeque<BalancerEvent>,
+    ) {
+        let outcome = RequestOutcome::Failed;
+        let retry_after = self.max_retry_after();
+        self.respond_if_open(sidecar, request, outcome, retry_after, events);
+    }
+
+    fn set_balancer_timer(&mut self, sidecar: SidecarIndex, token: u64, after: Micros) {
+        let process = self.process(sidecar);
         let timer = SimulatorEvent::BalancerTimer(BalancerTimer { process, token });
         self.timeline.after(after, timer);
     }
--- a/crates/testbed/src/simulator/sidecar/mod.rs
+++ b/crates/testbed/src/simulator/sidecar/mod.rs
@@ -19,6 +19,7 @@
 use super::request::RequestKey;
 use super::{Simulator, SimulatorError};
 use crate::event_log::{LogEvent, ProcessState, RequestOutcome};
+use crate::index::SidecarIndex;
 use crate::random::{RandomStream, StreamId};
 use crate::scenario::{Micros, Scenario, from_ms};
 use crate::workload::{ArrivalStream, traffic_shares};
@@ -63,13 +64,13 @@
     /// A sidecar that is down; `traffic_share` is its share of the traffic.
     fn new(
         scenario: &Scenario,
-        number: usize,
+        sidecar_index: SidecarIndex,
         traffic_share: f64,
         endpoints: CachedEndpoints,
     ) -> Self {
         let stream = |cause, number| RandomStream::new(scenario.seed, cause, number);
         Self {
-            zone: scenario.spread_zone(number),
+            zone: scenario.sidecar_zone(sidecar_index),
             incarnation: 0,
             balancer: None,
             endpoints,
@@ -77,11 +78,11 @@
             polls: 0,
             connections: IdleConnections::default(),
             open_requests: BTreeMap::new(),
-            arrivals: ArrivalStream::new(scenario, number, traffic_share),
+            arrivals: ArrivalStream::new(scenario, sidecar_index, traffic_share),
             // Requests draw from a stream of their own, so that arrivals stay as they are.
-            client_random: stream(StreamId::Clients, number + REQUEST_STREAMS),
-            network_random: stream(StreamId::Network, number),
-            seeds: stream(StreamId::Seeds, number),
+            client_random: stream(StreamId::Clients, sidecar_index.index() + REQUEST_STREAMS),
+            network_random: stream(StreamId::Network, sidecar_index.index()),
+            seeds: stream(StreamId::Seeds, sidecar_index.index()),
         }
     }
 
@@ -110,42 +111,43 @@
 impl Simulator<'_> {
     pub(super) fn build_sidecars(&mut self) -> Result<(), SimulatorError> {
         let scenario = self.scenario;
-        for (number, traffic_share) in traffic_shares(scenario).into_iter().enumerate() {
-            balancer_settings(scenario, number).validate()?;
+        for (position, traffic_share) in traffic_shares(scenario).into_iter().enumerate() {
+            let sidecar_index = SidecarIndex::from_position(position);
+            balancer_settings(scenario, sidecar_index).validate()?;
             let endpoints = self.discovery.cached_list();
-            let sidecar = Sidecar::new(scenario, number, traffic_share, endpoints);
+            let sidecar = Sidecar::new(scenario, sidecar_index, traffic_share, endpoints);
             self.sidecars.push(sidecar);
         }
-        for number in 0..self.sidecars.len() as u32 {
-            self.start_sidecar(number);
-            self.schedule_next_arrival(number);
+        for sidecar_index in SidecarIndex::all(self.sidecars.len()) {
+            self.start_sidecar(sidecar_index);
+            self.schedule_next_arrival(sidecar_index);
         }
         Ok(())
     }
 
     /// Starts a sidecar with nothing but its last endpoint list.
-    pub(super) fn start_sidecar(&mut self, number: u32) {
-        let settings = balancer_settings(self.scenario, number as usize);
-        let sidecar = &mut self.sidecars[number as usize];
+    pub(super) fn start_sidecar(&mut self, sidecar_index: SidecarIndex) {
+        let settings = balancer_settings(self.scenario, sidecar_index);
+        let sidecar = &mut self.sidecars[sidecar_index.index()];
         let seed = sidecar.seeds.number();
         sidecar.balancer = WorkAwareBalancer::new(settings, seed).ok();
         sidecar.watches = false;
         self.record(LogEvent::SidecarStateChanged {
-            sidecar: number,
+            sidecar: sidecar_index,
             state: ProcessState::Up,
         });
-        self.restore_endpoints(number);
+        self.restore_endpoints(sidecar_index);
     }
 
-    pub(super) fn is_up(&self, number: u32) -> bool {
-        self.sidecars[number as usize].balancer.is_some()
+    pub(super) fn is_up(&self, sidecar_index: SidecarIndex) -> bool {
+        self.sidecars[sidecar_index.index()].balancer.is_some()
     }
 
     /// The present process of a sidecar.
-    pub(super) fn process(&self, number: u32) -> SidecarProcess {
+    pub(super) fn process(&self, sidecar_index: SidecarIndex) -> SidecarProcess {
         SidecarProcess {
-            sidecar: number,
-            incarnation: self.sidecars[number as usize].incarnation,
+            sidecar: sidecar_index,
+            incarnation: self.sidecars[sidecar_index.index()].incarnation,
         }
     }
 
@@ -176,12 +178,12 @@
         self.timeline.after(SHUTDOWN_GRACE, kill);
     }
 
-    fn kill_sidecar(&mut self, number: u32, down_time: Micros) {
+    fn kill_sidecar(&mut self, sidecar_index: SidecarIndex, down_time: Micros) {
         self.record(LogEvent::SidecarStateChanged {
-            sidecar: number,
+            sidecar: sidecar_index,
             state: ProcessState::Killed,
         });
-        let (connections, open) = self.sidecars[number as usize].on_killed();
+        let (connections, open) = self.sidecars[sidecar_index.index()].on_killed();
         for (server, server_start) in connections.into_connections() {
             self.servers[server.index()].close_connection(server_start);
         }
@@ -189,7 +191,7 @@
             self.lose_request(request);
         }
         self.timeline
-            .after(down_time, SimulatorEvent::SidecarUp(number));
+            .after(down_time, SimulatorEvent::SidecarUp(sidecar_index));
     }
 
     /// Closes the connections of a request whose sidecar is gone.
--- a/crates/testbed/src/simulator/sidecar/requests.rs
+++ b/crates/testbed/src/simulator/sidecar/requests.rs
@@ -45,7 +45,7 @@
             due,
         };
         self.record(accepted);
-        let sidecar = &mut self.sidecars[process.sidecar as usize];
+        let sidecar = &mut self.sidecars[process.sidecar.index()];
         sidecar.open_requests.insert(number, key);
         let respond_by = due.saturating_sub(RESPONSE_MARGIN);
         self.timeline
@@ -120,9 +120,7 @@
         for attempt in request.attempts.clone() {
             self.cancel_attempt(attempt, events);
         }
-        self.sidecars[sidecar as usize]
-            .open_requests
-            .remove(&number);
+        self.sidecars[sidecar.index()].open_requests.remove(&number);
     }
 
     /// The attempt of a request by its index.
--- a/crates/testbed/src/simulator/sidecar/settings.rs
+++ b/crates/testbed/src/simulator/sidecar/settings.rs
@@ -2,6 +2,7 @@
 
 use arrowstand_balancer::{self as balancer, RequestClass, Settings};
 
+use crate::index::SidecarIndex;
 use crate::scenario::{
     Class, DeduplicationScope, Idempotency, LoadReportSource, MachineType, Micros, Scenario,
     from_ms, from_s,
@@ -33,13 +34,13 @@
 }
 
 /// The settings of the balancer at a sidecar, by its number.
-pub(super) fn balancer_settings(scenario: &Scenario, number: usize) -> Settings {
+pub(super) fn balancer_settings(scenario: &Scenario, sidecar_index: SidecarIndex) -> Settings {
     let (permissions, rules) = (&scenario.permissions, &scenario.rules);
     let machine_types = &scenario.machine_type;
     Settings {
         classes: scenario.class.iter().map(request_class).collect(),
-        zone: scenario.spread_zone(number),
-        balancer_index: number as u32,
+        zone: scenario.sidecar_zone(sidecar_index),
+        balancer_index: sidecar_index.value(),
         balancer_count: scenario.sidecars.count as u32,
         step: RESPONSE_MARGIN,
         cancellation: permissions.cancellation,
--- a/crates/testbed/src/workload.rs
+++ b/crates/testbed/src/workload.rs
@@ -2,6 +2,7 @@
 //!
 //! What clients do about slow and failed requests is the engines'.
 
+use crate::index::SidecarIndex;
 use crate::random::{RandomStream, StreamId};
 use crate::scenario::{Class, FaultKind, Micros, Scenario, WorkDistribution, from_s};
 
@@ -92,9 +93,9 @@
 }
 
 impl ArrivalStream {
-    /// The arrivals at the sidecar of a number, which gets a share of the traffic.
-    pub fn new(scenario: &Scenario, number: usize, traffic_share: f64) -> Self {
-        let stream = |cause| RandomStream::new(scenario.seed, cause, number);
+    /// The arrivals at a sidecar, which gets a share of the traffic.
+    pub fn new(scenario: &Scenario, sidecar: SidecarIndex, traffic_share: f64) -> Self {
+        let stream = |cause| RandomStream::new(scenario.seed, cause, sidecar.index());
         let tenants = scenario.tenant.iter();
         Self {
             traffic_share,
--- a/crates/testbed/tests/auditor/cold_server.rs
+++ b/crates/testbed/tests/auditor/cold_server.rs
@@ -2,7 +2,7 @@
 
 use arrowstand_testbed::audit::Rule;
 use arrowstand_testbed::event_log::{ListedStatus, LogEvent, RequestOutcome, ServerState};
-use arrowstand_testbed::index::ServerIndex;
+use arrowstand_testbed::index::{ServerIndex, SidecarIndex};
 
 use super::{Finding, S, audit, listed};
 
@@ -28,7 +28,7 @@
             LogEvent::RequestAccepted {
                 request: n,
                 arrival: n,
-                sidecar: 0,
+                sidecar: SidecarIndex::new(0),
                 class: 0,
                 due: 2 * S,
             },
--- a/crates/testbed/tests/auditor/drain.rs
+++ b/crates/testbed/tests/auditor/drain.rs
@@ -1,9 +1,9 @@
 //! Nothing new to a server after its drain was notified.
 
 use arrowstand_testbed::audit::Rule;
-use arrowstand_testbed::event_log::{ListedStatus, LogEvent, ProcessState};
+use arrowstand_testbed::event_log::{ListedStatus, ProcessState};
 
-use super::{S, audit, listed, started};
+use super::{S, audit, listed, sidecar_state, started};
 
 #[test]
 fn no_attempt_starts_two_seconds_after_a_drain_notification() {
@@ -36,13 +36,7 @@
         []
     );
     // A restarted sidecar knows only what it is notified of since.
-    let restart = (
-        2 * S,
-        LogEvent::SidecarStateChanged {
-            sidecar: 0,
-            state: ProcessState::Killed,
-        },
-    );
+    let restart = sidecar_state(2 * S, 0, ProcessState::Killed);
     assert_eq!(
         audit(&[listed(S, ListedStatus::Gone, 0), restart, started(4 * S, 0)]),
         []
--- a/crates/testbed/tests/auditor/main.rs
+++ b/crates/testbed/tests/auditor/main.rs
@@ -9,9 +9,9 @@
 
 use arrowstand_testbed::audit::{Auditor, Rule};
 use arrowstand_testbed::event_log::{
-    EventLog, ListedStatus, LogEvent, LogRecord, RequestOutcome, ServerState,
+    EventLog, ListedStatus, LogEvent, LogRecord, ProcessState, RequestOutcome, ServerState,
 };
-use arrowstand_testbed::index::ServerIndex;
+use arrowstand_testbed::index::{ServerIndex, SidecarIndex};
 use arrowstand_testbed::scenario::{Class, DeduplicationScope, Idempotency, Micros, Scenario};
 
 const MS: Micros = 1_000;
@@ -70,7 +70,7 @@
         LogEvent::RequestAccepted {
             request,
             arrival: request,
-            sidecar: 0,
+            sidecar: SidecarIndex::new(0),
             class,
             due: 2 * S,
         },
@@ -104,18 +104,23 @@
         at,
         LogEvent::AttemptStarted {
             request: 1,
-            sidecar,
+            sidecar: SidecarIndex::new(sidecar),
             server: ServerIndex::new(0),
             cross_zone: false,
         },
     )
 }
 
+fn sidecar_state(at: Micros, sidecar: u32, state: ProcessState) -> (Micros, LogEvent) {
+    let sidecar = SidecarIndex::new(sidecar);
+    (at, LogEvent::SidecarStateChanged { sidecar, state })
+}
+
 fn listed(at: Micros, status: ListedStatus, incarnation: Micros) -> (Micros, LogEvent) {
     (
         at,
         LogEvent::EndpointListed {
-            sidecar: 0,
+            sidecar: SidecarIndex::new(0),
             server: ServerIndex::new(0),
             status,
             incarnation,
--- a/crates/testbed/tests/auditor/response.rs
+++ b/crates/testbed/tests/auditor/response.rs
@@ -4,7 +4,7 @@
 use arrowstand_testbed::event_log::{LogEvent, ProcessState, RequestOutcome};
 use arrowstand_testbed::scenario::Micros;
 
-use super::{MS, S, accepted, audit, responded};
+use super::{MS, S, accepted, audit, responded, sidecar_state};
 
 /// How long after its deadline a response may arrive.
 const GRACE: Micros = 20 * MS;
@@ -62,7 +62,7 @@
         ]),
         []
     );
-    let state = |state| (S + 2, LogEvent::SidecarStateChanged { sidecar: 0, state });
+    let state = |state| sidecar_state(S + 2, 0, state);
     assert_eq!(
         audit(&[
             accepted(1, 0),
@@ -81,12 +81,6 @@
         1
     );
     // A kill before it was accepted excuses nothing.
-    let before = (
-        S - 1,
-        LogEvent::SidecarStateChanged {
-            sidecar: 0,
-            state: ProcessState::Killed,
-        },
-    );
+    let before = sidecar_state(S - 1, 0, ProcessState::Killed);
     assert_eq!(audit(&[before, accepted(1, 0)]).len(), 1);
 }
