--- a/crates/testbed/src/audit/mod.rs
+++ b/crates/testbed/src/audit/mod.rs
@@ -116,7 +116,7 @@
         let Some(open) = self.requests.get_mut(request) else {
             return;
         };
-        let Some(class) = self.classes.get(usize::from(open.class())) else {
+        let Some(class) = self.classes.get(open.class().index()) else {
             return;
         };
         let duplicate = open.first_unrejected_attempt().and_then(|first| {
@@ -160,7 +160,7 @@
         };
         let second = open.on_response(outcome);
         let late = at > open.due() + response_grace;
-        let class = self.classes.get(usize::from(open.class()));
+        let class = self.classes.get(open.class().index());
         let duplicate = second.then_some("a second final response");
         let fault = response::violation(outcome, excused, late);
         let dishonest = rejection::violation_on_response(class, open, outcome);
--- a/crates/testbed/src/audit/requests.rs
+++ b/crates/testbed/src/audit/requests.rs
@@ -6,7 +6,7 @@
 use rustc_hash::FxHashMap;
 
 use crate::event_log::{ProcessState, RequestOutcome};
-use crate::index::{ServerIndex, SidecarIndex};
+use crate::index::{ClassIndex, ServerIndex, SidecarIndex};
 use crate::scenario::Micros;
 
 /// How long a request is remembered beyond its deadline, to catch what comes after it.
@@ -22,7 +22,7 @@
 /// A request that a sidecar accepted.
 pub(super) struct AcceptedRequest {
     sidecar: SidecarIndex,
-    class: u16,
+    class: ClassIndex,
     accepted_at: Micros,
     due: Micros,
     attempts: Vec<ReceivedAttempt>,
@@ -31,7 +31,12 @@
 }
 
 impl AcceptedRequest {
-    pub(super) fn new(accepted_at: Micros, sidecar: SidecarIndex, class: u16, due: Micros) -> Self {
+    pub(super) fn new(
+        accepted_at: Micros,
+        sidecar: SidecarIndex,
+        class: ClassIndex,
+        due: Micros,
+    ) -> Self {
         Self {
             sidecar,
             class,
@@ -47,7 +52,7 @@
         self.sidecar
     }
 
-    pub(super) fn class(&self) -> u16 {
+    pub(super) fn class(&self) -> ClassIndex {
         self.class
     }
 
--- a/crates/testbed/src/emulator/client/arrival.rs
+++ b/crates/testbed/src/emulator/client/arrival.rs
@@ -60,7 +60,7 @@
         let scenario = &self.shared.scenario;
         let stream = STREAM_OFFSET + ((self.sidecar.index()) << STREAM_BITS) + index;
         let mut random = RandomStream::new(scenario.seed, StreamId::Clients, stream);
-        let time_limit = from_ms(scenario.class[usize::from(arrival.class)].deadline_ms);
+        let time_limit = from_ms(scenario.class[arrival.class.index()].deadline_ms);
         let deadline = arrival.at + time_limit;
         let mut from = arrival.at;
         let mut requests = 0;
@@ -118,7 +118,7 @@
     }
 
     fn may_retry(&self, arrival: &Arrival, outcome: RequestOutcome) -> bool {
-        let class = &self.shared.scenario.class[usize::from(arrival.class)];
+        let class = &self.shared.scenario.class[arrival.class.index()];
         match outcome {
             RequestOutcome::Rejected | RequestOutcome::Unreachable => true,
             RequestOutcome::Failed
--- a/crates/testbed/src/emulator/client/request.rs
+++ b/crates/testbed/src/emulator/client/request.rs
@@ -33,7 +33,7 @@
 
     /// The request on the wire, as it is sent at `now`.
     pub(super) fn text(&self, scenario: &Scenario, arrival: &Arrival, now: Micros) -> String {
-        let class = &scenario.class[usize::from(arrival.class)];
+        let class = &scenario.class[arrival.class.index()];
         let (id, class_name) = (self.number, &class.name);
         let timeout = self.due.saturating_sub(now).max(1);
         let (method, key, body) = match class.idempotency {
@@ -58,7 +58,8 @@
             "{method} /api?w={:.1}&c={} HTTP/1.1\r\nHost: origin.svc\r\nX-Request-ID: {id:016x}\r\n\
              X-Priority-Class: {class_name}\r\nX-Tenant-Id: {tenant}\r\nX-Timeout: {timeout}u\r\n\
              {cost}{key}{length}\r\n{body}",
-            arrival.work, arrival.class
+            arrival.work,
+            arrival.class.value()
         )
     }
 }
--- a/crates/testbed/src/emulator/client/request/tests.rs
+++ b/crates/testbed/src/emulator/client/request/tests.rs
@@ -3,6 +3,7 @@
 use super::{OutgoingRequest, Response};
 use crate::emulator::http::parsed_response;
 use crate::event_log::RequestOutcome;
+use crate::index::ClassIndex;
 use crate::scenario::{Class, Idempotency, Scenario, Tenant};
 use crate::workload::Arrival;
 
@@ -29,7 +30,7 @@
 fn arrival(class: u16, tenant: u16, hint: Option<u64>) -> Arrival {
     Arrival {
         at: 0,
-        class,
+        class: ClassIndex::new(class),
         tenant,
         work: 1_234.56,
         work_hint: hint,
--- a/crates/testbed/src/emulator/counter_check/tests.rs
+++ b/crates/testbed/src/emulator/counter_check/tests.rs
@@ -7,7 +7,7 @@
 use crate::emulator::shared::Shared;
 use crate::emulator::sidecars::{Counters, FleetCounters};
 use crate::event_log::{LogEvent, LogRecord, RequestOutcome};
-use crate::index::{ServerIndex, SidecarIndex};
+use crate::index::{ClassIndex, ServerIndex, SidecarIndex};
 use crate::scenario::Scenario;
 
 /// What agrees with [`records`]: one request of each end, one of them over capacity, and four
@@ -22,7 +22,7 @@
         request,
         arrival: request,
         sidecar: SidecarIndex::new(0),
-        class: 0,
+        class: ClassIndex::new(0),
         due: 1_000,
     });
     let responses = [
--- a/crates/testbed/src/emulator/emulated_server/attempt.rs
+++ b/crates/testbed/src/emulator/emulated_server/attempt.rs
@@ -12,7 +12,7 @@
 use crate::emulator::http::{HttpConnection, Message, response};
 use crate::emulator::lock::lock;
 use crate::event_log::LogEvent;
-use crate::index::ServerIndex;
+use crate::index::{ClassIndex, ServerIndex};
 use crate::scenario::Micros;
 
 /// How long an attempt without a timeout may wait: ten minutes, beyond the length of any run.
@@ -28,7 +28,7 @@
     /// Expected work.
     work: f64,
     /// Index of the request class.
-    class: usize,
+    class: ClassIndex,
     /// How long it may wait from its first byte.
     timeout: Option<Micros>,
 }
@@ -41,7 +41,9 @@
         Some(Self {
             request: u64::from_str_radix(id, 16).ok()?,
             work: message.query_parameter("w")?.parse().ok()?,
-            class: class.and_then(|class| class.parse().ok()).unwrap_or(0),
+            class: ClassIndex::from_position(
+                class.and_then(|class| class.parse().ok()).unwrap_or(0),
+            ),
             timeout: timeout.and_then(|timeout| timeout.strip_suffix('u')?.parse().ok()),
         })
     }
@@ -124,7 +126,9 @@
         let request = AdmissionRequest {
             request: attempt.request,
             work: attempt.work,
-            noise: classes.get(attempt.class).map_or(0.0, |class| class.noise),
+            noise: classes
+                .get(attempt.class.index())
+                .map_or(0.0, |class| class.noise),
             new_connection: incoming.new_connection,
             deadline: incoming
                 .first_byte_at
--- a/crates/testbed/src/event_log/event.rs
+++ b/crates/testbed/src/event_log/event.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::state::{ListedStatus, ProcessState, RequestOutcome, ServerState};
-use crate::index::{ServerIndex, SidecarIndex};
+use crate::index::{ClassIndex, ServerIndex, SidecarIndex};
 use crate::scenario::Micros;
 
 /// One event. An `arrival` is what a client wants, a `request` one try of it at the sidecar, an
@@ -23,7 +23,7 @@
         /// The client's sidecar.
         sidecar: SidecarIndex,
         /// Index of the request class.
-        class: u16,
+        class: ClassIndex,
         /// Index of the tenant.
         #[serde(alias = "shop")]
         tenant: u16,
@@ -46,7 +46,7 @@
         /// The sidecar that accepted it.
         sidecar: SidecarIndex,
         /// Index of the request class.
-        class: u16,
+        class: ClassIndex,
         /// The client's deadline.
         due: Micros,
     },
--- a/crates/testbed/src/index.rs
+++ b/crates/testbed/src/index.rs
@@ -54,6 +54,11 @@
     SidecarIndex(u32)
 }
 
+index_type! {
+    /// A class of requests, in the order of the scenario.
+    ClassIndex(u16)
+}
+
 impl ServerIndex {
     /// The server of a name such as `s3`; nothing where it is no server's name.
     pub fn from_name(name: &str) -> Option<Self> {
--- a/crates/testbed/src/report/parts.rs
+++ b/crates/testbed/src/report/parts.rs
@@ -3,6 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::event_log::RequestOutcome;
+use crate::index::ClassIndex;
 
 /// Arrivals of one second, by class: `[arrived, served in time, served late, rejected, failed]`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -15,8 +16,8 @@
     }
 
     /// Counts an arrival that ended; one of an unknown class is ignored.
-    pub fn add(&mut self, class: usize, outcome: RequestOutcome, in_time: bool) {
-        let Some(row) = self.0.get_mut(class) else {
+    pub fn add(&mut self, class: ClassIndex, outcome: RequestOutcome, in_time: bool) {
+        let Some(row) = self.0.get_mut(class.index()) else {
             return;
         };
         row[0] += 1;
--- a/crates/testbed/src/simulator/client.rs
+++ b/crates/testbed/src/simulator/client.rs
@@ -30,7 +30,7 @@
             within_quota,
             work: arrival.work,
         });
-        let class = &self.scenario.class[usize::from(arrival.class)];
+        let class = &self.scenario.class[arrival.class.index()];
         let key = self.open.arrivals.insert(OpenArrival {
             number,
             sidecar,
@@ -69,7 +69,7 @@
         arrival.requests += 1;
         let sidecar = &mut self.sidecars[arrival.sidecar.index()];
         let random = &mut sidecar.client_random;
-        let class = &self.scenario.class[usize::from(arrival.class)];
+        let class = &self.scenario.class[arrival.class.index()];
         let [shortest, longest] = clients.timeout_share;
         let deadline = from_ms(class.deadline_ms) as f64;
         let timeout = (deadline * random.between(shortest, longest)) as Micros;
@@ -156,7 +156,7 @@
         let Some(arrival) = self.open.arrivals.get(key) else {
             return;
         };
-        let class = &scenario.class[usize::from(arrival.class)];
+        let class = &scenario.class[arrival.class.index()];
         let random = &mut self.sidecars[arrival.sidecar.index()].client_random;
         let [shortest, longest] = scenario.clients.backoff_ms;
         // Drawn whether or not it counts, so that an outcome moves no other draw.
--- a/crates/testbed/src/simulator/request.rs
+++ b/crates/testbed/src/simulator/request.rs
@@ -3,7 +3,7 @@
 use slotmap::{SlotMap, new_key_type};
 
 use super::process::SidecarProcess;
-use crate::index::{ServerIndex, SidecarIndex};
+use crate::index::{ClassIndex, ServerIndex, SidecarIndex};
 use crate::scenario::Micros;
 
 new_key_type! {
@@ -54,7 +54,7 @@
 pub(super) struct OpenArrival {
     pub(super) number: u64,
     pub(super) sidecar: SidecarIndex,
-    pub(super) class: u16,
+    pub(super) class: ClassIndex,
     /// Work in microseconds of a standard core.
     pub(super) work: f64,
     /// What the client hints of the work, in microseconds of a standard core.
@@ -72,7 +72,7 @@
     pub(super) arrival: ArrivalKey,
     /// The process that it was sent to.
     pub(super) process: SidecarProcess,
-    pub(super) class: u16,
+    pub(super) class: ClassIndex,
     /// Work in microseconds of a standard core.
     pub(super) work: f64,
     pub(super) work_hint: Option<Micros>,
--- a/crates/testbed/src/simulator/server/attempts.rs
+++ b/crates/testbed/src/simulator/server/attempts.rs
@@ -7,7 +7,7 @@
 
 use super::{Reachability, Server};
 use crate::event_log::LogEvent;
-use crate::index::{ServerIndex, SidecarIndex};
+use crate::index::{ClassIndex, ServerIndex, SidecarIndex};
 use crate::scenario::{Micros, from_ms};
 use crate::server_model::{Event as ServerModelEvent, Job};
 use crate::simulator::Simulator;
@@ -54,8 +54,8 @@
     }
 
     /// Work of one attempt, which differs from the request's by its class's noise.
-    fn draw_attempt_work(&mut self, sidecar: SidecarIndex, class: u16, work: f64) -> f64 {
-        let class = self.scenario.class.get(usize::from(class));
+    fn draw_attempt_work(&mut self, sidecar: SidecarIndex, class: ClassIndex, work: f64) -> f64 {
+        let class = self.scenario.class.get(class.index());
         let noise = class.map_or(0.0, |class| class.noise);
         if noise > 0.0 {
             let random = &mut self.sidecars[sidecar.index()].network_random;
--- a/crates/testbed/src/simulator/sidecar/requests.rs
+++ b/crates/testbed/src/simulator/sidecar/requests.rs
@@ -32,7 +32,7 @@
         let (number, due) = (request.number, request.due);
         let incoming = IncomingRequest {
             id: RequestId(number),
-            class: ClassId(request.class),
+            class: ClassId(request.class.value()),
             time_left: due.saturating_sub(self.timeline.now()),
             work_hint: request.work_hint,
         };
--- a/crates/testbed/src/statistics/mod.rs
+++ b/crates/testbed/src/statistics/mod.rs
@@ -11,6 +11,7 @@
 use rustc_hash::FxHashMap;
 
 use crate::event_log::{EventLog, LogEvent, LogRecord, ProcessState, RequestOutcome};
+use crate::index::ClassIndex;
 use crate::report::{ClassFigures, Report, TenantFigures, engine_name};
 use crate::scenario::{Micros, Scenario};
 
@@ -58,7 +59,7 @@
 
     /// What an arrival is worth: its class's priority weight, by work where the scenario says so,
     /// and less for a tenant beyond its quota.
-    fn value(&self, class: u16, work: f64, within_quota: bool) -> f64 {
+    fn value(&self, class: ClassIndex, work: f64, within_quota: bool) -> f64 {
         let relative_work = |mean_ms: f64| {
             if self.scenario.load.weight_by_work {
                 work / mean_ms / 1_000.0
@@ -66,7 +67,7 @@
                 1.0
             }
         };
-        let class = self.scenario.class.get(usize::from(class));
+        let class = self.scenario.class.get(class.index());
         let full = class.map_or(0.0, |class| {
             class.priority_weight * relative_work(class.work_ms)
         });
@@ -88,8 +89,8 @@
             return;
         };
         self.traffic.on_requests(requests);
-        let class_index = usize::from(arrival.class);
-        let Some(class) = self.scenario.class.get(class_index) else {
+        let class_index = arrival.class;
+        let Some(class) = self.scenario.class.get(class_index.index()) else {
             return;
         };
         if outcome == RequestOutcome::Disconnected {
@@ -155,8 +156,10 @@
     }
 
     fn class_figures(&self) -> Vec<ClassFigures> {
-        let classes = self.scenario.class.iter().enumerate();
-        classes
+        let classes = &self.scenario.class;
+        let indexes = ClassIndex::all(classes.len());
+        indexes
+            .zip(classes)
             .map(|(index, class)| ClassFigures {
                 name: class.name.clone(),
                 service: self.service.of_class(index),
--- a/crates/testbed/src/statistics/outcomes.rs
+++ b/crates/testbed/src/statistics/outcomes.rs
@@ -5,6 +5,7 @@
 
 use super::arrival::Gain;
 use crate::event_log::RequestOutcome;
+use crate::index::ClassIndex;
 use crate::report::Second;
 
 /// Quantiles of the latencies in a report.
@@ -55,17 +56,17 @@
     pub(super) fn on_arrival_ended(
         &mut self,
         second: usize,
-        class: usize,
+        class: ClassIndex,
         outcome: RequestOutcome,
         gain: &Gain,
     ) {
         if let Some(second) = self.timeline.get_mut(second) {
             second.add(class, outcome, gain.in_time);
         }
-        *self.by_class[class].entry(outcome).or_default() += 1;
+        *self.by_class[class.index()].entry(outcome).or_default() += 1;
         if outcome == RequestOutcome::Served {
             self.latency.saturating_record(gain.latency.max(1));
-            self.class_latency[class].saturating_record(gain.latency.max(1));
+            self.class_latency[class.index()].saturating_record(gain.latency.max(1));
         }
     }
 
@@ -77,16 +78,16 @@
         sorted(&self.responses)
     }
 
-    pub(super) fn of_class(&self, class: usize) -> Vec<(RequestOutcome, u64)> {
-        sorted(&self.by_class[class])
+    pub(super) fn of_class(&self, class: ClassIndex) -> Vec<(RequestOutcome, u64)> {
+        sorted(&self.by_class[class.index()])
     }
 
     pub(super) fn latency_ms(&self) -> [f64; 5] {
         quantiles_ms(&self.latency)
     }
 
-    pub(super) fn class_latency_ms(&self, class: usize) -> [f64; 5] {
-        quantiles_ms(&self.class_latency[class])
+    pub(super) fn class_latency_ms(&self, class: ClassIndex) -> [f64; 5] {
+        quantiles_ms(&self.class_latency[class.index()])
     }
 
     /// The first seconds of the timeline.
--- a/crates/testbed/src/statistics/service.rs
+++ b/crates/testbed/src/statistics/service.rs
@@ -2,6 +2,7 @@
 
 use super::arrival::{Gain, OpenArrival};
 use super::{MICROS_PER_SECOND, second_of};
+use crate::index::ClassIndex;
 use crate::scenario::Micros;
 
 /// Weights of the whole run, the worst window, the worst class and the worst tenant, as the
@@ -100,7 +101,7 @@
             self.lost_late += arrival.value * (1.0 - gain.share);
         }
         self.total.add(arrival.value, gain.share);
-        self.by_class[usize::from(arrival.class)].add(arrival.value, gain.share);
+        self.by_class[arrival.class.index()].add(arrival.value, gain.share);
         let tenant = self.by_tenant.get_mut(usize::from(arrival.tenant));
         if let Some(tenant) = tenant.filter(|_| arrival.within_quota) {
             tenant.add(arrival.value, gain.share);
@@ -110,8 +111,8 @@
         }
     }
 
-    pub(super) fn of_class(&self, index: usize) -> Option<f64> {
-        self.by_class[index].share()
+    pub(super) fn of_class(&self, class: ClassIndex) -> Option<f64> {
+        self.by_class[class.index()].share()
     }
 
     pub(super) fn of_tenant(&self, index: usize) -> Option<f64> {
--- a/crates/testbed/src/workload.rs
+++ b/crates/testbed/src/workload.rs
@@ -2,7 +2,7 @@
 //!
 //! What clients do about slow and failed requests is the engines'.
 
-use crate::index::SidecarIndex;
+use crate::index::{ClassIndex, SidecarIndex};
 use crate::random::{RandomStream, StreamId};
 use crate::scenario::{Class, FaultKind, Micros, Scenario, WorkDistribution, from_s};
 
@@ -25,7 +25,7 @@
     /// When, in microseconds from the start of the run.
     pub at: Micros,
     /// Index of its class.
-    pub class: u16,
+    pub class: ClassIndex,
     /// Index of its tenant.
     pub tenant: u16,
     /// Work in microseconds of a standard core.
@@ -113,13 +113,14 @@
 
     fn draw_arrival(&mut self) -> Arrival {
         let class = self.work_random.weighted_index(&self.class_weights);
+        let class = ClassIndex::from_position(class);
         let tenant = self.work_random.weighted_index(&self.tenant_weights);
         let work = self.draw_work_of(class);
         let clients = &self.scenario.clients;
         let honours = self.client_random.chance(clients.honour_retry_after);
         Arrival {
             at: self.now,
-            class: class as u16,
+            class,
             tenant: tenant as u16,
             work,
             work_hint: self.draw_hint(work),
@@ -128,8 +129,8 @@
     }
 
     /// Work of a request of a class now, in microseconds of a standard core, faults included.
-    fn draw_work_of(&mut self, class: usize) -> f64 {
-        let class = &self.scenario.class[class];
+    fn draw_work_of(&mut self, class: ClassIndex) -> f64 {
+        let class = &self.scenario.class[class.index()];
         let mut work = draw_work(&mut self.work_random, class);
         for fault in &self.scenario.fault {
             let of_class = fault.class.as_ref().is_none_or(|name| *name == class.name);
--- a/crates/testbed/tests/auditor/cold_server.rs
+++ b/crates/testbed/tests/auditor/cold_server.rs
@@ -2,7 +2,7 @@
 
 use arrowstand_testbed::audit::Rule;
 use arrowstand_testbed::event_log::{ListedStatus, LogEvent, RequestOutcome, ServerState};
-use arrowstand_testbed::index::{ServerIndex, SidecarIndex};
+use arrowstand_testbed::index::{ClassIndex, ServerIndex, SidecarIndex};
 
 use super::{Finding, S, audit, listed};
 
@@ -29,7 +29,7 @@
                 request: n,
                 arrival: n,
                 sidecar: SidecarIndex::new(0),
-                class: 0,
+                class: ClassIndex::new(0),
                 due: 2 * S,
             },
         ));
--- a/crates/testbed/tests/auditor/main.rs
+++ b/crates/testbed/tests/auditor/main.rs
@@ -11,7 +11,7 @@
 use arrowstand_testbed::event_log::{
     EventLog, ListedStatus, LogEvent, LogRecord, ProcessState, RequestOutcome, ServerState,
 };
-use arrowstand_testbed::index::{ServerIndex, SidecarIndex};
+use arrowstand_testbed::index::{ClassIndex, ServerIndex, SidecarIndex};
 use arrowstand_testbed::scenario::{Class, DeduplicationScope, Idempotency, Micros, Scenario};
 
 const MS: Micros = 1_000;
@@ -71,7 +71,7 @@
             request,
             arrival: request,
             sidecar: SidecarIndex::new(0),
-            class,
+            class: ClassIndex::new(class),
             due: 2 * S,
         },
     )
