--- a/crates/testbed/src/emulator/client/mod.rs
+++ b/crates/testbed/src/emulator/client/mod.rs
@@ -19,7 +19,7 @@
 use super::lock::lock;
 use super::shared::Shared;
 use super::sidecars::Sidecars;
-use crate::index::SidecarIndex;
+use crate::index::{SidecarIndex, TenantIndex};
 use crate::workload::{ArrivalStream, TenantQuota, quotas, traffic_shares};
 
 use exchange::IdleConnections;
@@ -57,9 +57,9 @@
 
 impl Clients {
     /// Takes from a tenant's quota; false for what is beyond it.
-    fn within_quota(&self, tenant: u16) -> bool {
+    fn within_quota(&self, tenant: TenantIndex) -> bool {
         lock(&self.load.quotas)
-            .get_mut(usize::from(tenant))
+            .get_mut(tenant.index())
             .is_none_or(|quota| quota.try_take(self.shared.clock.now()))
     }
 
--- a/crates/testbed/src/emulator/client/request.rs
+++ b/crates/testbed/src/emulator/client/request.rs
@@ -44,7 +44,7 @@
             }
             Idempotency::NonIdempotent => ("POST", String::new(), "{\"slot\":3}"),
         };
-        let tenant = scenario.tenant.get(usize::from(arrival.tenant));
+        let tenant = scenario.tenant.get(arrival.tenant.index());
         let tenant = tenant.map_or("none", |tenant| tenant.name.as_str());
         let length = if body.is_empty() {
             String::new()
--- a/crates/testbed/src/emulator/client/request/tests.rs
+++ b/crates/testbed/src/emulator/client/request/tests.rs
@@ -3,7 +3,7 @@
 use super::{OutgoingRequest, Response};
 use crate::emulator::http::parsed_response;
 use crate::event_log::RequestOutcome;
-use crate::index::ClassIndex;
+use crate::index::{ClassIndex, TenantIndex};
 use crate::scenario::{Class, Idempotency, Scenario, Tenant};
 use crate::workload::Arrival;
 
@@ -31,7 +31,7 @@
     Arrival {
         at: 0,
         class: ClassIndex::new(class),
-        tenant,
+        tenant: TenantIndex::new(tenant),
         work: 1_234.56,
         work_hint: hint,
         honours_retry_after: false,
--- a/crates/testbed/src/event_log/event.rs
+++ b/crates/testbed/src/event_log/event.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::state::{ListedStatus, ProcessState, RequestOutcome, ServerState};
-use crate::index::{ClassIndex, ServerIndex, SidecarIndex};
+use crate::index::{ClassIndex, ServerIndex, SidecarIndex, TenantIndex};
 use crate::scenario::Micros;
 
 /// One event. An `arrival` is what a client wants, a `request` one try of it at the sidecar, an
@@ -26,7 +26,7 @@
         class: ClassIndex,
         /// Index of the tenant.
         #[serde(alias = "shop")]
-        tenant: u16,
+        tenant: TenantIndex,
         /// Whether the tenant is within its quota.
         #[serde(rename = "within_share", alias = "within")]
         within_quota: bool,
--- a/crates/testbed/src/event_log/tests.rs
+++ b/crates/testbed/src/event_log/tests.rs
@@ -6,7 +6,7 @@
     EventLog as _, ListedStatus, LogEvent, LogRecord, ProcessState, RequestOutcome, ServerState,
     Writer, read,
 };
-use crate::index::{ClassIndex, ServerIndex, SidecarIndex};
+use crate::index::{ClassIndex, ServerIndex, SidecarIndex, TenantIndex};
 
 /// The first 200 lines of a calm run, and one of every other kind in it.
 const OLD_LOG: &str = include_str!("../../tests/data/records/calm-1.ledger");
@@ -65,7 +65,7 @@
                 arrival: 1,
                 sidecar: SidecarIndex::new(2),
                 class: ClassIndex::new(2),
-                tenant: 0,
+                tenant: TenantIndex::new(0),
                 within_quota: true,
                 work: 9_873.518_844_543_214,
             },
@@ -231,7 +231,7 @@
         arrival: 3,
         sidecar,
         class: ClassIndex::new(1),
-        tenant: 4,
+        tenant: TenantIndex::new(4),
         within_quota: true,
         work: 2.5,
     });
--- a/crates/testbed/src/index.rs
+++ b/crates/testbed/src/index.rs
@@ -59,6 +59,11 @@
     ClassIndex(u16)
 }
 
+index_type! {
+    /// A tenant, in the order of the scenario.
+    TenantIndex(u16)
+}
+
 impl ServerIndex {
     /// The server of a name such as `s3`; nothing where it is no server's name.
     pub fn from_name(name: &str) -> Option<Self> {
--- a/crates/testbed/src/simulator/client.rs
+++ b/crates/testbed/src/simulator/client.rs
@@ -7,7 +7,7 @@
 use super::process::SidecarProcess;
 use super::request::{ArrivalKey, OpenArrival, Request, RequestKey};
 use crate::event_log::{LogEvent, RequestOutcome};
-use crate::index::SidecarIndex;
+use crate::index::{SidecarIndex, TenantIndex};
 use crate::scenario::{Idempotency, Micros, from_ms};
 use crate::workload::Arrival;
 
@@ -51,10 +51,10 @@
     }
 
     /// whether an arrival lies within its tenant's quota; without tenants all do.
-    fn within_quota(&mut self, tenant: u16) -> bool {
+    fn within_quota(&mut self, tenant: TenantIndex) -> bool {
         let now = self.timeline.now();
         self.quotas
-            .get_mut(usize::from(tenant))
+            .get_mut(tenant.index())
             .is_none_or(|quota| quota.try_take(now))
     }
 
--- a/crates/testbed/src/statistics/arrival.rs
+++ b/crates/testbed/src/statistics/arrival.rs
@@ -1,14 +1,14 @@
 //! An arrival, and what its end gains.
 
 use crate::event_log::RequestOutcome;
-use crate::index::ClassIndex;
+use crate::index::{ClassIndex, TenantIndex};
 use crate::scenario::{Class, Micros, from_ms};
 
 /// An arrival that has not ended.
 pub(super) struct OpenArrival {
     pub(super) at: Micros,
     pub(super) class: ClassIndex,
-    pub(super) tenant: u16,
+    pub(super) tenant: TenantIndex,
     pub(super) value: f64,
     pub(super) within_quota: bool,
 }
--- a/crates/testbed/src/statistics/mod.rs
+++ b/crates/testbed/src/statistics/mod.rs
@@ -11,7 +11,7 @@
 use rustc_hash::FxHashMap;
 
 use crate::event_log::{EventLog, LogEvent, LogRecord, ProcessState, RequestOutcome};
-use crate::index::ClassIndex;
+use crate::index::{ClassIndex, TenantIndex};
 use crate::report::{ClassFigures, Report, TenantFigures, engine_name};
 use crate::scenario::{Micros, Scenario};
 
@@ -170,8 +170,10 @@
     }
 
     fn tenant_figures(&self) -> Vec<TenantFigures> {
-        let tenants = self.scenario.tenant.iter().enumerate();
-        tenants
+        let tenants = &self.scenario.tenant;
+        let indexes = TenantIndex::all(tenants.len());
+        indexes
+            .zip(tenants)
             .map(|(index, tenant)| TenantFigures {
                 name: tenant.name.clone(),
                 service: self.service.of_tenant(index),
--- a/crates/testbed/src/statistics/service.rs
+++ b/crates/testbed/src/statistics/service.rs
@@ -2,7 +2,7 @@
 
 use super::arrival::{Gain, OpenArrival};
 use super::{MICROS_PER_SECOND, second_of};
-use crate::index::ClassIndex;
+use crate::index::{ClassIndex, TenantIndex};
 use crate::scenario::Micros;
 
 /// Weights of the whole run, the worst window, the worst class and the worst tenant, as the
@@ -102,7 +102,7 @@
         }
         self.total.add(arrival.value, gain.share);
         self.by_class[arrival.class.index()].add(arrival.value, gain.share);
-        let tenant = self.by_tenant.get_mut(usize::from(arrival.tenant));
+        let tenant = self.by_tenant.get_mut(arrival.tenant.index());
         if let Some(tenant) = tenant.filter(|_| arrival.within_quota) {
             tenant.add(arrival.value, gain.share);
         }
@@ -115,8 +115,8 @@
         self.by_class[class.index()].share()
     }
 
-    pub(super) fn of_tenant(&self, index: usize) -> Option<f64> {
-        self.by_tenant[index].share()
+    pub(super) fn of_tenant(&self, tenant: TenantIndex) -> Option<f64> {
+        self.by_tenant[tenant.index()].share()
     }
 
     /// Price of the value lost by what ended late, per value that arrived.
--- a/crates/testbed/src/workload.rs
+++ b/crates/testbed/src/workload.rs
@@ -2,7 +2,7 @@
 //!
 //! What clients do about slow and failed requests is the engines'.
 
-use crate::index::{ClassIndex, SidecarIndex};
+use crate::index::{ClassIndex, SidecarIndex, TenantIndex};
 use crate::random::{RandomStream, StreamId};
 use crate::scenario::{Class, FaultKind, Micros, Scenario, WorkDistribution, from_s};
 
@@ -27,7 +27,7 @@
     /// Index of its class.
     pub class: ClassIndex,
     /// Index of its tenant.
-    pub tenant: u16,
+    pub tenant: TenantIndex,
     /// Work in microseconds of a standard core.
     pub work: f64,
     /// What its client hints of the work, in microseconds of a standard core.
@@ -115,13 +115,14 @@
         let class = self.work_random.weighted_index(&self.class_weights);
         let class = ClassIndex::from_position(class);
         let tenant = self.work_random.weighted_index(&self.tenant_weights);
+        let tenant = TenantIndex::from_position(tenant);
         let work = self.draw_work_of(class);
         let clients = &self.scenario.clients;
         let honours = self.client_random.chance(clients.honour_retry_after);
         Arrival {
             at: self.now,
             class,
-            tenant: tenant as u16,
+            tenant,
             work,
             work_hint: self.draw_hint(work),
             honours_retry_after: honours,
