--- a/crates/testbed/src/audit/mod.rs
+++ b/crates/testbed/src/audit/mod.rs
@@ -14,7 +14,7 @@
 mod violation;
 
 use crate::event_log::RequestOutcome;
-use crate::index::{ServerIndex, SidecarIndex};
+use crate::index::{RequestNumber, ServerIndex, SidecarIndex};
 use crate::scenario::{Class, Micros, Scenario, from_ms};
 
 use cold_server::{ColdServers, ReceivedWork};
@@ -91,7 +91,7 @@
         self.requests.forget_before(now);
     }
 
-    fn on_request_accepted(&mut self, request: u64, accepted: AcceptedRequest) {
+    fn on_request_accepted(&mut self, request: RequestNumber, accepted: AcceptedRequest) {
         self.requests_read += 1;
         let response_limit = accepted.due() + self.response_grace;
         self.requests.insert(request, accepted, response_limit);
@@ -100,7 +100,7 @@
     fn on_attempt_started(
         &mut self,
         at: Micros,
-        request: u64,
+        request: RequestNumber,
         sidecar: SidecarIndex,
         server: ServerIndex,
     ) {
@@ -112,7 +112,7 @@
         }
     }
 
-    fn on_attempt_received(&mut self, at: Micros, request: u64, server: ServerIndex) {
+    fn on_attempt_received(&mut self, at: Micros, request: RequestNumber, server: ServerIndex) {
         let Some(open) = self.requests.get_mut(request) else {
             return;
         };
@@ -137,7 +137,12 @@
         }
     }
 
-    fn on_work_received(&mut self, request: u64, server: ServerIndex, received: ReceivedWork) {
+    fn on_work_received(
+        &mut self,
+        request: RequestNumber,
+        server: ServerIndex,
+        received: ReceivedWork,
+    ) {
         let sidecar = self.requests.get(request).map(AcceptedRequest::sidecar);
         let notified_start =
             sidecar.and_then(|sidecar| self.endpoint_views.notified_start(sidecar, server));
@@ -152,7 +157,7 @@
         }
     }
 
-    fn on_response(&mut self, at: Micros, request: u64, outcome: RequestOutcome) {
+    fn on_response(&mut self, at: Micros, request: RequestNumber, outcome: RequestOutcome) {
         let excused = self.requests.is_excused(request);
         let response_grace = self.response_grace;
         let Some(open) = self.requests.get_mut(request) else {
--- a/crates/testbed/src/audit/requests.rs
+++ b/crates/testbed/src/audit/requests.rs
@@ -6,7 +6,7 @@
 use rustc_hash::FxHashMap;
 
 use crate::event_log::{ProcessState, RequestOutcome};
-use crate::index::{ClassIndex, ServerIndex, SidecarIndex};
+use crate::index::{ClassIndex, RequestNumber, ServerIndex, SidecarIndex};
 use crate::scenario::Micros;
 
 /// How long a request is remembered beyond its deadline, to catch what comes after it.
@@ -86,33 +86,38 @@
 /// All of them, by number.
 #[derive(Default)]
 pub(super) struct Requests {
-    accepted: FxHashMap<u64, AcceptedRequest>,
+    accepted: FxHashMap<RequestNumber, AcceptedRequest>,
     /// When a response is overdue, earliest first.
-    response_limits: BinaryHeap<Reverse<(Micros, u64)>>,
+    response_limits: BinaryHeap<Reverse<(Micros, RequestNumber)>>,
     /// When a request may be forgotten, in the order of acceptance.
-    forget_at: VecDeque<(Micros, u64)>,
+    forget_at: VecDeque<(Micros, RequestNumber)>,
     /// When a sidecar was last killed.
     killed_at: FxHashMap<SidecarIndex, Micros>,
 }
 
 impl Requests {
-    pub(super) fn insert(&mut self, number: u64, request: AcceptedRequest, response_limit: Micros) {
+    pub(super) fn insert(
+        &mut self,
+        number: RequestNumber,
+        request: AcceptedRequest,
+        response_limit: Micros,
+    ) {
         self.forget_at
             .push_back((request.due + RETENTION_AFTER_DEADLINE, number));
         self.response_limits.push(Reverse((response_limit, number)));
         self.accepted.insert(number, request);
     }
 
-    pub(super) fn get(&self, number: u64) -> Option<&AcceptedRequest> {
+    pub(super) fn get(&self, number: RequestNumber) -> Option<&AcceptedRequest> {
         self.accepted.get(&number)
     }
 
-    pub(super) fn get_mut(&mut self, number: u64) -> Option<&mut AcceptedRequest> {
+    pub(super) fn get_mut(&mut self, number: RequestNumber) -> Option<&mut AcceptedRequest> {
         self.accepted.get_mut(&number)
     }
 
     /// Takes the next request whose response was due before `now`, with the time at which it was.
-    pub(super) fn next_overdue(&mut self, now: Micros) -> Option<(Micros, u64)> {
+    pub(super) fn next_overdue(&mut self, now: Micros) -> Option<(Micros, RequestNumber)> {
         let Reverse((limit, _)) = *self.response_limits.peek()?;
         if limit >= now {
             return None;
@@ -121,7 +126,7 @@
     }
 
     /// True for a request that should have had a response and has none.
-    pub(super) fn lacks_response(&self, number: u64) -> bool {
+    pub(super) fn lacks_response(&self, number: RequestNumber) -> bool {
         self.accepted
             .get(&number)
             .is_some_and(|request| request.response.is_none() && !self.excuses(request))
@@ -136,7 +141,7 @@
 
     /// True where no response is required: the client disconnected, or the sidecar was killed with
     /// the request.
-    pub(super) fn is_excused(&self, number: u64) -> bool {
+    pub(super) fn is_excused(&self, number: RequestNumber) -> bool {
         self.accepted
             .get(&number)
             .is_some_and(|request| self.excuses(request))
@@ -148,7 +153,7 @@
     }
 
     /// The server's latest attempt of the request was rejected without being executed.
-    pub(super) fn on_attempt_rejected(&mut self, number: u64, server: ServerIndex) {
+    pub(super) fn on_attempt_rejected(&mut self, number: RequestNumber, server: ServerIndex) {
         let Some(request) = self.accepted.get_mut(&number) else {
             return;
         };
@@ -158,7 +163,7 @@
         }
     }
 
-    pub(super) fn on_client_disconnected(&mut self, number: u64) {
+    pub(super) fn on_client_disconnected(&mut self, number: RequestNumber) {
         if let Some(request) = self.accepted.get_mut(&number) {
             request.client_disconnected = true;
         }
--- a/crates/testbed/src/audit/violation.rs
+++ b/crates/testbed/src/audit/violation.rs
@@ -4,7 +4,7 @@
 
 use serde::Serialize;
 
-use crate::index::ServerIndex;
+use crate::index::{RequestNumber, ServerIndex};
 use crate::scenario::Micros;
 
 /// Violations that are listed; further ones are only counted.
@@ -46,7 +46,7 @@
     /// The rule that was violated.
     pub rule: Rule,
     /// The request concerned.
-    pub request: Option<u64>,
+    pub request: Option<RequestNumber>,
     /// The server concerned.
     pub server: Option<ServerIndex>,
     /// What happened.
@@ -57,7 +57,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "at {:.3} s, ", self.at as f64 / 1e6)?;
         if let Some(request) = self.request {
-            write!(f, "request {request:016x}, ")?;
+            write!(f, "request {request}, ")?;
         }
         if let Some(server) = self.server {
             write!(f, "server {server}, ")?;
@@ -86,7 +86,7 @@
         &mut self,
         at: Micros,
         rule: Rule,
-        request: Option<u64>,
+        request: Option<RequestNumber>,
         server: Option<ServerIndex>,
         why: String,
     ) {
--- a/crates/testbed/src/emulator/client/arrival.rs
+++ b/crates/testbed/src/emulator/client/arrival.rs
@@ -7,6 +7,7 @@
 use super::Clients;
 use super::request::{OutgoingRequest, Response};
 use crate::event_log::{LogEvent, RequestOutcome};
+use crate::index::{ArrivalNumber, RequestNumber};
 use crate::random::{RandomStream, StreamId};
 use crate::scenario::{Idempotency, Micros, from_ms};
 use crate::workload::Arrival;
@@ -19,7 +20,7 @@
 impl Clients {
     /// Plays an arrival with all its requests; `index` is its number at this sidecar.
     pub(super) async fn play_arrival(self: Arc<Self>, arrival: Arrival, index: usize) {
-        let number = self.shared.next_id();
+        let number = self.shared.next_arrival_number();
         let within_quota = self.within_quota(arrival.tenant);
         self.shared.record_at(
             arrival.at,
@@ -42,7 +43,7 @@
         self.load.on_ended();
     }
 
-    fn record_arrival_ended(&self, arrival: u64, outcome: RequestOutcome, requests: u32) {
+    fn record_arrival_ended(&self, arrival: ArrivalNumber, outcome: RequestOutcome, requests: u32) {
         self.shared.record(LogEvent::ArrivalEnded {
             arrival,
             outcome,
@@ -54,7 +55,7 @@
     async fn send_requests(
         &self,
         arrival: &Arrival,
-        number: u64,
+        number: ArrivalNumber,
         index: usize,
     ) -> (RequestOutcome, u32) {
         let scenario = &self.shared.scenario;
@@ -86,7 +87,7 @@
         &self,
         random: &mut RandomStream,
         arrival: &Arrival,
-        number: u64,
+        number: ArrivalNumber,
         from: Micros,
         deadline: Micros,
     ) -> OutgoingRequest {
@@ -98,14 +99,14 @@
         let disconnects = random.chance(clients.disconnect_share);
         let disconnects_at = from + (random.unit() * due.saturating_sub(from) as f64) as Micros;
         OutgoingRequest {
-            number: self.shared.next_id(),
+            number: self.shared.next_request_number(),
             arrival: number,
             due,
             disconnects_at: disconnects.then_some(disconnects_at),
         }
     }
 
-    fn record_outcome(&self, request: u64, outcome: RequestOutcome) {
+    fn record_outcome(&self, request: RequestNumber, outcome: RequestOutcome) {
         match outcome {
             RequestOutcome::Unreachable | RequestOutcome::Unanswered => {}
             RequestOutcome::Disconnected => {
--- a/crates/testbed/src/emulator/client/request.rs
+++ b/crates/testbed/src/emulator/client/request.rs
@@ -5,6 +5,7 @@
 
 use crate::emulator::http::Message;
 use crate::event_log::RequestOutcome;
+use crate::index::{ArrivalNumber, RequestNumber};
 use crate::scenario::{Idempotency, Micros, Scenario};
 use crate::workload::Arrival;
 
@@ -13,8 +14,8 @@
 
 /// One request of an arrival.
 pub(super) struct OutgoingRequest {
-    pub(super) number: u64,
-    pub(super) arrival: u64,
+    pub(super) number: RequestNumber,
+    pub(super) arrival: ArrivalNumber,
     /// When the client times out.
     pub(super) due: Micros,
     /// When it disconnects before, if it does.
@@ -39,7 +40,7 @@
         let (method, key, body) = match class.idempotency {
             Idempotency::Idempotent => ("GET", String::new(), ""),
             Idempotency::IdempotencyKey => {
-                let key = format!("Idempotency-Key: k{id:016x}\r\n");
+                let key = format!("Idempotency-Key: k{id}\r\n");
                 ("POST", key, "{\"order\":1}")
             }
             Idempotency::NonIdempotent => ("POST", String::new(), "{\"slot\":3}"),
@@ -55,7 +56,7 @@
             .work_hint
             .map_or(String::new(), |hint| format!("X-Cost: {hint}\r\n"));
         format!(
-            "{method} /api?w={:.1}&c={} HTTP/1.1\r\nHost: origin.svc\r\nX-Request-ID: {id:016x}\r\n\
+            "{method} /api?w={:.1}&c={} HTTP/1.1\r\nHost: origin.svc\r\nX-Request-ID: {id}\r\n\
              X-Priority-Class: {class_name}\r\nX-Tenant-Id: {tenant}\r\nX-Timeout: {timeout}u\r\n\
              {cost}{key}{length}\r\n{body}",
             arrival.work,
@@ -81,8 +82,8 @@
     }
 
     /// What a response says, and whether a server made it for this very request.
-    pub(super) fn of(message: &Message, request: u64) -> Self {
-        let own_body = format!("done {request:016x} at s");
+    pub(super) fn of(message: &Message, request: RequestNumber) -> Self {
+        let own_body = format!("done {request} at s");
         let outcome = match message.status {
             200 if message.body.starts_with(own_body.as_bytes()) => RequestOutcome::Served,
             200 => RequestOutcome::Mismatched,
--- a/crates/testbed/src/emulator/counter_check/tests.rs
+++ b/crates/testbed/src/emulator/counter_check/tests.rs
@@ -7,7 +7,7 @@
 use crate::emulator::shared::Shared;
 use crate::emulator::sidecars::{Counters, FleetCounters};
 use crate::event_log::{LogEvent, LogRecord, RequestOutcome};
-use crate::index::{ClassIndex, ServerIndex, SidecarIndex};
+use crate::index::{ArrivalNumber, ClassIndex, RequestNumber, ServerIndex, SidecarIndex};
 use crate::scenario::Scenario;
 
 /// What agrees with [`records`]: one request of each end, one of them over capacity, and four
@@ -18,10 +18,12 @@
     health_checks_sent 3\nhealth_checks_failed 0\n";
 
 fn records() -> Vec<LogRecord> {
-    let accepted = (1..=5).map(|request| LogEvent::RequestAccepted {
-        request,
-        arrival: request,
-        sidecar: SidecarIndex::new(0),
+    let server = ServerIndex::new(0);
+    let sidecar = SidecarIndex::new(0);
+    let accepted = (1..=5).map(|number| LogEvent::RequestAccepted {
+        request: RequestNumber::new(number),
+        arrival: ArrivalNumber::new(number),
+        sidecar,
         class: ClassIndex::new(0),
         due: 1_000,
     });
@@ -31,27 +33,26 @@
         RequestOutcome::Rejected,
         RequestOutcome::Failed,
     ];
-    let responses = (1..).zip(responses);
+    let responses = (1..).map(RequestNumber::new).zip(responses);
     let responses =
         responses.map(|(request, outcome)| LogEvent::ResponseReceived { request, outcome });
-    let attempts = (1..=4).map(|request| LogEvent::AttemptStarted {
-        request,
-        sidecar: SidecarIndex::new(0),
-        server: ServerIndex::new(0),
+    let attempts = (1..=4).map(|number| LogEvent::AttemptStarted {
+        request: RequestNumber::new(number),
+        sidecar,
+        server,
         cross_zone: false,
     });
-    let health_check = LogEvent::HealthChecked {
-        sidecar: SidecarIndex::new(0),
-        server: ServerIndex::new(0),
-    };
+    let health_check = LogEvent::HealthChecked { sidecar, server };
     accepted
         .chain(responses)
         .chain(attempts)
         .chain([
-            LogEvent::ClientDisconnected { request: 5 },
+            LogEvent::ClientDisconnected {
+                request: RequestNumber::new(5),
+            },
             LogEvent::AttemptRejected {
-                request: 2,
-                server: ServerIndex::new(0),
+                request: RequestNumber::new(2),
+                server,
             },
         ])
         .chain([health_check; 3])
--- a/crates/testbed/src/emulator/emulated_server/admission.rs
+++ b/crates/testbed/src/emulator/emulated_server/admission.rs
@@ -2,11 +2,12 @@
 
 use tokio::sync::oneshot;
 
+use crate::index::RequestNumber;
 use crate::scenario::Micros;
 
 /// An attempt that asks the process for admission.
 pub(super) struct AdmissionRequest {
-    pub(super) request: u64,
+    pub(super) request: RequestNumber,
     /// Expected work.
     pub(super) work: f64,
     /// Spread of the actual work around it, as the standard deviation of its logarithm.
--- a/crates/testbed/src/emulator/emulated_server/attempt.rs
+++ b/crates/testbed/src/emulator/emulated_server/attempt.rs
@@ -12,7 +12,7 @@
 use crate::emulator::http::{HttpConnection, Message, response};
 use crate::emulator::lock::lock;
 use crate::event_log::LogEvent;
-use crate::index::{ClassIndex, ServerIndex};
+use crate::index::{ClassIndex, RequestNumber, ServerIndex};
 use crate::scenario::Micros;
 
 /// How long an attempt without a timeout may wait: ten minutes, beyond the length of any run.
@@ -24,7 +24,7 @@
 
 /// An attempt as its request says it.
 struct Attempt {
-    request: u64,
+    request: RequestNumber,
     /// Expected work.
     work: f64,
     /// Index of the request class.
@@ -39,7 +39,7 @@
         let class = message.query_parameter("c");
         let timeout = message.header("x-timeout");
         Some(Self {
-            request: u64::from_str_radix(id, 16).ok()?,
+            request: RequestNumber::from_request_id(id)?,
             work: message.query_parameter("w")?.parse().ok()?,
             class: ClassIndex::from_position(
                 class.and_then(|class| class.parse().ok()).unwrap_or(0),
@@ -144,7 +144,7 @@
     fn record_attempt_received(
         &self,
         at: Micros,
-        request: u64,
+        request: RequestNumber,
         server: ServerIndex,
         admission: &Admission,
     ) {
@@ -187,7 +187,12 @@
 }
 
 /// The response to an attempt that was executed.
-fn final_response(request: u64, server: ServerIndex, error: bool, draw: &ResponseDraw) -> String {
+fn final_response(
+    request: RequestNumber,
+    server: ServerIndex,
+    error: bool,
+    draw: &ResponseDraw,
+) -> String {
     if draw.malformed {
         return MALFORMED_RESPONSE.to_owned();
     }
@@ -198,7 +203,7 @@
         return response("500 Internal Server Error", &load, "");
     }
     let headers = format!("Content-Type: text/plain\r\n{load}");
-    let body = format!("done {request:016x} at {server}\n");
+    let body = format!("done {request} at {server}\n");
     response("200 OK", &headers, &body)
 }
 
--- a/crates/testbed/src/emulator/emulated_server/mod.rs
+++ b/crates/testbed/src/emulator/emulated_server/mod.rs
@@ -23,7 +23,7 @@
 use super::ports::free_address;
 use super::shared::Shared;
 use crate::event_log::{LogEvent, ServerState};
-use crate::index::{ServerIndex, SidecarIndex};
+use crate::index::{RequestNumber, ServerIndex, SidecarIndex};
 use crate::random::{RandomStream, StreamId};
 use crate::scenario::{MachineType, Micros, Servers};
 use crate::server_model::ServerModel;
@@ -176,7 +176,7 @@
         result
     }
 
-    fn record_work_done(&self, at: Micros, request: u64, work: f64) {
+    fn record_work_done(&self, at: Micros, request: RequestNumber, work: f64) {
         self.shared.record_at(
             at,
             LogEvent::WorkDone {
--- a/crates/testbed/src/emulator/emulated_server/process.rs
+++ b/crates/testbed/src/emulator/emulated_server/process.rs
@@ -5,13 +5,14 @@
 use tokio::sync::oneshot;
 
 use super::admission::{AcceptedAttempt, Admission, AdmissionRequest, ResponseDraw};
+use crate::index::RequestNumber;
 use crate::random::RandomStream;
 use crate::scenario::{MachineType, Micros};
 use crate::server_model::{Event, Job, LoadReport, ServerModel, State};
 
 /// An attempt in the model.
 struct Execution {
-    request: u64,
+    request: RequestNumber,
     work: f64,
     /// Gets whether it ended in an error; dropped if it never ends.
     end: oneshot::Sender<bool>,
@@ -82,7 +83,10 @@
 
     /// Hands on what the model did; true if it was overloaded and is gone. `on_work_done` gets the
     /// request and the work of each execution that ended.
-    pub(super) fn apply_events(&mut self, mut on_work_done: impl FnMut(u64, f64)) -> bool {
+    pub(super) fn apply_events(
+        &mut self,
+        mut on_work_done: impl FnMut(RequestNumber, f64),
+    ) -> bool {
         let mut overloaded = false;
         for event in std::mem::take(&mut self.events) {
             match event {
--- a/crates/testbed/src/emulator/recorder.rs
+++ b/crates/testbed/src/emulator/recorder.rs
@@ -5,6 +5,7 @@
 
 use super::lock::lock;
 use crate::event_log::{LogEvent, LogRecord};
+use crate::index::RequestNumber;
 use crate::scenario::Micros;
 
 /// The events so far, in the order in which they were recorded.
@@ -12,7 +13,7 @@
 pub(super) struct Recorder {
     records: Mutex<Vec<LogRecord>>,
     /// Requests that crossed the close of their connection, and found no listener for a new one.
-    not_accepted: Mutex<HashSet<u64>>,
+    not_accepted: Mutex<HashSet<RequestNumber>>,
 }
 
 impl Recorder {
@@ -22,7 +23,7 @@
 
     /// A request that was recorded as accepted turns out not to be, unless a server has received
     /// it.
-    pub(super) fn on_request_not_accepted(&self, request: u64) {
+    pub(super) fn on_request_not_accepted(&self, request: RequestNumber) {
         lock(&self.not_accepted).insert(request);
     }
 
--- a/crates/testbed/src/emulator/shared.rs
+++ b/crates/testbed/src/emulator/shared.rs
@@ -8,6 +8,7 @@
 use super::recorder::Recorder;
 use super::timeliness::Timeliness;
 use crate::event_log::LogEvent;
+use crate::index::{ArrivalNumber, RequestNumber};
 use crate::scenario::{Micros, Scenario, from_ms};
 
 /// Shared by all tasks of an emulation.
@@ -16,7 +17,7 @@
     pub(super) clock: Clock,
     pub(super) recorder: Recorder,
     pub(super) timeliness: Timeliness,
-    next_id: AtomicU64,
+    next_number: AtomicU64,
     blackholed_attempts: AtomicU64,
     blackholed_health_checks: AtomicU64,
 }
@@ -28,7 +29,7 @@
             clock,
             recorder: Recorder::default(),
             timeliness: Timeliness::default(),
-            next_id: AtomicU64::new(1),
+            next_number: AtomicU64::new(1),
             blackholed_attempts: AtomicU64::new(0),
             blackholed_health_checks: AtomicU64::new(0),
         }
@@ -47,9 +48,18 @@
         self.timeliness.on_done(due, self.clock.now());
     }
 
-    /// A number for an arrival or a request, never given twice.
-    pub(super) fn next_id(&self) -> u64 {
-        self.next_id.fetch_add(1, Ordering::Relaxed)
+    /// A number for an arrival, never given twice.
+    pub(super) fn next_arrival_number(&self) -> ArrivalNumber {
+        ArrivalNumber::new(self.next_number())
+    }
+
+    /// A number for a request, never given twice.
+    pub(super) fn next_request_number(&self) -> RequestNumber {
+        RequestNumber::new(self.next_number())
+    }
+
+    fn next_number(&self) -> u64 {
+        self.next_number.fetch_add(1, Ordering::Relaxed)
     }
 
     /// One-way delay between a sidecar and a server; `unit` is a random draw from 0 to 1.
--- a/crates/testbed/src/event_log/event.rs
+++ b/crates/testbed/src/event_log/event.rs
@@ -5,7 +5,9 @@
 use serde::{Deserialize, Serialize};
 
 use super::state::{ListedStatus, ProcessState, RequestOutcome, ServerState};
-use crate::index::{ClassIndex, ServerIndex, SidecarIndex, TenantIndex};
+use crate::index::{
+    ArrivalNumber, ClassIndex, RequestNumber, ServerIndex, SidecarIndex, TenantIndex,
+};
 use crate::scenario::Micros;
 
 /// One event. An `arrival` is what a client wants, a `request` one try of it at the sidecar, an
@@ -19,7 +21,7 @@
     ArrivalStarted {
         /// Number of the arrival.
         #[serde(alias = "ask")]
-        arrival: u64,
+        arrival: ArrivalNumber,
         /// The client's sidecar.
         sidecar: SidecarIndex,
         /// Index of the request class.
@@ -39,10 +41,10 @@
     RequestAccepted {
         /// Number of the request.
         #[serde(alias = "tx")]
-        request: u64,
+        request: RequestNumber,
         /// The arrival it belongs to.
         #[serde(alias = "ask")]
-        arrival: u64,
+        arrival: ArrivalNumber,
         /// The sidecar that accepted it.
         sidecar: SidecarIndex,
         /// Index of the request class.
@@ -55,7 +57,7 @@
     AttemptStarted {
         /// The request it is an attempt of.
         #[serde(alias = "tx")]
-        request: u64,
+        request: RequestNumber,
         /// The sidecar that forwards it.
         sidecar: SidecarIndex,
         /// The server it goes to.
@@ -69,7 +71,7 @@
     AttemptReceived {
         /// The request it is an attempt of.
         #[serde(alias = "tx")]
-        request: u64,
+        request: RequestNumber,
         /// The server that received it.
         server: ServerIndex,
         /// The work that it takes there.
@@ -84,7 +86,7 @@
     AttemptRejected {
         /// The request it is an attempt of.
         #[serde(alias = "tx")]
-        request: u64,
+        request: RequestNumber,
         /// The server that rejected it.
         server: ServerIndex,
     },
@@ -93,7 +95,7 @@
     WorkDone {
         /// The request it is an attempt of.
         #[serde(alias = "tx")]
-        request: u64,
+        request: RequestNumber,
         /// The server that executed it.
         server: ServerIndex,
         /// The work that was done.
@@ -104,7 +106,7 @@
     ResponseReceived {
         /// Number of the request.
         #[serde(alias = "tx")]
-        request: u64,
+        request: RequestNumber,
         /// What the response says.
         #[serde(alias = "how")]
         outcome: RequestOutcome,
@@ -114,14 +116,14 @@
     ClientDisconnected {
         /// Number of the request.
         #[serde(alias = "tx")]
-        request: u64,
+        request: RequestNumber,
     },
     /// The arrival has come to its end.
     #[serde(alias = "closed")]
     ArrivalEnded {
         /// Number of the arrival.
         #[serde(alias = "ask")]
-        arrival: u64,
+        arrival: ArrivalNumber,
         /// How its last request ended.
         #[serde(alias = "how")]
         outcome: RequestOutcome,
--- a/crates/testbed/src/event_log/tests.rs
+++ b/crates/testbed/src/event_log/tests.rs
@@ -6,7 +6,9 @@
     EventLog as _, ListedStatus, LogEvent, LogRecord, ProcessState, RequestOutcome, ServerState,
     Writer, read,
 };
-use crate::index::{ClassIndex, ServerIndex, SidecarIndex, TenantIndex};
+use crate::index::{
+    ArrivalNumber, ClassIndex, RequestNumber, ServerIndex, SidecarIndex, TenantIndex,
+};
 
 /// The first 200 lines of a calm run, and one of every other kind in it.
 const OLD_LOG: &str = include_str!("../../tests/data/records/calm-1.ledger");
@@ -62,7 +64,7 @@
         (
             4_419,
             LogEvent::ArrivalStarted {
-                arrival: 1,
+                arrival: ArrivalNumber::new(1),
                 sidecar: SidecarIndex::new(2),
                 class: ClassIndex::new(2),
                 tenant: TenantIndex::new(0),
@@ -73,7 +75,7 @@
         (
             21_712,
             LogEvent::AttemptStarted {
-                request: 8,
+                request: RequestNumber::new(8),
                 sidecar: SidecarIndex::new(3),
                 server: ServerIndex::new(0),
                 cross_zone: false,
@@ -82,7 +84,7 @@
         (
             22_031,
             LogEvent::AttemptReceived {
-                request: 8,
+                request: RequestNumber::new(8),
                 server: ServerIndex::new(0),
                 work: 19_654.795_076_852_744,
                 capacity: 2.996_052_179_303_716_5,
@@ -92,14 +94,14 @@
         (
             2_032_496,
             LogEvent::AttemptRejected {
-                request: 920,
+                request: RequestNumber::new(920),
                 server: ServerIndex::new(0),
             },
         ),
         (
             37_226,
             LogEvent::WorkDone {
-                request: 14,
+                request: RequestNumber::new(14),
                 server: ServerIndex::new(13),
                 work: 6_476.019_318_328_092,
             },
@@ -107,14 +109,14 @@
         (
             481_543,
             LogEvent::ResponseReceived {
-                request: 88,
+                request: RequestNumber::new(88),
                 outcome: RequestOutcome::Rejected,
             },
         ),
         (
             28_915_071,
             LogEvent::ArrivalEnded {
-                arrival: 12_304,
+                arrival: ArrivalNumber::new(12_304),
                 outcome: RequestOutcome::Unanswered,
                 requests: 2,
             },
@@ -169,7 +171,9 @@
     let read_one = |line: &str| read(line).expect("read")[0].event;
     assert_eq!(
         read_one(r#"{"at":1,"what":"left","tx":2}"#),
-        LogEvent::ClientDisconnected { request: 2 }
+        LogEvent::ClientDisconnected {
+            request: RequestNumber::new(2)
+        }
     );
     for (name, state) in [
         ("ending", ProcessState::ShuttingDown),
@@ -189,7 +193,7 @@
     ] {
         let line = format!(r#"{{"at":1,"what":"closed","ask":2,"how":"{name}","tries":3}}"#);
         let expected = LogEvent::ArrivalEnded {
-            arrival: 2,
+            arrival: ArrivalNumber::new(2),
             outcome,
             requests: 3,
         };
@@ -228,7 +232,7 @@
                     \"state\":\"fallen\"}\n";
     assert_eq!(overloaded, expected);
     let arrival = line(LogEvent::ArrivalStarted {
-        arrival: 3,
+        arrival: ArrivalNumber::new(3),
         sidecar,
         class: ClassIndex::new(1),
         tenant: TenantIndex::new(4),
@@ -255,7 +259,7 @@
     let records = [LogRecord {
         at: 7,
         event: LogEvent::ArrivalEnded {
-            arrival: 3,
+            arrival: ArrivalNumber::new(3),
             outcome: RequestOutcome::NotPlayed,
             requests: 2,
         },
--- a/crates/testbed/src/index.rs
+++ b/crates/testbed/src/index.rs
@@ -1,4 +1,4 @@
-//! Index types: each says what it is an index of, so that the compiler tells them apart.
+//! Index and number types: each says what it counts, so that the compiler tells them apart.
 //!
 //! All are stored as bare integers.
 
@@ -6,6 +6,28 @@
 
 use serde::{Deserialize, Serialize};
 
+/// Declares a number that the run gives to one thing of a kind, and to no other.
+macro_rules! number_type {
+    ($(#[$doc:meta])* $name:ident) => {
+        $(#[$doc])*
+        #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
+        #[serde(transparent)]
+        pub struct $name(u64);
+
+        impl $name {
+            /// The number of this value.
+            pub const fn new(value: u64) -> Self {
+                Self(value)
+            }
+
+            /// The value as an integer, for those who have no such type.
+            pub const fn value(self) -> u64 {
+                self.0
+            }
+        }
+    };
+}
+
 /// Declares the index of a thing in the list of all such things, kept as a small integer.
 macro_rules! index_type {
     ($(#[$doc:meta])* $name:ident($integer:ty)) => {
@@ -64,6 +86,30 @@
     TenantIndex(u16)
 }
 
+number_type! {
+    /// What a client wants, with all its requests.
+    ArrivalNumber
+}
+
+number_type! {
+    /// One request of a client: the first of an arrival, or a retry.
+    RequestNumber
+}
+
+impl RequestNumber {
+    /// The number in a request's `X-Request-ID`; nothing where that is no such number.
+    pub fn from_request_id(id: &str) -> Option<Self> {
+        u64::from_str_radix(id, 16).ok().map(Self)
+    }
+}
+
+/// Its form in `X-Request-ID` and in messages: 16 hexadecimal digits.
+impl fmt::Display for RequestNumber {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{:016x}", self.0)
+    }
+}
+
 impl ServerIndex {
     /// The server of a name such as `s3`; nothing where it is no server's name.
     pub fn from_name(name: &str) -> Option<Self> {
--- a/crates/testbed/src/simulator/client.rs
+++ b/crates/testbed/src/simulator/client.rs
@@ -7,7 +7,7 @@
 use super::process::SidecarProcess;
 use super::request::{ArrivalKey, OpenArrival, Request, RequestKey};
 use crate::event_log::{LogEvent, RequestOutcome};
-use crate::index::{SidecarIndex, TenantIndex};
+use crate::index::{RequestNumber, SidecarIndex, TenantIndex};
 use crate::scenario::{Idempotency, Micros, from_ms};
 use crate::workload::Arrival;
 
@@ -20,7 +20,7 @@
     }
 
     pub(super) fn on_arrival(&mut self, sidecar: SidecarIndex, arrival: Arrival) {
-        let number = self.open.take_number();
+        let number = self.open.take_arrival_number();
         let within_quota = self.within_quota(arrival.tenant);
         self.record(LogEvent::ArrivalStarted {
             arrival: number,
@@ -60,7 +60,7 @@
 
     /// Sends the first request of an arrival, or a retry.
     pub(super) fn send_request(&mut self, key: ArrivalKey) {
-        let number = self.open.take_number();
+        let number = self.open.take_request_number();
         let now = self.timeline.now();
         let clients = &self.scenario.clients;
         let Some(arrival) = self.open.arrivals.get_mut(key) else {
@@ -133,7 +133,7 @@
                 .open
                 .requests
                 .get(key)
-                .map_or(0, |request| request.number);
+                .map_or(RequestNumber::new(0), |request| request.number);
             self.record(LogEvent::ClientDisconnected { request: number });
             self.abandon_request(key);
             if let Some(request) = self.open.requests.remove(key) {
--- a/crates/testbed/src/simulator/request.rs
+++ b/crates/testbed/src/simulator/request.rs
@@ -3,7 +3,7 @@
 use slotmap::{SlotMap, new_key_type};
 
 use super::process::SidecarProcess;
-use crate::index::{ClassIndex, ServerIndex, SidecarIndex};
+use crate::index::{ArrivalNumber, ClassIndex, RequestNumber, ServerIndex, SidecarIndex};
 use crate::scenario::Micros;
 
 new_key_type! {
@@ -35,8 +35,17 @@
         }
     }
 
-    /// A number for an arrival or a request.
-    pub(super) fn take_number(&mut self) -> u64 {
+    /// A number for an arrival.
+    pub(super) fn take_arrival_number(&mut self) -> ArrivalNumber {
+        ArrivalNumber::new(self.take_number())
+    }
+
+    /// A number for a request.
+    pub(super) fn take_request_number(&mut self) -> RequestNumber {
+        RequestNumber::new(self.take_number())
+    }
+
+    fn take_number(&mut self) -> u64 {
         let number = self.next_number;
         self.next_number += 1;
         number
@@ -52,7 +61,7 @@
 
 /// What a client wants, with all its requests.
 pub(super) struct OpenArrival {
-    pub(super) number: u64,
+    pub(super) number: ArrivalNumber,
     pub(super) sidecar: SidecarIndex,
     pub(super) class: ClassIndex,
     /// Work in microseconds of a standard core.
@@ -68,7 +77,7 @@
 
 /// One request of a client to its sidecar: the first of an arrival or a retry.
 pub(super) struct Request {
-    pub(super) number: u64,
+    pub(super) number: RequestNumber,
     pub(super) arrival: ArrivalKey,
     /// The process that it was sent to.
     pub(super) process: SidecarProcess,
@@ -86,7 +95,7 @@
 /// One attempt of a sidecar at a server.
 pub(super) struct Attempt {
     pub(super) request: RequestKey,
-    pub(super) request_number: u64,
+    pub(super) request_number: RequestNumber,
     /// Counts the request's attempts from 0.
     pub(super) index: u32,
     pub(super) sidecar: SidecarIndex,
--- a/crates/testbed/src/simulator/sidecar/host.rs
+++ b/crates/testbed/src/simulator/sidecar/host.rs
@@ -5,7 +5,7 @@
 use arrowstand_balancer::{Action, Event as BalancerEvent, LoadReport, RequestId, ServerId};
 
 use crate::event_log::RequestOutcome;
-use crate::index::{ServerIndex, SidecarIndex};
+use crate::index::{RequestNumber, ServerIndex, SidecarIndex};
 use crate::scenario::{Micros, from_ms};
 use crate::simulator::event::{BalancerTimer, HealthCheckResult, SimulatorEvent};
 use crate::simulator::request::RequestKey;
@@ -89,7 +89,7 @@
 
     fn open_request(&self, sidecar: SidecarIndex, request: RequestId) -> Option<RequestKey> {
         let open = &self.sidecars[sidecar.index()].open_requests;
-        open.get(&request.0).copied()
+        open.get(&RequestNumber::new(request.0)).copied()
     }
 
     fn respond_if_open(
--- a/crates/testbed/src/simulator/sidecar/mod.rs
+++ b/crates/testbed/src/simulator/sidecar/mod.rs
@@ -19,7 +19,7 @@
 use super::request::RequestKey;
 use super::{Simulator, SimulatorError};
 use crate::event_log::{LogEvent, ProcessState, RequestOutcome};
-use crate::index::SidecarIndex;
+use crate::index::{RequestNumber, SidecarIndex};
 use crate::random::{RandomStream, StreamId};
 use crate::scenario::{Micros, Scenario, from_ms};
 use crate::workload::{ArrivalStream, traffic_shares};
@@ -49,7 +49,7 @@
     pub(super) polls: u32,
     connections: IdleConnections,
     /// Open requests by their numbers.
-    open_requests: BTreeMap<u64, RequestKey>,
+    open_requests: BTreeMap<RequestNumber, RequestKey>,
     /// What its clients want.
     pub(super) arrivals: ArrivalStream,
     /// Draws its clients' timeouts and backoffs.
@@ -99,7 +99,7 @@
     }
 
     /// Forgets the process with its connections and requests, and gives these back.
-    fn on_killed(&mut self) -> (IdleConnections, BTreeMap<u64, RequestKey>) {
+    fn on_killed(&mut self) -> (IdleConnections, BTreeMap<RequestNumber, RequestKey>) {
         self.balancer = None;
         self.watches = false;
         self.incarnation += 1;
--- a/crates/testbed/src/simulator/sidecar/requests.rs
+++ b/crates/testbed/src/simulator/sidecar/requests.rs
@@ -9,6 +9,7 @@
 
 use super::settings::RESPONSE_MARGIN;
 use crate::event_log::{LogEvent, RequestOutcome};
+use crate::index::{ArrivalNumber, RequestNumber};
 use crate::scenario::{Micros, from_ms};
 use crate::simulator::Simulator;
 use crate::simulator::event::{ClientResponse, SimulatorEvent};
@@ -31,7 +32,7 @@
         }
         let (number, due) = (request.number, request.due);
         let incoming = IncomingRequest {
-            id: RequestId(number),
+            id: RequestId(number.value()),
             class: ClassId(request.class.value()),
             time_left: due.saturating_sub(self.timeline.now()),
             work_hint: request.work_hint,
@@ -39,7 +40,7 @@
         let arrival = self.open.arrivals.get(request.arrival);
         let accepted = LogEvent::RequestAccepted {
             request: number,
-            arrival: arrival.map_or(0, |arrival| arrival.number),
+            arrival: arrival.map_or(ArrivalNumber::new(0), |arrival| arrival.number),
             sidecar: process.sidecar,
             class: request.class,
             due,
@@ -166,8 +167,8 @@
     }
 }
 
-fn client_disconnected(number: u64) -> BalancerEvent {
-    let request = RequestId(number);
+fn client_disconnected(number: RequestNumber) -> BalancerEvent {
+    let request = RequestId(number.value());
     BalancerEvent::ClientDisconnected { request }
 }
 
@@ -178,7 +179,7 @@
         queued: 0.0,
     });
     AttemptEnd {
-        request: RequestId(attempt.request_number),
+        request: RequestId(attempt.request_number.value()),
         attempt: attempt.index,
         server: ServerId(attempt.server.value()),
         outcome,
--- a/crates/testbed/src/statistics/mod.rs
+++ b/crates/testbed/src/statistics/mod.rs
@@ -11,7 +11,7 @@
 use rustc_hash::FxHashMap;
 
 use crate::event_log::{EventLog, LogEvent, LogRecord, ProcessState, RequestOutcome};
-use crate::index::{ClassIndex, TenantIndex};
+use crate::index::{ArrivalNumber, ClassIndex, TenantIndex};
 use crate::report::{ClassFigures, Report, TenantFigures, engine_name};
 use crate::scenario::{Micros, Scenario};
 
@@ -29,7 +29,7 @@
 /// Reads the event log; [`Statistics::report`] sums it up.
 pub struct Statistics {
     scenario: Scenario,
-    open_arrivals: FxHashMap<u64, OpenArrival>,
+    open_arrivals: FxHashMap<ArrivalNumber, OpenArrival>,
     service: Service,
     outcomes: Outcomes,
     traffic: Traffic,
@@ -52,7 +52,7 @@
         }
     }
 
-    fn on_arrival_started(&mut self, number: u64, arrival: OpenArrival) {
+    fn on_arrival_started(&mut self, number: ArrivalNumber, arrival: OpenArrival) {
         self.traffic.on_arrival();
         self.open_arrivals.insert(number, arrival);
     }
@@ -81,7 +81,7 @@
     fn on_arrival_ended(
         &mut self,
         at: Micros,
-        number: u64,
+        number: ArrivalNumber,
         outcome: RequestOutcome,
         requests: u32,
     ) {
--- a/crates/testbed/src/statistics/traffic.rs
+++ b/crates/testbed/src/statistics/traffic.rs
@@ -4,7 +4,7 @@
 use rustc_hash::FxHashMap;
 
 use crate::event_log::{LogEvent, RequestOutcome, ServerState};
-use crate::index::ServerIndex;
+use crate::index::{RequestNumber, ServerIndex};
 use crate::report::ServerFigures;
 
 /// Counts of a run.
@@ -21,7 +21,7 @@
     pub(super) servers: Vec<ServerFigures>,
     useful_work: f64,
     /// Work of the latest execution, by request.
-    work_by_request: FxHashMap<u64, f64>,
+    work_by_request: FxHashMap<RequestNumber, f64>,
     polls_by_second: Vec<u32>,
 }
 
@@ -68,7 +68,7 @@
         self.requests += u64::from(requests);
     }
 
-    pub(super) fn on_response(&mut self, request: u64, outcome: RequestOutcome) {
+    pub(super) fn on_response(&mut self, request: RequestNumber, outcome: RequestOutcome) {
         let work = self.work_by_request.remove(&request).unwrap_or(0.0);
         if outcome == RequestOutcome::Served {
             self.useful_work += work;
@@ -133,7 +133,7 @@
         self.server(server).attempts += 1;
     }
 
-    fn on_work_done(&mut self, request: u64, server: ServerIndex, work: f64) {
+    fn on_work_done(&mut self, request: RequestNumber, server: ServerIndex, work: f64) {
         self.work_done += work;
         self.server(server).work_s += work / 1e6;
         self.work_by_request.insert(request, work);
--- a/crates/testbed/tests/auditor/cold_server.rs
+++ b/crates/testbed/tests/auditor/cold_server.rs
@@ -2,7 +2,9 @@
 
 use arrowstand_testbed::audit::Rule;
 use arrowstand_testbed::event_log::{ListedStatus, LogEvent, RequestOutcome, ServerState};
-use arrowstand_testbed::index::{ClassIndex, ServerIndex, SidecarIndex};
+use arrowstand_testbed::index::{
+    ArrivalNumber, ClassIndex, RequestNumber, ServerIndex, SidecarIndex,
+};
 
 use super::{Finding, S, audit, listed};
 
@@ -26,8 +28,8 @@
         events.push((
             at,
             LogEvent::RequestAccepted {
-                request: n,
-                arrival: n,
+                request: RequestNumber::new(n),
+                arrival: ArrivalNumber::new(n),
                 sidecar: SidecarIndex::new(0),
                 class: ClassIndex::new(0),
                 due: 2 * S,
@@ -36,7 +38,7 @@
         events.push((
             at,
             LogEvent::AttemptReceived {
-                request: n,
+                request: RequestNumber::new(n),
                 server: ServerIndex::new(0),
                 work: 100_000.0,
                 capacity: 0.4,
@@ -46,7 +48,7 @@
         events.push((
             at,
             LogEvent::ResponseReceived {
-                request: n,
+                request: RequestNumber::new(n),
                 outcome: RequestOutcome::Failed,
             },
         ));
--- a/crates/testbed/tests/auditor/main.rs
+++ b/crates/testbed/tests/auditor/main.rs
@@ -11,7 +11,9 @@
 use arrowstand_testbed::event_log::{
     EventLog, ListedStatus, LogEvent, LogRecord, ProcessState, RequestOutcome, ServerState,
 };
-use arrowstand_testbed::index::{ClassIndex, ServerIndex, SidecarIndex};
+use arrowstand_testbed::index::{
+    ArrivalNumber, ClassIndex, RequestNumber, ServerIndex, SidecarIndex,
+};
 use arrowstand_testbed::scenario::{Class, DeduplicationScope, Idempotency, Micros, Scenario};
 
 const MS: Micros = 1_000;
@@ -60,7 +62,14 @@
     assert_eq!(auditor.violation_count(), auditor.violations().len() as u64);
     auditor
         .violations()
-        .map(|v| (v.rule, v.request, v.server.map(ServerIndex::value), v.at))
+        .map(|v| {
+            (
+                v.rule,
+                v.request.map(RequestNumber::value),
+                v.server.map(ServerIndex::value),
+                v.at,
+            )
+        })
         .collect()
 }
 
@@ -68,8 +77,8 @@
     (
         S,
         LogEvent::RequestAccepted {
-            request,
-            arrival: request,
+            request: RequestNumber::new(request),
+            arrival: ArrivalNumber::new(request),
             sidecar: SidecarIndex::new(0),
             class: ClassIndex::new(class),
             due: 2 * S,
@@ -81,7 +90,7 @@
     (
         at,
         LogEvent::AttemptReceived {
-            request,
+            request: RequestNumber::new(request),
             server: ServerIndex::new(server),
             work: 10_000.0,
             capacity: 2.0,
@@ -91,11 +100,13 @@
 }
 
 fn responded(at: Micros, request: u64, outcome: RequestOutcome) -> (Micros, LogEvent) {
+    let request = RequestNumber::new(request);
     (at, LogEvent::ResponseReceived { request, outcome })
 }
 
 fn rejected(at: Micros, request: u64, server: u32) -> (Micros, LogEvent) {
     let server = ServerIndex::new(server);
+    let request = RequestNumber::new(request);
     (at, LogEvent::AttemptRejected { request, server })
 }
 
@@ -103,7 +114,7 @@
     (
         at,
         LogEvent::AttemptStarted {
-            request: 1,
+            request: RequestNumber::new(1),
             sidecar: SidecarIndex::new(sidecar),
             server: ServerIndex::new(0),
             cross_zone: false,
--- a/crates/testbed/tests/auditor/response.rs
+++ b/crates/testbed/tests/auditor/response.rs
@@ -2,6 +2,7 @@
 
 use arrowstand_testbed::audit::Rule;
 use arrowstand_testbed::event_log::{LogEvent, ProcessState, RequestOutcome};
+use arrowstand_testbed::index::RequestNumber;
 use arrowstand_testbed::scenario::Micros;
 
 use super::{MS, S, accepted, audit, responded, sidecar_state};
@@ -58,7 +59,12 @@
     assert_eq!(
         audit(&[
             accepted(1, 0),
-            (S + 1, LogEvent::ClientDisconnected { request: 1 })
+            (
+                S + 1,
+                LogEvent::ClientDisconnected {
+                    request: RequestNumber::new(1)
+                }
+            )
         ]),
         []
     );
