--- a/crates/testbed/src/index.rs
+++ b/crates/testbed/src/index.rs
@@ -2,6 +2,9 @@
 //!
 //! All are stored as bare integers.
 
+#[cfg(test)]
+mod tests;
+
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
--- /dev/null
+++ b/crates/testbed/src/index/tests.rs
@@ -0,0 +1,48 @@
+//! Indexes and numbers: how they are named, written and read back.
+
+use super::{ArrivalNumber, ClassIndex, RequestNumber, ServerIndex, SidecarIndex, TenantIndex};
+
+#[test]
+fn a_server_is_found_by_the_name_that_it_is_shown_under() {
+    let server = ServerIndex::new(12);
+    assert_eq!(server.to_string(), "s12");
+    assert_eq!(ServerIndex::from_name("s12"), Some(server));
+    for name in ["12", "n12", "s", "s-1", "s1x", "s4294967296"] {
+        assert_eq!(ServerIndex::from_name(name), None, "{name}");
+    }
+    assert_eq!(SidecarIndex::new(3).to_string(), "n3");
+}
+
+#[test]
+fn a_request_is_found_by_its_request_id() {
+    let request = RequestNumber::new(0xab);
+    assert_eq!(request.to_string(), "00000000000000ab");
+    assert_eq!(
+        RequestNumber::from_request_id("00000000000000ab"),
+        Some(request)
+    );
+    assert_eq!(RequestNumber::from_request_id("job"), None);
+}
+
+#[test]
+fn a_place_beyond_the_integer_gives_the_last_index() {
+    assert_eq!(ClassIndex::from_position(7).index(), 7);
+    assert_eq!(ClassIndex::from_position(1 << 16).value(), u16::MAX);
+    let all: Vec<_> = TenantIndex::all(3).map(TenantIndex::index).collect();
+    assert_eq!(all, [0, 1, 2]);
+}
+
+#[test]
+fn all_are_stored_as_bare_integers() {
+    let stored = serde_json::json!([
+        ServerIndex::new(1),
+        SidecarIndex::new(2),
+        ClassIndex::new(3),
+        TenantIndex::new(4),
+        RequestNumber::new(5),
+        ArrivalNumber::new(6),
+    ]);
+    assert_eq!(stored.to_string(), "[1,2,3,4,5,6]");
+    let read: ServerIndex = serde_json::from_str("1").expect("an integer");
+    assert_eq!(read, ServerIndex::new(1));
+}
--- a/crates/testbed/src/server_model/mod.rs
+++ b/crates/testbed/src/server_model/mod.rs
@@ -77,7 +77,7 @@
     Up,
     /// It stands still; accepts and answers nothing until it goes on.
     Paused,
-    /// It is gone, with all that it held.
+    /// It is gone, with all that was in flight.
     Down,
 }
 
@@ -190,7 +190,7 @@
         f64::from(self.machine_type.cores) * self.warm_core_speed * self.slow_start_factor(now)
     }
 
-    /// Accepts a job. False where it is rejected, or overloads a cold server, which then shuts down.
+    /// Accepts a job. False where it is rejected, or overloads a cold server, which shuts down.
     pub fn try_accept(&mut self, now: Micros, job: Job, events: &mut Vec<Event>) -> bool {
         self.advance(now, events);
         if self.is_overloaded_by(now, job.work) {
