--- a/crates/docs-check/tests/docs_check/allowed_names.rs
+++ b/crates/docs-check/tests/docs_check/allowed_names.rs
@@ -5,16 +5,7 @@
 pub(crate) const PAGES_OF_FORMER_NAMES: [&str; 2] = ["docs/history/", "docs/renamed-tests.md"];
 
 /// Names that look like items and are none, with the reason.
-pub(crate) const ALLOWED_NAMES: [(&str, &str); 2] = [
-    (
-        "discovery_down",
-        "value of a scenario's key, derived by serde from a variant's name",
-    ),
-    (
-        "discovery_silent",
-        "value of a scenario's key, derived by serde from a variant's name",
-    ),
-];
+pub(crate) const ALLOWED_NAMES: [(&str, &str); 0] = [];
 
 /// Paths that need not exist, with the reason.
 pub(crate) const ALLOWED_PATHS: [(&str, &str); 3] = [
--- a/crates/testbed/src/audit/mod.rs
+++ b/crates/testbed/src/audit/mod.rs
@@ -14,6 +14,7 @@
 mod violation;
 
 use crate::event_log::RequestOutcome;
+use crate::index::{RequestNumber, ServerIndex, SidecarIndex};
 use crate::scenario::{Class, Micros, Scenario, from_ms};
 
 use cold_server::{ColdServers, ReceivedWork};
@@ -90,13 +91,19 @@
         self.requests.forget_before(now);
     }
 
-    fn on_request_accepted(&mut self, request: u64, accepted: AcceptedRequest) {
+    fn on_request_accepted(&mut self, request: RequestNumber, accepted: AcceptedRequest) {
         self.requests_read += 1;
         let response_limit = accepted.due() + self.response_grace;
         self.requests.insert(request, accepted, response_limit);
     }
 
-    fn on_attempt_started(&mut self, at: Micros, request: u64, sidecar: u32, server: u32) {
+    fn on_attempt_started(
+        &mut self,
+        at: Micros,
+        request: RequestNumber,
+        sidecar: SidecarIndex,
+        server: ServerIndex,
+    ) {
         let notified_at = self.endpoint_views.unavailable_since(sidecar, server);
         if let Some(why) = self.drain.violation(at, notified_at) {
             let rule = Rule::NoAttemptAfterDrain;
@@ -105,11 +112,11 @@
         }
     }
 
-    fn on_attempt_received(&mut self, at: Micros, request: u64, server: u32) {
+    fn on_attempt_received(&mut self, at: Micros, request: RequestNumber, server: ServerIndex) {
         let Some(open) = self.requests.get_mut(request) else {
             return;
         };
-        let Some(class) = self.classes.get(usize::from(open.class())) else {
+        let Some(class) = self.classes.get(open.class().index()) else {
             return;
         };
         let duplicate = open.first_unrejected_attempt().and_then(|first| {
@@ -130,7 +137,12 @@
         }
     }
 
-    fn on_work_received(&mut self, request: u64, server: u32, received: ReceivedWork) {
+    fn on_work_received(
+        &mut self,
+        request: RequestNumber,
+        server: ServerIndex,
+        received: ReceivedWork,
+    ) {
         let sidecar = self.requests.get(request).map(AcceptedRequest::sidecar);
         let notified_start =
             sidecar.and_then(|sidecar| self.endpoint_views.notified_start(sidecar, server));
@@ -145,7 +157,7 @@
         }
     }
 
-    fn on_response(&mut self, at: Micros, request: u64, outcome: RequestOutcome) {
+    fn on_response(&mut self, at: Micros, request: RequestNumber, outcome: RequestOutcome) {
         let excused = self.requests.is_excused(request);
         let response_grace = self.response_grace;
         let Some(open) = self.requests.get_mut(request) else {
@@ -153,7 +165,7 @@
         };
         let second = open.on_response(outcome);
         let late = at > open.due() + response_grace;
-        let class = self.classes.get(usize::from(open.class()));
+        let class = self.classes.get(open.class().index());
         let duplicate = second.then_some("a second final response");
         let fault = response::violation(outcome, excused, late);
         let dishonest = rejection::violation_on_response(class, open, outcome);
--- a/crates/testbed/src/audit/violation.rs
+++ b/crates/testbed/src/audit/violation.rs
@@ -4,10 +4,11 @@
 
 use serde::Serialize;
 
+use crate::index::{RequestNumber, ServerIndex};
 use crate::scenario::Micros;
 
 /// Violations that are listed; further ones are only counted.
-const LISTED_MAX: usize = 50;
+const MAX_LISTED: usize = 50;
 
 /// What every run must keep.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize)]
@@ -45,9 +46,9 @@
     /// The rule that was violated.
     pub rule: Rule,
     /// The request concerned.
-    pub request: Option<u64>,
+    pub request: Option<RequestNumber>,
     /// The server concerned.
-    pub server: Option<u32>,
+    pub server: Option<ServerIndex>,
     /// What happened.
     pub why: String,
 }
@@ -56,10 +57,10 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "at {:.3} s, ", self.at as f64 / 1e6)?;
         if let Some(request) = self.request {
-            write!(f, "request {request:016x}, ")?;
+            write!(f, "request {request}, ")?;
         }
         if let Some(server) = self.server {
-            write!(f, "server s{server}, ")?;
+            write!(f, "server {server}, ")?;
         }
         write!(f, "rule '{}': {}", self.rule, self.why)
     }
@@ -85,12 +86,12 @@
         &mut self,
         at: Micros,
         rule: Rule,
-        request: Option<u64>,
-        server: Option<u32>,
+        request: Option<RequestNumber>,
+        server: Option<ServerIndex>,
         why: String,
     ) {
         self.count += 1;
-        if self.listed.len() < LISTED_MAX {
+        if self.listed.len() < MAX_LISTED {
             self.listed.push(Violation {
                 at,
                 rule,
--- a/crates/testbed/src/emulator/client/arrival.rs
+++ b/crates/testbed/src/emulator/client/arrival.rs
@@ -7,8 +7,9 @@
 use super::Clients;
 use super::request::{OutgoingRequest, Response};
 use crate::event_log::{LogEvent, RequestOutcome};
+use crate::index::{ArrivalNumber, RequestNumber};
 use crate::random::{RandomStream, StreamId};
-use crate::scenario::{Effect, Micros, from_ms};
+use crate::scenario::{Idempotency, Micros, from_ms};
 use crate::workload::Arrival;
 
 /// Numbers of the arrivals' random streams begin here, apart from those of the sidecars' clients.
@@ -19,31 +20,31 @@
 impl Clients {
     /// Plays an arrival with all its requests; `index` is its number at this sidecar.
     pub(super) async fn play_arrival(self: Arc<Self>, arrival: Arrival, index: usize) {
-        let number = self.shared.next_id();
-        let within_share = self.within_quota(arrival.tenant);
-        self.shared.note_at(
+        let number = self.shared.next_arrival_number();
+        let within_quota = self.within_quota(arrival.tenant);
+        self.shared.record_at(
             arrival.at,
             LogEvent::ArrivalStarted {
                 arrival: number,
                 sidecar: self.sidecar,
                 class: arrival.class,
                 tenant: arrival.tenant,
-                within_share,
+                within_quota,
                 work: arrival.work,
             },
         );
         let limit = self.shared.scenario.load.max_open_requests;
         if !self.load.try_open(limit) {
-            self.note_ended(number, RequestOutcome::NotPlayed, 0);
+            self.record_arrival_ended(number, RequestOutcome::NotPlayed, 0);
             return;
         }
         let (outcome, requests) = self.send_requests(&arrival, number, index).await;
-        self.note_ended(number, outcome, requests);
+        self.record_arrival_ended(number, outcome, requests);
         self.load.on_ended();
     }
 
-    fn note_ended(&self, arrival: u64, outcome: RequestOutcome, requests: u32) {
-        self.shared.note(LogEvent::ArrivalEnded {
+    fn record_arrival_ended(&self, arrival: ArrivalNumber, outcome: RequestOutcome, requests: u32) {
+        self.shared.record(LogEvent::ArrivalEnded {
             arrival,
             outcome,
             requests,
@@ -54,13 +55,13 @@
     async fn send_requests(
         &self,
         arrival: &Arrival,
-        number: u64,
+        number: ArrivalNumber,
         index: usize,
     ) -> (RequestOutcome, u32) {
         let scenario = &self.shared.scenario;
-        let stream = STREAM_OFFSET + ((self.sidecar as usize) << STREAM_BITS) + index;
+        let stream = STREAM_OFFSET + ((self.sidecar.index()) << STREAM_BITS) + index;
         let mut random = RandomStream::new(scenario.seed, StreamId::Clients, stream);
-        let time_limit = from_ms(scenario.class[usize::from(arrival.class)].deadline_ms);
+        let time_limit = from_ms(scenario.class[arrival.class.index()].deadline_ms);
         let deadline = arrival.at + time_limit;
         let mut from = arrival.at;
         let mut requests = 0;
@@ -69,7 +70,7 @@
             let request = self.draw_request(&mut random, arrival, number, from, deadline);
             let response = self.exchange(arrival, &request).await;
             let outcome = request.outcome(response.outcome);
-            self.note_outcome(request.number, outcome);
+            self.record_outcome(request.number, outcome);
             let pause = self.retry_pause(&mut random, arrival, outcome, response);
             let too_late = self.shared.clock.now() + pause >= deadline;
             let retries = scenario.clients.retries;
@@ -86,7 +87,7 @@
         &self,
         random: &mut RandomStream,
         arrival: &Arrival,
-        number: u64,
+        number: ArrivalNumber,
         from: Micros,
         deadline: Micros,
     ) -> OutgoingRequest {
@@ -98,32 +99,32 @@
         let disconnects = random.chance(clients.disconnect_share);
         let disconnects_at = from + (random.unit() * due.saturating_sub(from) as f64) as Micros;
         OutgoingRequest {
-            number: self.shared.next_id(),
+            number: self.shared.next_request_number(),
             arrival: number,
             due,
             disconnects_at: disconnects.then_some(disconnects_at),
         }
     }
 
-    fn note_outcome(&self, request: u64, outcome: RequestOutcome) {
+    fn record_outcome(&self, request: RequestNumber, outcome: RequestOutcome) {
         match outcome {
             RequestOutcome::Unreachable | RequestOutcome::Unanswered => {}
             RequestOutcome::Disconnected => {
-                self.shared.note(LogEvent::ClientDisconnected { request });
+                self.shared.record(LogEvent::ClientDisconnected { request });
             }
             outcome => self
                 .shared
-                .note(LogEvent::ResponseReceived { request, outcome }),
+                .record(LogEvent::ResponseReceived { request, outcome }),
         }
     }
 
     fn may_retry(&self, arrival: &Arrival, outcome: RequestOutcome) -> bool {
-        let class = &self.shared.scenario.class[usize::from(arrival.class)];
+        let class = &self.shared.scenario.class[arrival.class.index()];
         match outcome {
             RequestOutcome::Rejected | RequestOutcome::Unreachable => true,
             RequestOutcome::Failed
             | RequestOutcome::ConnectionLost
-            | RequestOutcome::Unanswered => class.idempotency == Effect::Safe,
+            | RequestOutcome::Unanswered => class.idempotency == Idempotency::Idempotent,
             _ => false,
         }
     }
--- a/crates/testbed/src/emulator/client/mod.rs
+++ b/crates/testbed/src/emulator/client/mod.rs
@@ -19,7 +19,8 @@
 use super::lock::lock;
 use super::shared::Shared;
 use super::sidecars::Sidecars;
-use crate::workload::{ArrivalStream, TenantQuota, parts, quotas};
+use crate::index::{SidecarIndex, TenantIndex};
+use crate::workload::{ArrivalStream, TenantQuota, quotas, traffic_shares};
 
 use exchange::IdleConnections;
 
@@ -49,17 +50,17 @@
     shared: Arc<Shared>,
     sidecars: Arc<Sidecars>,
     load: Arc<Load>,
-    sidecar: u32,
+    sidecar: SidecarIndex,
     address: SocketAddr,
     idle: IdleConnections,
 }
 
 impl Clients {
     /// Takes from a tenant's quota; false for what is beyond it.
-    fn within_quota(&self, tenant: u16) -> bool {
+    fn within_quota(&self, tenant: TenantIndex) -> bool {
         lock(&self.load.quotas)
-            .get_mut(usize::from(tenant))
-            .is_none_or(|quota| quota.take(self.shared.clock.now()))
+            .get_mut(tenant.index())
+            .is_none_or(|quota| quota.try_take(self.shared.clock.now()))
     }
 
     /// Plays the sidecar's arrivals to their ends.
@@ -83,16 +84,17 @@
         open_arrivals: AtomicUsize::new(0),
     });
     let mut all = JoinSet::new();
-    for (number, part) in parts(scenario).into_iter().enumerate() {
+    for (position, traffic_share) in traffic_shares(scenario).into_iter().enumerate() {
+        let sidecar = SidecarIndex::from_position(position);
         let clients = Arc::new(Clients {
             shared: Arc::clone(&emulation.shared),
             sidecars: Arc::clone(&emulation.sidecars),
             load: Arc::clone(&load),
-            sidecar: number as u32,
-            address: emulation.sidecars.address(number),
+            sidecar,
+            address: emulation.sidecars.address(sidecar),
             idle: IdleConnections::default(),
         });
-        all.spawn(clients.play(ArrivalStream::new(scenario, number, part)));
+        all.spawn(clients.play(ArrivalStream::new(scenario, sidecar, traffic_share)));
     }
     while all.join_next().await.is_some() {}
 }
--- a/crates/testbed/src/emulator/client/request.rs
+++ b/crates/testbed/src/emulator/client/request.rs
@@ -5,16 +5,17 @@
 
 use crate::emulator::http::Message;
 use crate::event_log::RequestOutcome;
-use crate::scenario::{Effect, Micros, Scenario};
+use crate::index::{ArrivalNumber, RequestNumber};
+use crate::scenario::{Idempotency, Micros, Scenario};
 use crate::workload::Arrival;
 
 /// Longest pause that a rejection may ask for, in seconds.
-const RETRY_AFTER_MAX_S: f64 = 600.0;
+const MAX_RETRY_AFTER_S: f64 = 600.0;
 
 /// One request of an arrival.
 pub(super) struct OutgoingRequest {
-    pub(super) number: u64,
-    pub(super) arrival: u64,
+    pub(super) number: RequestNumber,
+    pub(super) arrival: ArrivalNumber,
     /// When the client times out.
     pub(super) due: Micros,
     /// When it disconnects before, if it does.
@@ -33,18 +34,18 @@
 
     /// The request on the wire, as it is sent at `now`.
     pub(super) fn text(&self, scenario: &Scenario, arrival: &Arrival, now: Micros) -> String {
-        let class = &scenario.class[usize::from(arrival.class)];
+        let class = &scenario.class[arrival.class.index()];
         let (id, class_name) = (self.number, &class.name);
         let timeout = self.due.saturating_sub(now).max(1);
         let (method, key, body) = match class.idempotency {
-            Effect::Safe => ("GET", String::new(), ""),
-            Effect::Keyed => {
-                let key = format!("Idempotency-Key: k{id:016x}\r\n");
+            Idempotency::Idempotent => ("GET", String::new(), ""),
+            Idempotency::IdempotencyKey => {
+                let key = format!("Idempotency-Key: k{id}\r\n");
                 ("POST", key, "{\"order\":1}")
             }
-            Effect::Unsafe => ("POST", String::new(), "{\"slot\":3}"),
+            Idempotency::NonIdempotent => ("POST", String::new(), "{\"slot\":3}"),
         };
-        let tenant = scenario.tenant.get(usize::from(arrival.tenant));
+        let tenant = scenario.tenant.get(arrival.tenant.index());
         let tenant = tenant.map_or("none", |tenant| tenant.name.as_str());
         let length = if body.is_empty() {
             String::new()
@@ -55,10 +56,11 @@
             .work_hint
             .map_or(String::new(), |hint| format!("X-Cost: {hint}\r\n"));
         format!(
-            "{method} /api?w={:.1}&c={} HTTP/1.1\r\nHost: origin.svc\r\nX-Request-ID: {id:016x}\r\n\
+            "{method} /api?w={:.1}&c={} HTTP/1.1\r\nHost: origin.svc\r\nX-Request-ID: {id}\r\n\
              X-Priority-Class: {class_name}\r\nX-Tenant-Id: {tenant}\r\nX-Timeout: {timeout}u\r\n\
              {cost}{key}{length}\r\n{body}",
-            arrival.work, arrival.class
+            arrival.work,
+            arrival.class.value()
         )
     }
 }
@@ -80,8 +82,8 @@
     }
 
     /// What a response says, and whether a server made it for this very request.
-    pub(super) fn of(message: &Message, request: u64) -> Self {
-        let own_body = format!("done {request:016x} at s");
+    pub(super) fn of(message: &Message, request: RequestNumber) -> Self {
+        let own_body = format!("done {request} at s");
         let outcome = match message.status {
             200 if message.body.starts_with(own_body.as_bytes()) => RequestOutcome::Served,
             200 => RequestOutcome::Mismatched,
@@ -91,7 +93,7 @@
         let seconds = message
             .header("retry-after")
             .and_then(|s| s.parse::<f64>().ok());
-        let micros = |seconds: f64| (seconds.clamp(0.0, RETRY_AFTER_MAX_S) * 1e6) as Micros;
+        let micros = |seconds: f64| (seconds.clamp(0.0, MAX_RETRY_AFTER_S) * 1e6) as Micros;
         Self {
             outcome,
             retry_after: seconds.map(micros),
--- a/crates/testbed/src/emulator/client/request/tests.rs
+++ b/crates/testbed/src/emulator/client/request/tests.rs
@@ -3,7 +3,8 @@
 use super::{OutgoingRequest, Response};
 use crate::emulator::http::parsed_response;
 use crate::event_log::RequestOutcome;
-use crate::scenario::{Class, Effect, Scenario, Tenant};
+use crate::index::{ArrivalNumber, ClassIndex, RequestNumber, TenantIndex};
+use crate::scenario::{Class, Idempotency, Scenario, Tenant};
 use crate::workload::Arrival;
 
 fn scenario() -> Scenario {
@@ -14,9 +15,9 @@
     };
     Scenario {
         class: vec![
-            class("job-status", Effect::Safe),
-            class("pay-order", Effect::Keyed),
-            class("book-slot", Effect::Unsafe),
+            class("job-status", Idempotency::Idempotent),
+            class("pay-order", Idempotency::IdempotencyKey),
+            class("book-slot", Idempotency::NonIdempotent),
         ],
         tenant: vec![Tenant {
             name: "oita-funai".into(),
@@ -29,8 +30,8 @@
 fn arrival(class: u16, tenant: u16, hint: Option<u64>) -> Arrival {
     Arrival {
         at: 0,
-        class,
-        tenant,
+        class: ClassIndex::new(class),
+        tenant: TenantIndex::new(tenant),
         work: 1_234.56,
         work_hint: hint,
         honours_retry_after: false,
@@ -38,8 +39,8 @@
 }
 
 const REQUEST: OutgoingRequest = OutgoingRequest {
-    number: 0xab,
-    arrival: 1,
+    number: RequestNumber::new(0xab),
+    arrival: ArrivalNumber::new(1),
     due: 5_000,
     disconnects_at: None,
 };
@@ -77,7 +78,7 @@
 fn a_response_is_served_only_where_a_server_made_it_for_this_request() {
     let outcome = |status: &str, body: &str| {
         let message = parsed_response(&format!("HTTP/1.1 {status}\r\n\r\n"), body);
-        Response::of(&message, 0xab).outcome
+        Response::of(&message, REQUEST.number).outcome
     };
     let own = "done 00000000000000ab at s3\n";
     assert_eq!(outcome("200 OK", own), RequestOutcome::Served);
@@ -96,7 +97,7 @@
 fn retry_after_is_bounded_and_anything_but_a_number_is_ignored() {
     let pause = |value: &str| {
         let head = format!("HTTP/1.1 503 Service Unavailable\r\nRetry-After: {value}\r\n\r\n");
-        Response::of(&parsed_response(&head, ""), 1).retry_after
+        Response::of(&parsed_response(&head, ""), REQUEST.number).retry_after
     };
     assert_eq!(pause("0.25"), Some(250_000));
     assert_eq!(pause("-3"), Some(0));
--- a/crates/testbed/src/emulator/discovery/connection.rs
+++ b/crates/testbed/src/emulator/discovery/connection.rs
@@ -9,6 +9,7 @@
 use super::{Discovery, Mode};
 use crate::emulator::http::{HttpConnection, response};
 use crate::event_log::LogEvent;
+use crate::index::SidecarIndex;
 
 /// An empty line comes this often on a watch while nothing changes.
 const HEARTBEAT: Duration = Duration::from_secs(2);
@@ -27,7 +28,7 @@
 
 impl Discovery {
     /// Serves a connection until it ends, or the service goes down.
-    pub(super) async fn serve(self: Arc<Self>, stream: TcpStream, sidecar: u32) {
+    pub(super) async fn serve(self: Arc<Self>, stream: TcpStream, sidecar: SidecarIndex) {
         let mut mode = self.mode.subscribe();
         let mut connection = HttpConnection::new(stream);
         let down = *self.mode.borrow() == Mode::Down;
@@ -61,9 +62,13 @@
         }
     }
 
-    async fn serve_request(&self, connection: &mut HttpConnection, sidecar: u32) -> io::Result<()> {
+    async fn serve_request(
+        &self,
+        connection: &mut HttpConnection,
+        sidecar: SidecarIndex,
+    ) -> io::Result<()> {
         let request = connection.read_request().await?;
-        self.shared.note(LogEvent::DiscoveryPolled { sidecar });
+        self.shared.record(LogEvent::DiscoveryPolled { sidecar });
         self.while_silent().await;
         let turn = self.take_turn();
         self.shared.clock.sleep_until(turn.at).await;
@@ -82,12 +87,12 @@
     async fn send_whole_list(
         &self,
         connection: &mut HttpConnection,
-        sidecar: u32,
+        sidecar: SidecarIndex,
     ) -> io::Result<()> {
         let (list, notifications) = self.whole_list(sidecar);
         let text = response("200 OK", "", &format!("{list}\n"));
         connection.write(&text).await?;
-        self.note(sidecar, &notifications);
+        self.record_notifications(sidecar, &notifications);
         Ok(())
     }
 
@@ -95,7 +100,7 @@
     async fn watch(
         &self,
         connection: &mut HttpConnection,
-        sidecar: u32,
+        sidecar: SidecarIndex,
         since: u64,
     ) -> io::Result<()> {
         let mut versions = self.version.subscribe();
@@ -106,7 +111,7 @@
             let (list, version, notifications) = self.list_since(sidecar, since);
             since = Some(version);
             write_chunk(connection, &format!("{list}\n")).await?;
-            self.note(sidecar, &notifications);
+            self.record_notifications(sidecar, &notifications);
             if !self.next_change(connection, &mut versions).await? {
                 return Ok(());
             }
--- a/crates/testbed/src/emulator/discovery/mod.rs
+++ b/crates/testbed/src/emulator/discovery/mod.rs
@@ -19,10 +19,11 @@
 use super::ports::free_address;
 use super::shared::Shared;
 use crate::event_log::{ListedStatus, LogEvent};
+use crate::index::{ServerIndex, SidecarIndex};
 use crate::random::{RandomStream, StreamId};
 use crate::scenario::{Micros, from_ms};
 
-use endpoint_list::{EndpointList, Listing};
+use endpoint_list::{EndpointList, ListEntry};
 
 /// How the service responds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -36,7 +37,7 @@
 }
 
 /// What a response says of one server: its number, its status, and when it last started.
-pub(super) type Notification = (u32, ListedStatus, Micros);
+pub(super) type Notification = (ServerIndex, ListedStatus, Micros);
 
 /// When a poll is responded to, and whether with the list or with an overload rejection.
 struct Turn {
@@ -89,22 +90,22 @@
             random: Mutex::new(RandomStream::new(seed, StreamId::Discovery, 0)),
             mode: watch::channel(Mode::Up).0,
         });
-        for (sidecar, listener) in listeners.into_iter().enumerate() {
-            let accepting = Arc::clone(&discovery).accept(listener, sidecar as u32);
+        for (sidecar, listener) in SidecarIndex::all(listeners.len()).zip(listeners) {
+            let accepting = Arc::clone(&discovery).accept(listener, sidecar);
             tokio::spawn(accepting);
         }
         Ok(discovery)
     }
 
-    async fn accept(self: Arc<Self>, listener: TcpListener, sidecar: u32) {
+    async fn accept(self: Arc<Self>, listener: TcpListener, sidecar: SidecarIndex) {
         while let Ok((stream, _)) = listener.accept().await {
             tokio::spawn(Arc::clone(&self).serve(stream, sidecar));
         }
     }
 
     /// The service's address for a sidecar.
-    pub(super) fn address(&self, sidecar: usize) -> SocketAddr {
-        self.addresses[sidecar]
+    pub(super) fn address(&self, sidecar: SidecarIndex) -> SocketAddr {
+        self.addresses[sidecar.index()]
     }
 
     pub(super) fn set_mode(&self, mode: Mode) {
@@ -113,7 +114,13 @@
 
     /// Lists a server's new status, unless a later start of it is listed already. `index` is that
     /// of the emulated server, `server` its number in the event log.
-    pub(super) fn set(&self, server: u32, index: usize, status: ListedStatus, started_at: Micros) {
+    pub(super) fn set(
+        &self,
+        server: ServerIndex,
+        index: usize,
+        status: ListedStatus,
+        started_at: Micros,
+    ) {
         let mut list = lock(&self.list);
         if list.set(server, index, status, started_at) {
             self.version.send_replace(list.version());
@@ -121,22 +128,26 @@
     }
 
     /// The whole list as a sidecar gets it, and what it is notified of by it.
-    pub(super) fn whole_list(&self, sidecar: u32) -> (Value, Vec<Notification>) {
+    pub(super) fn whole_list(&self, sidecar: SidecarIndex) -> (Value, Vec<Notification>) {
         let (list, _, notifications) = self.list_since(sidecar, None);
         (list, notifications)
     }
 
     /// What has changed since a version, or the whole list, with its version.
-    fn list_since(&self, sidecar: u32, since: Option<u64>) -> (Value, u64, Vec<Notification>) {
+    fn list_since(
+        &self,
+        sidecar: SidecarIndex,
+        since: Option<u64>,
+    ) -> (Value, u64, Vec<Notification>) {
         let list = lock(&self.list);
         let mut targets = Vec::new();
         let mut notifications = Vec::new();
-        for (number, listing) in list.since(since) {
-            let Some(server) = self.servers.get(listing.index) else {
+        for (number, entry) in list.since(since) {
+            let Some(server) = self.servers.get(entry.index) else {
                 continue;
             };
-            targets.push(self.target(sidecar, number, server, listing));
-            notifications.push((number, listing.status, listing.started_at));
+            targets.push(self.target(sidecar, number, server, entry));
+            notifications.push((number, entry.status, entry.started_at));
         }
         let version = list.version();
         let value = endpoint_list::message(version, since.is_none(), targets);
@@ -145,10 +156,10 @@
 
     fn target(
         &self,
-        sidecar: u32,
-        number: u32,
+        sidecar: SidecarIndex,
+        number: ServerIndex,
         server: &EmulatedServer,
-        listing: &Listing,
+        entry: &ListEntry,
     ) -> Value {
         let zones = &self.shared.scenario.network.zones;
         endpoint_list::target(
@@ -156,15 +167,19 @@
             server,
             sidecar,
             zones.get(server.zone() as usize),
-            listing.status,
-            self.shared.clock.unix_ms(listing.started_at),
+            entry.status,
+            self.shared.clock.unix_ms(entry.started_at),
         )
     }
 
     /// Records what a sidecar was notified of.
-    pub(super) fn note(&self, sidecar: u32, notifications: &[Notification]) {
+    pub(super) fn record_notifications(
+        &self,
+        sidecar: SidecarIndex,
+        notifications: &[Notification],
+    ) {
         for &(server, status, incarnation) in notifications {
-            self.shared.note(LogEvent::EndpointListed {
+            self.shared.record(LogEvent::EndpointListed {
                 sidecar,
                 server,
                 status,
--- a/crates/testbed/src/emulator/emulated_server/attempt.rs
+++ b/crates/testbed/src/emulator/emulated_server/attempt.rs
@@ -6,16 +6,17 @@
 use tokio::sync::oneshot;
 
 use super::EmulatedServer;
+use super::admission::{AcceptedAttempt, Admission, AdmissionRequest, ResponseDraw};
 use super::connection::{Incoming, Reply};
-use super::offer::{Accepted, Offer, Offered, ResponseDraw};
 use crate::emulator::clock::sleep_for;
 use crate::emulator::http::{HttpConnection, Message, response};
 use crate::emulator::lock::lock;
 use crate::event_log::LogEvent;
+use crate::index::{ClassIndex, RequestNumber, ServerIndex};
 use crate::scenario::Micros;
 
 /// How long an attempt without a timeout may wait: ten minutes, beyond the length of any run.
-const LONGEST_WAIT: Micros = 600_000_000;
+const MAX_WAIT: Micros = 600_000_000;
 /// A response whose head cannot be parsed; its connection is of no further use.
 const MALFORMED_RESPONSE: &str = "HTTP/1.1 2oo OK\r\nContent-Length: -7\r\n\r\n";
 /// Header field that promises that a rejected attempt was not executed.
@@ -23,11 +24,11 @@
 
 /// An attempt as its request says it.
 struct Attempt {
-    request: u64,
+    request: RequestNumber,
     /// Expected work.
     work: f64,
     /// Index of the request class.
-    class: usize,
+    class: ClassIndex,
     /// How long it may wait from its first byte.
     timeout: Option<Micros>,
 }
@@ -38,9 +39,11 @@
         let class = message.query_parameter("c");
         let timeout = message.header("x-timeout");
         Some(Self {
-            request: u64::from_str_radix(id, 16).ok()?,
+            request: RequestNumber::from_request_id(id)?,
             work: message.query_parameter("w")?.parse().ok()?,
-            class: class.and_then(|class| class.parse().ok()).unwrap_or(0),
+            class: ClassIndex::from_position(
+                class.and_then(|class| class.parse().ok()).unwrap_or(0),
+            ),
             timeout: timeout.and_then(|timeout| timeout.strip_suffix('u')?.parse().ok()),
         })
     }
@@ -70,13 +73,13 @@
         let Some(attempt) = Attempt::parse(message) else {
             return Ok(Reply::Send(response("400 Bad Request", "", "")));
         };
-        self.note_started(&attempt, incoming);
+        self.record_attempt_started(&attempt, incoming);
         sleep_for(incoming.delay + self.handshake_delay(incoming)).await;
         if self.is_silent() {
-            self.shared.on_attempt_swallowed();
+            self.shared.on_attempt_blackholed();
             return Ok(Reply::StaySilent);
         }
-        let Some(accepted) = self.offer(&attempt, incoming) else {
+        let Some(accepted) = self.try_accept(&attempt, incoming) else {
             sleep_for(incoming.delay).await;
             return Ok(Reply::Send(response(
                 "503 Service Unavailable",
@@ -96,8 +99,8 @@
         }
     }
 
-    fn note_started(&self, attempt: &Attempt, incoming: &Incoming) {
-        self.shared.note_at(
+    fn record_attempt_started(&self, attempt: &Attempt, incoming: &Incoming) {
+        self.shared.record_at(
             incoming.first_byte_at,
             LogEvent::AttemptStarted {
                 request: attempt.request,
@@ -117,37 +120,45 @@
         (round_trips * 2.0 * incoming.delay as f64) as Micros
     }
 
-    /// Offers an attempt to the process; nothing where it is rejected.
-    fn offer(&self, attempt: &Attempt, incoming: &Incoming) -> Option<Accepted> {
+    /// Asks the process to accept an attempt; nothing where it is rejected.
+    fn try_accept(&self, attempt: &Attempt, incoming: &Incoming) -> Option<AcceptedAttempt> {
         let classes = &self.shared.scenario.class;
-        let offer = Offer {
+        let request = AdmissionRequest {
             request: attempt.request,
             work: attempt.work,
-            noise: classes.get(attempt.class).map_or(0.0, |class| class.noise),
+            noise: classes
+                .get(attempt.class.index())
+                .map_or(0.0, |class| class.noise),
             new_connection: incoming.new_connection,
             deadline: incoming
                 .first_byte_at
-                .saturating_add(attempt.timeout.unwrap_or(LONGEST_WAIT)),
+                .saturating_add(attempt.timeout.unwrap_or(MAX_WAIT)),
         };
         self.update(|process, now| {
-            let offered = process.offer(now, offer);
-            self.note_received(now, attempt.request, incoming.server, &offered);
-            offered.accepted
+            let admission = process.try_accept(now, request);
+            self.record_attempt_received(now, attempt.request, incoming.server, &admission);
+            admission.accepted
         })
     }
 
-    fn note_received(&self, at: Micros, request: u64, server: u32, offered: &Offered) {
+    fn record_attempt_received(
+        &self,
+        at: Micros,
+        request: RequestNumber,
+        server: ServerIndex,
+        admission: &Admission,
+    ) {
         let received = LogEvent::AttemptReceived {
             request,
             server,
-            work: offered.work,
-            capacity: offered.capacity,
-            cold: offered.cold,
+            work: admission.work,
+            capacity: admission.capacity,
+            cold: admission.cold,
         };
-        self.shared.note_at(at, received);
-        if offered.accepted.is_none() {
+        self.shared.record_at(at, received);
+        if admission.accepted.is_none() {
             let rejected = LogEvent::AttemptRejected { request, server };
-            self.shared.note_at(at, rejected);
+            self.shared.record_at(at, rejected);
         }
     }
 
@@ -176,7 +187,12 @@
 }
 
 /// The response to an attempt that was executed.
-fn final_response(request: u64, server: u32, error: bool, draw: &ResponseDraw) -> String {
+fn final_response(
+    request: RequestNumber,
+    server: ServerIndex,
+    error: bool,
+    draw: &ResponseDraw,
+) -> String {
     if draw.malformed {
         return MALFORMED_RESPONSE.to_owned();
     }
@@ -187,7 +203,7 @@
         return response("500 Internal Server Error", &load, "");
     }
     let headers = format!("Content-Type: text/plain\r\n{load}");
-    let body = format!("done {request:016x} at s{server}\n");
+    let body = format!("done {request} at {server}\n");
     response("200 OK", &headers, &body)
 }
 
--- a/crates/testbed/src/emulator/emulated_server/faults.rs
+++ b/crates/testbed/src/emulator/emulated_server/faults.rs
@@ -7,6 +7,7 @@
 use super::{EmulatedServer, NetworkMode};
 use crate::emulator::lock::lock;
 use crate::event_log::ServerState;
+use crate::index::ServerIndex;
 
 /// How often a start tries to listen on the server's addresses, and the pause between: a closed
 /// listener's socket may linger in a process that was being started.
@@ -42,14 +43,14 @@
     }
 
     /// Starts it again, cold; under another number where it replaces the one before.
-    pub(in crate::emulator) async fn restart(self: &Arc<Self>, number: Option<u32>) {
+    pub(in crate::emulator) async fn restart(self: &Arc<Self>, number: Option<ServerIndex>) {
         if let Some(number) = number {
-            self.number.store(number, Ordering::Relaxed);
+            self.number.store(number.value(), Ordering::Relaxed);
         }
         self.listeners.close().await;
         let now = self.shared.clock.now();
         lock(&self.process).on_started(now);
-        self.note_state_at(now, ServerState::Cold);
+        self.record_state_at(now, ServerState::Cold);
         self.network.send_modify(|network| {
             network.mode = NetworkMode::Open;
             network.epoch += 1;
@@ -70,7 +71,7 @@
 
     pub(in crate::emulator) fn set_paused(&self, paused: bool) {
         self.update(|process, now| process.set_paused(now, paused));
-        self.note_state(if paused {
+        self.record_state(if paused {
             ServerState::Paused
         } else {
             ServerState::Up
@@ -80,7 +81,7 @@
     /// Serves slower by a factor; 1 for as usual.
     pub(in crate::emulator) fn set_slowdown(&self, factor: f64) {
         self.update(|process, now| process.set_slowdown(now, factor));
-        self.note_state(if factor > 1.0 {
+        self.record_state(if factor > 1.0 {
             ServerState::Slow
         } else {
             ServerState::Up
@@ -89,7 +90,7 @@
 
     pub(in crate::emulator) fn set_draining(&self) {
         self.update(|process, _| process.set_draining());
-        self.note_state(ServerState::Draining);
+        self.record_state(ServerState::Draining);
     }
 
     pub(in crate::emulator) fn set_response_fault(&self, fault: ResponseFault) {
--- a/crates/testbed/src/emulator/emulated_server/health_check.rs
+++ b/crates/testbed/src/emulator/emulated_server/health_check.rs
@@ -14,7 +14,7 @@
 
 impl EmulatedServer {
     pub(super) async fn on_health_check(&self, incoming: &Incoming) -> Reply {
-        self.shared.note(LogEvent::HealthChecked {
+        self.shared.record(LogEvent::HealthChecked {
             sidecar: incoming.sidecar,
             server: incoming.server,
         });
@@ -24,7 +24,7 @@
             tokio::time::sleep(PAUSE_POLL).await;
         }
         if self.is_silent() {
-            self.shared.on_health_check_swallowed();
+            self.shared.on_health_check_blackholed();
             return Reply::StaySilent;
         }
         let report = self.update(|process, now| process.health_check(now));
@@ -33,7 +33,7 @@
             Some(load) => {
                 let body = format!(
                     "inflight={},eps={:.2},queue={}",
-                    load.inflight, load.eps, load.queue
+                    load.in_flight, load.errors_per_s, load.queued
                 );
                 response("200 OK", "", &body)
             }
--- a/crates/testbed/src/emulator/emulated_server/listeners.rs
+++ b/crates/testbed/src/emulator/emulated_server/listeners.rs
@@ -10,10 +10,11 @@
 use super::EmulatedServer;
 use crate::emulator::error::EmulatorError;
 use crate::emulator::lock::lock;
+use crate::index::SidecarIndex;
 
 /// How often, and how long at most, the end of the listeners' tasks is waited for.
 const CLOSE_POLL: Duration = Duration::from_millis(1);
-const CLOSE_POLLS_MAX: usize = 200;
+const MAX_CLOSE_POLLS: usize = 200;
 /// Backlog of a listener that holds one connection and accepts none.
 const FULL_BACKLOG: u32 = 0;
 
@@ -38,7 +39,7 @@
     /// Ends the tasks and waits until their sockets are closed.
     pub(super) async fn close(&self) {
         let tasks = self.abort();
-        for _ in 0..CLOSE_POLLS_MAX {
+        for _ in 0..MAX_CLOSE_POLLS {
             if tasks.iter().all(AbortHandle::is_finished) {
                 return;
             }
@@ -51,14 +52,14 @@
     /// Listens on all addresses and serves what connects.
     pub(super) async fn listen(self: &Arc<Self>) -> Result<(), EmulatorError> {
         let mut tasks = Vec::new();
-        for (sidecar, &address) in self.addresses.iter().enumerate() {
+        for (sidecar, &address) in SidecarIndex::all(self.addresses.len()).zip(&self.addresses) {
             let listener = TcpListener::bind(address)
                 .await
                 .map_err(|source| EmulatorError::Listen { address, source })?;
             let server = Arc::clone(self);
             let task = tokio::spawn(async move {
                 while let Ok((stream, _)) = listener.accept().await {
-                    tokio::spawn(Arc::clone(&server).serve(stream, sidecar as u32));
+                    tokio::spawn(Arc::clone(&server).serve(stream, sidecar));
                 }
             });
             tasks.push(task.abort_handle());
--- a/crates/testbed/src/emulator/emulated_server/mod.rs
+++ b/crates/testbed/src/emulator/emulated_server/mod.rs
@@ -3,12 +3,12 @@
 //! This file owns a server's identity and how its process is changed; the other files its
 //! listeners, its connections, what it responds, and the faults that it suffers.
 
+mod admission;
 mod attempt;
 mod connection;
 mod faults;
 mod health_check;
 mod listeners;
-mod offer;
 mod process;
 
 use std::net::SocketAddr;
@@ -23,6 +23,7 @@
 use super::ports::free_address;
 use super::shared::Shared;
 use crate::event_log::{LogEvent, ServerState};
+use crate::index::{RequestNumber, ServerIndex, SidecarIndex};
 use crate::random::{RandomStream, StreamId};
 use crate::scenario::{MachineType, Micros, Servers};
 use crate::server_model::ServerModel;
@@ -74,14 +75,14 @@
     /// Where an address is missing or cannot be listened on.
     pub(super) async fn start(
         shared: &Arc<Shared>,
-        number: usize,
+        index: ServerIndex,
         machine_type: &MachineType,
         group: &Servers,
     ) -> Result<Arc<Self>, EmulatorError> {
         let scenario = &shared.scenario;
-        let stream = STREAM_OFFSET + number;
+        let stream = STREAM_OFFSET + index.index();
         let random = RandomStream::new(scenario.seed, StreamId::Machines, stream);
-        let model = ServerModel::drawn(scenario, machine_type, number, 0, group.cold);
+        let model = ServerModel::from_scenario(scenario, machine_type, index, 0, group.cold);
         let addresses = (0..scenario.sidecars.count)
             .map(|_| free_address())
             .collect::<Result<_, _>>()?;
@@ -91,8 +92,8 @@
         };
         let server = Arc::new(Self {
             shared: Arc::clone(shared),
-            number: AtomicU32::new(number as u32),
-            zone: scenario.server_zone(group, number),
+            number: AtomicU32::new(index.value()),
+            zone: scenario.server_zone(group, index),
             addresses,
             process: Mutex::new(ServerProcess::new(model, group.cold, random)),
             listeners: Listeners::default(),
@@ -100,7 +101,7 @@
             network: watch::channel(network).0,
         });
         server.listen().await?;
-        server.note_state(if group.cold {
+        server.record_state(if group.cold {
             ServerState::Cold
         } else {
             ServerState::Up
@@ -110,8 +111,8 @@
     }
 
     /// Its number in the event log.
-    pub(super) fn number(&self) -> u32 {
-        self.number.load(Ordering::Relaxed)
+    pub(super) fn number(&self) -> ServerIndex {
+        ServerIndex::new(self.number.load(Ordering::Relaxed))
     }
 
     /// Index of its zone.
@@ -120,8 +121,8 @@
     }
 
     /// Its address for a sidecar.
-    pub(super) fn address(&self, sidecar: u32) -> Option<SocketAddr> {
-        self.addresses.get(sidecar as usize).copied()
+    pub(super) fn address(&self, sidecar: SidecarIndex) -> Option<SocketAddr> {
+        self.addresses.get(sidecar.index()).copied()
     }
 
     /// When it last started; 0 for before the run.
@@ -139,12 +140,12 @@
         }
     }
 
-    pub(super) fn note_state(&self, state: ServerState) {
-        self.note_state_at(self.shared.clock.now(), state);
+    pub(super) fn record_state(&self, state: ServerState) {
+        self.record_state_at(self.shared.clock.now(), state);
     }
 
-    fn note_state_at(&self, at: Micros, state: ServerState) {
-        self.shared.note_at(
+    fn record_state_at(&self, at: Micros, state: ServerState) {
+        self.shared.record_at(
             at,
             LogEvent::ServerStateChanged {
                 server: self.number(),
@@ -164,7 +165,8 @@
         let (result, overloaded) = {
             let mut process = lock(&self.process);
             let result = change(&mut process, now);
-            let overloaded = process.settle(|request, work| self.note_work(now, request, work));
+            let overloaded =
+                process.apply_events(|request, work| self.record_work_done(now, request, work));
             (result, overloaded)
         };
         if overloaded {
@@ -174,8 +176,8 @@
         result
     }
 
-    fn note_work(&self, at: Micros, request: u64, work: f64) {
-        self.shared.note_at(
+    fn record_work_done(&self, at: Micros, request: RequestNumber, work: f64) {
+        self.shared.record_at(
             at,
             LogEvent::WorkDone {
                 request,
@@ -187,7 +189,7 @@
 
     /// It was overloaded while cold, and its process is gone.
     fn on_overloaded(&self) {
-        self.note_state(ServerState::Fallen);
+        self.record_state(ServerState::OverloadShutdown);
         self.network.send_modify(|network| {
             network.mode = NetworkMode::Refusing;
             network.epoch += 1;
@@ -215,7 +217,7 @@
         let mut process = lock(&self.process);
         let now = self.shared.clock.now();
         process.advance(now);
-        process.settle(|request, work| self.note_work(now, request, work));
+        process.apply_events(|request, work| self.record_work_done(now, request, work));
         process.next_event_at()
     }
 }
@@ -227,7 +229,7 @@
         shared.clock.sleep_until(second * 1_000_000).await;
         for server in &emulation.servers {
             let (in_flight, connections) = lock(&server.process).gauge();
-            shared.note(LogEvent::ServerGauge {
+            shared.record(LogEvent::ServerGauge {
                 server: server.number(),
                 in_flight,
                 connections,
--- a/crates/testbed/src/emulator/fault_schedule.rs
+++ b/crates/testbed/src/emulator/fault_schedule.rs
@@ -13,8 +13,9 @@
 use super::emulated_server::{EmulatedServer, NetworkMode, ResponseFault};
 use super::shared::Shared;
 use crate::event_log::{ListedStatus, ServerState};
+use crate::index::{ServerIndex, SidecarIndex};
 use crate::scenario::{Fault, FaultKind, Micros, from_ms, from_s};
-use crate::simulator::faults::{roll, targets};
+use crate::simulator::faults::{rolling_restart, targets};
 
 /// Plays the faults of the scenario to their ends.
 pub(super) async fn play(emulation: &Emulation) {
@@ -24,17 +25,17 @@
     for (index, fault) in emulation.shared.scenario.fault.iter().enumerate() {
         match fault.kind {
             // These change the load, as it is drawn.
-            FaultKind::Burst | FaultKind::Costly => {}
-            FaultKind::Roll | FaultKind::RestartAll => {
+            FaultKind::Burst | FaultKind::ExpensiveRequests => {}
+            FaultKind::RollingRestart | FaultKind::RestartAll => {
                 restart_sidecars(emulation, index, fault, &mut tasks);
             }
             FaultKind::DiscoveryDown => {
-                tasks.spawn(disturb_discovery(emulation, fault, Mode::Down));
+                tasks.spawn(play_discovery_fault(emulation, fault, Mode::Down));
             }
             FaultKind::DiscoverySilent => {
-                tasks.spawn(disturb_discovery(emulation, fault, Mode::Silent));
+                tasks.spawn(play_discovery_fault(emulation, fault, Mode::Silent));
             }
-            _ => disturb_servers(emulation, index, fault, &next_number, &mut tasks),
+            _ => schedule_server_faults(emulation, index, fault, &next_number, &mut tasks),
         }
     }
     while tasks.join_next().await.is_some() {}
@@ -48,10 +49,10 @@
 
 fn restart_sidecars(emulation: &Emulation, index: usize, fault: &Fault, tasks: &mut JoinSet<()>) {
     let scenario = &emulation.shared.scenario;
-    let restarts = if fault.kind == FaultKind::Roll {
-        roll(scenario, index)
+    let restarts = if fault.kind == FaultKind::RollingRestart {
+        rolling_restart(scenario, index)
     } else {
-        let all = 0..scenario.sidecars.count as u32;
+        let all = SidecarIndex::all(scenario.sidecars.count);
         all.map(|sidecar| (sidecar, 0)).collect()
     };
     let (at, down, kill) = (from_s(fault.at_s), from_s(fault.down_s), fault.kill);
@@ -60,13 +61,13 @@
         let clock = emulation.shared.clock;
         tasks.spawn(async move {
             clock.sleep_until(at + delay).await;
-            sidecars.restart(sidecar as usize, down, kill).await;
+            sidecars.restart(sidecar, down, kill).await;
         });
     }
 }
 
 /// Sets discovery to a mode for as long as the fault lasts.
-fn disturb_discovery(
+fn play_discovery_fault(
     emulation: &Emulation,
     fault: &Fault,
     mode: Mode,
@@ -82,7 +83,7 @@
     }
 }
 
-fn disturb_servers(
+fn schedule_server_faults(
     emulation: &Emulation,
     index: usize,
     fault: &Fault,
@@ -91,7 +92,7 @@
 ) {
     let zones: Vec<u32> = emulation.servers.iter().map(|s| s.zone()).collect();
     for target in targets(&emulation.shared.scenario, index, &zones) {
-        let index = target as usize;
+        let index = target.index();
         let Some(server) = emulation.servers.get(index) else {
             continue;
         };
@@ -124,55 +125,61 @@
         let (at, length) = (from_s(self.fault.at_s), from_s(self.fault.for_s));
         self.shared.clock.sleep_until(at).await;
         let number = self.server.number();
-        self.begin(number).await;
+        self.start(number).await;
         self.shared.clock.sleep_until(at + length).await;
         self.end(number).await;
     }
 
-    async fn begin(&self, number: u32) {
+    async fn start(&self, number: ServerIndex) {
         let (server, share) = (&self.server, self.fault.share);
         let discovery = &self.shared.scenario.discovery;
         match self.fault.kind {
             FaultKind::Pause => server.set_paused(true),
             FaultKind::Slow => server.set_slowdown(self.fault.factor),
-            FaultKind::Errors => server.set_response_fault(ResponseFault::Errors(Some(share))),
-            FaultKind::Spoilt => server.set_response_fault(ResponseFault::Malformed(share)),
-            FaultKind::Resets => server.set_response_fault(ResponseFault::Reset(share)),
+            FaultKind::ErrorResponses => {
+                server.set_response_fault(ResponseFault::Errors(Some(share)))
+            }
+            FaultKind::MalformedResponses => {
+                server.set_response_fault(ResponseFault::Malformed(share))
+            }
+            FaultKind::ConnectionResets => server.set_response_fault(ResponseFault::Reset(share)),
             FaultKind::Crash => {
-                server.note_state(ServerState::Down);
+                server.record_state(ServerState::Down);
                 server.stop(NetworkMode::Refusing).await;
-                self.list_later(number, ListedStatus::Gone, discovery.notice_ms);
+                self.update_list_later(number, ListedStatus::Gone, discovery.notice_ms);
             }
             FaultKind::Silence => {
-                server.note_state(ServerState::Silent);
+                server.record_state(ServerState::Silent);
                 server.stop(NetworkMode::Silent).await;
-                self.list_later(number, ListedStatus::Gone, discovery.silent_notice_ms);
+                self.update_list_later(number, ListedStatus::Gone, discovery.silent_notice_ms);
             }
             FaultKind::Drain | FaultKind::Replace => {
                 server.set_draining();
-                self.list_later(number, ListedStatus::Draining, discovery.notice_ms);
+                self.update_list_later(number, ListedStatus::Draining, discovery.notice_ms);
             }
             _ => {}
         }
     }
 
-    async fn end(&self, number: u32) {
+    async fn end(&self, number: ServerIndex) {
         let server = &self.server;
         let add_ms = self.shared.scenario.discovery.add_ms;
         match self.fault.kind {
             FaultKind::Pause => server.set_paused(false),
             FaultKind::Slow => server.set_slowdown(1.0),
-            FaultKind::Errors => server.set_response_fault(ResponseFault::Errors(None)),
-            FaultKind::Spoilt => server.set_response_fault(ResponseFault::Malformed(0.0)),
-            FaultKind::Resets => server.set_response_fault(ResponseFault::Reset(0.0)),
+            FaultKind::ErrorResponses => server.set_response_fault(ResponseFault::Errors(None)),
+            FaultKind::MalformedResponses => {
+                server.set_response_fault(ResponseFault::Malformed(0.0))
+            }
+            FaultKind::ConnectionResets => server.set_response_fault(ResponseFault::Reset(0.0)),
             FaultKind::Crash | FaultKind::Silence => {
                 server.restart(None).await;
-                self.list_later(number, ListedStatus::Ready, add_ms);
+                self.update_list_later(number, ListedStatus::Ready, add_ms);
             }
             FaultKind::Drain => {
                 server.stop(NetworkMode::Refusing).await;
                 server.restart(None).await;
-                self.list_later(number, ListedStatus::Ready, add_ms);
+                self.update_list_later(number, ListedStatus::Ready, add_ms);
             }
             FaultKind::Replace => self.replace(number).await,
             _ => {}
@@ -180,18 +187,18 @@
     }
 
     /// Stops the server, and starts another one at its addresses.
-    async fn replace(&self, number: u32) {
+    async fn replace(&self, number: ServerIndex) {
         let discovery = &self.shared.scenario.discovery;
         self.server.stop(NetworkMode::Refusing).await;
-        self.server.note_state(ServerState::Down);
-        self.list_later(number, ListedStatus::Gone, discovery.notice_ms);
-        let replacement = self.next_number.fetch_add(1, Ordering::Relaxed);
+        self.server.record_state(ServerState::Down);
+        self.update_list_later(number, ListedStatus::Gone, discovery.notice_ms);
+        let replacement = ServerIndex::new(self.next_number.fetch_add(1, Ordering::Relaxed));
         self.server.restart(Some(replacement)).await;
-        self.list_later(replacement, ListedStatus::Ready, discovery.add_ms);
+        self.update_list_later(replacement, ListedStatus::Ready, discovery.add_ms);
     }
 
     /// Has discovery list a status once it has noticed.
-    fn list_later(&self, number: u32, status: ListedStatus, delay_ms: f64) {
+    fn update_list_later(&self, number: ServerIndex, status: ListedStatus, delay_ms: f64) {
         let discovery = Arc::clone(&self.discovery);
         let (index, started_at): (usize, Micros) = (self.index, self.server.started_at());
         let delay = Duration::from_micros(from_ms(delay_ms));
--- a/crates/testbed/src/emulator/mod.rs
+++ b/crates/testbed/src/emulator/mod.rs
@@ -26,6 +26,7 @@
 
 use crate::audit::Auditor;
 use crate::event_log::{EventLog, LogRecord, Tee};
+use crate::index::ServerIndex;
 use crate::report::{EMULATOR, Report};
 use crate::scenario::{Scenario, from_ms};
 use crate::statistics::Statistics;
@@ -40,7 +41,7 @@
 pub use error::EmulatorError;
 
 /// Servers times sidecars that one emulation may have: sockets and descriptors are the bound.
-const PAIRS_MAX: usize = 20_000;
+const MAX_CONNECTION_PAIRS: usize = 20_000;
 /// Time to set everything up before the run begins: in all, and for each sidecar's process and each
 /// pair's sockets.
 const SETUP_TIME_MS: u64 = 1_500;
@@ -69,7 +70,7 @@
 }
 
 /// What came of an emulation.
-struct Played {
+struct EmulationResult {
     records: Vec<LogRecord>,
     unreliable: Option<String>,
     counters: Comparison,
@@ -80,10 +81,10 @@
         let fleet = scenario.fleet();
         let sidecars = scenario.sidecars.count;
         let pairs = fleet.len() * sidecars;
-        if pairs > PAIRS_MAX {
-            return Err(EmulatorError::TooManyPairs {
+        if pairs > MAX_CONNECTION_PAIRS {
+            return Err(EmulatorError::TooManyConnectionPairs {
                 pairs,
-                max: PAIRS_MAX,
+                max: MAX_CONNECTION_PAIRS,
             });
         }
         let clock = Clock::starting_in(Duration::from_millis(
@@ -93,8 +94,9 @@
         ));
         let shared = Arc::new(Shared::new(scenario, clock));
         let mut servers = Vec::new();
-        for (number, (machine_type, group)) in fleet.into_iter().enumerate() {
-            servers.push(EmulatedServer::start(&shared, number, machine_type, group).await?);
+        for (position, (machine_type, group)) in fleet.into_iter().enumerate() {
+            let index = ServerIndex::from_position(position);
+            servers.push(EmulatedServer::start(&shared, index, machine_type, group).await?);
         }
         let discovery = Discovery::start(&shared, &servers).await?;
         let sidecars = Sidecars::new(&shared, &discovery, options)?;
@@ -107,7 +109,7 @@
     }
 
     /// Plays the scenario to its end.
-    async fn play(&self) -> Result<Played, EmulatorError> {
+    async fn play(&self) -> Result<EmulationResult, EmulatorError> {
         self.sidecars.start_all().await?;
         let faults = fault_schedule::play(self);
         let load = client::play(self);
@@ -120,7 +122,7 @@
         let counters = self.sidecars.end_all().await;
         let records = self.shared.recorder.sorted();
         let counters = counter_check::compare(&self.shared, &records, &counters);
-        Ok(Played {
+        Ok(EmulationResult {
             records,
             unreliable: self.shared.timeliness.unreliable(),
             counters,
@@ -137,14 +139,18 @@
     options: &Options,
     further: Option<&mut dyn EventLog>,
 ) -> Result<Report, EmulatorError> {
-    let played = runtime()?.block_on(async {
+    let result = runtime()?.block_on(async {
         let emulation = Emulation::set_up(scenario, options).await?;
         emulation.play().await
     })?;
-    Ok(report(scenario, played, further))
+    Ok(report(scenario, result, further))
 }
 
-fn report(scenario: &Scenario, played: Played, further: Option<&mut dyn EventLog>) -> Report {
+fn report(
+    scenario: &Scenario,
+    result: EmulationResult,
+    further: Option<&mut dyn EventLog>,
+) -> Report {
     let extra = from_ms(scenario.rules.emulator_extra_ms);
     let mut auditor = Auditor::new(scenario, extra);
     let mut statistics = Statistics::new(scenario);
@@ -153,30 +159,30 @@
         second: &mut statistics,
         further,
     };
-    played.records.iter().for_each(|r| readers.note(r));
+    result.records.iter().for_each(|r| readers.record(r));
     auditor.finish();
     let mut report = statistics.report(EMULATOR, scenario.seed);
-    report.audited(&auditor);
-    report.expect(&scenario.expect);
-    report.unreliable = played.unreliable;
-    report.counter_differences = played.counters.differences;
-    report.remarks = played.counters.remarks;
+    report.add_audit(&auditor);
+    report.check_expectations(&scenario.expect);
+    report.unreliable = result.unreliable;
+    report.counter_differences = result.counters.differences;
+    report.remarks = result.counters.remarks;
     report
 }
 
 /// Runs the emulated servers, for a person to try a sidecar by hand, until the program is
-/// interrupted. `say` gets the commands that start the sidecars.
+/// interrupted. `on_ready` gets the commands that start the sidecars.
 ///
 /// # Errors
 /// What could not be set up.
 pub fn serve(
     scenario: &Scenario,
     options: &Options,
-    say: impl FnOnce(String),
+    on_ready: impl FnOnce(String),
 ) -> Result<(), EmulatorError> {
     runtime()?.block_on(async {
         let emulation = Emulation::set_up(scenario, options).await?;
-        say(emulation.sidecars.commands()?);
+        on_ready(emulation.sidecars.commands()?);
         tokio::select! {
             () = fault_schedule::play_for_ever(&emulation) => {}
             interrupted = tokio::signal::ctrl_c() => {
--- a/crates/testbed/src/emulator/shared.rs
+++ b/crates/testbed/src/emulator/shared.rs
@@ -1,5 +1,5 @@
 //! What all parts of an emulation share: the scenario, the clock, the event record and the counts
-//! of what was swallowed in silence.
+//! of what was sent into silence.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -8,6 +8,7 @@
 use super::recorder::Recorder;
 use super::timeliness::Timeliness;
 use crate::event_log::LogEvent;
+use crate::index::{ArrivalNumber, RequestNumber};
 use crate::scenario::{Micros, Scenario, from_ms};
 
 /// Shared by all tasks of an emulation.
@@ -16,9 +17,9 @@
     pub(super) clock: Clock,
     pub(super) recorder: Recorder,
     pub(super) timeliness: Timeliness,
-    next_id: AtomicU64,
-    swallowed_attempts: AtomicU64,
-    swallowed_health_checks: AtomicU64,
+    next_number: AtomicU64,
+    blackholed_attempts: AtomicU64,
+    blackholed_health_checks: AtomicU64,
 }
 
 impl Shared {
@@ -28,18 +29,18 @@
             clock,
             recorder: Recorder::default(),
             timeliness: Timeliness::default(),
-            next_id: AtomicU64::new(1),
-            swallowed_attempts: AtomicU64::new(0),
-            swallowed_health_checks: AtomicU64::new(0),
+            next_number: AtomicU64::new(1),
+            blackholed_attempts: AtomicU64::new(0),
+            blackholed_health_checks: AtomicU64::new(0),
         }
     }
 
-    pub(super) fn note_at(&self, at: Micros, event: LogEvent) {
-        self.recorder.note(at, event);
+    pub(super) fn record_at(&self, at: Micros, event: LogEvent) {
+        self.recorder.record(at, event);
     }
 
-    pub(super) fn note(&self, event: LogEvent) {
-        self.note_at(self.clock.now(), event);
+    pub(super) fn record(&self, event: LogEvent) {
+        self.record_at(self.clock.now(), event);
     }
 
     /// Records that something due at `due` is done now.
@@ -47,9 +48,18 @@
         self.timeliness.on_done(due, self.clock.now());
     }
 
-    /// A number for an arrival or a request, never given twice.
-    pub(super) fn next_id(&self) -> u64 {
-        self.next_id.fetch_add(1, Ordering::Relaxed)
+    /// A number for an arrival, never given twice.
+    pub(super) fn next_arrival_number(&self) -> ArrivalNumber {
+        ArrivalNumber::new(self.next_number())
+    }
+
+    /// A number for a request, never given twice.
+    pub(super) fn next_request_number(&self) -> RequestNumber {
+        RequestNumber::new(self.next_number())
+    }
+
+    fn next_number(&self) -> u64 {
+        self.next_number.fetch_add(1, Ordering::Relaxed)
     }
 
     /// One-way delay between a sidecar and a server; `unit` is a random draw from 0 to 1.
@@ -64,20 +74,21 @@
     }
 
     /// An attempt reached a server that is silent.
-    pub(super) fn on_attempt_swallowed(&self) {
-        self.swallowed_attempts.fetch_add(1, Ordering::Relaxed);
+    pub(super) fn on_attempt_blackholed(&self) {
+        self.blackholed_attempts.fetch_add(1, Ordering::Relaxed);
     }
 
     /// A health check reached a server that is silent.
-    pub(super) fn on_health_check_swallowed(&self) {
-        self.swallowed_health_checks.fetch_add(1, Ordering::Relaxed);
+    pub(super) fn on_health_check_blackholed(&self) {
+        self.blackholed_health_checks
+            .fetch_add(1, Ordering::Relaxed);
     }
 
-    pub(super) fn swallowed_attempts(&self) -> u64 {
-        self.swallowed_attempts.load(Ordering::Relaxed)
+    pub(super) fn blackholed_attempts(&self) -> u64 {
+        self.blackholed_attempts.load(Ordering::Relaxed)
     }
 
-    pub(super) fn swallowed_health_checks(&self) -> u64 {
-        self.swallowed_health_checks.load(Ordering::Relaxed)
+    pub(super) fn blackholed_health_checks(&self) -> u64 {
+        self.blackholed_health_checks.load(Ordering::Relaxed)
     }
 }
--- a/crates/testbed/src/emulator/sidecars/settings.rs
+++ b/crates/testbed/src/emulator/sidecars/settings.rs
@@ -7,26 +7,27 @@
 
 use serde_json::{Value, json};
 
-use crate::scenario::{Class, DeduplicationGroup, Effect, ReportSource, Scenario};
+use crate::index::SidecarIndex;
+use crate::scenario::{Class, DeduplicationScope, Idempotency, LoadReportSource, Scenario};
 
 /// Cores of a sidecar's container.
 const CORES: f64 = 1.0;
 
 /// What one sidecar's configuration says beside its settings.
 pub(super) struct Identity<'a> {
-    pub(super) number: usize,
+    pub(super) index: SidecarIndex,
     pub(super) address: SocketAddr,
     pub(super) discovery: SocketAddr,
     pub(super) seed: u64,
     /// The endpoint list that the sidecar starts with.
-    pub(super) known: &'a Value,
+    pub(super) cached_endpoints: &'a Value,
 }
 
 /// A sidecar's configuration.
 pub(super) fn configuration(scenario: &Scenario, identity: &Identity<'_>) -> Value {
     let container = &scenario.sidecars;
     json!({
-        "name": format!("n{}", identity.number),
+        "name": identity.index.to_string(),
         "listen": identity.address.to_string(),
         "discovery": identity.discovery.to_string(),
         "seed": format!("{:016x}", identity.seed),
@@ -35,8 +36,8 @@
             "memory_mb": container.memory_mb,
             "sockets": container.sockets,
         },
-        "known": identity.known,
-        "settings": settings(scenario, identity.number),
+        "known": identity.cached_endpoints,
+        "settings": settings(scenario, identity.index),
     })
 }
 
@@ -53,7 +54,7 @@
 }
 
 /// A sidecar's settings; those of the simulator's sidecars say the same to the decision module.
-fn settings(scenario: &Scenario, number: usize) -> Value {
+fn settings(scenario: &Scenario, sidecar: SidecarIndex) -> Value {
     let classes: Vec<Value> = scenario.class.iter().map(class).collect();
     let weight = if scenario.load.weight_by_work {
         "work"
@@ -61,10 +62,10 @@
         "request"
     };
     json!({
-        "az": scenario.network.zones.get(scenario.spread_zone(number) as usize),
+        "az": scenario.network.zones.get(scenario.sidecar_zone(sidecar) as usize),
         "zones": scenario.network.zones,
         "balancers": scenario.sidecars.count,
-        "my-number": number,
+        "my-number": sidecar,
         "membership-mode": "on_request",
         "worth-by": weight,
         "step-ms": 5.0,
@@ -82,13 +83,13 @@
 
 fn class(class: &Class) -> Value {
     let semantics = match class.idempotency {
-        Effect::Safe => "pure",
-        Effect::Unsafe => "side_effect",
-        Effect::Keyed => "token",
+        Idempotency::Idempotent => "pure",
+        Idempotency::NonIdempotent => "side_effect",
+        Idempotency::IdempotencyKey => "token",
     };
     let scope = match class.deduplication_scope {
-        DeduplicationGroup::Zone => "zone",
-        DeduplicationGroup::All => "all",
+        DeduplicationScope::Zone => "zone",
+        DeduplicationScope::All => "all",
     };
     json!({
         "name": class.name,
@@ -120,10 +121,10 @@
 
 fn load_report(scenario: &Scenario) -> Value {
     match scenario.load_reports.source {
-        ReportSource::Probe => {
+        LoadReportSource::HealthChecks => {
             json!({"source": "probe", "fields": ["active", "err_rps", "waiting"]})
         }
-        ReportSource::Answers => json!({"source": "answers", "fields": ["active"]}),
+        LoadReportSource::Responses => json!({"source": "answers", "fields": ["active"]}),
     }
 }
 
--- a/crates/testbed/src/event_log/event.rs
+++ b/crates/testbed/src/event_log/event.rs
@@ -5,6 +5,9 @@
 use serde::{Deserialize, Serialize};
 
 use super::state::{ListedStatus, ProcessState, RequestOutcome, ServerState};
+use crate::index::{
+    ArrivalNumber, ClassIndex, RequestNumber, ServerIndex, SidecarIndex, TenantIndex,
+};
 use crate::scenario::Micros;
 
 /// One event. An `arrival` is what a client wants, a `request` one try of it at the sidecar, an
@@ -18,17 +21,17 @@
     ArrivalStarted {
         /// Number of the arrival.
         #[serde(alias = "ask")]
-        arrival: u64,
+        arrival: ArrivalNumber,
         /// The client's sidecar.
-        sidecar: u32,
+        sidecar: SidecarIndex,
         /// Index of the request class.
-        class: u16,
+        class: ClassIndex,
         /// Index of the tenant.
         #[serde(alias = "shop")]
-        tenant: u16,
+        tenant: TenantIndex,
         /// Whether the tenant is within its quota.
-        #[serde(alias = "within")]
-        within_share: bool,
+        #[serde(rename = "within_share", alias = "within")]
+        within_quota: bool,
         /// Expected work; absent in logs of earlier versions.
         #[serde(default)]
         work: f64,
@@ -38,14 +41,14 @@
     RequestAccepted {
         /// Number of the request.
         #[serde(alias = "tx")]
-        request: u64,
+        request: RequestNumber,
         /// The arrival it belongs to.
         #[serde(alias = "ask")]
-        arrival: u64,
+        arrival: ArrivalNumber,
         /// The sidecar that accepted it.
-        sidecar: u32,
+        sidecar: SidecarIndex,
         /// Index of the request class.
-        class: u16,
+        class: ClassIndex,
         /// The client's deadline.
         due: Micros,
     },
@@ -54,11 +57,11 @@
     AttemptStarted {
         /// The request it is an attempt of.
         #[serde(alias = "tx")]
-        request: u64,
+        request: RequestNumber,
         /// The sidecar that forwards it.
-        sidecar: u32,
+        sidecar: SidecarIndex,
         /// The server it goes to.
-        server: u32,
+        server: ServerIndex,
         /// Whether sidecar and server are in different zones.
         #[serde(alias = "crossing")]
         cross_zone: bool,
@@ -68,9 +71,9 @@
     AttemptReceived {
         /// The request it is an attempt of.
         #[serde(alias = "tx")]
-        request: u64,
+        request: RequestNumber,
         /// The server that received it.
-        server: u32,
+        server: ServerIndex,
         /// The work that it takes there.
         work: f64,
         /// Work that the server can do per microsecond now.
@@ -83,18 +86,18 @@
     AttemptRejected {
         /// The request it is an attempt of.
         #[serde(alias = "tx")]
-        request: u64,
+        request: RequestNumber,
         /// The server that rejected it.
-        server: u32,
+        server: ServerIndex,
     },
     /// The server executed the attempt.
     #[serde(alias = "ran")]
     WorkDone {
         /// The request it is an attempt of.
         #[serde(alias = "tx")]
-        request: u64,
+        request: RequestNumber,
         /// The server that executed it.
-        server: u32,
+        server: ServerIndex,
         /// The work that was done.
         work: f64,
     },
@@ -103,7 +106,7 @@
     ResponseReceived {
         /// Number of the request.
         #[serde(alias = "tx")]
-        request: u64,
+        request: RequestNumber,
         /// What the response says.
         #[serde(alias = "how")]
         outcome: RequestOutcome,
@@ -113,14 +116,14 @@
     ClientDisconnected {
         /// Number of the request.
         #[serde(alias = "tx")]
-        request: u64,
+        request: RequestNumber,
     },
     /// The arrival has come to its end.
     #[serde(alias = "closed")]
     ArrivalEnded {
         /// Number of the arrival.
         #[serde(alias = "ask")]
-        arrival: u64,
+        arrival: ArrivalNumber,
         /// How its last request ended.
         #[serde(alias = "how")]
         outcome: RequestOutcome,
@@ -132,9 +135,9 @@
     #[serde(alias = "listed")]
     EndpointListed {
         /// The sidecar that was notified.
-        sidecar: u32,
+        sidecar: SidecarIndex,
         /// The server it was notified of.
-        server: u32,
+        server: ServerIndex,
         /// The server's status.
         #[serde(alias = "listing")]
         status: ListedStatus,
@@ -146,7 +149,7 @@
     #[serde(alias = "sidecar")]
     SidecarStateChanged {
         /// The sidecar.
-        sidecar: u32,
+        sidecar: SidecarIndex,
         /// Its new state.
         #[serde(alias = "life")]
         state: ProcessState,
@@ -155,7 +158,7 @@
     #[serde(alias = "server")]
     ServerStateChanged {
         /// The server.
-        server: u32,
+        server: ServerIndex,
         /// Index of its zone.
         zone: u32,
         /// Its new state.
@@ -166,27 +169,27 @@
     #[serde(alias = "probed")]
     HealthChecked {
         /// The sidecar that checks.
-        sidecar: u32,
+        sidecar: SidecarIndex,
         /// The server that is checked.
-        server: u32,
+        server: ServerIndex,
     },
     /// A new connection has cost a server its handshake.
     #[serde(alias = "opened")]
     ConnectionOpened {
         /// The server.
-        server: u32,
+        server: ServerIndex,
     },
     /// A sidecar polled discovery.
     #[serde(alias = "called")]
     DiscoveryPolled {
         /// The sidecar.
-        sidecar: u32,
+        sidecar: SidecarIndex,
     },
     /// What a server has in flight, once a second.
     #[serde(alias = "gauge")]
     ServerGauge {
         /// The server.
-        server: u32,
+        server: ServerIndex,
         /// Attempts in flight.
         #[serde(alias = "held")]
         in_flight: u32,
--- a/crates/testbed/src/event_log/tests.rs
+++ b/crates/testbed/src/event_log/tests.rs
@@ -1,11 +1,16 @@
 //! Stored logs of earlier versions are read, and what is written reads back.
 
+mod stored_names;
+
 use std::collections::BTreeMap;
 
 use super::{
     EventLog as _, ListedStatus, LogEvent, LogRecord, ProcessState, RequestOutcome, ServerState,
     Writer, read,
 };
+use crate::index::{
+    ArrivalNumber, ClassIndex, RequestNumber, ServerIndex, SidecarIndex, TenantIndex,
+};
 
 /// The first 200 lines of a calm run, and one of every other kind in it.
 const OLD_LOG: &str = include_str!("../../tests/data/records/calm-1.ledger");
@@ -20,7 +25,7 @@
 fn written(records: &[LogRecord]) -> String {
     let mut bytes = Vec::new();
     let mut writer = Writer::new(&mut bytes);
-    records.iter().for_each(|record| writer.note(record));
+    records.iter().for_each(|record| writer.record(record));
     writer.finish().expect("written");
     String::from_utf8(bytes).expect("text")
 }
@@ -61,28 +66,28 @@
         (
             4_419,
             LogEvent::ArrivalStarted {
-                arrival: 1,
-                sidecar: 2,
-                class: 2,
-                tenant: 0,
-                within_share: true,
+                arrival: ArrivalNumber::new(1),
+                sidecar: SidecarIndex::new(2),
+                class: ClassIndex::new(2),
+                tenant: TenantIndex::new(0),
+                within_quota: true,
                 work: 9_873.518_844_543_214,
             },
         ),
         (
             21_712,
             LogEvent::AttemptStarted {
-                request: 8,
-                sidecar: 3,
-                server: 0,
+                request: RequestNumber::new(8),
+                sidecar: SidecarIndex::new(3),
+                server: ServerIndex::new(0),
                 cross_zone: false,
             },
         ),
         (
             22_031,
             LogEvent::AttemptReceived {
-                request: 8,
-                server: 0,
+                request: RequestNumber::new(8),
+                server: ServerIndex::new(0),
                 work: 19_654.795_076_852_744,
                 capacity: 2.996_052_179_303_716_5,
                 cold: false,
@@ -91,29 +96,29 @@
         (
             2_032_496,
             LogEvent::AttemptRejected {
-                request: 920,
-                server: 0,
+                request: RequestNumber::new(920),
+                server: ServerIndex::new(0),
             },
         ),
         (
             37_226,
             LogEvent::WorkDone {
-                request: 14,
-                server: 13,
+                request: RequestNumber::new(14),
+                server: ServerIndex::new(13),
                 work: 6_476.019_318_328_092,
             },
         ),
         (
             481_543,
             LogEvent::ResponseReceived {
-                request: 88,
+                request: RequestNumber::new(88),
                 outcome: RequestOutcome::Rejected,
             },
         ),
         (
             28_915_071,
             LogEvent::ArrivalEnded {
-                arrival: 12_304,
+                arrival: ArrivalNumber::new(12_304),
                 outcome: RequestOutcome::Unanswered,
                 requests: 2,
             },
@@ -121,8 +126,8 @@
         (
             3_522_082,
             LogEvent::EndpointListed {
-                sidecar: 2,
-                server: 0,
+                sidecar: SidecarIndex::new(2),
+                server: ServerIndex::new(0),
                 status: ListedStatus::Draining,
                 incarnation: 0,
             },
@@ -130,27 +135,32 @@
         (
             59_652_895,
             LogEvent::ServerStateChanged {
-                server: 7,
+                server: ServerIndex::new(7),
                 zone: 1,
-                state: ServerState::Fallen,
+                state: ServerState::OverloadShutdown,
             },
         ),
         (
             60_000_000,
             LogEvent::SidecarStateChanged {
-                sidecar: 0,
+                sidecar: SidecarIndex::new(0),
                 state: ProcessState::Killed,
             },
         ),
         (
             1_000_000,
             LogEvent::ServerGauge {
-                server: 0,
+                server: ServerIndex::new(0),
                 in_flight: 3,
                 connections: 14,
             },
         ),
-        (11_294, LogEvent::ConnectionOpened { server: 7 }),
+        (
+            11_294,
+            LogEvent::ConnectionOpened {
+                server: ServerIndex::new(7),
+            },
+        ),
     ];
     for (at, expected) in expected {
         assert_eq!(event(at), expected, "at {at}");
@@ -163,14 +173,19 @@
     let read_one = |line: &str| read(line).expect("read")[0].event;
     assert_eq!(
         read_one(r#"{"at":1,"what":"left","tx":2}"#),
-        LogEvent::ClientDisconnected { request: 2 }
+        LogEvent::ClientDisconnected {
+            request: RequestNumber::new(2)
+        }
     );
     for (name, state) in [
-        ("ending", ProcessState::Ending),
-        ("ended", ProcessState::Ended),
+        ("ending", ProcessState::ShuttingDown),
+        ("ended", ProcessState::Exited),
     ] {
         let line = format!(r#"{{"at":1,"what":"sidecar","sidecar":2,"life":"{name}"}}"#);
-        let expected = LogEvent::SidecarStateChanged { sidecar: 2, state };
+        let expected = LogEvent::SidecarStateChanged {
+            sidecar: SidecarIndex::new(2),
+            state,
+        };
         assert_eq!(read_one(&line), expected);
     }
     for (name, outcome) in [
@@ -180,7 +195,7 @@
     ] {
         let line = format!(r#"{{"at":1,"what":"closed","ask":2,"how":"{name}","tries":3}}"#);
         let expected = LogEvent::ArrivalEnded {
-            arrival: 2,
+            arrival: ArrivalNumber::new(2),
             outcome,
             requests: 3,
         };
@@ -203,7 +218,7 @@
     let records = [LogRecord {
         at: 7,
         event: LogEvent::ArrivalEnded {
-            arrival: 3,
+            arrival: ArrivalNumber::new(3),
             outcome: RequestOutcome::NotPlayed,
             requests: 2,
         },
--- a/crates/testbed/src/scenario/check/faults.rs
+++ b/crates/testbed/src/scenario/check/faults.rs
@@ -1,6 +1,7 @@
 //! Checks of the schedule of faults.
 
 use super::Checker;
+use crate::index::ServerIndex;
 use crate::scenario::{Fault, FaultKind, Scenario};
 
 impl Scenario {
@@ -20,7 +21,7 @@
         let in_run = fault.at_s < self.seconds;
         checker.require(in_run, key("at_s"), "lies after the end of the day");
         checker.not_negative(fault.for_s, key("for_s"));
-        checker.share(fault.part, key("part"));
+        checker.share(fault.target_share, key("target_share"));
         checker.share(fault.share, key("share"));
         checker.positive(fault.factor, key("factor"));
         checker.not_negative(fault.down_s, key("down_s"));
@@ -37,16 +38,16 @@
     fn check_fault_servers(&self, checker: &mut Checker, fault: &Fault, path: &str) {
         let count = self.fleet().len();
         for (i, name) in fault.servers.iter().enumerate() {
-            let number = name.strip_prefix('s').and_then(|n| n.parse::<usize>().ok());
-            let known = number.is_some_and(|number| number < count);
+            let server = ServerIndex::from_name(name);
+            let known = server.is_some_and(|server| server.index() < count);
             let key = format!("{path}.servers[{i}]");
             checker.require(known, key, format!("there is no server {name:?}"));
         }
         if fault.aims_at_servers() {
             checker.require(
-                !fault.servers.is_empty() || fault.part > 0.0 || fault.zone.is_some(),
+                !fault.servers.is_empty() || fault.target_share > 0.0 || fault.zone.is_some(),
                 path,
-                "names no servers: servers, part or zone is needed",
+                "names no servers: servers, target_share or zone is needed",
             );
         }
     }
--- a/crates/testbed/src/scenario/fleet.rs
+++ b/crates/testbed/src/scenario/fleet.rs
@@ -27,10 +27,10 @@
         cores: u32 = 2,
         /// Requests that run at a time and share the cores; 0 for one a core.
         slots: u32 = 0,
-        /// Share by which each request a core beyond `thrash_at` slows all of them down.
-        thrash: f64 = 0.0,
+        /// Share by which each request a core beyond `thrashing_threshold` slows all of them down.
+        thrashing: f64 = 0.0,
         /// Requests a core from which on they slow each other down.
-        thrash_at: f64 = 4.0,
+        thrashing_threshold: f64 = 4.0,
         /// Work done by one core in one second, in seconds of a standard core.
         speed: f64 = 1.0,
         /// Speeds are drawn within this share above and below `speed`.
@@ -48,7 +48,7 @@
         /// Connections it accepts.
         connections: usize = 1_500,
         /// Share of its capacity that a full connection table takes.
-        full_tax: f64 = 0.3,
+        connection_overhead: f64 = 0.3,
         /// Work of a new connection, in milliseconds of a standard core.
         handshake_ms: f64 = 3.0,
         /// Round trips before a new connection carries its first request.
@@ -58,17 +58,17 @@
         /// Health checks a second that it answers; 0 for no cap. Further ones are rejected.
         health_checks_per_s: f64 = 0.0,
         /// What the cancellation of an attempt stops.
-        cancel: Cancel = Cancel::Queued,
+        cancel: CancellationScope = CancellationScope::Queued,
         /// Whether a waiting request is dropped once its sidecar no longer waits for it.
         drops_expired: bool = true,
         /// How lasting overload slows it; absent where it does not.
-        choke: Option<Choke> = None,
+        contention: Option<Contention> = None,
     }
 }
 
 choice! {
     /// What the cancellation of an attempt stops at a server.
-    Cancel {
+    CancellationScope {
         /// Nothing.
         None,
         /// Requests that wait.
@@ -79,21 +79,22 @@
 }
 
 section! {
-    /// Overload that lasts: once a server holds more than `at` requests a core for `over_s`, it is
-    /// slowed until it holds less than `below` a core for `rest_s`, or until `most_s` have passed.
-    Choke {
+    /// Overload that lasts: once a server has more than `overload_threshold` requests a core in
+    /// flight for `overload_s`, it is slowed until it has less than `recovery_threshold` a core for
+    /// `recovery_s`, or until `max_s` have passed.
+    Contention {
         /// Requests a core beyond which it is overloaded.
-        at: f64 = 5.5,
+        overload_threshold: f64 = 5.5,
         /// Seconds of overload after which it is slowed.
-        over_s: f64 = 2.0,
+        overload_s: f64 = 2.0,
         /// Factor by which it is slower; 1 or more.
-        slower: f64 = 2.6,
+        slowdown: f64 = 2.6,
         /// Requests a core below which it recovers.
-        below: f64 = 0.35,
+        recovery_threshold: f64 = 0.35,
         /// Seconds that it takes to recover.
-        rest_s: f64 = 3.0,
+        recovery_s: f64 = 3.0,
         /// Seconds after which it has recovered in any case.
-        most_s: f64 = 22.0,
+        max_s: f64 = 22.0,
     }
 }
 
@@ -116,7 +117,7 @@
     Sidecars {
         /// How many there are.
         count: usize = 3,
-        /// How unevenly traffic is spread over them: coefficient of variation of their parts.
+        /// How unevenly traffic is spread over them: coefficient of variation of their shares.
         skew: f64 = 0.0,
         /// Whether they know cores and speed of each machine type, as by an operator's table.
         knows_machine_types: bool = false,
--- a/crates/testbed/src/scenario/renamed_keys.rs
+++ b/crates/testbed/src/scenario/renamed_keys.rs
@@ -26,7 +26,7 @@
 }
 
 /// All renamed keys. A section has at most one former name for a key.
-const RENAMED_KEYS: [RenamedKey; 38] = [
+const RENAMED_KEYS: [RenamedKey; 49] = [
     renamed("", "kind", "machine_type"),
     renamed("", "shop", "tenant"),
     renamed("", "terminals", "clients"),
@@ -37,6 +37,16 @@
     renamed("machine_type", "cold_s", "slow_start_s"),
     renamed("machine_type", "probe_ms", "health_check_ms"),
     renamed("machine_type", "probes_per_s", "health_checks_per_s"),
+    renamed("machine_type", "thrash", "thrashing"),
+    renamed("machine_type", "thrash_at", "thrashing_threshold"),
+    renamed("machine_type", "full_tax", "connection_overhead"),
+    renamed("machine_type", "choke", "contention"),
+    renamed("machine_type.contention", "at", "overload_threshold"),
+    renamed("machine_type.contention", "over_s", "overload_s"),
+    renamed("machine_type.contention", "slower", "slowdown"),
+    renamed("machine_type.contention", "below", "recovery_threshold"),
+    renamed("machine_type.contention", "rest_s", "recovery_s"),
+    renamed("machine_type.contention", "most_s", "max_s"),
     renamed("servers", "kind", "machine_type"),
     renamed("sidecars", "knows_kinds", "knows_machine_types"),
     renamed("class", "aim_ms", "latency_objective_ms"),
@@ -65,6 +75,7 @@
     renamed("prices", "probe", "health_check"),
     renamed("fault", "what", "kind"),
     renamed("fault", "times", "factor"),
+    renamed("fault", "part", "target_share"),
 ];
 
 /// A table that has a key under its present and its former name.
@@ -155,11 +166,11 @@
 /// A path with all its keys under their present names.
 pub(super) fn present_path(path: &KeyPath) -> KeyPath {
     let mut section = String::new();
-    let present = path.parts().iter().map(|part| {
-        if index(part).is_some() {
-            return part.clone();
+    let present = path.segments().iter().map(|segment| {
+        if index(segment).is_some() {
+            return segment.clone();
         }
-        let present = present_name(&section, part).to_owned();
+        let present = present_name(&section, segment).to_owned();
         section = join(&section, &present);
         present
     });
@@ -170,23 +181,23 @@
 pub(super) fn written_path(written: &Table, present: &KeyPath) -> KeyPath {
     let mut section = String::new();
     let mut parent = Some(Value::Table(written.clone()));
-    let parts = present.parts().iter().map(|part| {
-        if let Some(index) = index(part) {
+    let segments = present.segments().iter().map(|segment| {
+        if let Some(index) = index(segment) {
             parent = parent.take().and_then(|value| value.get(index).cloned());
-            return part.clone();
+            return segment.clone();
         }
         let table = parent.as_ref().and_then(Value::as_table);
-        let former = former_name(&section, part);
+        let former = former_name(&section, segment);
         let name = former
             .filter(|former| table.is_some_and(|t| t.contains_key(*former)))
-            .unwrap_or(part)
+            .unwrap_or(segment)
             .to_owned();
         let child = table.and_then(|table| table.get(&name)).cloned();
         parent = child;
-        section = join(&section, part);
+        section = join(&section, segment);
         name
     });
-    KeyPath::of(parts.collect())
+    KeyPath::of(segments.collect())
 }
 
 #[cfg(test)]
--- a/crates/testbed/src/server_model/mod.rs
+++ b/crates/testbed/src/server_model/mod.rs
@@ -3,31 +3,32 @@
 //! machine.
 //!
 //! All running requests progress alike: `running_jobs` has their progress, `service` lets it grow
-//! with time at the `pace` of the moment. Slow start, contention and load reports each own their
+//! with time at the `speed` of the moment. Slow start, contention and load reports each own their
 //! state.
 
 mod contention;
-mod health_check_limit;
+mod health_check_limiter;
 mod load_report;
-mod pace;
 mod running_jobs;
 mod service;
 mod slow_start;
+mod speed;
 mod state_change;
 
 use std::collections::VecDeque;
 
+use crate::index::ServerIndex;
 use crate::random::{RandomStream, StreamId};
 use crate::scenario::{MachineType, Micros, Scenario, from_ms};
 
-use contention::Contention;
-use health_check_limit::HealthCheckLimit;
+use contention::ContentionState;
+use health_check_limiter::HealthCheckLimiter;
 use load_report::LoadReporter;
 use running_jobs::RunningJobs;
 use slow_start::{OverloadRule, SlowStart};
 
-pub use load_report::Report;
-pub use slow_start::budget;
+pub use load_report::LoadReport;
+pub use slow_start::cold_work_limit;
 
 /// Work handed to a server.
 #[derive(Clone, Copy, Debug)]
@@ -36,33 +37,33 @@
     pub id: u64,
     /// Work in microseconds of a standard core.
     pub work: f64,
-    /// When nobody waits for it any more.
-    pub until: Micros,
+    /// When its sender stops waiting for it.
+    pub deadline: Micros,
 }
 
 /// What a server did by itself; the number is the job's.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Event {
-    /// A job began to run.
-    Began(u64),
-    /// A job ran to its end.
-    Ended {
+    /// A job started to run.
+    Started(u64),
+    /// A job was completed.
+    Completed {
         /// The job.
         id: u64,
         /// Whether it ended in an error.
         error: bool,
     },
-    /// An expired job was dropped from the queue.
-    Dropped(u64),
-    /// The cold server was sent more work than it bears, and went down.
-    Fell,
+    /// A job expired in the queue and was dropped.
+    Expired(u64),
+    /// The cold server received more work than it bears, and shut down.
+    OverloadShutdown,
 }
 
 /// What a server has counted since it was built.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Counters {
-    /// Expired jobs that were dropped from the queue.
-    pub dropped: u64,
+    /// Jobs that expired in the queue.
+    pub expired: u64,
     /// Jobs that were cancelled, waiting or running.
     pub cancelled: u64,
     /// Most jobs in flight at once, waiting and running.
@@ -74,9 +75,9 @@
 pub enum State {
     /// It works.
     Up,
-    /// It stands still; takes in and answers nothing until it goes on.
+    /// It stands still; accepts and answers nothing until it goes on.
     Paused,
-    /// It is gone, with all that it held.
+    /// It is gone, with all that was in flight.
     Down,
 }
 
@@ -85,7 +86,7 @@
 pub struct ServerModel {
     machine_type: MachineType,
     /// Work of a warm core in a microsecond, in microseconds of a standard core.
-    speed: f64,
+    warm_core_speed: f64,
     state: State,
     /// Up to when time has passed here.
     now: Micros,
@@ -97,9 +98,9 @@
     slowdown: f64,
     error_rate: f64,
     slow_start: SlowStart,
-    contention: Contention,
+    contention: ContentionState,
     connections: usize,
-    health_checks: HealthCheckLimit,
+    health_checks: HealthCheckLimiter,
     load_reports: LoadReporter,
     random: RandomStream,
     /// What it has counted.
@@ -110,14 +111,14 @@
     /// A server of a machine type, at the speed that was drawn for it; up from now on.
     fn new(
         machine_type: MachineType,
-        speed: f64,
+        warm_core_speed: f64,
         rule: OverloadRule,
         random: RandomStream,
         now: Micros,
         cold: bool,
     ) -> Self {
         Self {
-            speed,
+            warm_core_speed,
             state: State::Up,
             now,
             running: RunningJobs::default(),
@@ -126,9 +127,9 @@
             slowdown: 1.0,
             error_rate: machine_type.error_rate,
             slow_start: SlowStart::new(rule, cold.then_some(now)),
-            contention: Contention::default(),
+            contention: ContentionState::default(),
             connections: 0,
-            health_checks: HealthCheckLimit::new(machine_type.health_checks_per_s, now),
+            health_checks: HealthCheckLimiter::new(machine_type.health_checks_per_s, now),
             load_reports: LoadReporter::default(),
             random,
             counters: Counters::default(),
@@ -136,28 +137,35 @@
         }
     }
 
-    /// The scenario's server of that number, its speed drawn: the same in both engines.
-    pub fn drawn(
+    /// The scenario's server of this index. Its speed is drawn, alike in both engines.
+    pub fn from_scenario(
         scenario: &Scenario,
         machine_type: &MachineType,
-        number: usize,
+        index: ServerIndex,
         now: Micros,
         cold: bool,
     ) -> Self {
-        let mut random = RandomStream::new(scenario.seed, StreamId::Machines, number + 1);
+        let mut random = RandomStream::new(scenario.seed, StreamId::Machines, index.index() + 1);
         let spread = machine_type.speed_spread;
-        let speed = machine_type.speed * random.between(1.0 - spread, 1.0 + spread);
+        let warm_core_speed = machine_type.speed * random.between(1.0 - spread, 1.0 + spread);
         let rule = OverloadRule {
             factor: scenario.rules.cold_overload_factor,
             window: from_ms(scenario.rules.cold_overload_window_ms),
         };
-        let mut server = Self::new(machine_type.clone(), speed, rule, random, now, cold);
+        let mut server = Self::new(
+            machine_type.clone(),
+            warm_core_speed,
+            rule,
+            random,
+            now,
+            cold,
+        );
         server.load_reports = LoadReporter::new(scenario.load_reports.clone());
         server
     }
 
     /// Its machine type.
-    pub fn kind(&self) -> &MachineType {
+    pub fn machine_type(&self) -> &MachineType {
         &self.machine_type
     }
 
@@ -166,8 +174,8 @@
         self.state
     }
 
-    /// Jobs that wait and run.
-    pub fn held(&self) -> usize {
+    /// Jobs in flight: those that wait and those that run.
+    pub fn in_flight(&self) -> usize {
         self.running.len() + self.queue.len()
     }
 
@@ -179,15 +187,15 @@
     /// Work that it can do in a microsecond while it warms up, in microseconds of a standard core;
     /// faults and contention are left aside.
     pub fn capacity(&self, now: Micros) -> f64 {
-        f64::from(self.machine_type.cores) * self.speed * self.slow_start_factor(now)
+        f64::from(self.machine_type.cores) * self.warm_core_speed * self.slow_start_factor(now)
     }
 
-    /// Takes in a job, or rejects it. False for what is rejected, or brings a cold server down.
-    pub fn offer(&mut self, now: Micros, job: Job, events: &mut Vec<Event>) -> bool {
+    /// Accepts a job. False where it is rejected, or overloads a cold server, which shuts down.
+    pub fn try_accept(&mut self, now: Micros, job: Job, events: &mut Vec<Event>) -> bool {
         self.advance(now, events);
         if self.is_overloaded_by(now, job.work) {
             self.state = State::Down;
-            events.push(Event::Fell);
+            events.push(Event::OverloadShutdown);
             return false;
         }
         // A paused process reads nothing: what comes waits, as it would in its socket.
@@ -199,7 +207,7 @@
         self.queue.push_back(job);
         self.start_waiting(events);
         self.update_contention();
-        self.counters.max_in_flight = self.counters.max_in_flight.max(self.held());
+        self.counters.max_in_flight = self.counters.max_in_flight.max(self.in_flight());
         true
     }
 }
--- a/crates/testbed/src/simulator/client.rs
+++ b/crates/testbed/src/simulator/client.rs
@@ -7,29 +7,30 @@
 use super::process::SidecarProcess;
 use super::request::{ArrivalKey, OpenArrival, Request, RequestKey};
 use crate::event_log::{LogEvent, RequestOutcome};
-use crate::scenario::{Effect, Micros, from_ms};
+use crate::index::{RequestNumber, SidecarIndex, TenantIndex};
+use crate::scenario::{Idempotency, Micros, from_ms};
 use crate::workload::Arrival;
 
 impl Simulator<'_> {
-    pub(super) fn schedule_next_arrival(&mut self, sidecar: u32) {
-        if let Some(arrival) = self.sidecars[sidecar as usize].arrivals.next() {
+    pub(super) fn schedule_next_arrival(&mut self, sidecar: SidecarIndex) {
+        if let Some(arrival) = self.sidecars[sidecar.index()].arrivals.next() {
             let event = SimulatorEvent::Arrival(sidecar, arrival);
             self.timeline.at(arrival.at, event);
         }
     }
 
-    pub(super) fn on_arrival(&mut self, sidecar: u32, arrival: Arrival) {
-        let number = self.open.take_number();
-        let within_share = self.takes_quota(arrival.tenant);
+    pub(super) fn on_arrival(&mut self, sidecar: SidecarIndex, arrival: Arrival) {
+        let number = self.open.take_arrival_number();
+        let within_quota = self.within_quota(arrival.tenant);
         self.record(LogEvent::ArrivalStarted {
             arrival: number,
             sidecar,
             class: arrival.class,
             tenant: arrival.tenant,
-            within_share,
+            within_quota,
             work: arrival.work,
         });
-        let class = &self.scenario.class[usize::from(arrival.class)];
+        let class = &self.scenario.class[arrival.class.index()];
         let key = self.open.arrivals.insert(OpenArrival {
             number,
             sidecar,
@@ -41,7 +42,7 @@
             honours_retry_after: arrival.honours_retry_after,
         });
         if self.open.requests.len() >= self.scenario.load.max_open_requests {
-            self.effort.not_played += 1;
+            self.run_statistics.not_played += 1;
             self.close_arrival(key, RequestOutcome::NotPlayed);
         } else {
             self.send_request(key);
@@ -49,26 +50,26 @@
         self.schedule_next_arrival(sidecar);
     }
 
-    /// Whether an arrival lies within its tenant's share; without tenants all do.
-    fn takes_quota(&mut self, tenant: u16) -> bool {
+    /// whether an arrival lies within its tenant's quota; without tenants all do.
+    fn within_quota(&mut self, tenant: TenantIndex) -> bool {
         let now = self.timeline.now();
         self.quotas
-            .get_mut(usize::from(tenant))
-            .is_none_or(|quota| quota.take(now))
+            .get_mut(tenant.index())
+            .is_none_or(|quota| quota.try_take(now))
     }
 
     /// Sends the first request of an arrival, or a retry.
     pub(super) fn send_request(&mut self, key: ArrivalKey) {
-        let number = self.open.take_number();
+        let number = self.open.take_request_number();
         let now = self.timeline.now();
         let clients = &self.scenario.clients;
         let Some(arrival) = self.open.arrivals.get_mut(key) else {
             return;
         };
         arrival.requests += 1;
-        let sidecar = &mut self.sidecars[arrival.sidecar as usize];
+        let sidecar = &mut self.sidecars[arrival.sidecar.index()];
         let random = &mut sidecar.client_random;
-        let class = &self.scenario.class[usize::from(arrival.class)];
+        let class = &self.scenario.class[arrival.class.index()];
         let [shortest, longest] = clients.timeout_share;
         let deadline = from_ms(class.deadline_ms) as f64;
         let timeout = (deadline * random.between(shortest, longest)) as Micros;
@@ -88,15 +89,15 @@
             work_hint: arrival.work_hint,
             due,
             attempts: Vec::new(),
-            answered: false,
+            responded: false,
         });
         self.schedule_request(request, due, disconnects.then_some(disconnects_at));
     }
 
     fn schedule_request(&mut self, key: RequestKey, due: Micros, disconnects_at: Option<Micros>) {
-        let way = from_ms(self.scenario.network.client_ms);
+        let delay = from_ms(self.scenario.network.client_ms);
         let timeline = &mut self.timeline;
-        timeline.after(way, SimulatorEvent::RequestAtSidecar(key));
+        timeline.after(delay, SimulatorEvent::RequestAtSidecar(key));
         timeline.at(due, SimulatorEvent::ClientTimeout(key));
         if let Some(at) = disconnects_at {
             timeline.at(at, SimulatorEvent::ClientDisconnect(key));
@@ -132,7 +133,7 @@
                 .open
                 .requests
                 .get(key)
-                .map_or(0, |request| request.number);
+                .map_or(RequestNumber::new(0), |request| request.number);
             self.record(LogEvent::ClientDisconnected { request: number });
             self.abandon_request(key);
             if let Some(request) = self.open.requests.remove(key) {
@@ -146,7 +147,7 @@
         self.open
             .requests
             .get(key)
-            .is_some_and(|request| !request.answered)
+            .is_some_and(|request| !request.responded)
     }
 
     /// Retries an arrival whose request has ended, or closes it.
@@ -155,8 +156,8 @@
         let Some(arrival) = self.open.arrivals.get(key) else {
             return;
         };
-        let class = &scenario.class[usize::from(arrival.class)];
-        let random = &mut self.sidecars[arrival.sidecar as usize].client_random;
+        let class = &scenario.class[arrival.class.index()];
+        let random = &mut self.sidecars[arrival.sidecar.index()].client_random;
         let [shortest, longest] = scenario.clients.backoff_ms;
         // Drawn whether or not it counts, so that an outcome moves no other draw.
         let backoff = from_ms(random.between(shortest, longest));
@@ -187,11 +188,11 @@
 
 /// Whether a client may repeat a request: where it has certainly not run, or where running twice
 /// does no harm.
-fn may_retry(outcome: RequestOutcome, idempotency: Effect) -> bool {
+fn may_retry(outcome: RequestOutcome, idempotency: Idempotency) -> bool {
     match outcome {
         RequestOutcome::Rejected | RequestOutcome::Unreachable => true,
         RequestOutcome::Failed | RequestOutcome::ConnectionLost | RequestOutcome::Unanswered => {
-            idempotency == Effect::Safe
+            idempotency == Idempotency::Idempotent
         }
         _ => false,
     }
--- a/crates/testbed/src/simulator/discovery/endpoint_list.rs
+++ b/crates/testbed/src/simulator/discovery/endpoint_list.rs
@@ -2,12 +2,13 @@
 
 use std::collections::BTreeMap;
 
-use super::endpoints::{KnownEndpoints, ListedEndpoint};
+use super::endpoints::{CachedEndpoints, ListedEndpoint};
 use crate::event_log::ListedStatus;
+use crate::index::ServerIndex;
 use crate::random::{RandomStream, StreamId};
 use crate::scenario::{self, Micros, Scenario, from_ms};
 
-/// A poll that is not answered at all is given up after this, in microseconds.
+/// A poll without a response is given up after this, in microseconds.
 const POLL_TIMEOUT: Micros = 5_000_000;
 /// A refused poll is back after this, in microseconds.
 const REFUSAL_DELAY: Micros = 2_000;
@@ -42,7 +43,7 @@
 /// The service that lists servers.
 pub(in crate::simulator) struct Discovery {
     version: u64,
-    entries: BTreeMap<u32, ListEntry>,
+    entries: BTreeMap<ServerIndex, ListEntry>,
     /// All changes of the run, by their numbers.
     changes: Vec<ListChange>,
     /// When the polls that wait will have been served.
@@ -65,7 +66,7 @@
     }
 
     /// Lists a server that was there before the run.
-    pub(in crate::simulator) fn add_initial(&mut self, server: u32, incarnation: Micros) {
+    pub(in crate::simulator) fn add_initial(&mut self, server: ServerIndex, incarnation: Micros) {
         let entry = ListEntry {
             status: ListedStatus::Ready,
             incarnation,
@@ -75,11 +76,11 @@
     }
 
     /// The list as a sidecar caches it.
-    pub(in crate::simulator) fn cached_list(&self) -> KnownEndpoints {
+    pub(in crate::simulator) fn cached_list(&self) -> CachedEndpoints {
         let there = self.entries.iter();
         let there = there.filter(|(_, entry)| entry.status != ListedStatus::Gone);
         let endpoints = there.map(|(&server, entry)| (server, (entry.status, entry.incarnation)));
-        KnownEndpoints::new(self.version, endpoints.collect())
+        CachedEndpoints::new(self.version, endpoints.collect())
     }
 
     /// What has changed since a version, in the order of the servers' numbers.
@@ -106,12 +107,17 @@
         self.changes.len() - 1
     }
 
-    /// A change is noticed, of a server that started last at `launched`; false where it says
+    /// A change is noticed, of a server that started last at `started_at`; false where it says
     /// nothing new: a death that is noticed after the return is none, and what came back is not
     /// listed as it was before.
-    pub(super) fn on_noticed(&mut self, server: u32, change: usize, launched: Micros) -> bool {
+    pub(super) fn on_noticed(
+        &mut self,
+        server: ServerIndex,
+        change: usize,
+        started_at: Micros,
+    ) -> bool {
         let change = self.changes.get(change);
-        let Some(&change) = change.filter(|change| launched <= change.incarnation) else {
+        let Some(&change) = change.filter(|change| started_at <= change.incarnation) else {
             return false;
         };
         self.version += 1;
--- a/crates/testbed/src/simulator/discovery/endpoints.rs
+++ b/crates/testbed/src/simulator/discovery/endpoints.rs
@@ -6,26 +6,30 @@
 use arrowstand_control::stable_hash;
 
 use crate::event_log::{ListedStatus, LogEvent};
+use crate::index::{ServerIndex, SidecarIndex};
 use crate::scenario::Micros;
 use crate::simulator::{EPOCH, Simulator};
 
 /// An entry of a list that is given to a sidecar.
 #[derive(Clone, Copy)]
 pub(in crate::simulator) struct ListedEndpoint {
-    pub(in crate::simulator) server: u32,
+    pub(in crate::simulator) server: ServerIndex,
     pub(in crate::simulator) status: ListedStatus,
     /// Start of the server's process; 0 where it was there before the run.
     pub(in crate::simulator) incarnation: Micros,
 }
 
 /// The list as a sidecar had it last, which outlives its process.
-pub(in crate::simulator) struct KnownEndpoints {
+pub(in crate::simulator) struct CachedEndpoints {
     version: u64,
-    endpoints: BTreeMap<u32, (ListedStatus, Micros)>,
+    endpoints: BTreeMap<ServerIndex, (ListedStatus, Micros)>,
 }
 
-impl KnownEndpoints {
-    pub(super) fn new(version: u64, endpoints: BTreeMap<u32, (ListedStatus, Micros)>) -> Self {
+impl CachedEndpoints {
+    pub(super) fn new(
+        version: u64,
+        endpoints: BTreeMap<ServerIndex, (ListedStatus, Micros)>,
+    ) -> Self {
         Self { version, endpoints }
     }
 
@@ -55,36 +59,36 @@
 
 impl Simulator<'_> {
     /// Gives a new balancer the list that its sidecar had last.
-    pub(in crate::simulator) fn restore_endpoints(&mut self, number: u32) {
-        let known = &self.sidecars[number as usize].endpoints;
-        let (version, entries) = (known.version, known.entries());
-        self.give_endpoints(number, UpdateKind::Cached, version, &entries);
+    pub(in crate::simulator) fn restore_endpoints(&mut self, sidecar_index: SidecarIndex) {
+        let cached = &self.sidecars[sidecar_index.index()].endpoints;
+        let (version, entries) = (cached.version, cached.entries());
+        self.deliver_endpoints(sidecar_index, UpdateKind::Cached, version, &entries);
     }
 
     /// Gives a balancer changes of the list.
     pub(super) fn update_endpoints(
         &mut self,
-        number: u32,
+        sidecar_index: SidecarIndex,
         version: u64,
         changes: &[ListedEndpoint],
     ) {
-        self.give_endpoints(number, UpdateKind::Incremental, version, changes);
+        self.deliver_endpoints(sidecar_index, UpdateKind::Incremental, version, changes);
     }
 
     /// Tells a balancer that its list can no longer be followed.
-    pub(super) fn lose_endpoints(&mut self, number: u32) {
-        self.sidecars[number as usize].watches = false;
+    pub(super) fn on_endpoints_lost(&mut self, sidecar_index: SidecarIndex) {
+        self.sidecars[sidecar_index.index()].watches = false;
         let lost = BalancerEvent::EndpointsUpdated {
             kind: UpdateKind::Lost,
             version: 0,
             endpoints: Vec::new(),
         };
-        self.handle_balancer_event(number, lost);
+        self.handle_balancer_event(sidecar_index, lost);
     }
 
-    fn give_endpoints(
+    fn deliver_endpoints(
         &mut self,
-        number: u32,
+        sidecar_index: SidecarIndex,
         kind: UpdateKind,
         version: u64,
         listed: &[ListedEndpoint],
@@ -92,40 +96,42 @@
         let mut endpoints = Vec::with_capacity(listed.len());
         for &endpoint in listed {
             self.record(LogEvent::EndpointListed {
-                sidecar: number,
+                sidecar: sidecar_index,
                 server: endpoint.server,
                 status: endpoint.status,
                 incarnation: endpoint.incarnation,
             });
-            let known = &mut self.sidecars[number as usize].endpoints;
-            known.on_listed(endpoint);
+            let cached = &mut self.sidecars[sidecar_index.index()].endpoints;
+            cached.on_listed(endpoint);
             endpoints.push(self.balancer_endpoint(endpoint));
         }
-        self.sidecars[number as usize].endpoints.version = version;
+        self.sidecars[sidecar_index.index()].endpoints.version = version;
         let update = BalancerEvent::EndpointsUpdated {
             kind,
             version,
             endpoints,
         };
-        self.handle_balancer_event(number, update);
+        self.handle_balancer_event(sidecar_index, update);
     }
 
     /// A list entry as balancers take it.
     fn balancer_endpoint(&self, listed: ListedEndpoint) -> Endpoint {
-        let server = &self.servers[listed.server as usize];
-        let launched = (listed.incarnation > 0).then_some(EPOCH + listed.incarnation);
+        let server = &self.servers[listed.server.index()];
+        let incarnation = (listed.incarnation > 0).then_some(EPOCH + listed.incarnation);
         Endpoint {
-            server: ServerId(listed.server),
-            stable_hash: stable_hash(&format!("s{}", listed.server)),
+            server: ServerId(listed.server.value()),
+            stable_hash: stable_hash(&listed.server.to_string()),
             status: match listed.status {
                 ListedStatus::Ready => EndpointStatus::Ready,
                 ListedStatus::Draining => EndpointStatus::Draining,
                 ListedStatus::Gone => EndpointStatus::Removed,
             },
-            incarnation: launched,
+            incarnation,
             zone: server.zone,
             cell: server.zone,
-            machine_type: self.scenario.advertised_machine_type(server.machine.kind()),
+            machine_type: self
+                .scenario
+                .advertised_machine_type(server.model.machine_type()),
         }
     }
 }
--- a/crates/testbed/src/simulator/discovery/mod.rs
+++ b/crates/testbed/src/simulator/discovery/mod.rs
@@ -10,10 +10,11 @@
 use super::event::{PollResult, SimulatorEvent};
 use super::process::SidecarProcess;
 use crate::event_log::{ListedStatus, LogEvent};
+use crate::index::{ServerIndex, SidecarIndex};
 use crate::scenario::{Micros, from_ms};
 
 pub(super) use endpoint_list::{Availability, Discovery};
-pub(super) use endpoints::KnownEndpoints;
+pub(super) use endpoints::CachedEndpoints;
 
 /// A watch that says nothing is given up after this, in microseconds.
 const WATCH_TIMEOUT: Micros = 3_000_000;
@@ -22,16 +23,16 @@
 
 impl Simulator<'_> {
     /// Something happened to a server that discovery notices after a while, in milliseconds.
-    pub(super) fn announce(&mut self, server: u32, status: ListedStatus, after_ms: f64) {
-        let incarnation = self.servers[server as usize].launched;
+    pub(super) fn announce(&mut self, server: ServerIndex, status: ListedStatus, after_ms: f64) {
+        let incarnation = self.servers[server.index()].started_at;
         let change = self.discovery.on_announced(status, incarnation);
         let event = SimulatorEvent::ListChange { server, change };
         self.timeline.after(from_ms(after_ms), event);
     }
 
-    pub(super) fn on_list_change(&mut self, server: u32, change: usize) {
-        let launched = self.servers[server as usize].launched;
-        let is_news = self.discovery.on_noticed(server, change, launched);
+    pub(super) fn on_list_change(&mut self, server: ServerIndex, change: usize) {
+        let started_at = self.servers[server.index()].started_at;
+        let is_news = self.discovery.on_noticed(server, change, started_at);
         if is_news && self.discovery.is_up() {
             self.notify_watches();
         }
@@ -39,10 +40,10 @@
 
     fn notify_watches(&mut self) {
         let spread_ms = self.scenario.discovery.spread_ms;
-        for number in 0..self.sidecars.len() as u32 {
-            if self.sidecars[number as usize].watches {
+        for sidecar_index in SidecarIndex::all(self.sidecars.len()) {
+            if self.sidecars[sidecar_index.index()].watches {
                 let delay = self.discovery.draw_notification_delay(spread_ms);
-                let process = self.process(number);
+                let process = self.process(sidecar_index);
                 let event = SimulatorEvent::WatchNotification(process);
                 self.timeline.after(delay, event);
             }
@@ -50,10 +51,12 @@
     }
 
     /// A sidecar polls the list, and watches it from then on.
-    pub(super) fn poll_endpoints(&mut self, number: u32) {
-        self.record(LogEvent::DiscoveryPolled { sidecar: number });
-        let process = self.process(number);
-        let poll = self.sidecars[number as usize].on_poll_started();
+    pub(super) fn poll_endpoints(&mut self, sidecar_index: SidecarIndex) {
+        self.record(LogEvent::DiscoveryPolled {
+            sidecar: sidecar_index,
+        });
+        let process = self.process(sidecar_index);
+        let poll = self.sidecars[sidecar_index.index()].on_poll_started();
         let now = self.timeline.now();
         let (at, lost) = self.discovery.on_poll(now, &self.scenario.discovery);
         let result = PollResult {
@@ -65,22 +68,25 @@
     }
 
     pub(super) fn on_poll_result(&mut self, result: &PollResult) {
-        let number = result.process.sidecar;
-        let sidecar = &self.sidecars[number as usize];
-        if !self.is_current(result.process) || sidecar.polls != result.poll || !self.is_up(number) {
+        let sidecar_index = result.process.sidecar;
+        let sidecar = &self.sidecars[sidecar_index.index()];
+        if !self.is_current(result.process)
+            || sidecar.polls != result.poll
+            || !self.is_up(sidecar_index)
+        {
             return;
         }
         if result.lost || !self.discovery.is_up() {
-            self.lose_endpoints(number);
+            self.on_endpoints_lost(sidecar_index);
             return;
         }
-        self.sidecars[number as usize].watches = true;
-        self.send_changes(number);
+        self.sidecars[sidecar_index.index()].watches = true;
+        self.send_changes(sidecar_index);
     }
 
     /// A change has reached a watch.
     pub(super) fn on_watch_notification(&mut self, process: SidecarProcess) {
-        let sidecar = &self.sidecars[process.sidecar as usize];
+        let sidecar = &self.sidecars[process.sidecar.index()];
         let is_news = sidecar.endpoints.version() < self.discovery.version();
         if self.is_current(process) && sidecar.watches && self.discovery.is_up() && is_news {
             self.send_changes(process.sidecar);
@@ -88,11 +94,11 @@
     }
 
     /// Gives a sidecar what has changed since its list, which may be nothing.
-    fn send_changes(&mut self, number: u32) {
-        let known = self.sidecars[number as usize].endpoints.version();
+    fn send_changes(&mut self, sidecar_index: SidecarIndex) {
+        let cached = self.sidecars[sidecar_index.index()].endpoints.version();
         let version = self.discovery.version();
-        let changes = self.discovery.changes_since(known);
-        self.update_endpoints(number, version, &changes);
+        let changes = self.discovery.changes_since(cached);
+        self.update_endpoints(sidecar_index, version, &changes);
     }
 
     /// Discovery goes down or silent, or comes back.
@@ -104,9 +110,9 @@
             Availability::Down => WATCH_CLOSE_DELAY,
             Availability::Silent => WATCH_TIMEOUT,
         };
-        for number in 0..self.sidecars.len() as u32 {
-            let process = self.process(number);
-            let sidecar = &mut self.sidecars[number as usize];
+        for sidecar_index in SidecarIndex::all(self.sidecars.len()) {
+            let process = self.process(sidecar_index);
+            let sidecar = &mut self.sidecars[sidecar_index.index()];
             if std::mem::take(&mut sidecar.watches) {
                 let result = PollResult {
                     process,
--- a/crates/testbed/src/simulator/faults/schedule.rs
+++ b/crates/testbed/src/simulator/faults/schedule.rs
@@ -1,6 +1,7 @@
 //! When the simulator's faults start and end.
 
-use super::{roll, targets};
+use super::{rolling_restart, targets};
+use crate::index::SidecarIndex;
 use crate::scenario::{Fault, FaultKind, Micros, from_s};
 use crate::simulator::Simulator;
 use crate::simulator::discovery::Availability;
@@ -14,13 +15,13 @@
             self.fault_targets.push(targets(scenario, index, &zones));
             let start = from_s(fault.at_s);
             match fault.kind {
-                FaultKind::Roll => {
-                    for (sidecar, later) in roll(scenario, index) {
+                FaultKind::RollingRestart => {
+                    for (sidecar, later) in rolling_restart(scenario, index) {
                         self.schedule_restart(sidecar, start + later, fault);
                     }
                 }
                 FaultKind::RestartAll => {
-                    for sidecar in 0..self.sidecars.len() as u32 {
+                    for sidecar in SidecarIndex::all(self.sidecars.len()) {
                         self.schedule_restart(sidecar, start, fault);
                     }
                 }
@@ -29,7 +30,7 @@
         }
     }
 
-    fn schedule_restart(&mut self, sidecar: u32, at: Micros, fault: &Fault) {
+    fn schedule_restart(&mut self, sidecar: SidecarIndex, at: Micros, fault: &Fault) {
         let restart = SimulatorEvent::SidecarRestart(SidecarRestart {
             sidecar,
             down_time: from_s(fault.down_s),
@@ -54,7 +55,10 @@
             FaultKind::DiscoveryDown | FaultKind::DiscoverySilent => {
                 self.on_discovery_fault(Availability::Up);
             }
-            FaultKind::Burst | FaultKind::Costly | FaultKind::Roll | FaultKind::RestartAll => {}
+            FaultKind::Burst
+            | FaultKind::ExpensiveRequests
+            | FaultKind::RollingRestart
+            | FaultKind::RestartAll => {}
             _ => {
                 for server in self.fault_targets[index].clone() {
                     self.on_server_fault(server, fault, starts);
--- a/crates/testbed/src/simulator/mod.rs
+++ b/crates/testbed/src/simulator/mod.rs
@@ -22,6 +22,7 @@
 use arrowstand_balancer::Action;
 
 use crate::event_log::{EventLog, LogEvent, LogRecord};
+use crate::index::{ServerIndex, SidecarIndex};
 use crate::random::{RandomStream, StreamId};
 use crate::scenario::{Micros, Scenario, from_ms, from_s};
 use crate::server_model::Event as ServerModelEvent;
@@ -35,7 +36,7 @@
 use timeline::Timeline;
 
 pub use error::SimulatorError;
-pub use run::{Effort, run};
+pub use run::{RunStatistics, run};
 
 /// Where the balancers' clock stands when the run begins: servers' incarnations count from here.
 const EPOCH: Micros = 1_000_000_000_000;
@@ -58,12 +59,12 @@
     server_random: RandomStream,
     quotas: Vec<TenantQuota>,
     /// Servers that each fault hits.
-    fault_targets: Vec<Vec<u32>>,
+    fault_targets: Vec<Vec<ServerIndex>>,
     /// Buffer of what a server did, until it is carried out.
     server_events: Vec<ServerModelEvent>,
     /// Buffer of what a balancer asks for.
     actions: Vec<Action>,
-    effort: Effort,
+    run_statistics: RunStatistics,
 }
 
 impl<'a> Simulator<'a> {
@@ -82,7 +83,7 @@
             fault_targets: Vec::new(),
             server_events: Vec::new(),
             actions: Vec::new(),
-            effort: Effort::default(),
+            run_statistics: RunStatistics::default(),
         };
         simulator.build_servers();
         simulator.build_sidecars()?;
@@ -100,7 +101,7 @@
             if self.timeline.now() > last_arrival && self.open.arrivals.is_empty() {
                 return;
             }
-            self.effort.events_played += 1;
+            self.run_statistics.events_played += 1;
             self.handle(event);
         }
     }
@@ -122,7 +123,7 @@
             Event::ResultAtSidecar(attempt, outcome) => self.on_result_at_sidecar(attempt, outcome),
             Event::AttemptTimeout(attempt) => self.on_attempt_timeout(attempt),
             Event::CancellationAtServer(cancellation) => self.on_cancellation(&cancellation),
-            Event::ServerDue(server, turn) => self.on_server_due(server, turn),
+            Event::ServerDue(server, generation) => self.on_server_due(server, generation),
             Event::HealthCheckAtServer(check) => self.on_health_check_at_server(&check),
             Event::HealthCheckResult(result) => self.on_health_check_result(&result),
             Event::PollResult(result) => self.on_poll_result(&result),
@@ -137,14 +138,14 @@
 
     fn record(&mut self, event: LogEvent) {
         let at = self.timeline.now();
-        self.log.note(&LogRecord { at, event });
+        self.log.record(&LogRecord { at, event });
     }
 
     /// One way between a sidecar and a server in microseconds, drawn by the sidecar's stream.
-    fn draw_delay(&mut self, sidecar: u32, server: u32) -> Micros {
+    fn draw_delay(&mut self, sidecar: SidecarIndex, server: ServerIndex) -> Micros {
         let network = &self.scenario.network;
-        let sidecar = &mut self.sidecars[sidecar as usize];
-        let base_ms = if sidecar.zone == self.servers[server as usize].zone {
+        let sidecar = &mut self.sidecars[sidecar.index()];
+        let base_ms = if sidecar.zone == self.servers[server.index()].zone {
             network.same_ms
         } else {
             network.cross_ms
@@ -154,12 +155,12 @@
 
     /// Records gauges of all servers, and closes idle connections.
     fn on_gauge_tick(&mut self) {
-        for number in 0..self.servers.len() {
-            let machine = &self.servers[number].machine;
+        for server in ServerIndex::all(self.servers.len()) {
+            let model = &self.servers[server.index()].model;
             let gauge = LogEvent::ServerGauge {
-                server: number as u32,
-                in_flight: machine.held() as u32,
-                connections: machine.connections() as u32,
+                server,
+                in_flight: model.in_flight() as u32,
+                connections: model.connections() as u32,
             };
             self.record(gauge);
         }
--- a/crates/testbed/src/simulator/request.rs
+++ b/crates/testbed/src/simulator/request.rs
@@ -3,6 +3,7 @@
 use slotmap::{SlotMap, new_key_type};
 
 use super::process::SidecarProcess;
+use crate::index::{ArrivalNumber, ClassIndex, RequestNumber, ServerIndex, SidecarIndex};
 use crate::scenario::Micros;
 
 new_key_type! {
@@ -34,8 +35,17 @@
         }
     }
 
-    /// A number for an arrival or a request.
-    pub(super) fn take_number(&mut self) -> u64 {
+    /// A number for an arrival.
+    pub(super) fn take_arrival_number(&mut self) -> ArrivalNumber {
+        ArrivalNumber::new(self.take_number())
+    }
+
+    /// A number for a request.
+    pub(super) fn take_request_number(&mut self) -> RequestNumber {
+        RequestNumber::new(self.take_number())
+    }
+
+    fn take_number(&mut self) -> u64 {
         let number = self.next_number;
         self.next_number += 1;
         number
@@ -51,9 +61,9 @@
 
 /// What a client wants, with all its requests.
 pub(super) struct OpenArrival {
-    pub(super) number: u64,
-    pub(super) sidecar: u32,
-    pub(super) class: u16,
+    pub(super) number: ArrivalNumber,
+    pub(super) sidecar: SidecarIndex,
+    pub(super) class: ClassIndex,
     /// Work in microseconds of a standard core.
     pub(super) work: f64,
     /// What the client hints of the work, in microseconds of a standard core.
@@ -67,11 +77,11 @@
 
 /// One request of a client to its sidecar: the first of an arrival or a retry.
 pub(super) struct Request {
-    pub(super) number: u64,
+    pub(super) number: RequestNumber,
     pub(super) arrival: ArrivalKey,
     /// The process that it was sent to.
     pub(super) process: SidecarProcess,
-    pub(super) class: u16,
+    pub(super) class: ClassIndex,
     /// Work in microseconds of a standard core.
     pub(super) work: f64,
     pub(super) work_hint: Option<Micros>,
@@ -79,17 +89,17 @@
     pub(super) due: Micros,
     pub(super) attempts: Vec<AttemptKey>,
     /// The sidecar has given its final response, which may still be on its way.
-    pub(super) answered: bool,
+    pub(super) responded: bool,
 }
 
 /// One attempt of a sidecar at a server.
 pub(super) struct Attempt {
     pub(super) request: RequestKey,
-    pub(super) request_number: u64,
+    pub(super) request_number: RequestNumber,
     /// Counts the request's attempts from 0.
     pub(super) index: u32,
-    pub(super) sidecar: u32,
-    pub(super) server: u32,
+    pub(super) sidecar: SidecarIndex,
+    pub(super) server: ServerIndex,
     /// Its number at the server's model.
     pub(super) job: u64,
     pub(super) sent_at: Micros,
@@ -102,7 +112,7 @@
     /// Its connection, by the server's start that this belongs to.
     pub(super) connection: Option<u32>,
     /// Whether it opens a connection of its own.
-    pub(super) fresh: bool,
+    pub(super) new_connection: bool,
     /// Its last byte is written.
     pub(super) written: bool,
     /// Its sidecar knows how it ended.
--- a/crates/testbed/src/simulator/server/attempts.rs
+++ b/crates/testbed/src/simulator/server/attempts.rs
@@ -1,4 +1,4 @@
-//! An attempt's way to its server: sent, offered, taken or rejected. Its connection is
+//! An attempt's way to its server: sent, received, accepted or rejected. Its connection is
 //! `connecting`'s.
 
 use std::collections::VecDeque;
@@ -7,6 +7,7 @@
 
 use super::{Reachability, Server};
 use crate::event_log::LogEvent;
+use crate::index::{ClassIndex, ServerIndex, SidecarIndex};
 use crate::scenario::{Micros, from_ms};
 use crate::server_model::{Event as ServerModelEvent, Job};
 use crate::simulator::Simulator;
@@ -18,12 +19,12 @@
     pub(in crate::simulator) fn send_attempt(
         &mut self,
         request_key: RequestKey,
-        server: u32,
+        server: ServerIndex,
         timeout: Option<Micros>,
         events: &mut VecDeque<BalancerEvent>,
     ) {
         let request = self.open.requests.get(request_key);
-        let Some(request) = request.filter(|request| !request.answered) else {
+        let Some(request) = request.filter(|request| !request.responded) else {
             return;
         };
         let class = request.class;
@@ -31,7 +32,7 @@
         let mut attempt = new_attempt(request_key, request, server, timeout, now);
         let sidecar = attempt.sidecar;
         attempt.job = self.open.take_job();
-        let is_known = self.servers.get(server as usize).is_some();
+        let is_known = self.servers.get(server.index()).is_some();
         if is_known {
             attempt.delay = self.draw_delay(sidecar, server);
         }
@@ -39,8 +40,8 @@
         if is_known {
             attempt.connection = self.reuse_connection(sidecar, server);
         }
-        attempt.fresh = attempt.connection.is_none();
-        attempt.written = !attempt.fresh;
+        attempt.new_connection = attempt.connection.is_none();
+        attempt.written = !attempt.new_connection;
         let key = self.open.attempts.insert(attempt);
         if let Some(request) = self.open.requests.get_mut(request_key) {
             request.attempts.push(key);
@@ -53,11 +54,11 @@
     }
 
     /// Work of one attempt, which differs from the request's by its class's noise.
-    fn draw_attempt_work(&mut self, sidecar: u32, class: u16, work: f64) -> f64 {
-        let class = self.scenario.class.get(usize::from(class));
+    fn draw_attempt_work(&mut self, sidecar: SidecarIndex, class: ClassIndex, work: f64) -> f64 {
+        let class = self.scenario.class.get(class.index());
         let noise = class.map_or(0.0, |class| class.noise);
         if noise > 0.0 {
-            let random = &mut self.sidecars[sidecar as usize].network_random;
+            let random = &mut self.sidecars[sidecar.index()].network_random;
             work * (noise * random.normal() - noise * noise / 2.0).exp()
         } else {
             work
@@ -69,7 +70,7 @@
             return;
         };
         let (delay, due) = (attempt.delay, attempt.due);
-        if attempt.fresh {
+        if attempt.new_connection {
             let connect_timeout = from_ms(self.scenario.permissions.connect_timeout_ms);
             let connect_due = self.timeline.now() + connect_timeout;
             let timeline = &mut self.timeline;
@@ -89,63 +90,65 @@
             return;
         };
         // Its connection was closed before all of it had arrived.
-        if attempt.ended && attempt.fresh {
+        if attempt.ended && attempt.new_connection {
             self.open.attempts.remove(key);
             return;
         }
-        let server = &mut self.servers[attempt.server as usize];
+        let server = &mut self.servers[attempt.server.index()];
         let open_start = server.open_start();
         if server.reachability == Reachability::Silent {
-            server.lost.push(key);
+            server.blackholed.push(key);
         } else if open_start.is_none() || attempt.connection.is_some_and(|c| c != server.start) {
             let reset = SimulatorEvent::ResultAtSidecar(key, Outcome::Reset);
             self.timeline.after(attempt.delay, reset);
         } else {
-            self.offer_attempt(key);
+            self.deliver_attempt(key);
         }
     }
 
-    /// Offers an attempt to the server, which takes it or rejects it.
-    fn offer_attempt(&mut self, key: AttemptKey) {
+    /// Hands an attempt to the server, which accepts or rejects it.
+    fn deliver_attempt(&mut self, key: AttemptKey) {
         let now = self.timeline.now();
         let Some(attempt) = self.open.attempts.get_mut(key) else {
             return;
         };
-        let number = attempt.server;
-        let server = &mut self.servers[number as usize];
-        let (capacity, cold) = (server.machine.capacity(now), server.machine.is_cold(now));
+        let server_index = attempt.server;
+        let server = &mut self.servers[server_index.index()];
+        let (capacity, cold) = (server.model.capacity(now), server.model.is_cold(now));
         attempt.reset_pending = self.server_random.chance(server.reset_share);
-        if attempt.fresh {
-            server.machine.handshake(now, &mut self.server_events);
+        if attempt.new_connection {
+            server.model.handshake(now, &mut self.server_events);
         }
-        let taken = server.take(now, key, attempt, &mut self.server_events);
+        let accepted = server.try_accept(now, key, attempt, &mut self.server_events);
         let (request, delay) = (attempt.request_number, attempt.delay);
         let received = LogEvent::AttemptReceived {
             request,
-            server: number,
+            server: server_index,
             work: attempt.work,
             capacity,
             cold,
         };
-        if attempt.fresh {
-            self.record(LogEvent::ConnectionOpened { server: number });
+        if attempt.new_connection {
+            self.record(LogEvent::ConnectionOpened {
+                server: server_index,
+            });
         }
         self.record(received);
-        if !taken {
+        if !accepted {
             self.record(LogEvent::AttemptRejected {
                 request,
-                server: number,
+                server: server_index,
             });
             let result = SimulatorEvent::ResultAtSidecar(key, Outcome::Rejected);
             self.timeline.after(delay, result);
         }
-        self.settle_server(number);
+        self.apply_server_events(server_index);
     }
 }
 
 impl Server {
-    /// Takes an attempt's job; false where it drains, or the job is rejected.
-    fn take(
+    /// Accepts an attempt's job; false where the server drains, or its model rejects the job.
+    fn try_accept(
         &mut self,
         now: Micros,
         key: AttemptKey,
@@ -155,13 +158,13 @@
         let job = Job {
             id: attempt.job,
             work: attempt.work,
-            until: attempt.due,
+            deadline: attempt.due,
         };
-        let taken = !self.draining && self.machine.offer(now, job, events);
-        if taken {
+        let accepted = !self.draining && self.model.try_accept(now, job, events);
+        if accepted {
             self.jobs.insert(job.id, key);
         }
-        taken
+        accepted
     }
 }
 
@@ -169,7 +172,7 @@
 fn new_attempt(
     key: RequestKey,
     request: &Request,
-    server: u32,
+    server: ServerIndex,
     timeout: Option<Micros>,
     now: Micros,
 ) -> Attempt {
@@ -186,7 +189,7 @@
         work: request.work,
         delay: 0,
         connection: None,
-        fresh: true,
+        new_connection: true,
         written: false,
         ended: false,
         reset_pending: false,
--- a/crates/testbed/src/simulator/sidecar/mod.rs
+++ b/crates/testbed/src/simulator/sidecar/mod.rs
@@ -13,15 +13,16 @@
 
 use arrowstand_control::WorkAwareBalancer;
 
-use super::discovery::KnownEndpoints;
+use super::discovery::CachedEndpoints;
 use super::event::{ClientResponse, SidecarRestart, SimulatorEvent};
 use super::process::SidecarProcess;
 use super::request::RequestKey;
 use super::{Simulator, SimulatorError};
 use crate::event_log::{LogEvent, ProcessState, RequestOutcome};
+use crate::index::{RequestNumber, SidecarIndex};
 use crate::random::{RandomStream, StreamId};
 use crate::scenario::{Micros, Scenario, from_ms};
-use crate::workload::{ArrivalStream, parts};
+use crate::workload::{ArrivalStream, traffic_shares};
 
 use connections::IdleConnections;
 use settings::balancer_settings;
@@ -41,14 +42,14 @@
     /// Absent while it is down.
     balancer: Option<WorkAwareBalancer>,
     /// The endpoint list as it last had it.
-    pub(super) endpoints: KnownEndpoints,
+    pub(super) endpoints: CachedEndpoints,
     /// Whether it watches the list.
     pub(super) watches: bool,
     /// Polls of the list so far: only the last one's result counts.
     pub(super) polls: u32,
     connections: IdleConnections,
     /// Open requests by their numbers.
-    open_requests: BTreeMap<u64, RequestKey>,
+    open_requests: BTreeMap<RequestNumber, RequestKey>,
     /// What its clients want.
     pub(super) arrivals: ArrivalStream,
     /// Draws its clients' timeouts and backoffs.
@@ -60,11 +61,16 @@
 }
 
 impl Sidecar {
-    /// A sidecar that is down; `part` is its part of the traffic.
-    fn new(scenario: &Scenario, number: usize, part: f64, endpoints: KnownEndpoints) -> Self {
+    /// A sidecar that is down; `traffic_share` is its share of the traffic.
+    fn new(
+        scenario: &Scenario,
+        sidecar_index: SidecarIndex,
+        traffic_share: f64,
+        endpoints: CachedEndpoints,
+    ) -> Self {
         let stream = |cause, number| RandomStream::new(scenario.seed, cause, number);
         Self {
-            zone: scenario.spread_zone(number),
+            zone: scenario.sidecar_zone(sidecar_index),
             incarnation: 0,
             balancer: None,
             endpoints,
@@ -72,11 +78,11 @@
             polls: 0,
             connections: IdleConnections::default(),
             open_requests: BTreeMap::new(),
-            arrivals: ArrivalStream::new(scenario, number, part),
+            arrivals: ArrivalStream::new(scenario, sidecar_index, traffic_share),
             // Requests draw from a stream of their own, so that arrivals stay as they are.
-            client_random: stream(StreamId::Clients, number + REQUEST_STREAMS),
-            network_random: stream(StreamId::Network, number),
-            seeds: stream(StreamId::Seeds, number),
+            client_random: stream(StreamId::Clients, sidecar_index.index() + REQUEST_STREAMS),
+            network_random: stream(StreamId::Network, sidecar_index.index()),
+            seeds: stream(StreamId::Seeds, sidecar_index.index()),
         }
     }
 
@@ -93,7 +99,7 @@
     }
 
     /// Forgets the process with its connections and requests, and gives these back.
-    fn on_killed(&mut self) -> (IdleConnections, BTreeMap<u64, RequestKey>) {
+    fn on_killed(&mut self) -> (IdleConnections, BTreeMap<RequestNumber, RequestKey>) {
         self.balancer = None;
         self.watches = false;
         self.incarnation += 1;
@@ -105,42 +111,43 @@
 impl Simulator<'_> {
     pub(super) fn build_sidecars(&mut self) -> Result<(), SimulatorError> {
         let scenario = self.scenario;
-        for (number, part) in parts(scenario).into_iter().enumerate() {
-            balancer_settings(scenario, number).validate()?;
+        for (position, traffic_share) in traffic_shares(scenario).into_iter().enumerate() {
+            let sidecar_index = SidecarIndex::from_position(position);
+            balancer_settings(scenario, sidecar_index).validate()?;
             let endpoints = self.discovery.cached_list();
-            let sidecar = Sidecar::new(scenario, number, part, endpoints);
+            let sidecar = Sidecar::new(scenario, sidecar_index, traffic_share, endpoints);
             self.sidecars.push(sidecar);
         }
-        for number in 0..self.sidecars.len() as u32 {
-            self.start_sidecar(number);
-            self.schedule_next_arrival(number);
+        for sidecar_index in SidecarIndex::all(self.sidecars.len()) {
+            self.start_sidecar(sidecar_index);
+            self.schedule_next_arrival(sidecar_index);
         }
         Ok(())
     }
 
     /// Starts a sidecar with nothing but its last endpoint list.
-    pub(super) fn start_sidecar(&mut self, number: u32) {
-        let settings = balancer_settings(self.scenario, number as usize);
-        let sidecar = &mut self.sidecars[number as usize];
+    pub(super) fn start_sidecar(&mut self, sidecar_index: SidecarIndex) {
+        let settings = balancer_settings(self.scenario, sidecar_index);
+        let sidecar = &mut self.sidecars[sidecar_index.index()];
         let seed = sidecar.seeds.number();
         sidecar.balancer = WorkAwareBalancer::new(settings, seed).ok();
         sidecar.watches = false;
         self.record(LogEvent::SidecarStateChanged {
-            sidecar: number,
+            sidecar: sidecar_index,
             state: ProcessState::Up,
         });
-        self.restore_endpoints(number);
+        self.restore_endpoints(sidecar_index);
     }
 
-    pub(super) fn is_up(&self, number: u32) -> bool {
-        self.sidecars[number as usize].balancer.is_some()
+    pub(super) fn is_up(&self, sidecar_index: SidecarIndex) -> bool {
+        self.sidecars[sidecar_index.index()].balancer.is_some()
     }
 
     /// The present process of a sidecar.
-    pub(super) fn process(&self, number: u32) -> SidecarProcess {
+    pub(super) fn process(&self, sidecar_index: SidecarIndex) -> SidecarProcess {
         SidecarProcess {
-            sidecar: number,
-            incarnation: self.sidecars[number as usize].incarnation,
+            sidecar: sidecar_index,
+            incarnation: self.sidecars[sidecar_index.index()].incarnation,
         }
     }
 
@@ -161,7 +168,7 @@
         }
         self.record(LogEvent::SidecarStateChanged {
             sidecar: restart.sidecar,
-            state: ProcessState::Ending,
+            state: ProcessState::ShuttingDown,
         });
         let kill = SimulatorEvent::SidecarRestart(SidecarRestart {
             sidecar: restart.sidecar,
@@ -171,20 +178,20 @@
         self.timeline.after(SHUTDOWN_GRACE, kill);
     }
 
-    fn kill_sidecar(&mut self, number: u32, down_time: Micros) {
+    fn kill_sidecar(&mut self, sidecar_index: SidecarIndex, down_time: Micros) {
         self.record(LogEvent::SidecarStateChanged {
-            sidecar: number,
+            sidecar: sidecar_index,
             state: ProcessState::Killed,
         });
-        let (connections, open) = self.sidecars[number as usize].on_killed();
+        let (connections, open) = self.sidecars[sidecar_index.index()].on_killed();
         for (server, server_start) in connections.into_connections() {
-            self.servers[server as usize].close_connection(server_start);
+            self.servers[server.index()].close_connection(server_start);
         }
         for request in open.into_values() {
             self.lose_request(request);
         }
         self.timeline
-            .after(down_time, SimulatorEvent::SidecarUp(number));
+            .after(down_time, SimulatorEvent::SidecarUp(sidecar_index));
     }
 
     /// Closes the connections of a request whose sidecar is gone.
@@ -192,18 +199,18 @@
         let Some(request) = self.open.requests.get_mut(key) else {
             return;
         };
-        let was_answered = std::mem::replace(&mut request.answered, true);
+        let had_response = std::mem::replace(&mut request.responded, true);
         for attempt in std::mem::take(&mut request.attempts) {
             self.close_attempt_connection(attempt);
         }
-        if !was_answered {
-            let way = from_ms(self.scenario.network.client_ms);
+        if !had_response {
+            let delay = from_ms(self.scenario.network.client_ms);
             let lost = SimulatorEvent::ResponseAtClient(ClientResponse {
                 request: key,
                 outcome: RequestOutcome::ConnectionLost,
                 retry_after: 0,
             });
-            self.timeline.after(way, lost);
+            self.timeline.after(delay, lost);
         }
     }
 }
--- a/crates/testbed/src/simulator/sidecar/requests.rs
+++ b/crates/testbed/src/simulator/sidecar/requests.rs
@@ -9,6 +9,7 @@
 
 use super::settings::RESPONSE_MARGIN;
 use crate::event_log::{LogEvent, RequestOutcome};
+use crate::index::{ArrivalNumber, RequestNumber};
 use crate::scenario::{Micros, from_ms};
 use crate::simulator::Simulator;
 use crate::simulator::event::{ClientResponse, SimulatorEvent};
@@ -31,21 +32,21 @@
         }
         let (number, due) = (request.number, request.due);
         let incoming = IncomingRequest {
-            id: RequestId(number),
-            class: ClassId(request.class),
+            id: RequestId(number.value()),
+            class: ClassId(request.class.value()),
             time_left: due.saturating_sub(self.timeline.now()),
             work_hint: request.work_hint,
         };
         let arrival = self.open.arrivals.get(request.arrival);
         let accepted = LogEvent::RequestAccepted {
             request: number,
-            arrival: arrival.map_or(0, |arrival| arrival.number),
+            arrival: arrival.map_or(ArrivalNumber::new(0), |arrival| arrival.number),
             sidecar: process.sidecar,
             class: request.class,
             due,
         };
         self.record(accepted);
-        let sidecar = &mut self.sidecars[process.sidecar as usize];
+        let sidecar = &mut self.sidecars[process.sidecar.index()];
         sidecar.open_requests.insert(number, key);
         let respond_by = due.saturating_sub(RESPONSE_MARGIN);
         self.timeline
@@ -60,7 +61,7 @@
             .open
             .requests
             .get(key)
-            .filter(|request| !request.answered);
+            .filter(|request| !request.responded);
         let Some(request) = unanswered else {
             return;
         };
@@ -79,7 +80,7 @@
         let Some(request) = self.open.requests.get_mut(key) else {
             return;
         };
-        if std::mem::replace(&mut request.answered, true) {
+        if std::mem::replace(&mut request.responded, true) {
             return;
         }
         let (sidecar, number) = (request.process.sidecar, request.number);
@@ -99,17 +100,17 @@
         let Some(request) = self.open.requests.get_mut(key) else {
             return;
         };
-        if std::mem::replace(&mut request.answered, true) {
+        if std::mem::replace(&mut request.responded, true) {
             return;
         }
         self.close_request(key, events);
-        let way = from_ms(self.scenario.network.client_ms);
+        let delay = from_ms(self.scenario.network.client_ms);
         let response = SimulatorEvent::ResponseAtClient(ClientResponse {
             request: key,
             outcome,
             retry_after: retry_after as u32,
         });
-        self.timeline.after(way, response);
+        self.timeline.after(delay, response);
     }
 
     fn close_request(&mut self, key: RequestKey, events: &mut VecDeque<BalancerEvent>) {
@@ -120,9 +121,7 @@
         for attempt in request.attempts.clone() {
             self.cancel_attempt(attempt, events);
         }
-        self.sidecars[sidecar as usize]
-            .open_requests
-            .remove(&number);
+        self.sidecars[sidecar.index()].open_requests.remove(&number);
     }
 
     /// The attempt of a request by its index.
@@ -158,18 +157,18 @@
             return;
         }
         let request = attempt.request;
-        let answered = self.open.requests.get(request).is_none_or(|r| r.answered);
-        let finished = answered || outcome == Outcome::Served;
+        let responded = self.open.requests.get(request).is_none_or(|r| r.responded);
+        let finished = responded || outcome == Outcome::Served;
         let end = attempt_end(attempt, outcome, finished, self.timeline.now());
         events.push_back(BalancerEvent::AttemptEnded(end));
-        if outcome == Outcome::Served && !answered {
+        if outcome == Outcome::Served && !responded {
             self.respond(request, RequestOutcome::Served, 0, events);
         }
     }
 }
 
-fn client_disconnected(number: u64) -> BalancerEvent {
-    let request = RequestId(number);
+fn client_disconnected(number: RequestNumber) -> BalancerEvent {
+    let request = RequestId(number.value());
     BalancerEvent::ClientDisconnected { request }
 }
 
@@ -180,9 +179,9 @@
         queued: 0.0,
     });
     AttemptEnd {
-        request: RequestId(attempt.request_number),
+        request: RequestId(attempt.request_number.value()),
         attempt: attempt.index,
-        server: ServerId(attempt.server),
+        server: ServerId(attempt.server.value()),
         outcome,
         finished,
         elapsed: now - attempt.sent_at,
--- a/crates/testbed/src/simulator/sidecar/settings.rs
+++ b/crates/testbed/src/simulator/sidecar/settings.rs
@@ -1,12 +1,14 @@
 //! The balancer's settings at a scenario's sidecars, as the real program would read them.
 
 use arrowstand_balancer::{
-    BalancerIdentity, DeduplicationScope, Fees, HostCapabilities, Idempotency, PollingSettings,
-    RequestClass, RetrySettings, Settings, SlowStartSettings,
+    self as balancer, BalancerIdentity, Fees, HostCapabilities, PollingSettings, RequestClass,
+    RetrySettings, Settings, SlowStartSettings,
 };
 
+use crate::index::SidecarIndex;
 use crate::scenario::{
-    Class, DeduplicationGroup, Effect, MachineType, Micros, ReportSource, Scenario, from_ms, from_s,
+    Class, DeduplicationScope, Idempotency, LoadReportSource, MachineType, Micros, Scenario,
+    from_ms, from_s,
 };
 
 /// A sidecar responds this long before the client gives up, in microseconds: the real program's
@@ -15,13 +17,13 @@
 
 fn request_class(class: &Class) -> RequestClass {
     let idempotency = match class.idempotency {
-        Effect::Safe => Idempotency::Idempotent,
-        Effect::Unsafe => Idempotency::NonIdempotent,
-        Effect::Keyed => Idempotency::IdempotencyKey,
+        Idempotency::Idempotent => balancer::Idempotency::Idempotent,
+        Idempotency::NonIdempotent => balancer::Idempotency::NonIdempotent,
+        Idempotency::IdempotencyKey => balancer::Idempotency::IdempotencyKey,
     };
     let deduplication_scope = match class.deduplication_scope {
-        DeduplicationGroup::Zone => DeduplicationScope::Zone,
-        DeduplicationGroup::All => DeduplicationScope::All,
+        DeduplicationScope::Zone => balancer::DeduplicationScope::Zone,
+        DeduplicationScope::All => balancer::DeduplicationScope::All,
     };
     let objective = from_ms(class.latency_objective_ms);
     let deadline = from_ms(class.deadline_ms);
@@ -35,13 +37,13 @@
 }
 
 /// The settings of the balancer at a sidecar, by its number.
-pub(super) fn balancer_settings(scenario: &Scenario, number: usize) -> Settings {
+pub(super) fn balancer_settings(scenario: &Scenario, sidecar_index: SidecarIndex) -> Settings {
     let permissions = &scenario.permissions;
     Settings {
         classes: scenario.class.iter().map(request_class).collect(),
         identity: BalancerIdentity {
-            zone: scenario.spread_zone(number),
-            index: number as u32,
+            zone: scenario.sidecar_zone(sidecar_index),
+            index: sidecar_index.value(),
             count: scenario.sidecars.count as u32,
         },
         step: RESPONSE_MARGIN,
@@ -75,7 +77,7 @@
         gossip: false,
         retry_after: true,
         load_reports: true,
-        load_reports_in_responses: scenario.load_reports.source == ReportSource::Answers,
+        load_reports_in_responses: scenario.load_reports.source == LoadReportSource::Responses,
     }
 }
 
--- a/crates/testbed/src/statistics/mod.rs
+++ b/crates/testbed/src/statistics/mod.rs
@@ -11,6 +11,7 @@
 use rustc_hash::FxHashMap;
 
 use crate::event_log::{EventLog, LogEvent, LogRecord, ProcessState, RequestOutcome};
+use crate::index::{ArrivalNumber, ClassIndex, TenantIndex};
 use crate::report::{ClassFigures, Report, TenantFigures, engine_name};
 use crate::scenario::{Micros, Scenario};
 
@@ -28,7 +29,7 @@
 /// Reads the event log; [`Statistics::report`] sums it up.
 pub struct Statistics {
     scenario: Scenario,
-    open_arrivals: FxHashMap<u64, OpenArrival>,
+    open_arrivals: FxHashMap<ArrivalNumber, OpenArrival>,
     service: Service,
     outcomes: Outcomes,
     traffic: Traffic,
@@ -51,14 +52,14 @@
         }
     }
 
-    fn on_arrival_started(&mut self, number: u64, arrival: OpenArrival) {
+    fn on_arrival_started(&mut self, number: ArrivalNumber, arrival: OpenArrival) {
         self.traffic.on_arrival();
         self.open_arrivals.insert(number, arrival);
     }
 
     /// What an arrival is worth: its class's priority weight, by work where the scenario says so,
     /// and less for a tenant beyond its quota.
-    fn value(&self, class: u16, work: f64, within_quota: bool) -> f64 {
+    fn value(&self, class: ClassIndex, work: f64, within_quota: bool) -> f64 {
         let relative_work = |mean_ms: f64| {
             if self.scenario.load.weight_by_work {
                 work / mean_ms / 1_000.0
@@ -66,7 +67,7 @@
                 1.0
             }
         };
-        let class = self.scenario.class.get(usize::from(class));
+        let class = self.scenario.class.get(class.index());
         let full = class.map_or(0.0, |class| {
             class.priority_weight * relative_work(class.work_ms)
         });
@@ -80,7 +81,7 @@
     fn on_arrival_ended(
         &mut self,
         at: Micros,
-        number: u64,
+        number: ArrivalNumber,
         outcome: RequestOutcome,
         requests: u32,
     ) {
@@ -88,8 +89,8 @@
             return;
         };
         self.traffic.on_requests(requests);
-        let class_index = usize::from(arrival.class);
-        let Some(class) = self.scenario.class.get(class_index) else {
+        let class_index = arrival.class;
+        let Some(class) = self.scenario.class.get(class_index.index()) else {
             return;
         };
         if outcome == RequestOutcome::Disconnected {
@@ -155,8 +156,10 @@
     }
 
     fn class_figures(&self) -> Vec<ClassFigures> {
-        let classes = self.scenario.class.iter().enumerate();
-        classes
+        let classes = &self.scenario.class;
+        let indexes = ClassIndex::all(classes.len());
+        indexes
+            .zip(classes)
             .map(|(index, class)| ClassFigures {
                 name: class.name.clone(),
                 service: self.service.of_class(index),
@@ -167,8 +170,10 @@
     }
 
     fn tenant_figures(&self) -> Vec<TenantFigures> {
-        let tenants = self.scenario.tenant.iter().enumerate();
-        tenants
+        let tenants = &self.scenario.tenant;
+        let indexes = TenantIndex::all(tenants.len());
+        indexes
+            .zip(tenants)
             .map(|(index, tenant)| TenantFigures {
                 name: tenant.name.clone(),
                 service: self.service.of_tenant(index),
@@ -178,14 +183,14 @@
 }
 
 impl EventLog for Statistics {
-    fn note(&mut self, record: &LogRecord) {
+    fn record(&mut self, record: &LogRecord) {
         let at = record.at;
         match record.event {
             LogEvent::ArrivalStarted {
                 arrival,
                 class,
                 tenant,
-                within_share: within_quota,
+                within_quota,
                 work,
                 ..
             } => {
--- a/crates/testbed/src/statistics/outcomes.rs
+++ b/crates/testbed/src/statistics/outcomes.rs
@@ -5,12 +5,13 @@
 
 use super::arrival::Gain;
 use crate::event_log::RequestOutcome;
+use crate::index::ClassIndex;
 use crate::report::Second;
 
 /// Quantiles of the latencies in a report.
 const QUANTILES: [f64; 5] = [0.5, 0.9, 0.99, 0.999, 1.0];
 /// Longest latency that is measured, in microseconds: ten minutes, beyond every deadline.
-const LONGEST_LATENCY: u64 = 600_000_000;
+const MAX_MEASURED_LATENCY: u64 = 600_000_000;
 /// Significant digits of a latency.
 const LATENCY_DIGITS: u8 = 3;
 
@@ -26,7 +27,7 @@
 }
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, LONGEST_LATENCY, LATENCY_DIGITS)
+    Histogram::new_with_bounds(1, MAX_MEASURED_LATENCY, LATENCY_DIGITS)
         .unwrap_or_else(|_| unreachable!("fixed bounds that hdrhistogram accepts"))
 }
 
@@ -55,17 +56,17 @@
     pub(super) fn on_arrival_ended(
         &mut self,
         second: usize,
-        class: usize,
+        class: ClassIndex,
         outcome: RequestOutcome,
         gain: &Gain,
     ) {
         if let Some(second) = self.timeline.get_mut(second) {
             second.add(class, outcome, gain.in_time);
         }
-        *self.by_class[class].entry(outcome).or_default() += 1;
+        *self.by_class[class.index()].entry(outcome).or_default() += 1;
         if outcome == RequestOutcome::Served {
             self.latency.saturating_record(gain.latency.max(1));
-            self.class_latency[class].saturating_record(gain.latency.max(1));
+            self.class_latency[class.index()].saturating_record(gain.latency.max(1));
         }
     }
 
@@ -77,16 +78,16 @@
         sorted(&self.responses)
     }
 
-    pub(super) fn of_class(&self, class: usize) -> Vec<(RequestOutcome, u64)> {
-        sorted(&self.by_class[class])
+    pub(super) fn of_class(&self, class: ClassIndex) -> Vec<(RequestOutcome, u64)> {
+        sorted(&self.by_class[class.index()])
     }
 
     pub(super) fn latency_ms(&self) -> [f64; 5] {
         quantiles_ms(&self.latency)
     }
 
-    pub(super) fn class_latency_ms(&self, class: usize) -> [f64; 5] {
-        quantiles_ms(&self.class_latency[class])
+    pub(super) fn class_latency_ms(&self, class: ClassIndex) -> [f64; 5] {
+        quantiles_ms(&self.class_latency[class.index()])
     }
 
     /// The first seconds of the timeline.
--- a/crates/testbed/src/workload.rs
+++ b/crates/testbed/src/workload.rs
@@ -2,19 +2,20 @@
 //!
 //! What clients do about slow and failed requests is the engines'.
 
+use crate::index::{ClassIndex, SidecarIndex, TenantIndex};
 use crate::random::{RandomStream, StreamId};
 use crate::scenario::{Class, FaultKind, Micros, Scenario, WorkDistribution, from_s};
 
 /// Microseconds of a second.
 const SECOND: f64 = 1e6;
-/// Largest step of the load's wandering in a second, as a share of its range.
-const WANDER_STEP: f64 = 0.12;
-/// Middle of the load's wandering, from which it starts.
-const WANDER_MIDDLE: f64 = 0.5;
+/// Largest step of the load's drift in a second, as a share of its range.
+const DRIFT_STEP: f64 = 0.12;
+/// Middle of the load's drift, from which it starts.
+const DRIFT_MIDDLE: f64 = 0.5;
 /// Part of its distance to the middle that it goes back in a second.
-const WANDER_RETURN: f64 = 0.05;
-/// Number of the stream for the sidecars' parts of the traffic.
-const PARTS_STREAM: usize = 1 << 20;
+const DRIFT_RETURN: f64 = 0.05;
+/// Number of the stream for the sidecars' shares of the traffic.
+const TRAFFIC_SHARES_STREAM: usize = 1 << 20;
 /// Longest time between two arrivals, in microseconds: beyond any scenario's length.
 const MAX_INTERVAL: f64 = 1e13;
 
@@ -24,9 +25,9 @@
     /// When, in microseconds from the start of the run.
     pub at: Micros,
     /// Index of its class.
-    pub class: u16,
+    pub class: ClassIndex,
     /// Index of its tenant.
-    pub tenant: u16,
+    pub tenant: TenantIndex,
     /// Work in microseconds of a standard core.
     pub work: f64,
     /// What its client hints of the work, in microseconds of a standard core.
@@ -39,36 +40,40 @@
 #[derive(Clone, Debug)]
 pub struct ArrivalStream {
     scenario: Scenario,
-    /// The sidecar's part of the traffic.
-    part: f64,
+    /// The sidecar's share of the traffic.
+    traffic_share: f64,
     arrival_random: RandomStream,
     work_random: RandomStream,
     client_random: RandomStream,
     hint_random: RandomStream,
-    /// How the load wanders, second by second.
-    wander: Vec<f64>,
+    /// How the load drifts, second by second.
+    load_drift: Vec<f64>,
     /// The last arrival drawn.
     now: Micros,
     class_weights: Vec<f64>,
     tenant_weights: Vec<f64>,
 }
 
-/// How the load wanders between 0 and 1, second by second: alike at all sidecars.
-fn wander(scenario: &Scenario) -> Vec<f64> {
-    let mut random = RandomStream::new(scenario.seed, StreamId::LoadLevel, 0);
-    let mut level: f64 = WANDER_MIDDLE;
+/// How the load drifts between 0 and 1, second by second: alike at all sidecars.
+fn load_drift(scenario: &Scenario) -> Vec<f64> {
+    let mut random = RandomStream::new(scenario.seed, StreamId::LoadDrift, 0);
+    let mut level: f64 = DRIFT_MIDDLE;
     let seconds = scenario.seconds.ceil() as usize + 1;
     let levels = (0..seconds).map(|_| {
-        let step = random.between(-WANDER_STEP, WANDER_STEP);
-        level = (level + step + WANDER_RETURN * (WANDER_MIDDLE - level)).clamp(0.0, 1.0);
+        let step = random.between(-DRIFT_STEP, DRIFT_STEP);
+        level = (level + step + DRIFT_RETURN * (DRIFT_MIDDLE - level)).clamp(0.0, 1.0);
         level
     });
     levels.collect()
 }
 
-/// Parts of the traffic that the sidecars get, adding up to 1.
-pub fn parts(scenario: &Scenario) -> Vec<f64> {
-    let mut random = RandomStream::new(scenario.seed, StreamId::TrafficParts, PARTS_STREAM);
+/// Shares of the traffic that the sidecars get, adding up to 1.
+pub fn traffic_shares(scenario: &Scenario) -> Vec<f64> {
+    let mut random = RandomStream::new(
+        scenario.seed,
+        StreamId::TrafficShares,
+        TRAFFIC_SHARES_STREAM,
+    );
     let sidecars = &scenario.sidecars;
     let weights: Vec<f64> = (0..sidecars.count)
         .map(|_| random.lognormal(sidecars.skew))
@@ -82,23 +87,23 @@
     let mean = class.work_ms * 1_000.0;
     match class.dist {
         WorkDistribution::Fixed => mean,
-        WorkDistribution::Exp => mean * random.exponential(),
+        WorkDistribution::Exponential => mean * random.exponential(),
         WorkDistribution::Lognormal => mean * random.lognormal(class.cv),
     }
 }
 
 impl ArrivalStream {
-    /// The arrivals at the sidecar of a number, which gets a part of the traffic.
-    pub fn new(scenario: &Scenario, number: usize, part: f64) -> Self {
-        let stream = |cause| RandomStream::new(scenario.seed, cause, number);
+    /// The arrivals at a sidecar, which gets a share of the traffic.
+    pub fn new(scenario: &Scenario, sidecar: SidecarIndex, traffic_share: f64) -> Self {
+        let stream = |cause| RandomStream::new(scenario.seed, cause, sidecar.index());
         let tenants = scenario.tenant.iter();
         Self {
-            part,
+            traffic_share,
             arrival_random: stream(StreamId::Arrivals),
             work_random: stream(StreamId::Work),
             client_random: stream(StreamId::Clients),
             hint_random: stream(StreamId::WorkHints),
-            wander: wander(scenario),
+            load_drift: load_drift(scenario),
             now: 0,
             class_weights: scenario.class.iter().map(|class| class.share).collect(),
             tenant_weights: tenants.map(|tenant| tenant.share * tenant.usage).collect(),
@@ -108,14 +113,16 @@
 
     fn draw_arrival(&mut self) -> Arrival {
         let class = self.work_random.weighted_index(&self.class_weights);
+        let class = ClassIndex::from_position(class);
         let tenant = self.work_random.weighted_index(&self.tenant_weights);
+        let tenant = TenantIndex::from_position(tenant);
         let work = self.draw_work_of(class);
         let clients = &self.scenario.clients;
         let honours = self.client_random.chance(clients.honour_retry_after);
         Arrival {
             at: self.now,
-            class: class as u16,
-            tenant: tenant as u16,
+            class,
+            tenant,
             work,
             work_hint: self.draw_hint(work),
             honours_retry_after: honours,
@@ -123,12 +130,12 @@
     }
 
     /// Work of a request of a class now, in microseconds of a standard core, faults included.
-    fn draw_work_of(&mut self, class: usize) -> f64 {
-        let class = &self.scenario.class[class];
+    fn draw_work_of(&mut self, class: ClassIndex) -> f64 {
+        let class = &self.scenario.class[class.index()];
         let mut work = draw_work(&mut self.work_random, class);
         for fault in &self.scenario.fault {
             let of_class = fault.class.as_ref().is_none_or(|name| *name == class.name);
-            if fault.kind != FaultKind::Costly || !of_class {
+            if fault.kind != FaultKind::ExpensiveRequests || !of_class {
                 continue;
             }
             // Drawn whether or not it is on, so that a fault moves no other draw.
@@ -150,11 +157,11 @@
     /// Arrivals a second now.
     fn rate(&self) -> f64 {
         let second = (self.now / SECOND as Micros) as usize;
-        let wander = self.wander.get(second).copied();
+        let load_drift = self.load_drift.get(second).copied();
         let all = self
             .scenario
-            .rate_at(self.now, wander.unwrap_or(WANDER_MIDDLE));
-        all * self.part
+            .rate_at(self.now, load_drift.unwrap_or(DRIFT_MIDDLE));
+        all * self.traffic_share
     }
 }
 
@@ -183,8 +190,8 @@
     }
 }
 
-/// What a tenant may ask for within its share: a bucket of tokens that come at its share of the
-/// quota.
+/// A tenant's quota: a token bucket, filled at the tenant's share of what all tenants are entitled
+/// to.
 #[derive(Clone, Copy, Debug)]
 pub struct TenantQuota {
     /// Tokens a second.
@@ -203,14 +210,14 @@
         }
     }
 
-    /// Takes a token; false for what lies beyond the share.
-    pub fn take(&mut self, now: Micros) -> bool {
+    /// Takes a token; false for what lies beyond the quota.
+    pub fn try_take(&mut self, now: Micros) -> bool {
         let passed_s = now.saturating_sub(self.refilled_at) as f64 / SECOND;
         self.tokens = (self.tokens + passed_s * self.rate).min(self.rate.max(1.0));
         self.refilled_at = now;
-        let within_share = self.tokens >= 1.0;
-        self.tokens -= if within_share { 1.0 } else { 0.0 };
-        within_share
+        let within_quota = self.tokens >= 1.0;
+        self.tokens -= if within_quota { 1.0 } else { 0.0 };
+        within_quota
     }
 }
 
--- a/crates/testbed/tests/auditor/cold_server.rs
+++ b/crates/testbed/tests/auditor/cold_server.rs
@@ -2,6 +2,9 @@
 
 use arrowstand_testbed::audit::Rule;
 use arrowstand_testbed::event_log::{ListedStatus, LogEvent, RequestOutcome, ServerState};
+use arrowstand_testbed::index::{
+    ArrivalNumber, ClassIndex, RequestNumber, ServerIndex, SidecarIndex,
+};
 
 use super::{Finding, S, audit, listed};
 
@@ -12,7 +15,7 @@
     let mut events = vec![(
         S,
         LogEvent::ServerStateChanged {
-            server: 0,
+            server: ServerIndex::new(0),
             zone: 0,
             state: ServerState::Cold,
         },
@@ -25,18 +28,18 @@
         events.push((
             at,
             LogEvent::RequestAccepted {
-                request: n,
-                arrival: n,
-                sidecar: 0,
-                class: 0,
+                request: RequestNumber::new(n),
+                arrival: ArrivalNumber::new(n),
+                sidecar: SidecarIndex::new(0),
+                class: ClassIndex::new(0),
                 due: 2 * S,
             },
         ));
         events.push((
             at,
             LogEvent::AttemptReceived {
-                request: n,
-                server: 0,
+                request: RequestNumber::new(n),
+                server: ServerIndex::new(0),
                 work: 100_000.0,
                 capacity: 0.4,
                 cold,
@@ -45,7 +48,7 @@
         events.push((
             at,
             LogEvent::ResponseReceived {
-                request: n,
+                request: RequestNumber::new(n),
                 outcome: RequestOutcome::Failed,
             },
         ));
--- a/crates/testbed/tests/auditor/main.rs
+++ b/crates/testbed/tests/auditor/main.rs
@@ -9,9 +9,12 @@
 
 use arrowstand_testbed::audit::{Auditor, Rule};
 use arrowstand_testbed::event_log::{
-    EventLog, ListedStatus, LogEvent, LogRecord, RequestOutcome, ServerState,
+    EventLog, ListedStatus, LogEvent, LogRecord, ProcessState, RequestOutcome, ServerState,
 };
-use arrowstand_testbed::scenario::{Class, DeduplicationGroup, Effect, Micros, Scenario};
+use arrowstand_testbed::index::{
+    ArrivalNumber, ClassIndex, RequestNumber, ServerIndex, SidecarIndex,
+};
+use arrowstand_testbed::scenario::{Class, DeduplicationScope, Idempotency, Micros, Scenario};
 
 const MS: Micros = 1_000;
 const S: Micros = 1_000_000;
@@ -24,10 +27,10 @@
         ..Class::default()
     };
     let classes = [
-        class(Effect::Safe, DeduplicationGroup::All),
-        class(Effect::Unsafe, DeduplicationGroup::All),
-        class(Effect::Keyed, DeduplicationGroup::Zone),
-        class(Effect::Keyed, DeduplicationGroup::All),
+        class(Idempotency::Idempotent, DeduplicationScope::All),
+        class(Idempotency::NonIdempotent, DeduplicationScope::All),
+        class(Idempotency::IdempotencyKey, DeduplicationScope::Zone),
+        class(Idempotency::IdempotencyKey, DeduplicationScope::All),
     ];
     Scenario {
         class: classes.to_vec(),
@@ -43,23 +46,30 @@
     let mut auditor = Auditor::new(&scenario(), 0);
     // Two servers in zone 0, one in zone 1.
     for (server, zone) in [(0, 0), (1, 0), (2, 1)] {
-        auditor.note(&LogRecord {
+        auditor.record(&LogRecord {
             at: 0,
             event: LogEvent::ServerStateChanged {
-                server,
+                server: ServerIndex::new(server),
                 zone,
                 state: ServerState::Up,
             },
         });
     }
     for &(at, event) in events {
-        auditor.note(&LogRecord { at, event });
+        auditor.record(&LogRecord { at, event });
     }
     auditor.finish();
     assert_eq!(auditor.violation_count(), auditor.violations().len() as u64);
     auditor
         .violations()
-        .map(|v| (v.rule, v.request, v.server, v.at))
+        .map(|v| {
+            (
+                v.rule,
+                v.request.map(RequestNumber::value),
+                v.server.map(ServerIndex::value),
+                v.at,
+            )
+        })
         .collect()
 }
 
@@ -67,10 +77,10 @@
     (
         S,
         LogEvent::RequestAccepted {
-            request,
-            arrival: request,
-            sidecar: 0,
-            class,
+            request: RequestNumber::new(request),
+            arrival: ArrivalNumber::new(request),
+            sidecar: SidecarIndex::new(0),
+            class: ClassIndex::new(class),
             due: 2 * S,
         },
     )
@@ -80,8 +90,8 @@
     (
         at,
         LogEvent::AttemptReceived {
-            request,
-            server,
+            request: RequestNumber::new(request),
+            server: ServerIndex::new(server),
             work: 10_000.0,
             capacity: 2.0,
             cold: false,
@@ -90,10 +100,13 @@
 }
 
 fn responded(at: Micros, request: u64, outcome: RequestOutcome) -> (Micros, LogEvent) {
+    let request = RequestNumber::new(request);
     (at, LogEvent::ResponseReceived { request, outcome })
 }
 
 fn rejected(at: Micros, request: u64, server: u32) -> (Micros, LogEvent) {
+    let server = ServerIndex::new(server);
+    let request = RequestNumber::new(request);
     (at, LogEvent::AttemptRejected { request, server })
 }
 
@@ -101,20 +114,25 @@
     (
         at,
         LogEvent::AttemptStarted {
-            request: 1,
-            sidecar,
-            server: 0,
+            request: RequestNumber::new(1),
+            sidecar: SidecarIndex::new(sidecar),
+            server: ServerIndex::new(0),
             cross_zone: false,
         },
     )
 }
 
+fn sidecar_state(at: Micros, sidecar: u32, state: ProcessState) -> (Micros, LogEvent) {
+    let sidecar = SidecarIndex::new(sidecar);
+    (at, LogEvent::SidecarStateChanged { sidecar, state })
+}
+
 fn listed(at: Micros, status: ListedStatus, incarnation: Micros) -> (Micros, LogEvent) {
     (
         at,
         LogEvent::EndpointListed {
-            sidecar: 0,
-            server: 0,
+            sidecar: SidecarIndex::new(0),
+            server: ServerIndex::new(0),
             status,
             incarnation,
         },
@@ -131,7 +149,7 @@
             received(S + 2_000, request, 1),
             responded(S + 3_000, request, RequestOutcome::Served),
         ] {
-            auditor.note(&LogRecord { at, event });
+            auditor.record(&LogRecord { at, event });
         }
     }
     auditor.finish();
--- a/crates/testbed/tests/simulator/main.rs
+++ b/crates/testbed/tests/simulator/main.rs
@@ -89,7 +89,7 @@
     assert!(has_response(&log, RequestOutcome::Failed));
     // Nothing ran there while it was away.
     let ran = |record: &&LogRecord| {
-        matches!(record.event, LogEvent::WorkDone { server: 0, .. })
+        matches!(record.event, LogEvent::WorkDone { server, .. } if server.index() == 0)
             && (3_000_000..7_000_000).contains(&record.at)
     };
     assert_eq!(log.iter().filter(ran).count(), 0);
@@ -138,7 +138,7 @@
 kind = "slow"
 at_s = 5.0
 for_s = 25.0
-part = 0.5
+target_share = 0.5
 factor = 8.0
 "#;
     let (slow, _) = play(&scenario_with_fault("calm", fault));
