--- a/crates/balancer/src/policy.rs
+++ b/crates/balancer/src/policy.rs
@@ -21,7 +21,7 @@
 use crate::policy::retry_budget::RetryBudget;
 use crate::state::{
     EndpointPoller, EndpointTable, GossipQueue, HealthCheckSchedule, InFlightAttempt, RequestTable,
-    SubsetOrder,
+    ServerIndex, SubsetOrder,
 };
 use crate::{Action, Actions, Event, Micros, Outcome, RequestId, Settings, SettingsError};
 
@@ -130,7 +130,7 @@
             after: TICK_INTERVAL,
         });
         self.update_warm_server_quota();
-        for server_index in 0..self.endpoints.len() {
+        for server_index in self.endpoints.indices() {
             self.check_suspicion(server_index, actions);
         }
         if self.settings.host.health_checks && self.health_checks.is_due(self.now) {
@@ -164,7 +164,7 @@
     }
 
     /// A server responded to an attempt, or timed out although it serves others.
-    fn on_response(&mut self, server_index: usize, attempt: &InFlightAttempt) {
+    fn on_response(&mut self, server_index: ServerIndex, attempt: &InFlightAttempt) {
         let objective = self
             .requests
             .get(attempt.request)
@@ -180,8 +180,8 @@
             .subset_order
             .iter()
             .filter(|&index| self.is_ready(&self.endpoints[index]));
-        let subset: Vec<usize> = ready.take(self.subset_size()).collect();
-        let factor = |index: usize| {
+        let subset: Vec<ServerIndex> = ready.take(self.subset_size()).collect();
+        let factor = |index: ServerIndex| {
             self.endpoints[index]
                 .slow_start
                 .factor(self.now, &self.settings)
--- a/crates/balancer/src/policy/attempt_result.rs
+++ b/crates/balancer/src/policy/attempt_result.rs
@@ -1,6 +1,7 @@
 //! What the end of an attempt tells of its server, and what becomes of its request.
 
 use crate::policy::Balancer;
+use crate::state::ServerIndex;
 use crate::{Actions, AttemptEnd, EjectionCause, Outcome};
 
 /// Failures in a row raise a suspicion once they are as improbable as this, as a negative logarithm, where
@@ -24,7 +25,12 @@
         }
     }
 
-    fn record_result(&mut self, server_index: usize, end: &AttemptEnd, actions: &mut Actions) {
+    fn record_result(
+        &mut self,
+        server_index: ServerIndex,
+        end: &AttemptEnd,
+        actions: &mut Actions,
+    ) {
         self.on_load_report(server_index, end.load_report);
         let (now, server) = (self.now, &mut self.endpoints[server_index]);
         let Some(attempt) = server.on_attempt_ended(end.request, end.attempt) else {
@@ -55,7 +61,12 @@
     }
 
     /// Guards against fast failures that look idle, and dead processes.
-    fn on_attempt_failed(&mut self, server_index: usize, outcome: Outcome, actions: &mut Actions) {
+    fn on_attempt_failed(
+        &mut self,
+        server_index: ServerIndex,
+        outcome: Outcome,
+        actions: &mut Actions,
+    ) {
         let server = &mut self.endpoints[server_index];
         let (id, failures) = (server.id(), server.failures.on_failed());
         let timed_out = outcome == Outcome::TimedOut;
--- a/crates/balancer/src/policy/dispatch.rs
+++ b/crates/balancer/src/policy/dispatch.rs
@@ -1,7 +1,7 @@
 //! The path of a request: arrival, first attempt and end.
 
 use crate::policy::{Balancer, TICK_INTERVAL};
-use crate::state::{InFlightAttempt, RequestState, RetryScope};
+use crate::state::{InFlightAttempt, RequestState, RetryScope, ServerIndex};
 use crate::{Action, Actions, IncomingRequest, Micros, RequestId};
 
 /// A request without a work hint is not sent with less time than this share of the mean service time.
@@ -66,7 +66,7 @@
     }
 
     /// Sends an attempt of a request to a server.
-    pub(super) fn send(&mut self, id: RequestId, server_index: usize, actions: &mut Actions) {
+    pub(super) fn send(&mut self, id: RequestId, server_index: ServerIndex, actions: &mut Actions) {
         let (now, queue_depth) = (
             self.now,
             self.estimates().queue_depth(&self.endpoints[server_index]),
--- a/crates/balancer/src/policy/failure_detector.rs
+++ b/crates/balancer/src/policy/failure_detector.rs
@@ -1,7 +1,7 @@
 //! Which servers are suspected, and when that ends.
 
 use crate::policy::Balancer;
-use crate::state::Suspicion;
+use crate::state::{ServerIndex, Suspicion};
 use crate::{Action, Actions, EjectionCause, Micros, RequestId, ServerEvent, StateChange};
 
 /// Time without a sign of life after which a suspect is dead, and the least between two health checks of it.
@@ -19,7 +19,7 @@
 
 impl Balancer {
     /// Confirms a failed health check, ends or hardens a suspicion, or raises one over silent attempts.
-    pub(super) fn check_suspicion(&mut self, server_index: usize, actions: &mut Actions) {
+    pub(super) fn check_suspicion(&mut self, server_index: ServerIndex, actions: &mut Actions) {
         let server = &mut self.endpoints[server_index];
         if server.health_check.take_due_confirmation(self.now) {
             self.confirm_failed_health_check(server_index, actions);
@@ -32,7 +32,7 @@
 
     /// Guards against servers that answer health checks but not attempts: all attempts there are silent for
     /// longer than the fleet's latencies explain. General slowness raises no suspicion.
-    fn is_improbably_silent(&self, server_index: usize) -> bool {
+    fn is_improbably_silent(&self, server_index: ServerIndex) -> bool {
         let server = &self.endpoints[server_index];
         let improbability = self
             .estimators
@@ -41,7 +41,7 @@
         improbability > MAX_SILENCE_IMPROBABILITY
     }
 
-    fn confirm_failed_health_check(&mut self, server_index: usize, actions: &mut Actions) {
+    fn confirm_failed_health_check(&mut self, server_index: ServerIndex, actions: &mut Actions) {
         let health_check = &mut self.endpoints[server_index].health_check;
         if !self.settings.has_peers() {
             health_check.on_failed();
@@ -56,7 +56,7 @@
 
     fn review_suspicion(
         &mut self,
-        server_index: usize,
+        server_index: ServerIndex,
         suspicion: Suspicion,
         actions: &mut Actions,
     ) {
@@ -79,7 +79,7 @@
     /// cause cannot be believed.
     pub(super) fn eject(
         &mut self,
-        server_index: usize,
+        server_index: ServerIndex,
         cause: EjectionCause,
         actions: &mut Actions,
     ) -> bool {
@@ -118,7 +118,7 @@
     }
 
     /// Ends the suspicion of a server, if any.
-    pub(super) fn readmit(&mut self, server_index: usize, actions: &mut Actions) {
+    pub(super) fn readmit(&mut self, server_index: ServerIndex, actions: &mut Actions) {
         let (now, server) = (self.now, &mut self.endpoints[server_index]);
         let Some(suspicion) = server.suspicion.on_readmitted() else {
             return;
@@ -138,7 +138,7 @@
     }
 
     /// The list names a newer incarnation: that it is alive overrides suspicion of anything older.
-    pub(super) fn on_restart(&mut self, server_index: usize, actions: &mut Actions) {
+    pub(super) fn on_restart(&mut self, server_index: ServerIndex, actions: &mut Actions) {
         let server = &mut self.endpoints[server_index];
         server.on_restarted(self.now, self.settings.slow_start.duration);
         // A server that keeps restarting does not earn trust by its new incarnation alone.
--- a/crates/balancer/src/policy/gossip.rs
+++ b/crates/balancer/src/policy/gossip.rs
@@ -1,7 +1,7 @@
 //! What balancers tell each other: suspicions, and indirect health checks.
 
 use crate::policy::Balancer;
-use crate::state::{GossipKind, GossipMessage, ServerState};
+use crate::state::{GossipKind, GossipMessage, ServerIndex};
 use crate::{Action, Actions, EjectionCause, Micros};
 
 /// Suspicions in one message: as many as fit.
@@ -13,7 +13,11 @@
 
 impl Balancer {
     /// Asks some balancers to check a server.
-    pub(super) fn request_indirect_checks(&mut self, server_index: usize, actions: &mut Actions) {
+    pub(super) fn request_indirect_checks(
+        &mut self,
+        server_index: ServerIndex,
+        actions: &mut Actions,
+    ) {
         let message = self.endpoints[server_index]
             .gossip(GossipKind::IndirectCheckRequest)
             .encode();
@@ -27,7 +31,7 @@
     /// Tells the balancers that asked for it of a successful health check; they wait no longer in any case.
     pub(super) fn answer_requesters(
         &mut self,
-        server_index: usize,
+        server_index: ServerIndex,
         succeeded: bool,
         actions: &mut Actions,
     ) {
@@ -42,7 +46,7 @@
     }
 
     /// Queues the suspicion of a server for about log N datagrams, which reach all balancers.
-    pub(super) fn queue_suspicion(&mut self, server_index: usize) {
+    pub(super) fn queue_suspicion(&mut self, server_index: ServerIndex) {
         let datagrams = u32::BITS - self.settings.identity.count.leading_zeros() + 1;
         self.gossip.push(
             &self.endpoints[server_index].gossip(GossipKind::Suspected),
@@ -78,8 +82,7 @@
             return;
         }
         for message in GossipMessage::decode(datagram) {
-            let named = |server: &ServerState| server.endpoint().stable_hash == message.stable_hash;
-            let Some(server_index) = self.endpoints.iter().position(named) else {
+            let Some(server_index) = self.endpoints.find_by_hash(message.stable_hash) else {
                 continue;
             };
             let health_check = &mut self.endpoints[server_index].health_check;
@@ -99,7 +102,12 @@
         }
     }
 
-    fn on_suspicion(&mut self, server_index: usize, incarnation: Micros, actions: &mut Actions) {
+    fn on_suspicion(
+        &mut self,
+        server_index: ServerIndex,
+        incarnation: Micros,
+        actions: &mut Actions,
+    ) {
         let server = &self.endpoints[server_index];
         if incarnation < server.incarnation() || server.suspicion.is_suspected() {
             return;
--- a/crates/balancer/src/policy/health_check.rs
+++ b/crates/balancer/src/policy/health_check.rs
@@ -2,7 +2,7 @@
 
 use crate::policy::Balancer;
 use crate::policy::failure_detector::SUSPECT_CHECK_INTERVAL;
-use crate::state::RetryScope;
+use crate::state::{RetryScope, ServerIndex};
 use crate::{Action, Actions, EjectionCause, LoadReport, Micros, ServerId};
 
 /// Time between health checks of random servers: what keeps their fee under the last figure at the request
@@ -55,12 +55,16 @@
     }
 
     /// By turns the suspect that waits longest and a server that failed, else a random ready one.
-    fn next_server_to_check(&mut self) -> Option<usize> {
-        let last_started_at = |index: &usize| self.endpoints[*index].health_check.last_started_at();
-        let is_suspected = |index: &usize| self.endpoints[*index].suspicion.is_suspected();
-        let is_due = |index: &usize| self.now >= last_started_at(index) + SUSPECT_CHECK_INTERVAL;
-        let suspects =
-            (0..self.endpoints.len()).filter(|index| is_suspected(index) && is_due(index));
+    fn next_server_to_check(&mut self) -> Option<ServerIndex> {
+        let last_started_at =
+            |index: &ServerIndex| self.endpoints[*index].health_check.last_started_at();
+        let is_suspected = |index: &ServerIndex| self.endpoints[*index].suspicion.is_suspected();
+        let is_due =
+            |index: &ServerIndex| self.now >= last_started_at(index) + SUSPECT_CHECK_INTERVAL;
+        let suspects = self
+            .endpoints
+            .indices()
+            .filter(|index| is_suspected(index) && is_due(index));
         let suspect = suspects.min_by_key(last_started_at);
         // Guards against suspects that wait for ever where attempts fail all the time.
         if self.health_checks.take_suspect_turn() && suspect.is_some() {
@@ -84,7 +88,7 @@
     }
 
     /// Checks a server, unless a health check of it is in progress.
-    pub(super) fn start_health_check(&mut self, server_index: usize, actions: &mut Actions) {
+    pub(super) fn start_health_check(&mut self, server_index: ServerIndex, actions: &mut Actions) {
         let server = &mut self.endpoints[server_index];
         if self.settings.host.health_checks && server.health_check.started_at().is_none() {
             server.health_check.on_started(self.now);
@@ -95,7 +99,7 @@
     }
 
     /// Checks a server out of turn. Guards against floods: a failure is not confirmed, but waits its turn.
-    pub(super) fn check_load(&mut self, server_index: usize, actions: &mut Actions) {
+    pub(super) fn check_load(&mut self, server_index: ServerIndex, actions: &mut Actions) {
         self.endpoints[server_index]
             .health_check
             .on_load_check_requested();
@@ -129,7 +133,7 @@
     }
 
     /// A success proves little where attempts raised the suspicion: that must age first.
-    fn on_health_check_succeeded(&mut self, server_index: usize, actions: &mut Actions) {
+    fn on_health_check_succeeded(&mut self, server_index: ServerIndex, actions: &mut Actions) {
         let server = &mut self.endpoints[server_index];
         server.health_check.on_succeeded();
         let Some(suspicion) = server.suspicion.current() else {
@@ -141,7 +145,7 @@
     }
 
     /// A first failure is to be confirmed, by a second health check or by other balancers.
-    fn on_health_check_failed(&mut self, server_index: usize, actions: &mut Actions) {
+    fn on_health_check_failed(&mut self, server_index: ServerIndex, actions: &mut Actions) {
         let server = &mut self.endpoints[server_index];
         if server.suspicion.is_suspected() || server.health_check.is_confirming() {
             return;
--- a/crates/balancer/src/policy/load_check.rs
+++ b/crates/balancer/src/policy/load_check.rs
@@ -1,7 +1,7 @@
 //! Load reports: which are believed, and which servers are asked for one before a request is sent.
 
 use crate::policy::Balancer;
-use crate::state::RetryScope;
+use crate::state::{RetryScope, ServerIndex};
 use crate::{Actions, LoadReport, Micros, RequestId, ServerId, Settings};
 
 /// Most servers asked for their load before a send; fewer while the chance to miss an idle one is low.
@@ -38,7 +38,7 @@
 
     /// A load report came. Guards against reports that are frozen or wrong: one that falls below what was in
     /// flight when the health check started.
-    pub(super) fn on_load_report(&mut self, server_index: usize, report: Option<LoadReport>) {
+    pub(super) fn on_load_report(&mut self, server_index: ServerIndex, report: Option<LoadReport>) {
         let from_responses = self.settings.load_from_responses();
         let server = &mut self.endpoints[server_index];
         let check_started_at = server.health_check.started_at();
--- a/crates/balancer/src/policy/load_shedding.rs
+++ b/crates/balancer/src/policy/load_shedding.rs
@@ -1,7 +1,7 @@
 //! Which requests are rejected so that others are served in time.
 
 use crate::policy::Balancer;
-use crate::state::RequestState;
+use crate::state::{RequestState, ServerIndex};
 use crate::{Action, Actions, DeduplicationScope, Idempotency, Micros, RequestId};
 
 /// A fleet that is full serves more by taking only sure work: in the end, what is expected within this share
@@ -28,7 +28,7 @@
 
 impl Balancer {
     /// True where a server would respond so late that its work is better spent on another request.
-    pub(super) fn is_too_late(&self, server_index: usize, id: RequestId) -> bool {
+    pub(super) fn is_too_late(&self, server_index: ServerIndex, id: RequestId) -> bool {
         let Some(request) = self.requests.get(id) else {
             return true;
         };
@@ -58,13 +58,13 @@
     }
 
     /// True where responses tell of load, and a server would respond after the latency objective.
-    pub(super) fn expects_miss(&self, server_index: usize, id: RequestId) -> bool {
+    pub(super) fn expects_miss(&self, server_index: ServerIndex, id: RequestId) -> bool {
         let misses =
             |request: &RequestState| self.misses(server_index, request, request.objective_at());
         self.settings.load_from_responses() && self.requests.get(id).is_none_or(misses)
     }
 
-    fn misses(&self, server_index: usize, request: &RequestState, until: Micros) -> bool {
+    fn misses(&self, server_index: ServerIndex, request: &RequestState, until: Micros) -> bool {
         let (server, estimates) = (&self.endpoints[server_index], self.estimates());
         let time_left = until.saturating_sub(self.now) as f64;
         let scale = estimates
--- a/crates/balancer/src/policy/pick.rs
+++ b/crates/balancer/src/policy/pick.rs
@@ -1,7 +1,7 @@
 //! Which server a request goes to.
 
 use crate::policy::Balancer;
-use crate::state::{RequestState, RetryScope};
+use crate::state::{RequestState, RetryScope, ServerIndex};
 use crate::weighted_choice::weighted_choice;
 use crate::{RequestId, ServerId};
 
@@ -13,9 +13,9 @@
 
 impl Balancer {
     /// The least loaded of the servers whose load was checked for a request; `None` where none was checked.
-    pub(super) fn load_checked_servers(&self, request: &RequestState) -> Option<Vec<usize>> {
+    pub(super) fn load_checked_servers(&self, request: &RequestState) -> Option<Vec<ServerIndex>> {
         let since = request.arrived_at();
-        let reported = |&index: &usize| {
+        let reported = |&index: &ServerIndex| {
             let server = &self.endpoints[index];
             server.load.updated_at() >= since
                 && !server.suspicion.is_suspected()
@@ -23,9 +23,9 @@
         };
         let checked = request.load_checked();
         let known = checked.iter().filter_map(|&id| self.endpoints.find(id));
-        let mut servers: Vec<usize> = known.filter(reported).collect();
+        let mut servers: Vec<ServerIndex> = known.filter(reported).collect();
         let estimates = self.estimates();
-        let load = |index: usize| estimates.load(&self.endpoints[index]);
+        let load = |index: ServerIndex| estimates.load(&self.endpoints[index]);
         let least = servers
             .iter()
             .map(|&index| load(index))
@@ -49,8 +49,8 @@
         id: RequestId,
         scope: RetryScope,
         tried: &[ServerId],
-        load_checked: Option<Vec<usize>>,
-    ) -> Option<usize> {
+        load_checked: Option<Vec<ServerIndex>>,
+    ) -> Option<ServerIndex> {
         let any_checked = load_checked.is_some();
         let mut candidates = load_checked.unwrap_or_default();
         if candidates.is_empty() {
@@ -63,7 +63,7 @@
         let (first, second) = (self.draw(&candidates)?, self.draw(&candidates)?);
         // A server in slow start looks idle to all at once: it is taken where drawn first, never for its low
         // load.
-        let is_cold = |index: usize| self.endpoints[index].slow_start.is_active();
+        let is_cold = |index: ServerIndex| self.endpoints[index].slow_start.is_active();
         let keep_first = !any_checked && (is_cold(first) || is_cold(second));
         let second_is_less_loaded =
             !keep_first && self.compared_load(second) < self.compared_load(first);
@@ -71,9 +71,9 @@
     }
 
     /// Guards against a rejection by two full servers while others have capacity.
-    fn prefer_in_time(&self, id: RequestId, candidates: Vec<usize>) -> Vec<usize> {
-        let in_time = |index: &usize| !self.expects_miss(*index, id);
-        let preferred: Vec<usize> = candidates.iter().copied().filter(in_time).collect();
+    fn prefer_in_time(&self, id: RequestId, candidates: Vec<ServerIndex>) -> Vec<ServerIndex> {
+        let in_time = |index: &ServerIndex| !self.expects_miss(*index, id);
+        let preferred: Vec<ServerIndex> = candidates.iter().copied().filter(in_time).collect();
         if preferred.is_empty() {
             candidates
         } else {
@@ -82,12 +82,12 @@
     }
 
     /// One of the servers; without load checks, each as often as its machine can do more than others.
-    fn draw(&mut self, candidates: &[usize]) -> Option<usize> {
+    fn draw(&mut self, candidates: &[ServerIndex]) -> Option<ServerIndex> {
         if self.settings.load_checks_enabled() {
             return self.rng.choice(candidates).copied();
         }
         let estimates = self.estimates();
-        let weight = |&index: &usize| {
+        let weight = |&index: &ServerIndex| {
             let server = &self.endpoints[index];
             let success_rate = 1.0 - server.failures.failure_rate();
             let capacity =
@@ -100,7 +100,7 @@
 
     /// What two drawn servers are compared by: where nothing reports load, the attempts in flight against
     /// what the machine can do, as its share of the draws stands for the rest already.
-    fn compared_load(&self, server_index: usize) -> f64 {
+    fn compared_load(&self, server_index: ServerIndex) -> f64 {
         let (server, estimates) = (&self.endpoints[server_index], self.estimates());
         let load = estimates.load(server);
         if self.settings.load_checks_enabled() || self.settings.load_from_responses() {
--- a/crates/balancer/src/policy/slow_start.rs
+++ b/crates/balancer/src/policy/slow_start.rs
@@ -1,12 +1,13 @@
 //! Servers that have just started.
 
 use crate::policy::Balancer;
+use crate::state::ServerIndex;
 
 impl Balancer {
     /// Guards against a cold server that all balancers together overload: it is admitted to a draw with the
     /// chance of its slow start factor. Nothing is saved up; together they send that factor times a warm
     /// server's quota. The draws hold that in the mean; the bound holds it within the overload window.
-    pub(super) fn admit_to_draw(&mut self, server_index: usize) -> bool {
+    pub(super) fn admit_to_draw(&mut self, server_index: ServerIndex) -> bool {
         let (now, window) = (self.now, self.settings.slow_start.overload_window);
         let slow_start = &mut self.endpoints[server_index].slow_start;
         let factor = slow_start.factor(now, &self.settings);
--- a/crates/balancer/src/policy/subset.rs
+++ b/crates/balancer/src/policy/subset.rs
@@ -1,7 +1,7 @@
 //! The subset of the fleet that this balancer uses, and which of its servers are candidates.
 
 use crate::policy::Balancer;
-use crate::state::{RetryScope, ServerState};
+use crate::state::{RetryScope, ServerIndex, ServerState};
 use crate::{EndpointStatus, ServerId};
 
 /// A balancer uses a stable random subset of the fleet: what keeps the fee for open connections under this
@@ -52,14 +52,14 @@
         scope: RetryScope,
         tried: &[ServerId],
         trusted: bool,
-    ) -> Vec<usize> {
-        let fits = |&index: &usize| {
+    ) -> Vec<ServerIndex> {
+        let fits = |&index: &ServerIndex| {
             let server = &self.endpoints[index];
             let doubtful = server.suspicion.is_suspected() || server.is_possibly_draining();
             let usable = scope.contains(server.endpoint()) && self.is_ready(server);
             usable && !tried.contains(&server.id()) && !(trusted && doubtful)
         };
-        let subset: Vec<usize> = self
+        let subset: Vec<ServerIndex> = self
             .subset_order
             .iter()
             .filter(fits)
--- a/crates/balancer/src/state/endpoint_table.rs
+++ b/crates/balancer/src/state/endpoint_table.rs
@@ -6,13 +6,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::{Index, IndexMut};
 
+use crate::state::server_index::ServerIndex;
 use crate::state::server_state::ServerState;
 use crate::{Endpoint, Micros, ServerId};
 
 /// Where an entry of a list went.
 pub(crate) struct MergedEndpoint {
     /// Index of the server.
-    pub(crate) server_index: usize,
+    pub(crate) server_index: ServerIndex,
     /// The server was known and has restarted since.
     pub(crate) restarted: bool,
 }
@@ -21,17 +22,28 @@
 #[derive(Default)]
 pub(crate) struct EndpointTable {
     servers: Vec<ServerState>,
-    index_by_id: BTreeMap<ServerId, usize>,
+    index_by_id: BTreeMap<ServerId, ServerIndex>,
     version: u64,
     failed_health_checks: usize,
 }
 
 impl EndpointTable {
     /// The index of a server.
-    pub(crate) fn find(&self, id: ServerId) -> Option<usize> {
+    pub(crate) fn find(&self, id: ServerId) -> Option<ServerIndex> {
         self.index_by_id.get(&id).copied()
     }
 
+    /// The index of the server with this stable hash, by which other balancers know it.
+    pub(crate) fn find_by_hash(&self, stable_hash: u64) -> Option<ServerIndex> {
+        let has_hash = |server: &ServerState| server.endpoint().stable_hash == stable_hash;
+        self.servers.iter().position(has_hash).map(ServerIndex)
+    }
+
+    /// The indices of all servers, in order.
+    pub(crate) fn indices(&self) -> impl Iterator<Item = ServerIndex> + use<> {
+        (0..self.servers.len()).map(ServerIndex)
+    }
+
     /// Number of servers.
     pub(crate) fn len(&self) -> usize {
         self.servers.len()
@@ -80,13 +92,13 @@
         slow_start_time: Micros,
     ) -> MergedEndpoint {
         if let Some(server_index) = self.find(endpoint.server) {
-            let restarted = self.servers[server_index].on_listed(endpoint);
+            let restarted = self.servers[server_index.0].on_listed(endpoint);
             return MergedEndpoint {
                 server_index,
                 restarted,
             };
         }
-        let server_index = self.servers.len();
+        let server_index = ServerIndex(self.servers.len());
         self.index_by_id.insert(endpoint.server, server_index);
         self.servers
             .push(ServerState::new(endpoint, now, slow_start_time));
@@ -104,30 +116,34 @@
         self.index_by_id = self
             .servers
             .iter()
-            .zip(0..)
+            .zip((0..).map(ServerIndex))
             .map(|(server, index)| (server.id(), index))
             .collect();
     }
 
     /// A server's health check ended; true where it was only for the load.
-    pub(crate) fn on_health_check_ended(&mut self, server_index: usize, succeeded: bool) -> bool {
-        let health_check = &mut self.servers[server_index].health_check;
+    pub(crate) fn on_health_check_ended(
+        &mut self,
+        server_index: ServerIndex,
+        succeeded: bool,
+    ) -> bool {
+        let health_check = &mut self.servers[server_index.0].health_check;
         self.failed_health_checks -= usize::from(health_check.last_failed());
         self.failed_health_checks += usize::from(!succeeded);
         health_check.on_ended(succeeded)
     }
 }
 
-impl Index<usize> for EndpointTable {
+impl Index<ServerIndex> for EndpointTable {
     type Output = ServerState;
 
-    fn index(&self, server_index: usize) -> &ServerState {
-        &self.servers[server_index]
+    fn index(&self, server_index: ServerIndex) -> &ServerState {
+        &self.servers[server_index.0]
     }
 }
 
-impl IndexMut<usize> for EndpointTable {
-    fn index_mut(&mut self, server_index: usize) -> &mut ServerState {
-        &mut self.servers[server_index]
+impl IndexMut<ServerIndex> for EndpointTable {
+    fn index_mut(&mut self, server_index: ServerIndex) -> &mut ServerState {
+        &mut self.servers[server_index.0]
     }
 }
--- a/crates/balancer/src/state/endpoint_table/tests.rs
+++ b/crates/balancer/src/state/endpoint_table/tests.rs
@@ -1,4 +1,4 @@
-use super::EndpointTable;
+use super::{EndpointTable, ServerIndex};
 use crate::{Endpoint, EndpointStatus, Micros, ServerId};
 
 const SLOW_START_TIME: Micros = 10;
@@ -31,11 +31,11 @@
         let merged = table.merge(endpoint, 1_000, SLOW_START_TIME);
         assert_eq!(
             (merged.server_index, merged.restarted),
-            (1, restarted),
+            (ServerIndex(1), restarted),
             "{incarnation:?}"
         );
     }
-    assert_eq!(table[1].incarnation(), 5);
+    assert_eq!(table[ServerIndex(1)].incarnation(), 5);
 }
 
 #[test]
@@ -56,26 +56,26 @@
 #[test]
 fn retain_renumbers_servers_and_counts_failed_health_checks_anew() {
     let mut table = table(3);
-    table.on_health_check_ended(0, false);
-    table.on_health_check_ended(2, false);
-    table.on_health_check_ended(2, false);
+    table.on_health_check_ended(ServerIndex(0), false);
+    table.on_health_check_ended(ServerIndex(2), false);
+    table.on_health_check_ended(ServerIndex(2), false);
     assert_eq!(table.failed_health_checks(), 2);
     table.retain(|server| server.id() != ServerId(0));
     assert_eq!(table.failed_health_checks(), 1);
     assert_eq!(
         [0, 1, 2].map(|n| table.find(ServerId(n))),
-        [None, Some(0), Some(1)]
+        [None, Some(ServerIndex(0)), Some(ServerIndex(1))]
     );
-    table.on_health_check_ended(1, true);
+    table.on_health_check_ended(ServerIndex(1), true);
     assert_eq!(table.failed_health_checks(), 0);
 }
 
 #[test]
 fn listed_drain_lasts_until_a_restart() {
     let mut table = table(1);
-    table[0].on_status_listed(EndpointStatus::Draining);
-    table[0].on_status_listed(EndpointStatus::Ready);
-    assert!(table[0].is_drain_listed());
-    table[0].on_restarted(1_000, SLOW_START_TIME);
-    assert!(!table[0].is_drain_listed());
+    table[ServerIndex(0)].on_status_listed(EndpointStatus::Draining);
+    table[ServerIndex(0)].on_status_listed(EndpointStatus::Ready);
+    assert!(table[ServerIndex(0)].is_drain_listed());
+    table[ServerIndex(0)].on_restarted(1_000, SLOW_START_TIME);
+    assert!(!table[ServerIndex(0)].is_drain_listed());
 }
--- a/crates/balancer/src/state/subset_order.rs
+++ b/crates/balancer/src/state/subset_order.rs
@@ -6,17 +6,17 @@
 
 use std::collections::BTreeMap;
 
-use crate::state::{EndpointTable, ServerState};
+use crate::state::{EndpointTable, ServerIndex, ServerState};
 
 /// Indices of the servers in a stable random order.
 #[derive(Default)]
 pub(crate) struct SubsetOrder {
-    order: Vec<usize>,
+    order: Vec<ServerIndex>,
 }
 
 impl SubsetOrder {
     /// Indices of the servers, the preferred ones first.
-    pub(crate) fn iter(&self) -> impl Iterator<Item = usize> + '_ {
+    pub(crate) fn iter(&self) -> impl Iterator<Item = ServerIndex> + '_ {
         self.order.iter().copied()
     }
 
@@ -27,7 +27,11 @@
         let hash = |server: &ServerState| {
             fastrand::Rng::with_seed(server.endpoint().stable_hash ^ own).u64(..)
         };
-        let mut hashed: Vec<_> = endpoints.iter().map(hash).zip(0..).collect();
+        let mut hashed: Vec<_> = endpoints
+            .iter()
+            .map(hash)
+            .zip(endpoints.indices())
+            .collect();
         hashed.sort_unstable();
         self.order = hashed.into_iter().map(|(_, index)| index).collect();
         let mut turns = BTreeMap::new();
--- a/crates/balancer/src/state/subset_order/tests.rs
+++ b/crates/balancer/src/state/subset_order/tests.rs
@@ -13,7 +13,7 @@
     }
     let mut order = SubsetOrder::default();
     order.on_endpoints_updated(&endpoints, balancer_index);
-    order.iter().collect()
+    order.iter().map(|index| index.0).collect()
 }
 
 #[test]
