--- a/crates/balancer/src/estimators/estimates.rs
+++ b/crates/balancer/src/estimators/estimates.rs
@@ -3,6 +3,7 @@
 use crate::estimators::decaying_rate::decay;
 use crate::estimators::latency::LatencyEstimator;
 use crate::estimators::workload::WorkloadEstimator;
+use crate::policy::load_source::LoadSource;
 use crate::state::{InFlightAttempt, RequestState, ServerState};
 use crate::{Micros, Settings};
 
@@ -24,15 +25,15 @@
     pub(crate) latency: &'a LatencyEstimator,
     /// The requests so far.
     pub(crate) workload: &'a WorkloadEstimator,
-    /// Load reports of health checks are current and can be believed.
-    pub(crate) load_reports_trusted: bool,
+    /// Something tells how many requests servers hold.
+    pub(crate) is_load_known: bool,
 }
 
 impl Estimates<'_> {
     /// Requests at a server with one more: this balancer's and what was last seen of others'.
     pub(crate) fn queue_depth(&self, server: &ServerState) -> f64 {
         let load = &server.load;
-        if self.settings.load_from_responses() {
+        if self.settings.load_source() == LoadSource::Responses {
             let elsewhere =
                 load.in_flight_elsewhere(decay(self.now, load.updated_at(), ELSEWHERE_HALF_LIFE));
             return server.in_flight().len() as f64 + elsewhere + 1.0;
@@ -55,7 +56,7 @@
     /// Microseconds that a server is expected to take for one more request. Where several run at a
     /// time each slows all others, so a server's load multiplies the request's own work.
     pub(crate) fn expected_service_time(&self, server: &ServerState, relative_work: f64) -> f64 {
-        if self.settings.load_from_responses() {
+        if self.settings.load_source() == LoadSource::Responses {
             return self.load(server) * relative_work * self.latency.mean_service_time();
         }
         (self.load(server) + (relative_work - 1.0) * self.relative_service_time(server))
@@ -65,8 +66,7 @@
     /// How much longer than the fleet a server takes for the same load. Where nothing tells the
     /// queue of a server in slow start, it is spared by how seldom it is drawn, and not twice over.
     pub(crate) fn relative_service_time(&self, server: &ServerState) -> f64 {
-        let load_known = self.load_reports_trusted || self.settings.load_from_responses();
-        let slow_start = if load_known {
+        let slow_start = if self.is_load_known {
             server.slow_start.factor(self.now, self.settings)
         } else {
             1.0
@@ -86,7 +86,7 @@
     /// The latency factor of a server's machine type; 1 where servers are asked for their load
     /// before a send, and so speak for themselves.
     pub(crate) fn machine_latency_factor(&self, server: &ServerState) -> f64 {
-        if self.settings.load_checks_enabled() {
+        if self.settings.load_source() == LoadSource::LoadChecks {
             return 1.0;
         }
         self.latency
@@ -107,7 +107,7 @@
         attempt: &InFlightAttempt,
         latency: f64,
     ) -> f64 {
-        if self.settings.load_from_responses() {
+        if self.settings.load_source() == LoadSource::Responses {
             // The queue on the way lies between that at both ends, and slow start does not make a
             // server slow.
             let mean_depth = (attempt.queue_depth + self.queue_depth(server)) / 2.0;
--- a/crates/balancer/src/estimators/fleet.rs
+++ b/crates/balancer/src/estimators/fleet.rs
@@ -9,6 +9,7 @@
 use crate::estimators::slow_start::WarmServerQuota;
 use crate::estimators::utilization::UtilizationEstimator;
 use crate::estimators::workload::WorkloadEstimator;
+use crate::policy::load_source::LoadSource;
 use crate::state::{InFlightAttempt, ServerState};
 use crate::{Micros, Settings};
 
@@ -61,13 +62,12 @@
             self.saturation
                 .on_response((latency / objective as f64).min(1.0), now);
         }
-        // Whether reports are trusted does not bear on what a response shows.
         let estimates = Estimates {
             settings,
             now,
             latency: &self.latency,
             workload: &self.workload,
-            load_reports_trusted: false,
+            is_load_known: settings.load_source() != LoadSource::Unknown,
         };
         let service_time = estimates.observed_service_time(server, attempt, latency);
         let usual = estimates.machine_latency_factor(server);
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -50,6 +50,7 @@
 mod endpoint;
 mod estimators;
 mod event;
+mod fleet;
 mod policy;
 mod request_class;
 mod settings;
--- a/crates/balancer/src/policy.rs
+++ b/crates/balancer/src/policy.rs
@@ -9,19 +9,22 @@
 mod failure_detector;
 mod gossip;
 mod health_check;
+pub(crate) mod health_check_trust;
 mod load_check;
 mod load_shedding;
+pub(crate) mod load_source;
 mod pick;
 mod retry;
 mod retry_budget;
 mod slow_start;
 mod subset;
+pub(crate) mod subset_size;
 
-use crate::estimators::{Estimates, Estimators};
+use crate::fleet::Fleet;
 use crate::policy::retry_budget::RetryBudget;
 use crate::state::{
-    EndpointPoller, EndpointTable, GossipQueue, HealthCheckSchedule, InFlightAttempt, RequestTable,
-    ServerIndex, SubsetOrder,
+    EndpointPoller, GossipQueue, HealthCheckSchedule, InFlightAttempt, RequestTable, ServerIndex,
+    SubsetOrder,
 };
 use crate::{Action, Actions, Event, Micros, Outcome, RequestId, Settings, SettingsError};
 
@@ -34,18 +37,15 @@
 
 /// Decides for one sidecar. Instances share nothing.
 pub struct Balancer {
-    settings: Settings,
+    fleet: Fleet,
     rng: fastrand::Rng,
-    now: Micros,
     started: bool,
-    endpoints: EndpointTable,
     poller: EndpointPoller,
     subset_order: SubsetOrder,
     requests: RequestTable,
     retry_budget: RetryBudget,
     health_checks: HealthCheckSchedule,
     gossip: GossipQueue,
-    estimators: Estimators,
 }
 
 impl Balancer {
@@ -55,28 +55,23 @@
     /// Names the first setting that is out of range.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
-        let objectives = settings.classes.iter().map(|class| class.latency_objective);
-        let shortest_objective = objectives.min().unwrap_or(1) as f64;
         Ok(Self {
-            settings,
+            fleet: Fleet::new(settings),
             rng: fastrand::Rng::with_seed(seed),
-            now: 0,
             started: false,
-            endpoints: EndpointTable::default(),
             poller: EndpointPoller::default(),
             subset_order: SubsetOrder::default(),
             requests: RequestTable::default(),
             retry_budget: RetryBudget::new(),
             health_checks: HealthCheckSchedule::default(),
             gossip: GossipQueue::default(),
-            estimators: Estimators::new(shortest_objective),
         })
     }
 
     /// Takes in one event and pushes what is to be done about it. `now` is in microseconds; a time
     /// before that of an earlier event counts as the earlier one's.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
-        self.now = self.now.max(now);
+        self.fleet.now = self.fleet.now.max(now);
         if !self.started {
             self.on_first_event(now, actions);
         }
@@ -119,7 +114,7 @@
             token: TICK_TOKEN,
             after: TICK_INTERVAL,
         });
-        if self.settings.polling.required {
+        if self.fleet.settings.polling.required {
             self.poll_endpoints(actions);
         }
     }
@@ -130,13 +125,13 @@
             after: TICK_INTERVAL,
         });
         self.update_warm_server_quota();
-        for server_index in self.endpoints.indices() {
+        for server_index in self.fleet.servers.indices() {
             self.check_suspicion(server_index, actions);
         }
-        if self.settings.host.health_checks && self.health_checks.is_due(self.now) {
+        if self.fleet.settings.host.health_checks && self.health_checks.is_due(self.fleet.now) {
             self.run_scheduled_health_check(actions);
         }
-        if self.poller.is_due(self.now) {
+        if self.poller.is_due(self.fleet.now) {
             self.poll_endpoints(actions);
         }
     }
@@ -149,14 +144,14 @@
 
     /// Dispatches the requests whose timers are due.
     fn on_request_timer(&mut self, actions: &mut Actions) {
-        while let Some(id) = self.requests.take_due(self.now) {
+        while let Some(id) = self.requests.take_due(self.fleet.now) {
             self.dispatch(id, actions);
         }
     }
 
     /// Dispatches a request after this time, unless it is sent before.
     fn set_request_timer(&mut self, id: RequestId, after: Micros, actions: &mut Actions) {
-        self.requests.set_timer(id, self.now + after);
+        self.requests.set_timer(id, self.fleet.now + after);
         actions.push(Action::SetTimer {
             token: REQUEST_TIMER_TOKEN,
             after,
@@ -169,9 +164,14 @@
             .requests
             .get(attempt.request)
             .map(|request| request.objective());
-        let server = &mut self.endpoints[server_index];
-        self.estimators
-            .on_response(server, attempt, objective, self.now, &self.settings);
+        let server = &mut self.fleet.servers[server_index];
+        self.fleet.estimators.on_response(
+            server,
+            attempt,
+            objective,
+            self.fleet.now,
+            &self.fleet.settings,
+        );
     }
 
     /// Measures what a warm server of the subset gets.
@@ -179,26 +179,16 @@
         let ready = self
             .subset_order
             .iter()
-            .filter(|&index| self.is_ready(&self.endpoints[index]));
-        let subset: Vec<ServerIndex> = ready.take(self.subset_size()).collect();
+            .filter(|&index| self.fleet.is_ready(&self.fleet.servers[index]));
+        let subset: Vec<ServerIndex> = ready.take(self.fleet.subset_size()).collect();
         let factor = |index: ServerIndex| {
-            self.endpoints[index]
+            self.fleet.servers[index]
                 .slow_start
-                .factor(self.now, &self.settings)
+                .factor(self.fleet.now, &self.fleet.settings)
         };
-        self.estimators
+        self.fleet
+            .estimators
             .warm_server_quota
-            .update(subset.into_iter().map(factor), self.now);
-    }
-
-    /// Estimates of load, service time and value as of now.
-    fn estimates(&self) -> Estimates<'_> {
-        Estimates {
-            settings: &self.settings,
-            now: self.now,
-            latency: &self.estimators.latency,
-            workload: &self.estimators.workload,
-            load_reports_trusted: self.load_reports_trusted(),
-        }
+            .update(subset.into_iter().map(factor), self.fleet.now);
     }
 }
--- a/crates/balancer/src/policy/attempt_result.rs
+++ b/crates/balancer/src/policy/attempt_result.rs
@@ -11,7 +11,7 @@
 impl Balancer {
     /// An attempt ended: its request is finished, waits for another attempt, is retried or fails.
     pub(super) fn on_attempt_ended(&mut self, end: &AttemptEnd, actions: &mut Actions) {
-        if let Some(server_index) = self.endpoints.find(end.server) {
+        if let Some(server_index) = self.fleet.servers.find(end.server) {
             self.record_result(server_index, end, actions);
         }
         let Some(request) = self.requests.get_mut(end.request) else {
@@ -32,7 +32,7 @@
         actions: &mut Actions,
     ) {
         self.on_load_report(server_index, end.load_report);
-        let (now, server) = (self.now, &mut self.endpoints[server_index]);
+        let (now, server) = (self.fleet.now, &mut self.fleet.servers[server_index]);
         let Some(attempt) = server.on_attempt_ended(end.request, end.attempt) else {
             return;
         };
@@ -42,17 +42,18 @@
             Outcome::Served => {
                 server.failures.on_served(now);
                 self.on_response(server_index, &attempt);
-                self.estimators.fleet_error_rate.on_served();
+                self.fleet.estimators.fleet_error_rate.on_served();
                 self.readmit(server_index, actions);
             }
             Outcome::TimedOut if serves_others => self.on_response(server_index, &attempt),
             Outcome::Cancelled | Outcome::NotSent => {}
             Outcome::Rejected => {
                 // Guards against a drain that the list cannot tell, which binds all the same after a time.
-                let may_drain = self.settings.polling.required && !self.poller.is_subscribed();
+                let may_drain =
+                    self.fleet.settings.polling.required && !self.poller.is_subscribed();
                 // A full server is not broken, but it holds more than was known.
                 server.on_rejected(attempt.queue_depth, may_drain, now);
-                self.estimators.saturation.on_rejected(now);
+                self.fleet.estimators.saturation.on_rejected(now);
             }
             Outcome::TimedOut | Outcome::ServerError | Outcome::ConnectFailed | Outcome::Reset => {
                 self.on_attempt_failed(server_index, end.outcome, actions);
@@ -67,14 +68,18 @@
         outcome: Outcome,
         actions: &mut Actions,
     ) {
-        let server = &mut self.endpoints[server_index];
+        let server = &mut self.fleet.servers[server_index];
         let (id, failures) = (server.id(), server.failures.on_failed());
         let timed_out = outcome == Outcome::TimedOut;
         if failures == 1 && !timed_out {
-            self.estimators.fleet_error_rate.on_first_failure();
+            self.fleet.estimators.fleet_error_rate.on_first_failure();
         }
         self.check_soon(id);
-        let improbability = self.estimators.fleet_error_rate.run_improbability(failures);
+        let improbability = self
+            .fleet
+            .estimators
+            .fleet_error_rate
+            .run_improbability(failures);
         if improbability >= MAX_FAILURE_IMPROBABILITY && !timed_out {
             self.eject(server_index, EjectionCause::Attempts, actions);
         }
--- a/crates/balancer/src/policy/dispatch.rs
+++ b/crates/balancer/src/policy/dispatch.rs
@@ -1,5 +1,6 @@
 //! The path of a request: arrival, first attempt and end.
 
+use crate::policy::load_source::LoadSource;
 use crate::policy::{Balancer, TICK_INTERVAL};
 use crate::state::{InFlightAttempt, RequestState, RetryScope, ServerIndex};
 use crate::{Action, Actions, IncomingRequest, Micros, RequestId};
@@ -12,7 +13,12 @@
 impl Balancer {
     /// A request arrived: it is sent, waits for load checks or for a server, or is rejected.
     pub(super) fn on_request_arrived(&mut self, incoming: &IncomingRequest, actions: &mut Actions) {
-        let Some(class) = self.settings.classes.get(usize::from(incoming.class.0)) else {
+        let Some(class) = self
+            .fleet
+            .settings
+            .classes
+            .get(usize::from(incoming.class.0))
+        else {
             actions.push(Action::Reject {
                 request: incoming.id,
                 retry_after: None,
@@ -20,22 +26,23 @@
             return;
         };
         let hint = incoming.work_hint.unwrap_or(0) as f64;
-        let relative_work = self
-            .estimators
-            .workload
-            .on_request_arrived(class, hint, self.now);
-        let request = RequestState::new(incoming, class, relative_work, self.now);
+        let relative_work =
+            self.fleet
+                .estimators
+                .workload
+                .on_request_arrived(class, hint, self.fleet.now);
+        let request = RequestState::new(incoming, class, relative_work, self.fleet.now);
         let work = if hint > 0.0 {
             hint
         } else {
-            self.estimators.latency.mean_service_time() * MIN_WORK_SHARE
+            self.fleet.estimators.latency.mean_service_time() * MIN_WORK_SHARE
         };
         let hopeless = class.late_value == 0.0 && work > request.objective() as f64;
         self.requests.on_request_arrived(incoming.id, request);
         self.retry_budget.on_request_arrived();
         if hopeless || incoming.time_left == 0 {
             self.reject_or_fail(incoming.id, actions);
-        } else if self.settings.load_checks_enabled() {
+        } else if self.fleet.settings.load_source() == LoadSource::LoadChecks {
             self.start_load_checks(incoming.id, actions);
         } else {
             self.dispatch(incoming.id, actions);
@@ -53,12 +60,15 @@
         let picked = self.pick(id, RetryScope::Anywhere, &[], load_checked);
         let late = picked.is_some_and(|server_index| self.is_too_late(server_index, id));
         let missed = late || picked.is_some_and(|server_index| self.expects_miss(server_index, id));
-        self.estimators.missed_objectives.on_server_picked(missed);
+        self.fleet
+            .estimators
+            .missed_objectives
+            .on_server_picked(missed);
         match picked {
             Some(server_index) if !late && !self.should_shed(id) => {
                 self.send(id, server_index, actions)
             }
-            None if self.now + 2 * TICK_INTERVAL < wait_until => {
+            None if self.fleet.now + 2 * TICK_INTERVAL < wait_until => {
                 self.set_request_timer(id, TICK_INTERVAL, actions);
             }
             _ => self.reject_or_fail(id, actions),
@@ -67,19 +77,19 @@
 
     /// Sends an attempt of a request to a server.
     pub(super) fn send(&mut self, id: RequestId, server_index: ServerIndex, actions: &mut Actions) {
-        let (now, queue_depth) = (
-            self.now,
-            self.estimates().queue_depth(&self.endpoints[server_index]),
-        );
+        let now = self.fleet.now;
+        let estimates = self.fleet.estimates();
+        let queue_depth = estimates.queue_depth(&self.fleet.servers[server_index]);
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
-        let (server, relative_work) = (&mut self.endpoints[server_index], request.relative_work());
+        let server = &mut self.fleet.servers[server_index];
+        let relative_work = request.relative_work();
         // A late response that is worth nothing is not waited for.
-        let worthless_late = self.settings.class(request.class()).late_value == 0.0;
+        let worthless_late = self.fleet.settings.class(request.class()).late_value == 0.0;
         let objective_at = request
             .objective_at()
-            .saturating_sub(2 * self.settings.step);
+            .saturating_sub(2 * self.fleet.settings.step);
         let deadline_at = request.deadline_at();
         let until = if worthless_late {
             objective_at.min(deadline_at)
@@ -93,7 +103,8 @@
             timeout,
         });
         let attempt = request.on_attempt_sent(server.endpoint(), now);
-        self.estimators
+        self.fleet
+            .estimators
             .warm_server_quota
             .on_work_sent(relative_work, now);
         let sent = InFlightAttempt {
@@ -111,7 +122,7 @@
         let Some(request) = self.requests.on_request_finished(id) else {
             return;
         };
-        if self.settings.host.cancellation && !request.is_streaming() {
+        if self.fleet.settings.host.cancellation && !request.is_streaming() {
             let cancel = |attempt| Action::Cancel {
                 request: id,
                 attempt,
--- a/crates/balancer/src/policy/endpoints.rs
+++ b/crates/balancer/src/policy/endpoints.rs
@@ -13,7 +13,7 @@
     pub(super) fn poll_endpoints(&mut self, actions: &mut Actions) {
         actions.push(Action::PollEndpoints);
         self.poller
-            .on_polled(self.now + self.settings.polling.max_interval * 3 / 4);
+            .on_polled(self.fleet.now + self.fleet.settings.polling.max_interval * 3 / 4);
     }
 
     fn on_list_lost(&mut self, actions: &mut Actions) {
@@ -21,9 +21,9 @@
             actions.push(Action::Record(StateChange::EndpointListLost));
         }
         let backoff = self.poller.backoff().unwrap_or(INITIAL_POLL_BACKOFF);
-        let next_poll_at = self.now + backoff / 2 + self.rng.u64(0..=backoff);
+        let next_poll_at = self.fleet.now + backoff / 2 + self.rng.u64(0..=backoff);
         let next_backoff =
-            (POLL_BACKOFF_GROWTH * backoff).min(self.settings.polling.max_interval / 2);
+            (POLL_BACKOFF_GROWTH * backoff).min(self.fleet.settings.polling.max_interval / 2);
         self.poller.on_list_lost(next_poll_at, next_backoff);
     }
 
@@ -41,34 +41,36 @@
         }
         if kind != UpdateKind::Cached {
             self.poller.on_list_received();
-            self.endpoints.on_list_received();
+            self.fleet.servers.on_list_received();
         }
-        if !self.endpoints.accept_version(version) {
+        if !self.fleet.servers.accept_version(version) {
             return;
         }
         if kind != UpdateKind::Incremental {
-            self.endpoints.on_full_list(&endpoints);
+            self.fleet.servers.on_full_list(&endpoints);
         }
         self.merge(endpoints, actions);
-        let keep_removed = self.settings.only_draining_binds;
-        self.endpoints.retain(|server| {
+        let keep_removed = self.fleet.settings.only_draining_binds;
+        self.fleet.servers.retain(|server| {
             let gone = server.is_removed() && server.in_flight().is_empty();
             !gone || (keep_removed && !server.suspicion.is_dead() && !server.is_drain_listed())
         });
         self.subset_order
-            .on_endpoints_updated(&self.endpoints, self.settings.identity.index);
+            .on_endpoints_updated(&self.fleet.servers, self.fleet.settings.identity.index);
     }
 
     /// A stale list never restores a draining server: only a restart does.
     fn merge(&mut self, endpoints: Vec<Endpoint>, actions: &mut Actions) {
         for endpoint in endpoints {
-            let merged =
-                self.endpoints
-                    .merge(endpoint, self.now, self.settings.slow_start.duration);
+            let merged = self.fleet.servers.merge(
+                endpoint,
+                self.fleet.now,
+                self.fleet.settings.slow_start.duration,
+            );
             if merged.restarted {
                 self.on_restart(merged.server_index, actions);
             }
-            self.endpoints[merged.server_index].on_status_listed(endpoint.status);
+            self.fleet.servers[merged.server_index].on_status_listed(endpoint.status);
         }
     }
 }
--- a/crates/balancer/src/policy/failure_detector.rs
+++ b/crates/balancer/src/policy/failure_detector.rs
@@ -1,6 +1,7 @@
 //! Which servers are suspected, and when that ends.
 
 use crate::policy::Balancer;
+use crate::policy::health_check_trust::HealthCheckTrust;
 use crate::state::{ServerIndex, Suspicion};
 use crate::{Action, Actions, EjectionCause, Micros, RequestId, ServerEvent, StateChange};
 
@@ -20,8 +21,8 @@
 impl Balancer {
     /// Confirms a failed health check, ends or hardens a suspicion, or raises one over silent attempts.
     pub(super) fn check_suspicion(&mut self, server_index: ServerIndex, actions: &mut Actions) {
-        let server = &mut self.endpoints[server_index];
-        if server.health_check.take_due_confirmation(self.now) {
+        let server = &mut self.fleet.servers[server_index];
+        if server.health_check.take_due_confirmation(self.fleet.now) {
             self.confirm_failed_health_check(server_index, actions);
         } else if let Some(suspicion) = server.suspicion.current() {
             self.review_suspicion(server_index, suspicion, actions);
@@ -33,17 +34,18 @@
     /// Guards against servers that answer health checks but not attempts: all attempts there are silent for
     /// longer than the fleet's latencies explain. General slowness raises no suspicion.
     fn is_improbably_silent(&self, server_index: ServerIndex) -> bool {
-        let server = &self.endpoints[server_index];
+        let server = &self.fleet.servers[server_index];
         let improbability = self
+            .fleet
             .estimators
             .latency_distribution
-            .silence_improbability(server, self.now);
+            .silence_improbability(server, self.fleet.now);
         improbability > MAX_SILENCE_IMPROBABILITY
     }
 
     fn confirm_failed_health_check(&mut self, server_index: ServerIndex, actions: &mut Actions) {
-        let health_check = &mut self.endpoints[server_index].health_check;
-        if !self.settings.has_peers() {
+        let health_check = &mut self.fleet.servers[server_index].health_check;
+        if !self.fleet.settings.has_peers() {
             health_check.on_failed();
             self.start_health_check(server_index, actions);
             return;
@@ -60,17 +62,19 @@
         suspicion: Suspicion,
         actions: &mut Actions,
     ) {
-        let server = &mut self.endpoints[server_index];
-        if !server.suspicion.is_dead() && self.now >= suspicion.since + DEAD_AFTER {
+        let server = &mut self.fleet.servers[server_index];
+        if !server.suspicion.is_dead() && self.fleet.now >= suspicion.since + DEAD_AFTER {
             server.suspicion.on_declared_dead();
             actions.push(Action::Record(StateChange::Server {
                 server: server.id(),
                 event: ServerEvent::DeclaredDead,
             }));
         }
-        let unfounded =
-            suspicion.cause != EjectionCause::Attempts && self.health_checks_unreliable();
-        if unfounded || !self.settings.host.health_checks && suspicion.has_aged(self.now) {
+        let unfounded = suspicion.cause != EjectionCause::Attempts
+            && self.fleet.health_check_trust() == HealthCheckTrust::Untrusted;
+        if unfounded
+            || !self.fleet.settings.host.health_checks && suspicion.has_aged(self.fleet.now)
+        {
             self.readmit(server_index, actions);
         }
     }
@@ -83,10 +87,10 @@
         cause: EjectionCause,
         actions: &mut Actions,
     ) -> bool {
-        let unfounded = cause != EjectionCause::Attempts && self.health_checks_unreliable();
-        let mean_pause =
-            self.subset_size() as f64 / self.estimators.workload.request_rate(self.now);
-        let (now, server) = (self.now, &mut self.endpoints[server_index]);
+        let unfounded = cause != EjectionCause::Attempts
+            && self.fleet.health_check_trust() == HealthCheckTrust::Untrusted;
+        let mean_pause = self.fleet.subset_size() as f64 / self.fleet.request_rate();
+        let (now, server) = (self.fleet.now, &mut self.fleet.servers[server_index]);
         if server.suspicion.is_suspected() || unfounded {
             return false;
         }
@@ -119,7 +123,7 @@
 
     /// Ends the suspicion of a server, if any.
     pub(super) fn readmit(&mut self, server_index: ServerIndex, actions: &mut Actions) {
-        let (now, server) = (self.now, &mut self.endpoints[server_index]);
+        let (now, server) = (self.fleet.now, &mut self.fleet.servers[server_index]);
         let Some(suspicion) = server.suspicion.on_readmitted() else {
             return;
         };
@@ -139,10 +143,13 @@
 
     /// The list names a newer incarnation: that it is alive overrides suspicion of anything older.
     pub(super) fn on_restart(&mut self, server_index: ServerIndex, actions: &mut Actions) {
-        let server = &mut self.endpoints[server_index];
-        server.on_restarted(self.now, self.settings.slow_start.duration);
+        let server = &mut self.fleet.servers[server_index];
+        server.on_restarted(self.fleet.now, self.fleet.settings.slow_start.duration);
         // A server that keeps restarting does not earn trust by its new incarnation alone.
-        if !server.suspicion.is_flapping(self.now, EJECTION_MEMORY) {
+        if !server
+            .suspicion
+            .is_flapping(self.fleet.now, EJECTION_MEMORY)
+        {
             self.readmit(server_index, actions);
         }
     }
--- a/crates/balancer/src/policy/gossip.rs
+++ b/crates/balancer/src/policy/gossip.rs
@@ -18,7 +18,7 @@
         server_index: ServerIndex,
         actions: &mut Actions,
     ) {
-        let message = self.endpoints[server_index]
+        let message = self.fleet.servers[server_index]
             .gossip(GossipKind::IndirectCheckRequest)
             .encode();
         let checkers = (0..INDIRECT_CHECKERS).filter_map(|_| self.random_peer());
@@ -35,7 +35,7 @@
         succeeded: bool,
         actions: &mut Actions,
     ) {
-        let server = &mut self.endpoints[server_index];
+        let server = &mut self.fleet.servers[server_index];
         let requesters = server.health_check.take_requesters();
         let message = server.gossip(GossipKind::ConfirmedAlive);
         let answer = |to| Action::SendGossip {
@@ -47,9 +47,9 @@
 
     /// Queues the suspicion of a server for about log N datagrams, which reach all balancers.
     pub(super) fn queue_suspicion(&mut self, server_index: ServerIndex) {
-        let datagrams = u32::BITS - self.settings.identity.count.leading_zeros() + 1;
+        let datagrams = u32::BITS - self.fleet.settings.identity.count.leading_zeros() + 1;
         self.gossip.push(
-            &self.endpoints[server_index].gossip(GossipKind::Suspected),
+            &self.fleet.servers[server_index].gossip(GossipKind::Suspected),
             datagrams,
         );
     }
@@ -57,10 +57,11 @@
     /// Another balancer, drawn at random.
     fn random_peer(&mut self) -> Option<u32> {
         let peer = self
+            .fleet
             .settings
             .has_peers()
-            .then(|| self.rng.u32(0..self.settings.identity.count - 1))?;
-        Some(if peer >= self.settings.identity.index {
+            .then(|| self.rng.u32(0..self.fleet.settings.identity.count - 1))?;
+        Some(if peer >= self.fleet.settings.identity.index {
             peer + 1
         } else {
             peer
@@ -78,14 +79,14 @@
 
     /// Another balancer sent a message; what it says of unknown servers is ignored.
     pub(super) fn on_gossip_received(&mut self, from: u32, datagram: &[u8], actions: &mut Actions) {
-        if from >= self.settings.identity.count {
+        if from >= self.fleet.settings.identity.count {
             return;
         }
         for message in GossipMessage::decode(datagram) {
-            let Some(server_index) = self.endpoints.find_by_hash(message.stable_hash) else {
+            let Some(server_index) = self.fleet.servers.find_by_hash(message.stable_hash) else {
                 continue;
             };
-            let health_check = &mut self.endpoints[server_index].health_check;
+            let health_check = &mut self.fleet.servers[server_index].health_check;
             match message.kind {
                 GossipKind::IndirectCheckRequest
                     if health_check.requester_count() < INDIRECT_CHECKERS =>
@@ -108,13 +109,13 @@
         incarnation: Micros,
         actions: &mut Actions,
     ) {
-        let server = &self.endpoints[server_index];
+        let server = &self.fleet.servers[server_index];
         if incarnation < server.incarnation() || server.suspicion.is_suspected() {
             return;
         }
         let id = server.id();
         // One mistaken balancer must not empty the fleet: this one's own served attempts outweigh it.
-        let doubtful = self.now < server.failures.last_served_at() + SERVED_OUTWEIGHS_GOSSIP;
+        let doubtful = self.fleet.now < server.failures.last_served_at() + SERVED_OUTWEIGHS_GOSSIP;
         if !doubtful && self.eject(server_index, EjectionCause::Gossip, actions) {
             self.queue_suspicion(server_index);
         }
--- a/crates/balancer/src/policy/health_check.rs
+++ b/crates/balancer/src/policy/health_check.rs
@@ -14,8 +14,6 @@
 const MAX_HEALTH_CHECK_COST: f64 = 0.001;
 /// Pause before a failed health check is confirmed, by a second one or by what other balancers say.
 const CONFIRMATION_DELAY: Micros = 150_000;
-/// Where more than this share of the servers in use fail their health checks, these are at fault.
-const UNRELIABLE_CHECK_SHARE: f64 = 0.3;
 
 impl Balancer {
     /// The first health check comes at a random time within one interval.
@@ -27,10 +25,10 @@
     /// Checks the server whose turn it is, and sends gossip along.
     pub(super) fn run_scheduled_health_check(&mut self, actions: &mut Actions) {
         let interval = self.health_check_interval();
-        self.health_checks.on_check_due(self.now, interval);
+        self.health_checks.on_check_due(self.fleet.now, interval);
         if let Some(server_index) = self.next_server_to_check() {
             self.start_health_check(server_index, actions);
-            self.endpoints[server_index]
+            self.fleet.servers[server_index]
                 .health_check
                 .on_full_check_requested();
         }
@@ -39,12 +37,12 @@
 
     /// Guards against health checks that together cost more than they tell: one schedule serves all servers.
     fn health_check_interval(&self) -> Micros {
-        let cost_per_interval =
-            MAX_HEALTH_CHECK_COST * self.estimators.workload.request_rate(self.now);
-        let affordable = (self.settings.fees.health_check / cost_per_interval) as Micros;
+        let cost_per_interval = MAX_HEALTH_CHECK_COST * self.fleet.request_rate();
+        let affordable = (self.fleet.settings.fees.health_check / cost_per_interval) as Micros;
         let interval = affordable.clamp(MIN_HEALTH_CHECK_INTERVAL, MAX_HEALTH_CHECK_INTERVAL);
         let suspected = self
-            .endpoints
+            .fleet
+            .servers
             .iter()
             .any(|server| server.suspicion.is_suspected());
         if suspected {
@@ -57,12 +55,14 @@
     /// By turns the suspect that waits longest and a server that failed, else a random ready one.
     fn next_server_to_check(&mut self) -> Option<ServerIndex> {
         let last_started_at =
-            |index: &ServerIndex| self.endpoints[*index].health_check.last_started_at();
-        let is_suspected = |index: &ServerIndex| self.endpoints[*index].suspicion.is_suspected();
+            |index: &ServerIndex| self.fleet.servers[*index].health_check.last_started_at();
+        let is_suspected =
+            |index: &ServerIndex| self.fleet.servers[*index].suspicion.is_suspected();
         let is_due =
-            |index: &ServerIndex| self.now >= last_started_at(index) + SUSPECT_CHECK_INTERVAL;
+            |index: &ServerIndex| self.fleet.now >= last_started_at(index) + SUSPECT_CHECK_INTERVAL;
         let suspects = self
-            .endpoints
+            .fleet
+            .servers
             .indices()
             .filter(|index| is_suspected(index) && is_due(index));
         let suspect = suspects.min_by_key(last_started_at);
@@ -73,7 +73,7 @@
         if let Some(server_index) = self
             .health_checks
             .pop()
-            .and_then(|id| self.endpoints.find(id))
+            .and_then(|id| self.fleet.servers.find(id))
         {
             return Some(server_index);
         }
@@ -83,15 +83,18 @@
 
     /// Makes a server the next to be checked, and soon.
     pub(super) fn check_soon(&mut self, id: ServerId) {
-        self.health_checks
-            .push(id, MIN_HEALTH_CHECK_INTERVAL / SUSPECTED_SPEEDUP, self.now);
+        self.health_checks.push(
+            id,
+            MIN_HEALTH_CHECK_INTERVAL / SUSPECTED_SPEEDUP,
+            self.fleet.now,
+        );
     }
 
     /// Checks a server, unless a health check of it is in progress.
     pub(super) fn start_health_check(&mut self, server_index: ServerIndex, actions: &mut Actions) {
-        let server = &mut self.endpoints[server_index];
-        if self.settings.host.health_checks && server.health_check.started_at().is_none() {
-            server.health_check.on_started(self.now);
+        let server = &mut self.fleet.servers[server_index];
+        if self.fleet.settings.host.health_checks && server.health_check.started_at().is_none() {
+            server.health_check.on_started(self.fleet.now);
             actions.push(Action::HealthCheck {
                 server: server.id(),
             });
@@ -100,7 +103,7 @@
 
     /// Checks a server out of turn. Guards against floods: a failure is not confirmed, but waits its turn.
     pub(super) fn check_load(&mut self, server_index: ServerIndex, actions: &mut Actions) {
-        self.endpoints[server_index]
+        self.fleet.servers[server_index]
             .health_check
             .on_load_check_requested();
         self.start_health_check(server_index, actions);
@@ -114,12 +117,13 @@
         report: Option<LoadReport>,
         actions: &mut Actions,
     ) {
-        let Some(server_index) = self.endpoints.find(id) else {
+        let Some(server_index) = self.fleet.servers.find(id) else {
             return;
         };
         self.on_load_report(server_index, report);
         let load_only = self
-            .endpoints
+            .fleet
+            .servers
             .on_health_check_ended(server_index, succeeded);
         self.answer_requesters(server_index, succeeded, actions);
         if succeeded {
@@ -134,37 +138,30 @@
 
     /// A success proves little where attempts raised the suspicion: that must age first.
     fn on_health_check_succeeded(&mut self, server_index: ServerIndex, actions: &mut Actions) {
-        let server = &mut self.endpoints[server_index];
+        let server = &mut self.fleet.servers[server_index];
         server.health_check.on_succeeded();
         let Some(suspicion) = server.suspicion.current() else {
             return;
         };
-        if suspicion.cause != EjectionCause::Attempts || suspicion.has_aged(self.now) {
+        if suspicion.cause != EjectionCause::Attempts || suspicion.has_aged(self.fleet.now) {
             self.readmit(server_index, actions);
         }
     }
 
     /// A first failure is to be confirmed, by a second health check or by other balancers.
     fn on_health_check_failed(&mut self, server_index: ServerIndex, actions: &mut Actions) {
-        let server = &mut self.endpoints[server_index];
+        let server = &mut self.fleet.servers[server_index];
         if server.suspicion.is_suspected() || server.health_check.is_confirming() {
             return;
         }
         let first = server.health_check.on_failed();
-        if self.settings.has_peers() || first {
+        if self.fleet.settings.has_peers() || first {
             server
                 .health_check
-                .on_confirmation_scheduled(self.now + CONFIRMATION_DELAY);
+                .on_confirmation_scheduled(self.fleet.now + CONFIRMATION_DELAY);
             self.request_indirect_checks(server_index, actions);
         } else {
             self.eject(server_index, EjectionCause::HealthChecks, actions);
         }
     }
-
-    /// Guards against health checks that fail while servers serve: then attempts alone are believed, and load
-    /// reports are not used. Servers that are really gone fail attempts as well.
-    pub(super) fn health_checks_unreliable(&self) -> bool {
-        let failed = self.endpoints.failed_health_checks() as f64;
-        failed > 0.0 && failed > UNRELIABLE_CHECK_SHARE * (self.subset_size() as f64 + failed)
-    }
 }
--- a/crates/balancer/src/policy/load_check.rs
+++ b/crates/balancer/src/policy/load_check.rs
@@ -1,46 +1,25 @@
 //! Load reports: which are believed, and which servers are asked for one before a request is sent.
 
 use crate::policy::Balancer;
+use crate::policy::load_source::LoadSource;
 use crate::state::{RetryScope, ServerIndex};
-use crate::{Actions, LoadReport, Micros, RequestId, ServerId, Settings};
+use crate::{Actions, LoadReport, Micros, RequestId, ServerId};
 
 /// Most servers asked for their load before a send; fewer while the chance to miss an idle one is low.
 const MIN_LOAD_CHECKS: f64 = 2.0;
 const MAX_LOAD_CHECKS: f64 = 8.0;
 const IDLE_MISS_CHANCE: f64 = 0.05;
-/// Highest fee for one health check per request at which servers are asked before each send.
-const MAX_LOAD_CHECK_FEE: f64 = 0.005;
 /// Share of the latency objective that load checks may take.
 const LOAD_CHECK_WAIT_SHARE: f64 = 0.02;
 /// A report may fall this far below the attempts that are known to be in flight.
 const REPORT_TOLERANCE: f64 = 0.5;
 
-impl Settings {
-    /// True where servers are asked for their load before a send. Guards against trust in reports that nobody
-    /// fetches: where health checks are dear, what is known of queues is seconds old.
-    pub(crate) fn load_checks_enabled(&self) -> bool {
-        self.host.load_reports
-            && self.host.health_checks
-            && self.fees.health_check <= MAX_LOAD_CHECK_FEE
-    }
-
-    /// True where responses tell of load and nobody asks before a send.
-    pub(crate) fn load_from_responses(&self) -> bool {
-        self.host.load_reports_in_responses && !self.load_checks_enabled()
-    }
-}
-
 impl Balancer {
-    /// True where load reports of health checks are current and can be believed.
-    pub(super) fn load_reports_trusted(&self) -> bool {
-        self.settings.load_checks_enabled() && !self.health_checks_unreliable()
-    }
-
     /// A load report came. Guards against reports that are frozen or wrong: one that falls below what was in
     /// flight when the health check started.
     pub(super) fn on_load_report(&mut self, server_index: ServerIndex, report: Option<LoadReport>) {
-        let from_responses = self.settings.load_from_responses();
-        let server = &mut self.endpoints[server_index];
+        let from_responses = self.fleet.settings.load_source() == LoadSource::Responses;
+        let server = &mut self.fleet.servers[server_index];
         let check_started_at = server.health_check.started_at();
         let in_flight = server.in_flight();
         let known = in_flight
@@ -53,8 +32,8 @@
         let Some(reported) = report.map(|report| report.in_flight).filter(valid) else {
             return;
         };
-        server.on_load_report(reported, from_responses, self.now);
-        self.estimators.utilization.on_load_report(reported);
+        server.on_load_report(reported, from_responses, self.fleet.now);
+        self.fleet.estimators.utilization.on_load_report(reported);
     }
 
     /// Asks a few random servers for their load, which a balancer's own attempts tell little of where others
@@ -64,6 +43,7 @@
         self.rng.shuffle(&mut candidates);
         let checks = IDLE_MISS_CHANCE.ln()
             / self
+                .fleet
                 .estimators
                 .utilization
                 .utilization()
@@ -72,7 +52,7 @@
         candidates.truncate(checks.clamp(MIN_LOAD_CHECKS, MAX_LOAD_CHECKS) as usize);
         let servers: Vec<ServerId> = candidates
             .iter()
-            .map(|&index| self.endpoints[index].id())
+            .map(|&index| self.fleet.servers[index].id())
             .collect();
         candidates
             .into_iter()
--- a/crates/balancer/src/policy/load_shedding.rs
+++ b/crates/balancer/src/policy/load_shedding.rs
@@ -1,6 +1,7 @@
 //! Which requests are rejected so that others are served in time.
 
 use crate::policy::Balancer;
+use crate::policy::load_source::LoadSource;
 use crate::state::{RequestState, ServerIndex};
 use crate::{Action, Actions, DeduplicationScope, Idempotency, Micros, RequestId};
 
@@ -33,26 +34,26 @@
             return true;
         };
         let (class, server) = (
-            self.settings.class(request.class()),
-            &self.endpoints[server_index],
+            self.fleet.settings.class(request.class()),
+            &self.fleet.servers[server_index],
         );
-        if self.settings.load_from_responses() {
+        if self.fleet.settings.load_source() == LoadSource::Responses {
             let room = !server.slow_start.is_active()
-                && self.estimators.missed_objectives.rate() < MAX_MISSED_FOR_LATE;
+                && self.fleet.estimators.missed_objectives.rate() < MAX_MISSED_FOR_LATE;
             let worth_late = class.late_value > 0.0 && room;
             let in_the_end =
                 worth_late && !self.misses(server_index, request, request.deadline_at());
             return !in_the_end && self.misses(server_index, request, request.objective_at());
         }
-        if class.late_value > 0.0 || !self.load_reports_trusted() {
+        if class.late_value > 0.0 || !self.fleet.load_reports_trusted() {
             return false;
         }
-        let estimates = self.estimates();
+        let estimates = self.fleet.estimates();
         let ahead = estimates.load(server) - estimates.relative_service_time(server);
-        let in_time = IN_TIME_BUSY - IN_TIME_FULL * self.estimators.missed_objectives.rate();
+        let in_time = IN_TIME_BUSY - IN_TIME_FULL * self.fleet.estimators.missed_objectives.rate();
         let excess = (1.0 - in_time * estimates.value_density(request)).max(0.0);
-        let share = 1.0 - self.estimators.utilization.fullness() * excess;
-        let time_left = request.objective_at().saturating_sub(self.now) as f64;
+        let share = 1.0 - self.fleet.estimators.utilization.fullness() * excess;
+        let time_left = request.objective_at().saturating_sub(self.fleet.now) as f64;
         let expected = estimates.expected_service_time(server, request.relative_work());
         ahead >= MIN_LOAD_AHEAD && expected > share * time_left
     }
@@ -61,12 +62,13 @@
     pub(super) fn expects_miss(&self, server_index: ServerIndex, id: RequestId) -> bool {
         let misses =
             |request: &RequestState| self.misses(server_index, request, request.objective_at());
-        self.settings.load_from_responses() && self.requests.get(id).is_none_or(misses)
+        self.fleet.settings.load_source() == LoadSource::Responses
+            && self.requests.get(id).is_none_or(misses)
     }
 
     fn misses(&self, server_index: ServerIndex, request: &RequestState, until: Micros) -> bool {
-        let (server, estimates) = (&self.endpoints[server_index], self.estimates());
-        let time_left = until.saturating_sub(self.now) as f64;
+        let (server, estimates) = (&self.fleet.servers[server_index], self.fleet.estimates());
+        let time_left = until.saturating_sub(self.fleet.now) as f64;
         let scale = estimates
             .value_density(request)
             .powf(IN_TIME_VALUE_EXPONENT);
@@ -81,19 +83,20 @@
         let Some(request) = self.requests.get(id) else {
             return true;
         };
-        let class = self.settings.class(request.class());
-        let load_known = self.load_reports_trusted() || self.settings.load_from_responses();
+        let class = self.fleet.settings.class(request.class());
+        let load_known = self.fleet.is_load_known();
         if load_known || class.late_value > 0.0 {
             return false;
         }
-        let rank = self.settings.priority_rank(class);
-        let excess = self.estimators.saturation.saturation(self.now) - SHEDDING_THRESHOLD;
+        let rank = self.fleet.settings.priority_rank(class);
+        let excess =
+            self.fleet.estimators.saturation.saturation(self.fleet.now) - SHEDDING_THRESHOLD;
         self.rng.f64() < 2.0 * excess / SHEDDING_SPAN - rank
     }
 
     /// True where a retry by the client is known to be harmless. Nothing else decides that.
     fn may_reject(&self, request: &RequestState) -> bool {
-        let class = self.settings.class(request.class());
+        let class = self.fleet.settings.class(request.class());
         match class.idempotency {
             Idempotency::Idempotent => true,
             Idempotency::IdempotencyKey if class.deduplication_scope == DeduplicationScope::All => {
@@ -122,11 +125,12 @@
 
     /// A fleet that is full throughout has no use for clients that are back at once.
     fn retry_after(&mut self) -> Option<Micros> {
-        let max = self.settings.retries.max_retry_after;
-        let wait = self.estimators.latency.mean_service_time()
-            + self.estimators.utilization.fullness() * max as f64;
+        let max = self.fleet.settings.retries.max_retry_after;
+        let wait = self.fleet.estimators.latency.mean_service_time()
+            + self.fleet.estimators.utilization.fullness() * max as f64;
         let jitter = MIN_RETRY_AFTER_JITTER + RETRY_AFTER_JITTER_SPAN * self.rng.f64();
-        self.settings
+        self.fleet
+            .settings
             .host
             .retry_after
             .then(|| ((wait * jitter) as Micros).min(max))
--- a/crates/balancer/src/policy/pick.rs
+++ b/crates/balancer/src/policy/pick.rs
@@ -1,6 +1,8 @@
 //! Which server a request goes to.
 
 use crate::policy::Balancer;
+use crate::policy::health_check_trust::HealthCheckTrust;
+use crate::policy::load_source::LoadSource;
 use crate::state::{RequestState, RetryScope, ServerIndex};
 use crate::weighted_choice::weighted_choice;
 use crate::{RequestId, ServerId};
@@ -16,25 +18,25 @@
     pub(super) fn load_checked_servers(&self, request: &RequestState) -> Option<Vec<ServerIndex>> {
         let since = request.arrived_at();
         let reported = |&index: &ServerIndex| {
-            let server = &self.endpoints[index];
+            let server = &self.fleet.servers[index];
             server.load.updated_at() >= since
                 && !server.suspicion.is_suspected()
-                && self.is_ready(server)
+                && self.fleet.is_ready(server)
         };
         let checked = request.load_checked();
-        let known = checked.iter().filter_map(|&id| self.endpoints.find(id));
+        let known = checked.iter().filter_map(|&id| self.fleet.servers.find(id));
         let mut servers: Vec<ServerIndex> = known.filter(reported).collect();
-        let estimates = self.estimates();
-        let load = |index: ServerIndex| estimates.load(&self.endpoints[index]);
+        let estimates = self.fleet.estimates();
+        let load = |index: ServerIndex| estimates.load(&self.fleet.servers[index]);
         let least = servers
             .iter()
             .map(|&index| load(index))
             .fold(f64::MAX, f64::min);
         // Where health checks are unreliable, a server that reports to be idle is believed, but no other is
         // preferred for its silence.
-        let unreliable = self.health_checks_unreliable();
+        let unreliable = self.fleet.health_check_trust() == HealthCheckTrust::Untrusted;
         let max_load = if unreliable {
-            1.0 + self.estimators.utilization.utilization()
+            1.0 + self.fleet.estimators.utilization.utilization()
         } else {
             f64::MAX
         };
@@ -63,7 +65,7 @@
         let (first, second) = (self.draw(&candidates)?, self.draw(&candidates)?);
         // A server in slow start looks idle to all at once: it is taken where drawn first, never for its low
         // load.
-        let is_cold = |index: ServerIndex| self.endpoints[index].slow_start.is_active();
+        let is_cold = |index: ServerIndex| self.fleet.servers[index].slow_start.is_active();
         let keep_first = !any_checked && (is_cold(first) || is_cold(second));
         let second_is_less_loaded =
             !keep_first && self.compared_load(second) < self.compared_load(first);
@@ -83,12 +85,12 @@
 
     /// One of the servers; without load checks, each as often as its machine can do more than others.
     fn draw(&mut self, candidates: &[ServerIndex]) -> Option<ServerIndex> {
-        if self.settings.load_checks_enabled() {
+        if self.fleet.settings.load_source() == LoadSource::LoadChecks {
             return self.rng.choice(candidates).copied();
         }
-        let estimates = self.estimates();
+        let estimates = self.fleet.estimates();
         let weight = |&index: &ServerIndex| {
-            let server = &self.endpoints[index];
+            let server = &self.fleet.servers[index];
             let success_rate = 1.0 - server.failures.failure_rate();
             let capacity =
                 server.endpoint().machine_type.cores * success_rate.powi(SUCCESS_EXPONENT);
@@ -101,9 +103,9 @@
     /// What two drawn servers are compared by: where nothing reports load, the attempts in flight against
     /// what the machine can do, as its share of the draws stands for the rest already.
     fn compared_load(&self, server_index: ServerIndex) -> f64 {
-        let (server, estimates) = (&self.endpoints[server_index], self.estimates());
+        let (server, estimates) = (&self.fleet.servers[server_index], self.fleet.estimates());
         let load = estimates.load(server);
-        if self.settings.load_checks_enabled() || self.settings.load_from_responses() {
+        if self.fleet.settings.load_source() != LoadSource::Unknown {
             return load;
         }
         (load - estimates.relative_service_time(server)) / server.endpoint().machine_type.cores
--- a/crates/balancer/src/policy/retry.rs
+++ b/crates/balancer/src/policy/retry.rs
@@ -10,11 +10,11 @@
 impl Balancer {
     /// Where a request may be sent again now, if anywhere. Nothing else decides that.
     fn retry_scope(&self, request: &RequestState) -> Option<RetryScope> {
-        let class = self.settings.class(request.class());
+        let class = self.fleet.settings.class(request.class());
         if request.is_streaming()
-            || request.attempt_count() >= self.settings.retries.max_attempts as usize
-            || self.now >= request.deadline_at()
-            || (request.in_flight_count() > 0 && !self.settings.retries.hedging)
+            || request.attempt_count() >= self.fleet.settings.retries.max_attempts as usize
+            || self.fleet.now >= request.deadline_at()
+            || (request.in_flight_count() > 0 && !self.fleet.settings.retries.hedging)
         {
             return None;
         }
@@ -25,7 +25,9 @@
         match class.idempotency {
             Idempotency::Idempotent => Some(RetryScope::Anywhere),
             Idempotency::NonIdempotent => None,
-            Idempotency::IdempotencyKey if self.now + WINDOW_MARGIN >= deduplicated_until => None,
+            Idempotency::IdempotencyKey if self.fleet.now + WINDOW_MARGIN >= deduplicated_until => {
+                None
+            }
             Idempotency::IdempotencyKey => Some(match class.deduplication_scope {
                 DeduplicationScope::All => RetryScope::Anywhere,
                 DeduplicationScope::Zone => RetryScope::Zone(first.zone()),
@@ -44,8 +46,8 @@
         };
         let may_have_executed = request.first_possible_execution().is_some();
         // Guards against attempts that end as they begin: a late response worth nothing is not waited for.
-        let worthless_late = self.settings.class(request.class()).late_value == 0.0;
-        let out_of_time = self.now + 2 * self.settings.step >= request.objective_at();
+        let worthless_late = self.fleet.settings.class(request.class()).late_value == 0.0;
+        let out_of_time = self.fleet.now + 2 * self.fleet.settings.step >= request.objective_at();
         let useless = request.in_flight_count() > 1 || (worthless_late && out_of_time);
         if useless || !self.retry_budget.covers_retry(may_have_executed) {
             return false;
@@ -54,7 +56,7 @@
         let Some(server_index) = self.pick(id, scope, &tried, None) else {
             return false;
         };
-        let server = &self.endpoints[server_index];
+        let server = &self.fleet.servers[server_index];
         let doubtful = server.suspicion.is_suspected() || server.is_possibly_draining();
         if doubtful || server.slow_start.is_active() || self.is_too_late(server_index, id) {
             return false;
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -92,6 +92,12 @@
         (class.priority_weight - least) / (most - least).max(f64::MIN_POSITIVE)
     }
 
+    /// The shortest latency objective of all classes, in microseconds.
+    pub(crate) fn shortest_objective(&self) -> f64 {
+        let objectives = self.classes.iter().map(|class| class.latency_objective);
+        objectives.min().unwrap_or(1) as f64
+    }
+
     /// True where there are other balancers to message.
     pub(crate) fn has_peers(&self) -> bool {
         self.host.gossip && self.identity.count > 1
