--- a/crates/balancer/src/estimators/fleet.rs
+++ b/crates/balancer/src/estimators/fleet.rs
@@ -6,7 +6,6 @@
 use crate::estimators::latency_distribution::LatencyDistribution;
 use crate::estimators::missed_objective::MissedObjectiveRate;
 use crate::estimators::saturation::SaturationEstimator;
-use crate::estimators::slow_start::WarmServerQuota;
 use crate::estimators::utilization::UtilizationEstimator;
 use crate::estimators::workload::WorkloadEstimator;
 use crate::policy::load_source::LoadSource;
@@ -29,8 +28,6 @@
     pub(crate) saturation: SaturationEstimator,
     /// Requests that the fleet has no time for.
     pub(crate) missed_objectives: MissedObjectiveRate,
-    /// What a warm server gets.
-    pub(crate) warm_server_quota: WarmServerQuota,
 }
 
 impl Estimators {
@@ -44,7 +41,6 @@
             utilization: UtilizationEstimator::new(),
             saturation: SaturationEstimator::default(),
             missed_objectives: MissedObjectiveRate::default(),
-            warm_server_quota: WarmServerQuota::new(),
         }
     }
 
--- a/crates/balancer/src/estimators/slow_start.rs
+++ b/crates/balancer/src/estimators/slow_start.rs
@@ -60,22 +60,27 @@
         self.sent.clear();
     }
 
-    /// Work was sent to the server.
-    pub(crate) fn on_work_sent(&mut self, relative_work: f64, now: Micros) {
-        if self.since.is_some() {
-            self.sent.push_back(SentWork {
-                at: now,
-                relative_work,
-            });
+    /// Work was sent to the server; what is older than the last `window` microseconds is forgotten.
+    pub(crate) fn on_work_sent(&mut self, relative_work: f64, now: Micros, window: Micros) {
+        if self.since.is_none() {
+            return;
         }
-    }
-
-    /// Work sent within the last `window` microseconds; what is older is forgotten.
-    pub(crate) fn work_sent_within(&mut self, window: Micros, now: Micros) -> f64 {
         while self.sent.front().is_some_and(|sent| sent.at + window < now) {
             self.sent.pop_front();
         }
-        self.sent.iter().map(|sent| sent.relative_work).sum()
+        self.sent.push_back(SentWork {
+            at: now,
+            relative_work,
+        });
+    }
+
+    /// Work sent within the last `window` microseconds.
+    pub(crate) fn work_sent_within(&self, window: Micros, now: Micros) -> f64 {
+        self.sent
+            .iter()
+            .filter(|sent| sent.at + window >= now)
+            .map(|sent| sent.relative_work)
+            .sum()
     }
 }
 
--- a/crates/balancer/src/estimators/slow_start/tests.rs
+++ b/crates/balancer/src/estimators/slow_start/tests.rs
@@ -35,12 +35,12 @@
 #[test]
 fn work_counts_within_the_window_and_only_in_slow_start() {
     let mut record = started_at(10_000);
-    record.on_work_sent(2.0, 10_010);
-    record.on_work_sent(1.0, 10_050);
+    record.on_work_sent(2.0, 10_010, 50);
+    record.on_work_sent(1.0, 10_050, 50);
     assert_eq!(record.work_sent_within(50, 10_060), 3.0);
     assert_eq!(record.work_sent_within(50, 10_061), 1.0);
     record.on_warmed_up();
-    record.on_work_sent(5.0, 10_070);
+    record.on_work_sent(5.0, 10_070, 50);
     assert_eq!(record.work_sent_within(50, 10_070), 0.0);
 }
 
--- a/crates/balancer/src/policy.rs
+++ b/crates/balancer/src/policy.rs
@@ -5,6 +5,7 @@
 
 mod attempt_result;
 mod dispatch;
+mod endpoint_poller;
 mod endpoints;
 mod failure_detector;
 mod gossip;
@@ -17,15 +18,19 @@
 mod retry;
 mod retry_budget;
 mod slow_start;
+mod slow_start_admission;
 mod subset;
 pub(crate) mod subset_size;
+mod subsetter;
+#[cfg(test)]
+mod test_support;
 
 use crate::fleet::Fleet;
+use crate::policy::endpoint_poller::EndpointPoller;
 use crate::policy::retry_budget::RetryBudget;
-use crate::state::{
-    EndpointPoller, GossipQueue, HealthCheckSchedule, InFlightAttempt, RequestTable, ServerIndex,
-    SubsetOrder,
-};
+use crate::policy::slow_start_admission::SlowStartAdmission;
+use crate::policy::subsetter::Subsetter;
+use crate::state::{GossipQueue, HealthCheckSchedule, InFlightAttempt, RequestTable, ServerIndex};
 use crate::{Action, Actions, Event, Micros, Outcome, RequestId, Settings, SettingsError};
 
 /// Time between two ticks, in microseconds: well below any latency objective.
@@ -40,8 +45,9 @@
     fleet: Fleet,
     rng: fastrand::Rng,
     started: bool,
-    poller: EndpointPoller,
-    subset_order: SubsetOrder,
+    endpoint_poller: EndpointPoller,
+    subsetter: Subsetter,
+    slow_start_admission: SlowStartAdmission,
     requests: RequestTable,
     retry_budget: RetryBudget,
     health_checks: HealthCheckSchedule,
@@ -59,8 +65,9 @@
             fleet: Fleet::new(settings),
             rng: fastrand::Rng::with_seed(seed),
             started: false,
-            poller: EndpointPoller::default(),
-            subset_order: SubsetOrder::default(),
+            endpoint_poller: EndpointPoller::default(),
+            subsetter: Subsetter::default(),
+            slow_start_admission: SlowStartAdmission::new(),
             requests: RequestTable::default(),
             retry_budget: RetryBudget::new(),
             health_checks: HealthCheckSchedule::default(),
@@ -124,14 +131,15 @@
             token: TICK_TOKEN,
             after: TICK_INTERVAL,
         });
-        self.update_warm_server_quota();
+        let subset = self.subsetter.ready_servers(&self.fleet);
+        self.slow_start_admission.on_tick(&self.fleet, subset);
         for server_index in self.fleet.servers.indices() {
             self.check_suspicion(server_index, actions);
         }
         if self.fleet.settings.host.health_checks && self.health_checks.is_due(self.fleet.now) {
             self.run_scheduled_health_check(actions);
         }
-        if self.poller.is_due(self.fleet.now) {
+        if self.endpoint_poller.is_due(self.fleet.now) {
             self.poll_endpoints(actions);
         }
     }
@@ -173,22 +181,4 @@
             &self.fleet.settings,
         );
     }
-
-    /// Measures what a warm server of the subset gets.
-    fn update_warm_server_quota(&mut self) {
-        let ready = self
-            .subset_order
-            .iter()
-            .filter(|&index| self.fleet.is_ready(&self.fleet.servers[index]));
-        let subset: Vec<ServerIndex> = ready.take(self.fleet.subset_size()).collect();
-        let factor = |index: ServerIndex| {
-            self.fleet.servers[index]
-                .slow_start
-                .factor(self.fleet.now, &self.fleet.settings)
-        };
-        self.fleet
-            .estimators
-            .warm_server_quota
-            .update(subset.into_iter().map(factor), self.fleet.now);
-    }
 }
--- a/crates/balancer/src/policy/attempt_result.rs
+++ b/crates/balancer/src/policy/attempt_result.rs
@@ -49,8 +49,8 @@
             Outcome::Cancelled | Outcome::NotSent => {}
             Outcome::Rejected => {
                 // Guards against a drain that the list cannot tell, which binds all the same after a time.
-                let may_drain =
-                    self.fleet.settings.polling.required && !self.poller.is_subscribed();
+                let polling = &self.fleet.settings.polling;
+                let may_drain = self.endpoint_poller.may_miss_drains(polling);
                 // A full server is not broken, but it holds more than was known.
                 server.on_rejected(attempt.queue_depth, may_drain, now);
                 self.fleet.estimators.saturation.on_rejected(now);
--- a/crates/balancer/src/policy/dispatch.rs
+++ b/crates/balancer/src/policy/dispatch.rs
@@ -103,10 +103,6 @@
             timeout,
         });
         let attempt = request.on_attempt_sent(server.endpoint(), now);
-        self.fleet
-            .estimators
-            .warm_server_quota
-            .on_work_sent(relative_work, now);
         let sent = InFlightAttempt {
             request: id,
             attempt,
@@ -114,7 +110,9 @@
             relative_work,
             queue_depth,
         };
-        server.on_attempt_sent(sent);
+        server.on_attempt_sent(sent, &self.fleet.settings.slow_start);
+        self.slow_start_admission
+            .on_work_sent(&self.fleet, relative_work);
     }
 
     /// Forgets a request that has its final response and cancels its attempts in flight.
--- a/crates/balancer/src/policy/endpoints.rs
+++ b/crates/balancer/src/policy/endpoints.rs
@@ -1,30 +1,25 @@
 //! Following the endpoint list: when to poll for it, and which servers it leaves.
 
 use crate::policy::Balancer;
-use crate::{Action, Actions, Endpoint, Micros, StateChange, UpdateKind};
-
-/// First pause before the list is polled again, and its growth, up to half the longest interval. Guards
-/// against many balancers that keep discovery saturated: it handles a few calls a second, whoever polls.
-const INITIAL_POLL_BACKOFF: Micros = 200_000;
-const POLL_BACKOFF_GROWTH: Micros = 3;
+use crate::policy::endpoint_poller::ListLoss;
+use crate::{Action, Actions, Endpoint, StateChange, UpdateKind};
 
 impl Balancer {
     /// Polls the endpoint list; without any response it is polled again in good time.
     pub(super) fn poll_endpoints(&mut self, actions: &mut Actions) {
         actions.push(Action::PollEndpoints);
-        self.poller
-            .on_polled(self.fleet.now + self.fleet.settings.polling.max_interval * 3 / 4);
+        self.endpoint_poller
+            .on_polled(self.fleet.now, &self.fleet.settings.polling);
     }
 
     fn on_list_lost(&mut self, actions: &mut Actions) {
-        if self.poller.is_subscribed() {
+        let polling = &self.fleet.settings.polling;
+        let loss = self
+            .endpoint_poller
+            .on_list_lost(self.fleet.now, polling, &mut self.rng);
+        if loss == ListLoss::SubscriptionBroke {
             actions.push(Action::Record(StateChange::EndpointListLost));
         }
-        let backoff = self.poller.backoff().unwrap_or(INITIAL_POLL_BACKOFF);
-        let next_poll_at = self.fleet.now + backoff / 2 + self.rng.u64(0..=backoff);
-        let next_backoff =
-            (POLL_BACKOFF_GROWTH * backoff).min(self.fleet.settings.polling.max_interval / 2);
-        self.poller.on_list_lost(next_poll_at, next_backoff);
     }
 
     /// An update of the endpoint list came, or was lost.
@@ -40,7 +35,7 @@
             return;
         }
         if kind != UpdateKind::Cached {
-            self.poller.on_list_received();
+            self.endpoint_poller.on_list_received();
             self.fleet.servers.on_list_received();
         }
         if !self.fleet.servers.accept_version(version) {
@@ -55,8 +50,7 @@
             let gone = server.is_removed() && server.in_flight().is_empty();
             !gone || (keep_removed && !server.suspicion.is_dead() && !server.is_drain_listed())
         });
-        self.subset_order
-            .on_endpoints_updated(&self.fleet.servers, self.fleet.settings.identity.index);
+        self.subsetter.on_endpoints_updated(&self.fleet);
     }
 
     /// A stale list never restores a draining server: only a restart does.
--- a/crates/balancer/src/policy/health_check.rs
+++ b/crates/balancer/src/policy/health_check.rs
@@ -2,6 +2,7 @@
 
 use crate::policy::Balancer;
 use crate::policy::failure_detector::SUSPECT_CHECK_INTERVAL;
+use crate::policy::subsetter::CandidateFilter;
 use crate::state::{RetryScope, ServerIndex};
 use crate::{Action, Actions, EjectionCause, LoadReport, Micros, ServerId};
 
@@ -77,7 +78,7 @@
         {
             return Some(server_index);
         }
-        let candidates = self.candidates(RetryScope::Anywhere, &[], true);
+        let candidates = self.candidates(RetryScope::Anywhere, &[], CandidateFilter::TrustedOnly);
         self.rng.choice(candidates)
     }
 
--- a/crates/balancer/src/policy/load_check.rs
+++ b/crates/balancer/src/policy/load_check.rs
@@ -2,6 +2,7 @@
 
 use crate::policy::Balancer;
 use crate::policy::load_source::LoadSource;
+use crate::policy::subsetter::CandidateFilter;
 use crate::state::{RetryScope, ServerIndex};
 use crate::{Actions, LoadReport, Micros, RequestId, ServerId};
 
@@ -39,7 +40,8 @@
     /// Asks a few random servers for their load, which a balancer's own attempts tell little of where others
     /// send too.
     pub(super) fn start_load_checks(&mut self, id: RequestId, actions: &mut Actions) {
-        let mut candidates = self.candidates(RetryScope::Anywhere, &[], true);
+        let mut candidates =
+            self.candidates(RetryScope::Anywhere, &[], CandidateFilter::TrustedOnly);
         self.rng.shuffle(&mut candidates);
         let checks = IDLE_MISS_CHANCE.ln()
             / self
--- a/crates/balancer/src/policy/pick.rs
+++ b/crates/balancer/src/policy/pick.rs
@@ -3,6 +3,7 @@
 use crate::policy::Balancer;
 use crate::policy::health_check_trust::HealthCheckTrust;
 use crate::policy::load_source::LoadSource;
+use crate::policy::subsetter::CandidateFilter;
 use crate::state::{RequestState, RetryScope, ServerIndex};
 use crate::weighted_choice::weighted_choice;
 use crate::{RequestId, ServerId};
@@ -56,10 +57,10 @@
         let any_checked = load_checked.is_some();
         let mut candidates = load_checked.unwrap_or_default();
         if candidates.is_empty() {
-            candidates = self.candidates(scope, tried, true);
+            candidates = self.candidates(scope, tried, CandidateFilter::TrustedOnly);
         }
         if candidates.is_empty() {
-            candidates = self.candidates(scope, tried, false);
+            candidates = self.candidates(scope, tried, CandidateFilter::AnyReady);
         }
         let candidates = self.prefer_in_time(id, candidates);
         let (first, second) = (self.draw(&candidates)?, self.draw(&candidates)?);
--- a/crates/balancer/src/policy/retry.rs
+++ b/crates/balancer/src/policy/retry.rs
@@ -57,8 +57,10 @@
             return false;
         };
         let server = &self.fleet.servers[server_index];
-        let doubtful = server.suspicion.is_suspected() || server.is_possibly_draining();
-        if doubtful || server.slow_start.is_active() || self.is_too_late(server_index, id) {
+        if server.is_untrusted()
+            || server.slow_start.is_active()
+            || self.is_too_late(server_index, id)
+        {
             return false;
         }
         self.retry_budget.on_retry(may_have_executed);
--- /dev/null
+++ b/crates/balancer/src/policy/test_support.rs
@@ -0,0 +1,60 @@
+//! A fleet and requests for the tests of decisions.
+
+use crate::fleet::Fleet;
+use crate::state::{InFlightAttempt, ServerIndex};
+use crate::{Endpoint, Idempotency, Micros, RequestClass, RequestId, ServerId, Settings};
+
+/// Time at the fleet: long after all servers started.
+pub(crate) const NOW: Micros = 100_000_000;
+/// A millisecond.
+pub(crate) const MS: Micros = 1_000;
+/// The first server.
+pub(crate) const FIRST: ServerIndex = ServerIndex(0);
+/// The second server.
+pub(crate) const SECOND: ServerIndex = ServerIndex(1);
+
+/// One idempotent class with an objective of 250 ms and a deadline of 600 ms.
+pub(crate) fn settings() -> Settings {
+    Settings {
+        classes: vec![class()],
+        ..Settings::default()
+    }
+}
+
+/// The class of [`settings`].
+pub(crate) fn class() -> RequestClass {
+    RequestClass::new(Idempotency::Idempotent, 250 * MS, 600 * MS)
+}
+
+/// So many warm servers, numbered from 0, at [`NOW`].
+pub(crate) fn fleet(settings: Settings, servers: u32) -> Fleet {
+    let mut fleet = Fleet::new(settings);
+    fleet.now = NOW;
+    for n in 0..servers {
+        let endpoint = Endpoint::ready(ServerId(n), u64::from(n));
+        fleet.servers.merge(endpoint, NOW, 0);
+    }
+    fleet
+}
+
+/// Restarts a server now, so that it is in slow start.
+pub(crate) fn restart(fleet: &mut Fleet, server: ServerIndex) {
+    let duration = fleet.settings.slow_start.duration;
+    let now = fleet.now;
+    fleet.servers[server]
+        .slow_start
+        .on_started(now, now, duration);
+}
+
+/// Sends an attempt of a usual request to a server now.
+pub(crate) fn send(fleet: &mut Fleet, server: ServerIndex, request: u64) {
+    let attempt = InFlightAttempt {
+        request: RequestId(request),
+        attempt: 0,
+        sent_at: fleet.now,
+        relative_work: 1.0,
+        queue_depth: 1.0,
+    };
+    let slow_start = fleet.settings.slow_start;
+    fleet.servers[server].on_attempt_sent(attempt, &slow_start);
+}
--- a/crates/balancer/src/state/mod.rs
+++ b/crates/balancer/src/state/mod.rs
@@ -3,7 +3,6 @@
 //! Each file owns one piece of state, with everything that changes it. Decisions are in `policy/`,
 //! estimates in `estimators/`.
 
-mod endpoint_poller;
 mod endpoint_table;
 mod gossip_message;
 mod gossip_queue;
@@ -16,7 +15,6 @@
 mod subset_order;
 mod suspicion;
 
-pub(crate) use endpoint_poller::EndpointPoller;
 pub(crate) use endpoint_table::EndpointTable;
 pub(crate) use gossip_message::{GossipKind, GossipMessage};
 pub(crate) use gossip_queue::GossipQueue;
--- a/crates/balancer/src/state/server_state.rs
+++ b/crates/balancer/src/state/server_state.rs
@@ -7,7 +7,7 @@
 use crate::state::gossip_message::{GossipKind, GossipMessage};
 use crate::state::health_check_record::HealthCheckRecord;
 use crate::state::suspicion::SuspicionRecord;
-use crate::{Endpoint, EndpointStatus, Micros, RequestId, ServerId};
+use crate::{Endpoint, EndpointStatus, Micros, RequestId, ServerId, SlowStartSettings};
 
 /// An attempt without an end.
 pub(crate) struct InFlightAttempt {
@@ -94,9 +94,9 @@
         self.drain_listed
     }
 
-    /// It rejected an attempt while no endpoint list could tell whether it drains.
-    pub(crate) fn is_possibly_draining(&self) -> bool {
-        self.possibly_draining
+    /// It is suspected, or may be draining.
+    pub(crate) fn is_untrusted(&self) -> bool {
+        self.suspicion.is_suspected() || self.possibly_draining
     }
 
     /// True where the endpoint list no longer names it.
@@ -148,9 +148,16 @@
     }
 
     /// An attempt was sent to it.
-    pub(crate) fn on_attempt_sent(&mut self, attempt: InFlightAttempt) {
-        self.slow_start
-            .on_work_sent(attempt.relative_work, attempt.sent_at);
+    pub(crate) fn on_attempt_sent(
+        &mut self,
+        attempt: InFlightAttempt,
+        slow_start: &SlowStartSettings,
+    ) {
+        self.slow_start.on_work_sent(
+            attempt.relative_work,
+            attempt.sent_at,
+            slow_start.overload_window,
+        );
         self.in_flight.push(attempt);
     }
 
