--- a/crates/balancer/src/fleet.rs
+++ b/crates/balancer/src/fleet.rs
@@ -7,8 +7,8 @@
 use crate::state::{EndpointTable, ServerState};
 use crate::{EndpointStatus, Micros, Settings};
 
-/// The settings, the time, the servers and the estimates. Decisions get it by shared reference: they read
-/// all of it and change nothing. Only [`Balancer`](crate::Balancer) changes it.
+/// The settings, the time, the servers and the estimates. Decisions get it by shared reference:
+/// they read all of it and change nothing. Only [`Balancer`](crate::Balancer) changes it.
 pub(crate) struct Fleet {
     /// The settings of the deployment.
     pub(crate) settings: Settings,
--- a/crates/balancer/src/policy/endpoint_poller.rs
+++ b/crates/balancer/src/policy/endpoint_poller.rs
@@ -1,10 +1,11 @@
 //! When the endpoint list is polled.
 //!
-//! While there is a subscription, changes arrive by themselves and nothing is polled. A poll that gets no
-//! response at all is repeated after three quarters of the longest interval. Where the list is lost, polls
-//! back off exponentially with full jitter around the pause: `pause/2 + random(0..=pause)`, with pauses of
-//! 0.2 s, 0.6 s, 1.8 s and so on up to half the longest interval. Many balancers lose the list at once, and
-//! discovery handles a few calls a second, whoever polls.
+//! While there is a subscription, changes arrive by themselves and nothing is polled. A poll that
+//! gets no response at all is repeated after three quarters of the longest interval. Where the list
+//! is lost, polls back off exponentially with full jitter around the pause: `pause/2 +
+//! random(0..=pause)`, with pauses of 0.2 s, 0.6 s, 1.8 s and so on up to half the longest
+//! interval. Many balancers lose the list at once, and discovery handles a few calls a second,
+//! whoever polls.
 
 #[cfg(test)]
 mod tests;
@@ -12,17 +13,17 @@
 use crate::Micros;
 use crate::settings::PollingSettings;
 
-/// First pause after the list was lost, in microseconds: shorter pauses keep discovery saturated, longer ones
-/// keep the list stale for longer. Inherited with the first version of the module; its source was not
-/// recorded.
+/// First pause after the list was lost, in microseconds: shorter pauses keep discovery saturated,
+/// longer ones keep the list stale for longer. Inherited with the first version of the module; its
+/// source was not recorded.
 const INITIAL_BACKOFF: Micros = 200_000;
-/// Growth of the pause with each loss in a row. Chosen by experiment: with 100 balancers a doubling scored
-/// 0.867 on the quick days, a tripling 0.892 (docs/fleet.md, "slower backoff").
+/// Growth of the pause with each loss in a row. Chosen by experiment: with 100 balancers a doubling
+/// scored 0.867 on the quick days, a tripling 0.892 (docs/fleet.md, "slower backoff").
 const BACKOFF_GROWTH: Micros = 3;
 /// Part of the longest interval that the pause grows to.
 const MAX_BACKOFF_DIVISOR: Micros = 2;
-/// A poll without any response is repeated after this part of the longest interval, so that the interval
-/// holds with some time to spare for the poll itself.
+/// A poll without any response is repeated after this part of the longest interval, so that the
+/// interval holds with some time to spare for the poll itself.
 const REPEAT_NUMERATOR: Micros = 3;
 const REPEAT_DENOMINATOR: Micros = 4;
 
@@ -49,7 +50,8 @@
         self.next_poll_at.is_some_and(|at| now >= at)
     }
 
-    /// True where the deployment does not push the list, and no subscription stands: a drain may be unlisted.
+    /// True where the deployment does not push the list, and no subscription stands: a drain may be
+    /// unlisted.
     pub(crate) fn may_miss_drains(&self, settings: &PollingSettings) -> bool {
         settings.required && !self.subscribed
     }
--- a/crates/balancer/src/policy/load_source.rs
+++ b/crates/balancer/src/policy/load_source.rs
@@ -1,17 +1,17 @@
 //! What tells a balancer how many requests servers hold, as the settings of the deployment have it.
 //!
-//! Where health checks return load reports and cost little, servers are asked before each send. Where they are
-//! costly, what is known of queues would be seconds old; then load reports in responses are used, if there are
-//! any. Else nothing tells of queues, and response times stand in.
+//! Where health checks return load reports and cost little, servers are asked before each send.
+//! Where they are costly, what is known of queues would be seconds old; then load reports in
+//! responses are used, if there are any. Else nothing tells of queues, and response times stand in.
 
 #[cfg(test)]
 mod tests;
 
 use crate::Settings;
 
-/// Highest fee for one health check per request, as a fraction of the deployment's result, at which servers are
-/// asked before each send. Above it the checks cost more than the choice gains. Inherited with the first
-/// version of the module; its source was not recorded.
+/// Highest fee for one health check per request, as a fraction of the deployment's result, at which
+/// servers are asked before each send. Above it the checks cost more than the choice gains.
+/// Inherited with the first version of the module; its source was not recorded.
 const MAX_LOAD_CHECK_FEE: f64 = 0.005;
 
 /// What tells of the load of servers.
--- a/crates/balancer/src/policy/slow_start_admission.rs
+++ b/crates/balancer/src/policy/slow_start_admission.rs
@@ -1,9 +1,9 @@
 //! Whether a server in slow start takes part in a draw.
 //!
-//! A server that has just started has only a share of its capacity, its slow start factor `f`, and looks idle
-//! to all balancers at once. So it takes part in a draw with the probability `f`; all balancers together then
-//! send it `f` times what a warm server gets, in the mean, without knowing of each other. A bound holds within
-//! each overload window as well, whatever the draws:
+//! A server that has just started has only a share of its capacity, its slow start factor `f`, and
+//! looks idle to all balancers at once. So it takes part in a draw with the probability `f`; all
+//! balancers together then send it `f` times what a warm server gets, in the mean, without knowing
+//! of each other. A bound holds within each overload window as well, whatever the draws:
 //!
 //! ```text
 //! admit if  (nothing sent in the window  or  work sent < overload factor * f * quota * window)
@@ -45,7 +45,8 @@
         }
     }
 
-    /// Decides about one server. Draws a random number where the server is in slow start and below its bound.
+    /// Decides about one server. Draws a random number where the server is in slow start and below
+    /// its bound.
     pub(crate) fn admit(
         &self,
         fleet: &Fleet,
--- a/crates/balancer/src/policy/subsetter.rs
+++ b/crates/balancer/src/policy/subsetter.rs
@@ -1,10 +1,10 @@
 //! Which servers of the fleet this balancer uses, and which of them may be drawn.
 //!
-//! Each balancer has a random order of its own over all servers, which stays the same while servers come and
-//! go, and in which each cell comes once before any comes twice ([`SubsetOrder`]). It uses the first so many
-//! servers of it that are ready ([`SubsetSize`](crate::policy::SubsetSize)); where these are suspected it
-//! goes further down the order. This is random subsetting by a stable hash; that the cells take turns is a
-//! stratification.
+//! Each balancer has a random order of its own over all servers, which stays the same while servers
+//! come and go, and in which each cell comes once before any comes twice ([`SubsetOrder`]). It uses
+//! the first so many servers of it that are ready ([`SubsetSize`](crate::policy::SubsetSize));
+//! where these are suspected it goes further down the order. This is random subsetting by a stable
+//! hash; that the cells take turns is a stratification.
 
 #[cfg(test)]
 mod tests;
@@ -41,7 +41,8 @@
         self.order.iter().filter(is_ready).take(fleet.subset_size())
     }
 
-    /// The servers of the subset that may be drawn for an attempt, apart from those that were `tried`.
+    /// The servers of the subset that may be drawn for an attempt, apart from those that were
+    /// `tried`.
     pub(crate) fn candidates(
         &self,
         fleet: &Fleet,
