--- /dev/null
+++ b/crates/balancer/src/balancer.rs
@@ -0,0 +1,161 @@
+//! [`Balancer`]: which event leads to which decision.
+//!
+//! The decisions are the types of `policy/`: each reads the fleet and says what is to be done, and
+//! why. Only `Balancer` carries out what they say, as changes of state and as actions: for requests
+//! in `requests`, for servers in `servers`. `docs/balancer.md` has the law of each decision.
+
+mod membership;
+mod policies;
+mod servers;
+
+use crate::balancer::policies::Policies;
+use crate::fleet::Fleet;
+use crate::policy::{CheckTarget, HealthChecker};
+use crate::state::{RequestTable, ServerIndex};
+use crate::{Action, Actions, Event, Micros, Settings, SettingsError};
+
+/// Time between two ticks, in microseconds: well below any latency objective.
+pub(crate) const TICK_INTERVAL: Micros = 25_000;
+/// Token of the timer that ticks.
+const TICK_TOKEN: u64 = 0;
+/// Token of the timers of requests.
+pub(crate) const REQUEST_TIMER_TOKEN: u64 = 1;
+
+/// Decides for one sidecar. Instances share nothing.
+pub struct Balancer {
+    pub(crate) fleet: Fleet,
+    pub(crate) requests: RequestTable,
+    pub(crate) policies: Policies,
+    pub(crate) rng: fastrand::Rng,
+    started: bool,
+}
+
+impl Balancer {
+    /// A balancer that knows nothing yet; equal seeds and events give equal actions.
+    ///
+    /// # Errors
+    /// Names the first setting that is out of range.
+    pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
+        settings.validate()?;
+        let policies = Policies::new(&settings);
+        Ok(Self {
+            fleet: Fleet::new(settings),
+            requests: RequestTable::default(),
+            policies,
+            rng: fastrand::Rng::with_seed(seed),
+            started: false,
+        })
+    }
+
+    /// Takes in one event and pushes what is to be done about it. `now` is in microseconds; a time
+    /// before that of an earlier event counts as the earlier one's.
+    pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
+        self.fleet.now = self.fleet.now.max(now);
+        if !self.started {
+            self.on_first_event(actions);
+        }
+        match event {
+            Event::EndpointsUpdated {
+                kind,
+                version,
+                endpoints,
+            } => {
+                self.on_endpoints_updated(kind, version, endpoints, actions);
+            }
+            Event::RequestArrived(request) => self.on_request_arrived(&request, actions),
+            Event::ResponseStarted { request } => self.on_response_started(request),
+            Event::AttemptEnded(end) => self.on_attempt_ended(&end, actions),
+            Event::ClientDisconnected { request } => self.finish(request, actions),
+            Event::TimerFired { token: TICK_TOKEN } => self.on_tick(actions),
+            Event::TimerFired { .. } => self.on_request_timer(actions),
+            Event::HealthCheckEnded {
+                server,
+                outcome,
+                load_report,
+            } => {
+                self.on_health_check_ended(server, outcome, load_report, actions);
+            }
+            Event::GossipReceived { from, message } => {
+                self.on_gossip_received(from, &message, actions);
+            }
+        }
+    }
+
+    fn on_first_event(&mut self, actions: &mut Actions) {
+        self.started = true;
+        self.policies
+            .health_checker
+            .on_started(self.fleet.now, &mut self.rng);
+        set_tick_timer(actions);
+        if self.fleet.settings.polling.required {
+            self.poll_endpoints(actions);
+        }
+    }
+
+    fn on_tick(&mut self, actions: &mut Actions) {
+        set_tick_timer(actions);
+        let subset = self.policies.subsetter.ready_servers(&self.fleet);
+        self.policies
+            .slow_start_admission
+            .on_tick(&self.fleet, subset);
+        for server in self.fleet.servers.indices() {
+            self.review_server(server, actions);
+        }
+        if self.policies.health_checker.is_due(&self.fleet) {
+            self.run_scheduled_health_check(actions);
+        }
+        if self.policies.endpoint_poller.is_due(self.fleet.now) {
+            self.poll_endpoints(actions);
+        }
+    }
+
+    /// Checks the server whose turn it is, and sends gossip along.
+    fn run_scheduled_health_check(&mut self, actions: &mut Actions) {
+        let target = self.policies.health_checker.next_target(&self.fleet);
+        let server = match target {
+            CheckTarget::Server(server) => Some(server),
+            CheckTarget::RandomCandidate => {
+                let fleet = &mut self.fleet;
+                let candidates = self.policies.trusted_candidates(fleet, &mut self.rng);
+                self.rng.choice(candidates)
+            }
+        };
+        if let Some(server) = server {
+            self.start_health_check(server, actions);
+            self.fleet.servers[server]
+                .health_check
+                .on_full_check_requested();
+        }
+        let datagram = self
+            .policies
+            .gossip
+            .next_datagram(&self.fleet.settings, &mut self.rng);
+        actions.extend(datagram.map(Action::from));
+    }
+
+    /// Checks a server, unless a health check of it is in progress.
+    fn start_health_check(&mut self, server: ServerIndex, actions: &mut Actions) {
+        let server = &mut self.fleet.servers[server];
+        if HealthChecker::may_start(&self.fleet.settings, server) {
+            server.health_check.on_started(self.fleet.now);
+            actions.push(Action::HealthCheck {
+                server: server.id(),
+            });
+        }
+    }
+
+    /// Checks a server out of turn; a failure is not confirmed, but makes it the next in turn.
+    pub(crate) fn check_load(&mut self, server: ServerIndex, actions: &mut Actions) {
+        self.fleet.servers[server]
+            .health_check
+            .on_load_check_requested();
+        self.start_health_check(server, actions);
+    }
+}
+
+fn set_tick_timer(actions: &mut Actions) {
+    actions.push(Action::SetTimer {
+        token: TICK_TOKEN,
+        after: TICK_INTERVAL,
+    });
+}
--- /dev/null
+++ b/crates/balancer/src/balancer/membership.rs
@@ -0,0 +1,119 @@
+//! Carries out what is decided about the endpoint list, and about what other balancers tell of
+//! servers.
+
+use crate::balancer::Balancer;
+use crate::policy::{FailureDetector, GossipProtocol, ListLoss, PeerMessage, Verdict};
+use crate::state::{GossipMessage, ServerIndex};
+use crate::{Action, Actions, Endpoint, Micros, StateChange, UpdateKind};
+
+impl Balancer {
+    /// Polls the endpoint list; without any response it is polled again in good time.
+    pub(crate) fn poll_endpoints(&mut self, actions: &mut Actions) {
+        actions.push(Action::PollEndpoints);
+        self.policies
+            .endpoint_poller
+            .on_polled(self.fleet.now, &self.fleet.settings.polling);
+    }
+
+    fn on_list_lost(&mut self, actions: &mut Actions) {
+        let polling = &self.fleet.settings.polling;
+        let loss =
+            self.policies
+                .endpoint_poller
+                .on_list_lost(self.fleet.now, polling, &mut self.rng);
+        if loss == ListLoss::SubscriptionBroke {
+            actions.push(Action::Record(StateChange::EndpointListLost));
+        }
+    }
+
+    /// An update of the endpoint list came, or was lost.
+    pub(crate) fn on_endpoints_updated(
+        &mut self,
+        kind: UpdateKind,
+        version: u64,
+        endpoints: Vec<Endpoint>,
+        actions: &mut Actions,
+    ) {
+        if kind == UpdateKind::Lost {
+            self.on_list_lost(actions);
+            return;
+        }
+        if kind != UpdateKind::Cached {
+            self.policies.endpoint_poller.on_list_received();
+            self.fleet.servers.on_list_received();
+        }
+        if !self.fleet.servers.accept_version(version) {
+            return;
+        }
+        if kind != UpdateKind::Incremental {
+            self.fleet.servers.on_full_list(&endpoints);
+        }
+        self.merge(endpoints, actions);
+        self.fleet.forget_gone_servers();
+        self.policies.subsetter.on_endpoints_updated(&self.fleet);
+    }
+
+    /// A stale list never restores a draining server: only a restart does.
+    fn merge(&mut self, endpoints: Vec<Endpoint>, actions: &mut Actions) {
+        for endpoint in endpoints {
+            let merged = self.fleet.servers.merge(
+                endpoint,
+                self.fleet.now,
+                self.fleet.settings.slow_start.duration,
+            );
+            if merged.restarted {
+                self.on_restart(merged.server_index, actions);
+            }
+            self.fleet.servers[merged.server_index].on_status_listed(endpoint.status);
+        }
+    }
+
+    /// The endpoint list names a newer incarnation of a server.
+    fn on_restart(&mut self, index: ServerIndex, actions: &mut Actions) {
+        let now = self.fleet.now;
+        let server = &mut self.fleet.servers[index];
+        server.on_restarted(now, self.fleet.settings.slow_start.duration);
+        let verdict = FailureDetector::judge_restart(now, server);
+        self.apply(verdict, index, actions);
+    }
+
+    /// Another balancer sent a datagram.
+    pub(crate) fn on_gossip_received(&mut self, from: u32, datagram: &[u8], actions: &mut Actions) {
+        if !GossipProtocol::is_known_sender(&self.fleet.settings, from) {
+            return;
+        }
+        for message in GossipMessage::decode(datagram) {
+            match GossipProtocol::interpret(&self.fleet, message) {
+                PeerMessage::CheckServer(index) => {
+                    let server = &mut self.fleet.servers[index];
+                    server.health_check.on_indirect_check_requested(from);
+                    self.check_load(index, actions);
+                }
+                PeerMessage::ConfirmedAlive(index) => {
+                    self.fleet.servers[index].health_check.on_confirmed_alive();
+                }
+                PeerMessage::Suspected {
+                    server,
+                    incarnation,
+                } => {
+                    self.on_peer_suspicion(server, incarnation, actions);
+                }
+                PeerMessage::UnknownServer | PeerMessage::TooManyRequests => {}
+            }
+        }
+    }
+
+    fn on_peer_suspicion(
+        &mut self,
+        index: ServerIndex,
+        incarnation: Micros,
+        actions: &mut Actions,
+    ) {
+        let server = &self.fleet.servers[index];
+        let verdict = FailureDetector::judge_gossip(self.fleet.now, server, incarnation);
+        self.apply(verdict, index, actions);
+        if matches!(verdict, Verdict::Eject { .. }) {
+            self.check_soon(index);
+        }
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/balancer/servers.rs
@@ -0,0 +1,225 @@
+//! Carries out what is decided about servers by the ends of attempts and health checks.
+
+use crate::balancer::Balancer;
+use crate::policy::{
+    AttemptEvidence, Audience, Ejection, FailureDetector, GossipProtocol, Readmission, Verdict,
+};
+use crate::state::{HealthCheckKind, InFlightAttempt, ServerIndex};
+use crate::{
+    Action, Actions, AttemptEnd, EjectionCause, LoadReport, Outcome, RequestId, ServerEvent,
+    ServerId, StateChange,
+};
+
+impl Balancer {
+    /// An attempt ended: what it tells of its server.
+    pub(crate) fn record_attempt_end(
+        &mut self,
+        index: ServerIndex,
+        end: &AttemptEnd,
+        actions: &mut Actions,
+    ) {
+        self.on_load_report(index, end.load_report);
+        let now = self.fleet.now;
+        let server = &mut self.fleet.servers[index];
+        let Some(attempt) = server.on_attempt_ended(end.request, end.attempt) else {
+            return;
+        };
+        match AttemptEvidence::of(server, &attempt, end.outcome) {
+            AttemptEvidence::Served => {
+                server.failures.on_served(now);
+                self.on_response(index, &attempt);
+                self.policies.failure_detector.on_served();
+                self.readmit(index, actions);
+            }
+            AttemptEvidence::Slow => self.on_response(index, &attempt),
+            AttemptEvidence::Rejected => self.on_attempt_rejected(index, &attempt),
+            AttemptEvidence::Failed => self.on_attempt_failed(index, end.outcome, actions),
+            AttemptEvidence::Nothing => {}
+        }
+    }
+
+    /// A server responded to an attempt, or timed out although it serves others.
+    fn on_response(&mut self, index: ServerIndex, attempt: &InFlightAttempt) {
+        let now = self.fleet.now;
+        let latency = now.saturating_sub(attempt.sent_at) as f64;
+        if let Some(request) = self.requests.get(attempt.request) {
+            let objective_share = (latency / request.objective() as f64).min(1.0);
+            self.fleet
+                .estimators
+                .saturation
+                .on_response(objective_share, now);
+        }
+        let server = &mut self.fleet.servers[index];
+        let settings = &self.fleet.settings;
+        self.fleet
+            .estimators
+            .on_response(server, attempt, latency, now, settings);
+        self.policies.failure_detector.on_response(latency);
+    }
+
+    /// A server rejected an attempt. It is not broken, but holds more than was known, or drains.
+    fn on_attempt_rejected(&mut self, index: ServerIndex, attempt: &InFlightAttempt) {
+        let now = self.fleet.now;
+        let polling = &self.fleet.settings.polling;
+        let may_drain = self.policies.endpoint_poller.may_miss_drains(polling);
+        self.fleet.servers[index].on_rejected(attempt.queue_depth, may_drain, now);
+        self.fleet.estimators.saturation.on_rejected(now);
+    }
+
+    fn on_attempt_failed(&mut self, index: ServerIndex, outcome: Outcome, actions: &mut Actions) {
+        let failures = self.fleet.servers[index].failures.on_failed();
+        self.check_soon(index);
+        let detector = &mut self.policies.failure_detector;
+        let verdict = detector.on_attempt_failed(failures, outcome);
+        self.apply(verdict, index, actions);
+    }
+
+    /// A health check ended.
+    pub(crate) fn on_health_check_ended(
+        &mut self,
+        id: ServerId,
+        outcome: Outcome,
+        report: Option<LoadReport>,
+        actions: &mut Actions,
+    ) {
+        let Some(index) = self.fleet.servers.find(id) else {
+            return;
+        };
+        self.on_load_report(index, report);
+        let has_succeeded = outcome == Outcome::Served;
+        let servers = &mut self.fleet.servers;
+        let kind = servers.on_health_check_ended(index, has_succeeded);
+        self.answer_requesters(index, has_succeeded, actions);
+        let server = &mut self.fleet.servers[index];
+        let verdict = if has_succeeded {
+            server.health_check.on_succeeded();
+            FailureDetector::judge_succeeded_check(self.fleet.now, server)
+        } else if kind == HealthCheckKind::LoadOnly {
+            Verdict::CheckSoon
+        } else {
+            FailureDetector::judge_failed_check(&self.fleet, &self.fleet.servers[index])
+        };
+        self.apply(verdict, index, actions);
+        self.on_load_check_ended(id, actions);
+    }
+
+    /// Tells the balancers that asked for a check of the server of its success; they wait no longer
+    /// in any case.
+    fn answer_requesters(
+        &mut self,
+        index: ServerIndex,
+        has_succeeded: bool,
+        actions: &mut Actions,
+    ) {
+        let server = &mut self.fleet.servers[index];
+        let requesters = server.health_check.take_requesters();
+        if has_succeeded {
+            let answers = GossipProtocol::confirm_alive(server, requesters);
+            actions.extend(answers.map(Action::from));
+        }
+    }
+
+    /// Looks at a server with each tick.
+    pub(crate) fn review_server(&mut self, index: ServerIndex, actions: &mut Actions) {
+        let detector = &self.policies.failure_detector;
+        let verdict = detector.review(&self.fleet, &self.fleet.servers[index]);
+        let now = self.fleet.now;
+        self.fleet.servers[index]
+            .health_check
+            .end_due_confirmation(now);
+        self.apply(verdict, index, actions);
+        if verdict == Verdict::DeclareDead {
+            // The same tick may end the suspicion.
+            let detector = &self.policies.failure_detector;
+            let next = detector.review(&self.fleet, &self.fleet.servers[index]);
+            self.apply(next, index, actions);
+        }
+    }
+
+    /// Carries out a verdict of the failure detector.
+    pub(crate) fn apply(&mut self, verdict: Verdict, index: ServerIndex, actions: &mut Actions) {
+        match verdict {
+            Verdict::Keep => {}
+            Verdict::ConfirmAt(at) => {
+                let server = &mut self.fleet.servers[index];
+                server.health_check.on_failed();
+                server.health_check.on_confirmation_scheduled(at);
+                let settings = &self.fleet.settings;
+                let requests =
+                    GossipProtocol::request_indirect_checks(settings, server, &mut self.rng);
+                actions.extend(requests.map(Action::from));
+            }
+            Verdict::CheckAgain => {
+                self.fleet.servers[index].health_check.on_failed();
+                self.start_health_check(index, actions);
+            }
+            Verdict::CheckSoon => self.check_soon(index),
+            Verdict::Eject { cause, audience } => self.eject(index, cause, audience, actions),
+            Verdict::DeclareDead => {
+                let server = &mut self.fleet.servers[index];
+                server.suspicion.on_declared_dead();
+                record(ServerEvent::DeclaredDead, server.id(), actions);
+            }
+            Verdict::Readmit => self.readmit(index, actions),
+        }
+    }
+
+    /// Makes a server the next to be checked, and soon.
+    pub(crate) fn check_soon(&mut self, index: ServerIndex) {
+        let id = self.fleet.servers[index].id();
+        self.policies.health_checker.check_soon(id, self.fleet.now);
+    }
+
+    /// Suspects a server, unless the cause is not believed, and retries its attempts elsewhere.
+    fn eject(
+        &mut self,
+        index: ServerIndex,
+        cause: EjectionCause,
+        audience: Audience,
+        actions: &mut Actions,
+    ) {
+        let server = &self.fleet.servers[index];
+        let ejection = Ejection::decide(&self.fleet, server, cause);
+        let Ejection::Raised {
+            suspicion,
+            earlier_ejections,
+        } = ejection
+        else {
+            return;
+        };
+        let server = &mut self.fleet.servers[index];
+        server.suspicion.on_ejected(suspicion, earlier_ejections);
+        record(ServerEvent::Ejected { cause }, server.id(), actions);
+        let attempts = server.in_flight().iter();
+        let waiting: Vec<RequestId> = attempts.map(|attempt| attempt.request).collect();
+        for request in waiting {
+            self.retry(request, actions);
+        }
+        if audience == Audience::AllBalancers {
+            let server = &self.fleet.servers[index];
+            self.policies
+                .gossip
+                .announce_suspicion(&self.fleet.settings, server);
+        }
+    }
+
+    /// Ends the suspicion of a server, if any.
+    fn readmit(&mut self, index: ServerIndex, actions: &mut Actions) {
+        let now = self.fleet.now;
+        let server = &mut self.fleet.servers[index];
+        let Some(suspicion) = server.suspicion.on_readmitted() else {
+            return;
+        };
+        server.failures.on_readmitted();
+        match Readmission::decide(now, suspicion) {
+            Readmission::AtOnce => {}
+            Readmission::SlowStart => server.slow_start.on_silence_ended(now),
+        }
+        server.health_check.on_confirmed_alive();
+        record(ServerEvent::Readmitted, server.id(), actions);
+    }
+}
+
+fn record(event: ServerEvent, server: ServerId, actions: &mut Actions) {
+    actions.push(Action::Record(StateChange::Server { server, event }));
+}
--- a/crates/balancer/src/estimators/fleet.rs
+++ b/crates/balancer/src/estimators/fleet.rs
@@ -1,9 +1,7 @@
 //! The estimators of the fleet together.
 
 use crate::estimators::estimates::Estimates;
-use crate::estimators::fleet_error_rate::FleetErrorRate;
 use crate::estimators::latency::LatencyEstimator;
-use crate::estimators::latency_distribution::LatencyDistribution;
 use crate::estimators::missed_objective::MissedObjectiveRate;
 use crate::estimators::saturation::SaturationEstimator;
 use crate::estimators::utilization::UtilizationEstimator;
@@ -18,10 +16,6 @@
     pub(crate) workload: WorkloadEstimator,
     /// Service times.
     pub(crate) latency: LatencyEstimator,
-    /// How latencies are distributed.
-    pub(crate) latency_distribution: LatencyDistribution,
-    /// Failures of attempts.
-    pub(crate) fleet_error_rate: FleetErrorRate,
     /// How full the fleet is, from load reports.
     pub(crate) utilization: UtilizationEstimator,
     /// How full the fleet is, from latencies.
@@ -36,28 +30,21 @@
         Self {
             workload: WorkloadEstimator::new(),
             latency: LatencyEstimator::new(shortest_objective),
-            latency_distribution: LatencyDistribution::new(shortest_objective),
-            fleet_error_rate: FleetErrorRate::default(),
             utilization: UtilizationEstimator::new(),
             saturation: SaturationEstimator::default(),
             missed_objectives: MissedObjectiveRate::default(),
         }
     }
 
-    /// A server responded to an attempt; `objective` is the request's, `None` where it is finished.
+    /// A server responded to an attempt after so many microseconds.
     pub(crate) fn on_response(
         &mut self,
         server: &mut ServerState,
         attempt: &InFlightAttempt,
-        objective: Option<Micros>,
+        latency: f64,
         now: Micros,
         settings: &Settings,
     ) {
-        let latency = now.saturating_sub(attempt.sent_at) as f64;
-        if let Some(objective) = objective {
-            self.saturation
-                .on_response((latency / objective as f64).min(1.0), now);
-        }
         let estimates = Estimates {
             settings,
             now,
@@ -70,6 +57,5 @@
         let machine = server.endpoint().machine_type;
         self.latency
             .on_response(&mut server.latency, machine, usual, service_time, now);
-        self.latency_distribution.on_response(latency);
     }
 }
--- a/crates/balancer/src/fleet.rs
+++ b/crates/balancer/src/fleet.rs
@@ -59,6 +59,12 @@
         self.settings.load_source() == LoadSource::Responses || self.load_reports_trusted()
     }
 
+    /// Forgets the servers of which nothing is left to be known.
+    pub(crate) fn forget_gone_servers(&mut self) {
+        let settings = &self.settings;
+        self.servers.retain(|server| !server.is_gone(settings));
+    }
+
     /// True where a server may be sent requests as far as the endpoint list tells.
     pub(crate) fn is_ready(&self, server: &ServerState) -> bool {
         let is_listed = server.endpoint().status == EndpointStatus::Ready;
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -47,6 +47,7 @@
 //! ```
 
 mod action;
+mod balancer;
 mod endpoint;
 mod estimators;
 mod event;
@@ -61,9 +62,9 @@
 
 pub use action::Action;
 pub(crate) use action::Actions;
+pub use balancer::Balancer;
 pub use endpoint::{Endpoint, EndpointStatus, MachineType, ServerId, UpdateKind};
 pub use event::{AttemptEnd, Event, IncomingRequest, LoadReport, Outcome, RequestId};
-pub use policy::Balancer;
 pub use request_class::{ClassId, DeduplicationScope, Idempotency, RequestClass};
 pub use settings::{
     BalancerIdentity, ClassProblem, Fees, HostCapabilities, PollingSettings, RetrySettings,
--- a/crates/balancer/src/policy/dispatch.rs
+++ b/crates/balancer/src/policy/dispatch.rs
@@ -1,9 +1,9 @@
 //! The path of a request: arrival, first attempt and end.
 
+use crate::balancer::{Balancer, REQUEST_TIMER_TOKEN, TICK_INTERVAL};
 use crate::policy::load_source::LoadSource;
-use crate::policy::{Balancer, TICK_INTERVAL};
 use crate::state::{InFlightAttempt, RequestState, RetryScope, ServerIndex};
-use crate::{Action, Actions, IncomingRequest, Micros, RequestId};
+use crate::{Action, Actions, AttemptEnd, IncomingRequest, Micros, RequestId};
 
 /// A request without a work hint is not sent with less time than this share of the mean service time.
 const MIN_WORK_SHARE: f64 = 0.5;
@@ -12,7 +12,7 @@
 
 impl Balancer {
     /// A request arrived: it is sent, waits for load checks or for a server, or is rejected.
-    pub(super) fn on_request_arrived(&mut self, incoming: &IncomingRequest, actions: &mut Actions) {
+    pub(crate) fn on_request_arrived(&mut self, incoming: &IncomingRequest, actions: &mut Actions) {
         let Some(class) = self
             .fleet
             .settings
@@ -39,7 +39,7 @@
         };
         let hopeless = class.late_value == 0.0 && work > request.objective() as f64;
         self.requests.on_request_arrived(incoming.id, request);
-        self.retry_budget.on_request_arrived();
+        self.policies.retry_budget.on_request_arrived();
         if hopeless || incoming.time_left == 0 {
             self.reject_or_fail(incoming.id, actions);
         } else if self.fleet.settings.load_source() == LoadSource::LoadChecks {
@@ -50,7 +50,7 @@
     }
 
     /// Sends the first attempt of a request, has it wait for a server, or rejects it.
-    pub(super) fn dispatch(&mut self, id: RequestId, actions: &mut Actions) {
+    pub(crate) fn dispatch(&mut self, id: RequestId, actions: &mut Actions) {
         let Some(request) = self.requests.get(id) else {
             return;
         };
@@ -76,7 +76,7 @@
     }
 
     /// Sends an attempt of a request to a server.
-    pub(super) fn send(&mut self, id: RequestId, server_index: ServerIndex, actions: &mut Actions) {
+    pub(crate) fn send(&mut self, id: RequestId, server_index: ServerIndex, actions: &mut Actions) {
         let now = self.fleet.now;
         let estimates = self.fleet.estimates();
         let queue_depth = estimates.queue_depth(&self.fleet.servers[server_index]);
@@ -111,12 +111,13 @@
             queue_depth,
         };
         server.on_attempt_sent(sent, &self.fleet.settings.slow_start);
-        self.slow_start_admission
+        self.policies
+            .slow_start_admission
             .on_work_sent(&self.fleet, relative_work);
     }
 
     /// Forgets a request that has its final response and cancels its attempts in flight.
-    pub(super) fn finish(&mut self, id: RequestId, actions: &mut Actions) {
+    pub(crate) fn finish(&mut self, id: RequestId, actions: &mut Actions) {
         let Some(request) = self.requests.on_request_finished(id) else {
             return;
         };
@@ -128,4 +129,47 @@
             actions.extend(request.in_flight_attempts().map(cancel));
         }
     }
+
+    pub(crate) fn on_response_started(&mut self, id: RequestId) {
+        if let Some(request) = self.requests.get_mut(id) {
+            request.on_response_started();
+        }
+    }
+
+    /// Dispatches the requests whose timers are due.
+    pub(crate) fn on_request_timer(&mut self, actions: &mut Actions) {
+        while let Some(id) = self.requests.take_due(self.fleet.now) {
+            self.dispatch(id, actions);
+        }
+    }
+
+    /// Dispatches a request after this time, unless it is sent before.
+    pub(crate) fn set_request_timer(
+        &mut self,
+        id: RequestId,
+        after: Micros,
+        actions: &mut Actions,
+    ) {
+        self.requests.set_timer(id, self.fleet.now + after);
+        actions.push(Action::SetTimer {
+            token: REQUEST_TIMER_TOKEN,
+            after,
+        });
+    }
+
+    /// An attempt ended: its request is finished, waits for another attempt, is retried or fails.
+    pub(crate) fn on_attempt_ended(&mut self, end: &AttemptEnd, actions: &mut Actions) {
+        if let Some(server) = self.fleet.servers.find(end.server) {
+            self.record_attempt_end(server, end, actions);
+        }
+        let Some(request) = self.requests.get_mut(end.request) else {
+            return;
+        };
+        request.on_attempt_ended(end.attempt, end.outcome.never_executed());
+        if end.finished {
+            self.finish(end.request, actions);
+        } else if request.in_flight_count() == 0 && !self.retry(end.request, actions) {
+            self.reject_or_fail(end.request, actions);
+        }
+    }
 }
--- a/crates/balancer/src/policy/failure_detector.rs
+++ b/crates/balancer/src/policy/failure_detector.rs
@@ -1,156 +1,224 @@
-//! Which servers are suspected, and when that ends.
+//! Which servers are suspected, why, and when that ends.
+//!
+//! A server is suspected (ejected) where
+//! - two health checks in a row fail, or one that other balancers could not confirm in time;
+//! - all attempts in flight at it have been silent for so long that `-ln P(silence) > 14` on a
+//!   sound server, under a log-normal distribution of the fleet's latencies;
+//! - `k` attempts in a row fail and `-k * ln(fleet's error rate) >= 9`;
+//! - another balancer suspects it, and no own attempt was served in the last half second.
+//!
+//! A suspicion ends with a served attempt, a restart or a good health check; how long it withstands
+//! these is the law of [`Ejection`](crate::policy::Ejection). After 8 s a suspected server is
+//! declared dead; it is still checked, and comes back when it answers. The mechanism is SWIM's, as
+//! in section 2.2.2 of the paper, with attempts as a second source of evidence.
 
-use crate::policy::Balancer;
-use crate::policy::health_check_trust::HealthCheckTrust;
-use crate::state::{ServerIndex, Suspicion};
-use crate::{Action, Actions, EjectionCause, Micros, RequestId, ServerEvent, StateChange};
+#[cfg(test)]
+mod tests;
 
-/// Time without a sign of life after which a suspect is dead, and the least between two health checks of it.
+use crate::estimators::fleet_error_rate::FleetErrorRate;
+use crate::estimators::latency_distribution::LatencyDistribution;
+use crate::fleet::Fleet;
+use crate::policy::ejection::{is_believed, is_flapping};
+use crate::state::{ServerState, Suspicion};
+use crate::{EjectionCause, Micros, Outcome};
+
+/// Time from a failed health check to its confirmation, in microseconds. Other balancers that are
+/// asked must answer within it; longer, and a server that is gone gets attempts for longer.
+/// Inherited with the first version of the module; its source was not recorded.
+const CONFIRMATION_DELAY: Micros = 150_000;
+/// Time without a sign of life after which a suspected server is declared dead, in microseconds.
+/// The paper (section 2.2.2) waits three minutes; 8 s is the choice of the first design.
 const DEAD_AFTER: Micros = 8_000_000;
-pub(super) const SUSPECT_CHECK_INTERVAL: Micros = 400_000;
-/// Attempts in flight raise a suspicion once their silence is as improbable as this, as the negative
-/// logarithm of its probability on a sound server: one in a million, as one server's responses hang together.
-const MAX_SILENCE_IMPROBABILITY: f64 = 14.0;
-/// A suspicion that attempts raised outlives good health checks for this long, doubled each time it returns.
-const BASE_EJECTION_TIME: Micros = 500_000;
-const MAX_EJECTION_TIME: Micros = 8_000_000;
-const MAX_EJECTION_DOUBLINGS: u32 = 8;
-/// After this long without a new suspicion, earlier ones are forgotten.
-const EJECTION_MEMORY: Micros = 20_000_000;
-
-impl Balancer {
-    /// Confirms a failed health check, ends or hardens a suspicion, or raises one over silent attempts.
-    pub(super) fn check_suspicion(&mut self, server_index: ServerIndex, actions: &mut Actions) {
-        let server = &mut self.fleet.servers[server_index];
-        if server.health_check.take_due_confirmation(self.fleet.now) {
-            self.confirm_failed_health_check(server_index, actions);
-        } else if let Some(suspicion) = server.suspicion.current() {
-            self.review_suspicion(server_index, suspicion, actions);
-        } else if self.is_improbably_silent(server_index) {
-            self.eject(server_index, EjectionCause::Attempts, actions);
+/// Improbability of the silence of a server's attempts above which it is suspected, in nats: the
+/// negative natural logarithm of the probability that a sound server is silent for so long. 14 nats
+/// are one in a million; the bound is that strict because responses of one server hang together.
+/// Lower, and general slowness raises suspicions; higher, and a server that answers health checks
+/// but no attempt is used for longer. Inherited with the first version of the module.
+const SILENCE_THRESHOLD_NATS: f64 = 14.0;
+/// Improbability of the failures in a row above which a server is suspected, in nats. Two failures
+/// reach it where the fleet fails one attempt in a hundred or fewer, and more are needed where all
+/// fail more often. Inherited with the first version of the module.
+const FAILURE_RUN_THRESHOLD_NATS: f64 = 9.0;
+/// An own attempt served within this time, in microseconds, outweighs another balancer's suspicion.
+/// Longer, and a server that has just failed is used for longer; shorter, and one mistaken balancer
+/// makes busy ones drop a sound server. Inherited with the first version of the module; its source
+/// was not recorded.
+const SERVED_OUTWEIGHS_GOSSIP: Micros = 500_000;
+
+/// What is to be done about a server.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Verdict {
+    /// Nothing.
+    Keep,
+    /// A failed health check is to be confirmed at this time: by other balancers or by a second
+    /// check.
+    ConfirmAt(Micros),
+    /// Its health is to be checked a second time now, as there are no other balancers to confirm a
+    /// failure.
+    CheckAgain,
+    /// It is to be the next server that is checked.
+    CheckSoon,
+    /// It is to be suspected.
+    Eject {
+        /// Why.
+        cause: EjectionCause,
+        /// Who learns of it.
+        audience: Audience,
+    },
+    /// It has been suspected for so long that it is taken for gone.
+    DeclareDead,
+    /// Its suspicion is to end.
+    Readmit,
+}
+
+/// Who learns of a suspicion.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Audience {
+    /// This balancer alone.
+    Local,
+    /// All balancers, by gossip.
+    AllBalancers,
+}
+
+/// Detects failed servers; owns what is usual in the fleet: its latencies and its error rate.
+pub(crate) struct FailureDetector {
+    latency_distribution: LatencyDistribution,
+    fleet_error_rate: FleetErrorRate,
+}
+
+impl FailureDetector {
+    /// A detector that has seen nothing; `shortest_objective` is in microseconds.
+    pub(crate) fn new(shortest_objective: f64) -> Self {
+        Self {
+            latency_distribution: LatencyDistribution::new(shortest_objective),
+            fleet_error_rate: FleetErrorRate::default(),
         }
     }
 
-    /// Guards against servers that answer health checks but not attempts: all attempts there are silent for
-    /// longer than the fleet's latencies explain. General slowness raises no suspicion.
-    fn is_improbably_silent(&self, server_index: ServerIndex) -> bool {
-        let server = &self.fleet.servers[server_index];
-        let improbability = self
-            .fleet
-            .estimators
-            .latency_distribution
-            .silence_improbability(server, self.fleet.now);
-        improbability > MAX_SILENCE_IMPROBABILITY
+    /// A server responded to an attempt after so many microseconds.
+    pub(crate) fn on_response(&mut self, latency: f64) {
+        self.latency_distribution.on_response(latency);
+    }
+
+    /// An attempt was served.
+    pub(crate) fn on_served(&mut self) {
+        self.fleet_error_rate.on_served();
     }
 
-    fn confirm_failed_health_check(&mut self, server_index: ServerIndex, actions: &mut Actions) {
-        let health_check = &mut self.fleet.servers[server_index].health_check;
-        if !self.fleet.settings.has_peers() {
-            health_check.on_failed();
-            self.start_health_check(server_index, actions);
-            return;
+    /// A server failed an attempt, the last of so many `failures` in a row. A timeout is left to
+    /// the silence of the attempts.
+    pub(crate) fn on_attempt_failed(&mut self, failures: u32, outcome: Outcome) -> Verdict {
+        if outcome == Outcome::TimedOut {
+            return Verdict::Keep;
         }
-        let unreached = !health_check.is_confirmed_alive();
-        if self.eject(server_index, EjectionCause::HealthChecks, actions) && unreached {
-            self.queue_suspicion(server_index);
+        if failures == 1 {
+            self.fleet_error_rate.on_first_failure();
+        }
+        let improbability = self.fleet_error_rate.run_improbability(failures);
+        if improbability >= FAILURE_RUN_THRESHOLD_NATS {
+            eject(EjectionCause::Attempts, Audience::Local)
+        } else {
+            Verdict::Keep
         }
     }
 
-    fn review_suspicion(
-        &mut self,
-        server_index: ServerIndex,
-        suspicion: Suspicion,
-        actions: &mut Actions,
-    ) {
-        let server = &mut self.fleet.servers[server_index];
-        if !server.suspicion.is_dead() && self.fleet.now >= suspicion.since + DEAD_AFTER {
-            server.suspicion.on_declared_dead();
-            actions.push(Action::Record(StateChange::Server {
-                server: server.id(),
-                event: ServerEvent::DeclaredDead,
-            }));
+    /// Looks at a server with each tick: at a failed health check that waits for its confirmation,
+    /// at a suspicion that stands, or else at the silence of its attempts.
+    pub(crate) fn review(&self, fleet: &Fleet, server: &ServerState) -> Verdict {
+        if server.health_check.is_confirmation_due(fleet.now) {
+            return confirm_failed_check(fleet, server);
+        }
+        if let Some(suspicion) = server.suspicion.current() {
+            return review_suspicion(fleet, server, suspicion);
         }
-        let unfounded = suspicion.cause != EjectionCause::Attempts
-            && self.fleet.health_check_trust() == HealthCheckTrust::Untrusted;
-        if unfounded
-            || !self.fleet.settings.host.health_checks && suspicion.has_aged(self.fleet.now)
-        {
-            self.readmit(server_index, actions);
+        let silence = self
+            .latency_distribution
+            .silence_improbability(server, fleet.now);
+        if silence > SILENCE_THRESHOLD_NATS {
+            eject(EjectionCause::Attempts, Audience::Local)
+        } else {
+            Verdict::Keep
         }
     }
 
-    /// Suspects a server and retries its attempts elsewhere; false where it is suspected already, or the
-    /// cause cannot be believed.
-    pub(super) fn eject(
-        &mut self,
-        server_index: ServerIndex,
-        cause: EjectionCause,
-        actions: &mut Actions,
-    ) -> bool {
-        let unfounded = cause != EjectionCause::Attempts
-            && self.fleet.health_check_trust() == HealthCheckTrust::Untrusted;
-        let mean_pause = self.fleet.subset_size() as f64 / self.fleet.request_rate();
-        let (now, server) = (self.fleet.now, &mut self.fleet.servers[server_index]);
-        if server.suspicion.is_suspected() || unfounded {
-            return false;
+    /// A health check of a server succeeded. That proves little where attempts raised the
+    /// suspicion.
+    pub(crate) fn judge_succeeded_check(now: Micros, server: &ServerState) -> Verdict {
+        match server.suspicion.current() {
+            Some(suspicion) if ends_with_good_check(now, suspicion) => Verdict::Readmit,
+            _ => Verdict::Keep,
         }
-        let ejections = server.suspicion.ejections_before(now, EJECTION_MEMORY);
-        // A balancer so quiet that it sends to the server more seldom would learn nothing from the ejection.
-        let doubled = BASE_EJECTION_TIME << ejections.min(MAX_EJECTION_DOUBLINGS);
-        let ejection_time = doubled.max(mean_pause as Micros).min(MAX_EJECTION_TIME);
-        server.suspicion.on_ejected(
-            Suspicion {
-                cause,
-                since: now,
-                ejection_time,
-            },
-            ejections,
-        );
-        actions.push(Action::Record(StateChange::Server {
-            server: server.id(),
-            event: ServerEvent::Ejected { cause },
-        }));
-        let stuck: Vec<RequestId> = server
-            .in_flight()
-            .iter()
-            .map(|attempt| attempt.request)
-            .collect();
-        for request in stuck {
-            self.retry(request, actions);
+    }
+
+    /// A full health check of a server failed.
+    pub(crate) fn judge_failed_check(fleet: &Fleet, server: &ServerState) -> Verdict {
+        let is_known_to_fail =
+            server.suspicion.is_suspected() || server.health_check.is_confirming();
+        if is_known_to_fail {
+            return Verdict::Keep;
         }
-        true
+        if fleet.settings.has_peers() || server.health_check.is_confirmed_alive() {
+            return Verdict::ConfirmAt(fleet.now + CONFIRMATION_DELAY);
+        }
+        eject(EjectionCause::HealthChecks, Audience::Local)
     }
 
-    /// Ends the suspicion of a server, if any.
-    pub(super) fn readmit(&mut self, server_index: ServerIndex, actions: &mut Actions) {
-        let (now, server) = (self.fleet.now, &mut self.fleet.servers[server_index]);
-        let Some(suspicion) = server.suspicion.on_readmitted() else {
-            return;
-        };
-        server.failures.on_readmitted();
-        // Guards against restarts that the list is silent about: what comes back from silence starts slowly.
-        if suspicion.cause != EjectionCause::Attempts
-            && now > suspicion.since + 2 * SUSPECT_CHECK_INTERVAL
-        {
-            server.slow_start.on_silence_ended(now);
+    /// Another balancer suspects an incarnation of a server.
+    pub(crate) fn judge_gossip(now: Micros, server: &ServerState, incarnation: Micros) -> Verdict {
+        if incarnation < server.incarnation() || server.suspicion.is_suspected() {
+            return Verdict::Keep;
+        }
+        let has_just_served = now < server.failures.last_served_at() + SERVED_OUTWEIGHS_GOSSIP;
+        if has_just_served {
+            return Verdict::CheckSoon;
         }
-        server.health_check.on_confirmed_alive();
-        actions.push(Action::Record(StateChange::Server {
-            server: server.id(),
-            event: ServerEvent::Readmitted,
-        }));
+        eject(EjectionCause::Gossip, Audience::AllBalancers)
     }
 
-    /// The list names a newer incarnation: that it is alive overrides suspicion of anything older.
-    pub(super) fn on_restart(&mut self, server_index: ServerIndex, actions: &mut Actions) {
-        let server = &mut self.fleet.servers[server_index];
-        server.on_restarted(self.fleet.now, self.fleet.settings.slow_start.duration);
-        // A server that keeps restarting does not earn trust by its new incarnation alone.
-        if !server
-            .suspicion
-            .is_flapping(self.fleet.now, EJECTION_MEMORY)
-        {
-            self.readmit(server_index, actions);
+    /// The endpoint list names a newer incarnation of a server. A server that keeps restarting does
+    /// not earn trust by that alone.
+    pub(crate) fn judge_restart(now: Micros, server: &ServerState) -> Verdict {
+        if is_flapping(now, server) {
+            Verdict::Keep
+        } else {
+            Verdict::Readmit
         }
     }
 }
+
+fn eject(cause: EjectionCause, audience: Audience) -> Verdict {
+    Verdict::Eject { cause, audience }
+}
+
+fn ends_with_good_check(now: Micros, suspicion: Suspicion) -> bool {
+    suspicion.cause != EjectionCause::Attempts || suspicion.has_aged(now)
+}
+
+/// The confirmation of a failed health check is due: other balancers have been asked, or else this
+/// one checks again. One that answered another balancer is suspected by this one alone.
+fn confirm_failed_check(fleet: &Fleet, server: &ServerState) -> Verdict {
+    if !fleet.settings.has_peers() {
+        return Verdict::CheckAgain;
+    }
+    let audience = if server.health_check.is_confirmed_alive() {
+        Audience::Local
+    } else {
+        Audience::AllBalancers
+    };
+    eject(EjectionCause::HealthChecks, audience)
+}
+
+/// Death is declared first; the suspicion may end right after it.
+fn review_suspicion(fleet: &Fleet, server: &ServerState, suspicion: Suspicion) -> Verdict {
+    let is_overdue = fleet.now >= suspicion.since + DEAD_AFTER;
+    if is_overdue && !server.suspicion.is_dead() {
+        return Verdict::DeclareDead;
+    }
+    // Where nothing checks its health, only attempts can show that a server has recovered.
+    let is_tried_again = !fleet.settings.host.health_checks && suspicion.has_aged(fleet.now);
+    if is_tried_again || !is_believed(fleet, suspicion.cause) {
+        Verdict::Readmit
+    } else {
+        Verdict::Keep
+    }
+}
--- a/crates/balancer/src/policy/load_check.rs
+++ b/crates/balancer/src/policy/load_check.rs
@@ -1,9 +1,8 @@
 //! Load reports: which are believed, and which servers are asked for one before a request is sent.
 
-use crate::policy::Balancer;
+use crate::balancer::Balancer;
 use crate::policy::load_source::LoadSource;
-use crate::policy::subsetter::CandidateFilter;
-use crate::state::{RetryScope, ServerIndex};
+use crate::state::ServerIndex;
 use crate::{Actions, LoadReport, Micros, RequestId, ServerId};
 
 /// Most servers asked for their load before a send; fewer while the chance to miss an idle one is low.
@@ -18,7 +17,7 @@
 impl Balancer {
     /// A load report came. Guards against reports that are frozen or wrong: one that falls below what was in
     /// flight when the health check started.
-    pub(super) fn on_load_report(&mut self, server_index: ServerIndex, report: Option<LoadReport>) {
+    pub(crate) fn on_load_report(&mut self, server_index: ServerIndex, report: Option<LoadReport>) {
         let from_responses = self.fleet.settings.load_source() == LoadSource::Responses;
         let server = &mut self.fleet.servers[server_index];
         let check_started_at = server.health_check.started_at();
@@ -39,9 +38,9 @@
 
     /// Asks a few random servers for their load, which a balancer's own attempts tell little of where others
     /// send too.
-    pub(super) fn start_load_checks(&mut self, id: RequestId, actions: &mut Actions) {
-        let mut candidates =
-            self.candidates(RetryScope::Anywhere, &[], CandidateFilter::TrustedOnly);
+    pub(crate) fn start_load_checks(&mut self, id: RequestId, actions: &mut Actions) {
+        let fleet = &mut self.fleet;
+        let mut candidates = self.policies.trusted_candidates(fleet, &mut self.rng);
         self.rng.shuffle(&mut candidates);
         let checks = IDLE_MISS_CHANCE.ln()
             / self
@@ -73,7 +72,7 @@
     }
 
     /// A health check ended: requests that awaited nothing else are dispatched.
-    pub(super) fn on_load_check_ended(&mut self, server: ServerId, actions: &mut Actions) {
+    pub(crate) fn on_load_check_ended(&mut self, server: ServerId, actions: &mut Actions) {
         for id in self.requests.on_load_check_ended(server) {
             self.dispatch(id, actions);
         }
--- a/crates/balancer/src/policy/load_shedding.rs
+++ b/crates/balancer/src/policy/load_shedding.rs
@@ -1,6 +1,6 @@
 //! Which requests are rejected so that others are served in time.
 
-use crate::policy::Balancer;
+use crate::balancer::Balancer;
 use crate::policy::load_source::LoadSource;
 use crate::state::{RequestState, ServerIndex};
 use crate::{Action, Actions, DeduplicationScope, Idempotency, Micros, RequestId};
@@ -29,7 +29,7 @@
 
 impl Balancer {
     /// True where a server would respond so late that its work is better spent on another request.
-    pub(super) fn is_too_late(&self, server_index: ServerIndex, id: RequestId) -> bool {
+    pub(crate) fn is_too_late(&self, server_index: ServerIndex, id: RequestId) -> bool {
         let Some(request) = self.requests.get(id) else {
             return true;
         };
@@ -59,7 +59,7 @@
     }
 
     /// True where responses tell of load, and a server would respond after the latency objective.
-    pub(super) fn expects_miss(&self, server_index: ServerIndex, id: RequestId) -> bool {
+    pub(crate) fn expects_miss(&self, server_index: ServerIndex, id: RequestId) -> bool {
         let misses =
             |request: &RequestState| self.misses(server_index, request, request.objective_at());
         self.fleet.settings.load_source() == LoadSource::Responses
@@ -79,7 +79,7 @@
 
     /// Guards against queues that all balancers fill together, which none of them sees, nor counts in its own
     /// few requests: sheds at random as much as the saturation asks for.
-    pub(super) fn should_shed(&mut self, id: RequestId) -> bool {
+    pub(crate) fn should_shed(&mut self, id: RequestId) -> bool {
         let Some(request) = self.requests.get(id) else {
             return true;
         };
@@ -107,7 +107,7 @@
     }
 
     /// Gives up on a request at once: rejects it where that is true, else fails it.
-    pub(super) fn reject_or_fail(&mut self, id: RequestId, actions: &mut Actions) {
+    pub(crate) fn reject_or_fail(&mut self, id: RequestId, actions: &mut Actions) {
         let Some(request) = self.requests.get(id) else {
             return;
         };
--- a/crates/balancer/src/policy/pick.rs
+++ b/crates/balancer/src/policy/pick.rs
@@ -1,9 +1,8 @@
 //! Which server a request goes to.
 
-use crate::policy::Balancer;
+use crate::balancer::Balancer;
 use crate::policy::health_check_trust::HealthCheckTrust;
 use crate::policy::load_source::LoadSource;
-use crate::policy::subsetter::CandidateFilter;
 use crate::state::{RequestState, RetryScope, ServerIndex};
 use crate::weighted_choice::weighted_choice;
 use crate::{RequestId, ServerId};
@@ -16,7 +15,7 @@
 
 impl Balancer {
     /// The least loaded of the servers whose load was checked for a request; `None` where none was checked.
-    pub(super) fn load_checked_servers(&self, request: &RequestState) -> Option<Vec<ServerIndex>> {
+    pub(crate) fn load_checked_servers(&self, request: &RequestState) -> Option<Vec<ServerIndex>> {
         let since = request.arrived_at();
         let reported = |&index: &ServerIndex| {
             let server = &self.fleet.servers[index];
@@ -47,7 +46,7 @@
 
     /// Draws two random servers and picks the one with the lower load, among those whose load was checked if
     /// there are any, else among all candidates.
-    pub(super) fn pick(
+    pub(crate) fn pick(
         &mut self,
         id: RequestId,
         scope: RetryScope,
@@ -57,10 +56,8 @@
         let any_checked = load_checked.is_some();
         let mut candidates = load_checked.unwrap_or_default();
         if candidates.is_empty() {
-            candidates = self.candidates(scope, tried, CandidateFilter::TrustedOnly);
-        }
-        if candidates.is_empty() {
-            candidates = self.candidates(scope, tried, CandidateFilter::AnyReady);
+            let fleet = &mut self.fleet;
+            candidates = self.policies.candidates(fleet, scope, tried, &mut self.rng);
         }
         let candidates = self.prefer_in_time(id, candidates);
         let (first, second) = (self.draw(&candidates)?, self.draw(&candidates)?);
--- a/crates/balancer/src/policy/retry.rs
+++ b/crates/balancer/src/policy/retry.rs
@@ -1,6 +1,6 @@
 //! Whether and where a request is sent again.
 
-use crate::policy::Balancer;
+use crate::balancer::Balancer;
 use crate::state::{RequestState, RetryScope};
 use crate::{Actions, DeduplicationScope, Idempotency, Micros, RequestId};
 
@@ -37,7 +37,7 @@
     }
 
     /// Sends a request again, as a retry or a hedge, where that is permitted, useful and affordable.
-    pub(super) fn retry(&mut self, id: RequestId, actions: &mut Actions) -> bool {
+    pub(crate) fn retry(&mut self, id: RequestId, actions: &mut Actions) -> bool {
         let Some(request) = self.requests.get(id) else {
             return false;
         };
@@ -49,7 +49,7 @@
         let worthless_late = self.fleet.settings.class(request.class()).late_value == 0.0;
         let out_of_time = self.fleet.now + 2 * self.fleet.settings.step >= request.objective_at();
         let useless = request.in_flight_count() > 1 || (worthless_late && out_of_time);
-        if useless || !self.retry_budget.covers_retry(may_have_executed) {
+        if useless || !self.policies.retry_budget.covers_retry(may_have_executed) {
             return false;
         }
         let tried = request.tried_servers();
@@ -63,7 +63,7 @@
         {
             return false;
         }
-        self.retry_budget.on_retry(may_have_executed);
+        self.policies.retry_budget.on_retry(may_have_executed);
         self.send(id, server_index, actions);
         true
     }
--- a/crates/balancer/src/policy/retry_budget.rs
+++ b/crates/balancer/src/policy/retry_budget.rs
@@ -12,30 +12,30 @@
 const INITIAL_RETRY_TOKENS: f64 = MAX_RETRY_TOKENS / 2.0;
 
 /// Tokens for retries.
-pub(super) struct RetryBudget {
+pub(crate) struct RetryBudget {
     tokens: f64,
 }
 
 impl RetryBudget {
     /// A budget for the first retries.
-    pub(super) fn new() -> Self {
+    pub(crate) fn new() -> Self {
         Self {
             tokens: INITIAL_RETRY_TOKENS,
         }
     }
 
     /// A request arrived, and earns a share of a retry.
-    pub(super) fn on_request_arrived(&mut self) {
+    pub(crate) fn on_request_arrived(&mut self) {
         self.tokens = (self.tokens + RETRY_TOKENS_PER_REQUEST).min(MAX_RETRY_TOKENS);
     }
 
     /// True where there are tokens for a retry of a request that may have executed, or cannot have.
-    pub(super) fn covers_retry(&self, may_have_executed: bool) -> bool {
+    pub(crate) fn covers_retry(&self, may_have_executed: bool) -> bool {
         self.tokens >= Self::cost(may_have_executed)
     }
 
     /// A request was retried.
-    pub(super) fn on_retry(&mut self, may_have_executed: bool) {
+    pub(crate) fn on_retry(&mut self, may_have_executed: bool) {
         self.tokens -= Self::cost(may_have_executed);
     }
 
--- a/crates/balancer/src/policy/test_support.rs
+++ b/crates/balancer/src/policy/test_support.rs
@@ -1,8 +1,11 @@
 //! A fleet and requests for the tests of decisions.
 
 use crate::fleet::Fleet;
+use crate::policy::ejection::Ejection;
 use crate::state::{InFlightAttempt, ServerIndex};
-use crate::{Endpoint, Idempotency, Micros, RequestClass, RequestId, ServerId, Settings};
+use crate::{
+    EjectionCause, Endpoint, Idempotency, Micros, RequestClass, RequestId, ServerId, Settings,
+};
 
 /// Time at the fleet: long after all servers started.
 pub(crate) const NOW: Micros = 100_000_000;
@@ -21,6 +24,14 @@
     }
 }
 
+/// The same with three other balancers that gossip.
+pub(crate) fn settings_with_peers() -> Settings {
+    let mut settings = settings();
+    settings.host.gossip = true;
+    settings.identity.count = 4;
+    settings
+}
+
 /// The class of [`settings`].
 pub(crate) fn class() -> RequestClass {
     RequestClass::new(Idempotency::Idempotent, 250 * MS, 600 * MS)
@@ -58,3 +69,30 @@
     let slow_start = fleet.settings.slow_start;
     fleet.servers[server].on_attempt_sent(attempt, &slow_start);
 }
+
+/// So many requests arrive now.
+pub(crate) fn arrive(fleet: &mut Fleet, requests: usize) {
+    let workload = &mut fleet.estimators.workload;
+    for _ in 0..requests {
+        workload.on_request_arrived(&fleet.settings.classes[0], 0.0, fleet.now);
+    }
+}
+
+/// Suspects a server now.
+pub(crate) fn eject(fleet: &mut Fleet, server: ServerIndex, cause: EjectionCause) {
+    let ejection = Ejection::decide(fleet, &fleet.servers[server], cause);
+    let Ejection::Raised {
+        suspicion,
+        earlier_ejections,
+    } = ejection
+    else {
+        panic!("not ejected: {ejection:?}");
+    };
+    let record = &mut fleet.servers[server].suspicion;
+    record.on_ejected(suspicion, earlier_ejections);
+}
+
+/// Fails a health check of a server.
+pub(crate) fn fail_health_check(fleet: &mut Fleet, server: ServerIndex) {
+    fleet.servers.on_health_check_ended(server, false);
+}
--- a/crates/balancer/src/state/endpoint_table.rs
+++ b/crates/balancer/src/state/endpoint_table.rs
@@ -6,6 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::{Index, IndexMut};
 
+use crate::state::health_check_record::HealthCheckKind;
 use crate::state::server_index::ServerIndex;
 use crate::state::server_state::ServerState;
 use crate::{Endpoint, Micros, ServerId};
@@ -121,12 +122,12 @@
             .collect();
     }
 
-    /// A server's health check ended; true where it was only for the load.
+    /// A server's health check ended; returns what it was for.
     pub(crate) fn on_health_check_ended(
         &mut self,
         server_index: ServerIndex,
         succeeded: bool,
-    ) -> bool {
+    ) -> HealthCheckKind {
         let health_check = &mut self.servers[server_index.0].health_check;
         self.failed_health_checks -= usize::from(health_check.last_failed());
         self.failed_health_checks += usize::from(!succeeded);
--- a/crates/balancer/src/state/health_check_record.rs
+++ b/crates/balancer/src/state/health_check_record.rs
@@ -2,12 +2,22 @@
 
 use crate::Micros;
 
+/// What a health check is for.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub(crate) enum HealthCheckKind {
+    /// A failure is to be confirmed.
+    #[default]
+    Full,
+    /// It was requested for the load; a failure is left to the schedule.
+    LoadOnly,
+}
+
 /// The health check in progress, the last result, and the confirmation of a failure.
 pub(crate) struct HealthCheckRecord {
     started_at: Option<Micros>,
     last_started_at: Micros,
     last_failed: bool,
-    load_only: bool,
+    kind: HealthCheckKind,
     confirm_at: Option<Micros>,
     confirmed_alive: bool,
     indirect_check_requesters: Vec<u32>,
@@ -19,7 +29,7 @@
             started_at: None,
             last_started_at: 0,
             last_failed: false,
-            load_only: false,
+            kind: HealthCheckKind::Full,
             confirm_at: None,
             confirmed_alive: true,
             indirect_check_requesters: Vec::new(),
@@ -67,12 +77,14 @@
     /// A load check was requested: unless a full health check is in progress, its failure is not
     /// confirmed.
     pub(crate) fn on_load_check_requested(&mut self) {
-        self.load_only |= self.started_at.is_none();
+        if self.started_at.is_none() {
+            self.kind = HealthCheckKind::LoadOnly;
+        }
     }
 
     /// The health check in progress counts as a full one.
     pub(crate) fn on_full_check_requested(&mut self) {
-        self.load_only = false;
+        self.kind = HealthCheckKind::Full;
     }
 
     /// Another balancer asked for an indirect check.
@@ -80,11 +92,11 @@
         self.indirect_check_requesters.push(balancer);
     }
 
-    /// The health check in progress ended; true where it was only for the load.
-    pub(crate) fn on_ended(&mut self, succeeded: bool) -> bool {
+    /// The health check in progress ended; returns what it was for.
+    pub(crate) fn on_ended(&mut self, succeeded: bool) -> HealthCheckKind {
         self.started_at = None;
         self.last_failed = !succeeded;
-        std::mem::take(&mut self.load_only)
+        std::mem::take(&mut self.kind)
     }
 
     /// The balancers that wait for the result; they wait no longer.
@@ -103,9 +115,9 @@
         self.confirmed_alive = true;
     }
 
-    /// A full health check failed; true where the server was taken for alive before.
-    pub(crate) fn on_failed(&mut self) -> bool {
-        std::mem::replace(&mut self.confirmed_alive, false)
+    /// A full health check failed.
+    pub(crate) fn on_failed(&mut self) {
+        self.confirmed_alive = false;
     }
 
     /// A failure is to be confirmed at this time.
@@ -113,8 +125,13 @@
         self.confirm_at = Some(at);
     }
 
-    /// True once when the time of the confirmation has come.
-    pub(crate) fn take_due_confirmation(&mut self, now: Micros) -> bool {
-        self.confirm_at.take_if(|at| now >= *at).is_some()
+    /// True where the time of the confirmation has come.
+    pub(crate) fn is_confirmation_due(&self, now: Micros) -> bool {
+        self.confirm_at.is_some_and(|at| now >= at)
+    }
+
+    /// Ends the wait for a confirmation whose time has come.
+    pub(crate) fn end_due_confirmation(&mut self, now: Micros) {
+        self.confirm_at.take_if(|at| now >= *at);
     }
 }
--- a/crates/balancer/src/state/request_state.rs
+++ b/crates/balancer/src/state/request_state.rs
@@ -44,7 +44,7 @@
 }
 
 /// The servers to which a retry may go.
-#[derive(Clone, Copy, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RetryScope {
     /// All servers.
     Anywhere,
--- a/crates/balancer/src/state/server_state.rs
+++ b/crates/balancer/src/state/server_state.rs
@@ -7,7 +7,7 @@
 use crate::state::gossip_message::{GossipKind, GossipMessage};
 use crate::state::health_check_record::HealthCheckRecord;
 use crate::state::suspicion::SuspicionRecord;
-use crate::{Endpoint, EndpointStatus, Micros, RequestId, ServerId, SlowStartSettings};
+use crate::{Endpoint, EndpointStatus, Micros, RequestId, ServerId, Settings, SlowStartSettings};
 
 /// An attempt without an end.
 pub(crate) struct InFlightAttempt {
@@ -109,6 +109,14 @@
         &self.in_flight
     }
 
+    /// True where nothing is left to be known of it: the endpoint list no longer names it and its
+    /// attempts have ended. Where only draining binds it is kept until it is dead or drains.
+    pub(crate) fn is_gone(&self, settings: &Settings) -> bool {
+        let may_be_tried =
+            settings.only_draining_binds && !self.suspicion.is_dead() && !self.drain_listed;
+        self.is_removed() && self.in_flight.is_empty() && !may_be_tried
+    }
+
     /// The endpoint list names it again; true where it has restarted since.
     pub(crate) fn on_listed(&mut self, endpoint: Endpoint) -> bool {
         let restarted = endpoint.incarnation.unwrap_or(0) > self.incarnation();
--- a/crates/balancer/src/state/suspicion.rs
+++ b/crates/balancer/src/state/suspicion.rs
@@ -6,7 +6,7 @@
 use crate::{EjectionCause, Micros};
 
 /// A suspicion that stands.
-#[derive(Clone, Copy)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Suspicion {
     /// What raised it.
     pub(crate) cause: EjectionCause,
