--- a/crates/balancer/src/balancer/policies.rs
+++ b/crates/balancer/src/balancer/policies.rs
@@ -3,7 +3,7 @@
 use crate::fleet::Fleet;
 use crate::policy::{
     Admission, CandidateFilter, EndpointPoller, FailureDetector, GossipProtocol, HealthChecker,
-    RetryBudget, SlowStartAdmission, Subsetter,
+    RetryPolicy, SlowStartAdmission, Subsetter,
 };
 use crate::state::{RetryScope, ServerIndex};
 use crate::{ServerId, Settings};
@@ -15,8 +15,8 @@
     pub(crate) subsetter: Subsetter,
     /// Whether a server in slow start takes part in a draw.
     pub(crate) slow_start_admission: SlowStartAdmission,
-    /// How many requests may be sent again.
-    pub(crate) retry_budget: RetryBudget,
+    /// Which requests are sent again.
+    pub(crate) retry_policy: RetryPolicy,
     /// Which servers are suspected.
     pub(crate) failure_detector: FailureDetector,
     /// Which server's health is checked next.
@@ -33,7 +33,7 @@
         Self {
             subsetter: Subsetter::default(),
             slow_start_admission: SlowStartAdmission::new(),
-            retry_budget: RetryBudget::new(),
+            retry_policy: RetryPolicy::new(),
             failure_detector: FailureDetector::new(settings.shortest_objective()),
             health_checker: HealthChecker::default(),
             gossip: GossipProtocol::default(),
--- a/crates/balancer/src/policy/dispatch.rs
+++ b/crates/balancer/src/policy/dispatch.rs
@@ -2,6 +2,7 @@
 
 use crate::balancer::{Balancer, REQUEST_TIMER_TOKEN, TICK_INTERVAL};
 use crate::policy::load_source::LoadSource;
+use crate::policy::retry_policy::RetryPolicy;
 use crate::state::{InFlightAttempt, RequestState, RetryScope, ServerIndex};
 use crate::{Action, Actions, AttemptEnd, IncomingRequest, Micros, RequestId};
 
@@ -39,7 +40,7 @@
         };
         let hopeless = class.late_value == 0.0 && work > request.objective() as f64;
         self.requests.on_request_arrived(incoming.id, request);
-        self.policies.retry_budget.on_request_arrived();
+        self.policies.retry_policy.on_request_arrived();
         if hopeless || incoming.time_left == 0 {
             self.reject_or_fail(incoming.id, actions);
         } else if self.fleet.settings.load_source() == LoadSource::LoadChecks {
@@ -83,20 +84,9 @@
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
+        let timeout = Some(RetryPolicy::attempt_timeout(&self.fleet, request));
         let server = &mut self.fleet.servers[server_index];
         let relative_work = request.relative_work();
-        // A late response that is worth nothing is not waited for.
-        let worthless_late = self.fleet.settings.class(request.class()).late_value == 0.0;
-        let objective_at = request
-            .objective_at()
-            .saturating_sub(2 * self.fleet.settings.step);
-        let deadline_at = request.deadline_at();
-        let until = if worthless_late {
-            objective_at.min(deadline_at)
-        } else {
-            deadline_at
-        };
-        let timeout = Some(until.saturating_sub(now).max(1));
         actions.push(Action::Send {
             request: id,
             server: server.id(),
--- a/crates/balancer/src/policy/test_support.rs
+++ b/crates/balancer/src/policy/test_support.rs
@@ -2,9 +2,10 @@
 
 use crate::fleet::Fleet;
 use crate::policy::ejection::Ejection;
-use crate::state::{InFlightAttempt, ServerIndex};
+use crate::state::{InFlightAttempt, RequestState, ServerIndex};
 use crate::{
-    EjectionCause, Endpoint, Idempotency, Micros, RequestClass, RequestId, ServerId, Settings,
+    ClassId, EjectionCause, Endpoint, Idempotency, IncomingRequest, Micros, RequestClass,
+    RequestId, ServerId, Settings,
 };
 
 /// Time at the fleet: long after all servers started.
@@ -57,6 +58,18 @@
         .on_started(now, now, duration);
 }
 
+/// A usual request of class 0 that arrived now.
+pub(crate) fn request(fleet: &Fleet) -> RequestState {
+    let class = &fleet.settings.classes[0];
+    let incoming = IncomingRequest {
+        id: RequestId(1),
+        class: ClassId(0),
+        time_left: class.deadline,
+        work_hint: None,
+    };
+    RequestState::new(&incoming, class, 1.0, fleet.now)
+}
+
 /// Sends an attempt of a usual request to a server now.
 pub(crate) fn send(fleet: &mut Fleet, server: ServerIndex, request: u64) {
     let attempt = InFlightAttempt {
