--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -6,27 +6,28 @@
 
 mod membership;
 mod policies;
+mod requests;
 mod servers;
 
 use crate::balancer::policies::Policies;
 use crate::fleet::Fleet;
 use crate::policy::{CheckTarget, HealthChecker};
 use crate::state::{RequestTable, ServerIndex};
-use crate::{Action, Actions, Event, Micros, Settings, SettingsError};
+use crate::{Action, Actions, Event, Micros, RequestId, Settings, SettingsError};
 
 /// Time between two ticks, in microseconds: well below any latency objective.
-pub(crate) const TICK_INTERVAL: Micros = 25_000;
+const TICK_INTERVAL: Micros = 25_000;
 /// Token of the timer that ticks.
 const TICK_TOKEN: u64 = 0;
 /// Token of the timers of requests.
-pub(crate) const REQUEST_TIMER_TOKEN: u64 = 1;
+const REQUEST_TIMER_TOKEN: u64 = 1;
 
 /// Decides for one sidecar. Instances share nothing.
 pub struct Balancer {
-    pub(crate) fleet: Fleet,
-    pub(crate) requests: RequestTable,
-    pub(crate) policies: Policies,
-    pub(crate) rng: fastrand::Rng,
+    fleet: Fleet,
+    requests: RequestTable,
+    policies: Policies,
+    rng: fastrand::Rng,
     started: bool,
 }
 
@@ -145,12 +146,35 @@
     }
 
     /// Checks a server out of turn; a failure is not confirmed, but makes it the next in turn.
-    pub(crate) fn check_load(&mut self, server: ServerIndex, actions: &mut Actions) {
+    fn check_load(&mut self, server: ServerIndex, actions: &mut Actions) {
         self.fleet.servers[server]
             .health_check
             .on_load_check_requested();
         self.start_health_check(server, actions);
     }
+
+    /// Dispatches the requests whose timers are due.
+    fn on_request_timer(&mut self, actions: &mut Actions) {
+        while let Some(id) = self.requests.take_due(self.fleet.now) {
+            self.dispatch(id, actions);
+        }
+    }
+
+    /// Dispatches a request after this time, unless it is sent before.
+    fn set_request_timer(&mut self, id: RequestId, after: Micros, actions: &mut Actions) {
+        self.requests.set_timer(id, self.fleet.now + after);
+        actions.push(Action::SetTimer {
+            token: REQUEST_TIMER_TOKEN,
+            after,
+        });
+    }
+
+    /// A response started: its request is not sent again.
+    fn on_response_started(&mut self, id: RequestId) {
+        if let Some(request) = self.requests.get_mut(id) {
+            request.on_response_started();
+        }
+    }
 }
 
 fn set_tick_timer(actions: &mut Actions) {
--- a/crates/balancer/src/balancer/membership.rs
+++ b/crates/balancer/src/balancer/membership.rs
@@ -8,7 +8,7 @@
 
 impl Balancer {
     /// Polls the endpoint list; without any response it is polled again in good time.
-    pub(crate) fn poll_endpoints(&mut self, actions: &mut Actions) {
+    pub(super) fn poll_endpoints(&mut self, actions: &mut Actions) {
         actions.push(Action::PollEndpoints);
         self.policies
             .endpoint_poller
@@ -27,7 +27,7 @@
     }
 
     /// An update of the endpoint list came, or was lost.
-    pub(crate) fn on_endpoints_updated(
+    pub(super) fn on_endpoints_updated(
         &mut self,
         kind: UpdateKind,
         version: u64,
@@ -78,7 +78,7 @@
     }
 
     /// Another balancer sent a datagram.
-    pub(crate) fn on_gossip_received(&mut self, from: u32, datagram: &[u8], actions: &mut Actions) {
+    pub(super) fn on_gossip_received(&mut self, from: u32, datagram: &[u8], actions: &mut Actions) {
         if !GossipProtocol::is_known_sender(&self.fleet.settings, from) {
             return;
         }
--- a/crates/balancer/src/balancer/policies.rs
+++ b/crates/balancer/src/balancer/policies.rs
@@ -3,36 +3,39 @@
 use crate::fleet::Fleet;
 use crate::policy::{
     Admission, CandidateFilter, EndpointPoller, FailureDetector, GossipProtocol, HealthChecker,
-    RetryPolicy, SlowStartAdmission, Subsetter,
+    LoadShedder, RetryPolicy, SlowStartAdmission, Subsetter,
 };
 use crate::state::{RetryScope, ServerIndex};
 use crate::{ServerId, Settings};
 
 /// One of each decision that keeps state; the others are functions of the fleet. None knows
 /// another.
-pub(crate) struct Policies {
+pub(super) struct Policies {
     /// Which servers are used.
-    pub(crate) subsetter: Subsetter,
+    pub(super) subsetter: Subsetter,
     /// Whether a server in slow start takes part in a draw.
-    pub(crate) slow_start_admission: SlowStartAdmission,
+    pub(super) slow_start_admission: SlowStartAdmission,
+    /// Which requests are shed.
+    pub(super) load_shedder: LoadShedder,
     /// Which requests are sent again.
-    pub(crate) retry_policy: RetryPolicy,
+    pub(super) retry_policy: RetryPolicy,
     /// Which servers are suspected.
-    pub(crate) failure_detector: FailureDetector,
+    pub(super) failure_detector: FailureDetector,
     /// Which server's health is checked next.
-    pub(crate) health_checker: HealthChecker,
+    pub(super) health_checker: HealthChecker,
     /// What other balancers are told.
-    pub(crate) gossip: GossipProtocol,
+    pub(super) gossip: GossipProtocol,
     /// When the endpoint list is polled.
-    pub(crate) endpoint_poller: EndpointPoller,
+    pub(super) endpoint_poller: EndpointPoller,
 }
 
 impl Policies {
     /// Decisions that have seen nothing.
-    pub(crate) fn new(settings: &Settings) -> Self {
+    pub(super) fn new(settings: &Settings) -> Self {
         Self {
             subsetter: Subsetter::default(),
             slow_start_admission: SlowStartAdmission::new(),
+            load_shedder: LoadShedder::default(),
             retry_policy: RetryPolicy::new(),
             failure_detector: FailureDetector::new(settings.shortest_objective()),
             health_checker: HealthChecker::default(),
@@ -42,7 +45,7 @@
     }
 
     /// The trusted servers of the subset that are admitted to a draw, else any that are.
-    pub(crate) fn candidates(
+    pub(super) fn candidates(
         &self,
         fleet: &mut Fleet,
         scope: RetryScope,
@@ -60,7 +63,7 @@
     }
 
     /// The trusted servers of the subset that are admitted to a draw.
-    pub(crate) fn trusted_candidates(
+    pub(super) fn trusted_candidates(
         &self,
         fleet: &mut Fleet,
         rng: &mut fastrand::Rng,
--- /dev/null
+++ b/crates/balancer/src/balancer/requests.rs
@@ -0,0 +1,244 @@
+//! Carries out what is decided about requests: their arrival, attempts and end.
+
+use crate::balancer::Balancer;
+use crate::policy::{
+    Candidates, FinalResponse, LoadCheckResult, LoadChecker, LoadKnowledge, LoadShedder,
+    LoadSource, RetryDecision, RetryPolicy, RetryTarget, Selection, ServerSelector, ServerWait,
+    ShedDecision,
+};
+use crate::state::{InFlightAttempt, RequestState, RetryScope, ServerIndex};
+use crate::{Action, Actions, AttemptEnd, IncomingRequest, RequestId, ServerId};
+
+/// Whether a request was sent again.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(super) enum RetryResult {
+    /// It was.
+    Sent,
+    /// It was not.
+    NotSent,
+}
+
+impl Balancer {
+    /// A request arrived: it is sent, waits for load checks or for a server, or is given up.
+    pub(super) fn on_request_arrived(&mut self, incoming: &IncomingRequest, actions: &mut Actions) {
+        let class_index = usize::from(incoming.class.0);
+        let Some(class) = self.fleet.settings.classes.get(class_index) else {
+            actions.push(Action::Reject {
+                request: incoming.id,
+                retry_after: None,
+            });
+            return;
+        };
+        let now = self.fleet.now;
+        let hint = incoming.work_hint.unwrap_or(0) as f64;
+        let workload = &mut self.fleet.estimators.workload;
+        let relative_work = workload.on_request_arrived(class, hint, now);
+        let request = RequestState::new(incoming, class, relative_work, now);
+        let decision = LoadShedder::judge_arrival(&self.fleet, incoming, class, &request);
+        self.requests.on_request_arrived(incoming.id, request);
+        self.policies.retry_policy.on_request_arrived();
+        if decision != ShedDecision::Admit {
+            self.give_up(incoming.id, actions);
+        } else if self.fleet.settings.load_source() == LoadSource::LoadChecks {
+            self.start_load_checks(incoming.id, actions);
+        } else {
+            self.dispatch(incoming.id, actions);
+        }
+    }
+
+    /// Asks a few servers for their load; the request is dispatched when they have answered, or
+    /// after a while.
+    fn start_load_checks(&mut self, id: RequestId, actions: &mut Actions) {
+        let policies = &self.policies;
+        let candidates = policies.trusted_candidates(&mut self.fleet, &mut self.rng);
+        let servers = LoadChecker::choose_servers(&self.fleet, candidates, &mut self.rng);
+        let ids: Vec<ServerId> = servers
+            .iter()
+            .map(|&server| self.fleet.servers[server].id())
+            .collect();
+        for server in servers {
+            self.check_load(server, actions);
+        }
+        let Some(request) = self.requests.get_mut(id) else {
+            return;
+        };
+        if ids.is_empty() {
+            self.dispatch(id, actions);
+            return;
+        }
+        let max_wait = LoadChecker::max_wait(request);
+        request.on_load_checks_started(ids);
+        self.set_request_timer(id, max_wait, actions);
+    }
+
+    /// A health check ended: requests that awaited nothing else are dispatched.
+    pub(super) fn on_load_check_ended(&mut self, server: ServerId, actions: &mut Actions) {
+        for id in self.requests.on_load_check_ended(server) {
+            self.dispatch(id, actions);
+        }
+    }
+
+    /// Sends the first attempt of a request, has it wait for a server, or gives it up.
+    pub(super) fn dispatch(&mut self, id: RequestId, actions: &mut Actions) {
+        let Some(request) = self.requests.get(id) else {
+            return;
+        };
+        let load_checks = LoadChecker::least_loaded(&self.fleet, request);
+        let candidates = self.first_candidates(load_checks);
+        let Some(request) = self.requests.get(id) else {
+            return;
+        };
+        let selection = ServerSelector::select(&self.fleet, request, &candidates, &mut self.rng);
+        let load_shedder = &mut self.policies.load_shedder;
+        let decision = load_shedder.judge_selection(&self.fleet, request, selection, &mut self.rng);
+        match selection {
+            Selection::NoneKnown => {
+                match ServerSelector::wait_for_server(self.fleet.now, request) {
+                    ServerWait::LookAgainAfter(after) => self.set_request_timer(id, after, actions),
+                    ServerWait::GiveUp => self.give_up(id, actions),
+                }
+            }
+            Selection::Server(server) | Selection::NoneInTime(server) => match decision {
+                ShedDecision::Admit => self.send(id, server, actions),
+                _ => self.give_up(id, actions),
+            },
+        }
+    }
+
+    /// The servers that load checks found, else all candidates of the subset.
+    fn first_candidates(&mut self, load_checks: LoadCheckResult) -> Candidates {
+        let (mut servers, load_knowledge) = match load_checks {
+            LoadCheckResult::LeastLoaded(servers) => (servers, LoadKnowledge::Checked),
+            LoadCheckResult::NotChecked => (Vec::new(), LoadKnowledge::Unchecked),
+        };
+        if servers.is_empty() {
+            servers = self.candidates(RetryScope::Anywhere, &[]);
+        }
+        Candidates {
+            servers,
+            load_knowledge,
+        }
+    }
+
+    fn candidates(&mut self, scope: RetryScope, tried: &[ServerId]) -> Vec<ServerIndex> {
+        let fleet = &mut self.fleet;
+        self.policies.candidates(fleet, scope, tried, &mut self.rng)
+    }
+
+    /// Sends an attempt of a request to a server.
+    fn send(&mut self, id: RequestId, server: ServerIndex, actions: &mut Actions) {
+        let Some(request) = self.requests.get_mut(id) else {
+            return;
+        };
+        let now = self.fleet.now;
+        let timeout = RetryPolicy::attempt_timeout(&self.fleet, request);
+        let estimates = self.fleet.estimates();
+        let queue_depth = estimates.queue_depth(&self.fleet.servers[server]);
+        let relative_work = request.relative_work();
+        let server = &mut self.fleet.servers[server];
+        actions.push(Action::Send {
+            request: id,
+            server: server.id(),
+            timeout: Some(timeout),
+        });
+        let sent = InFlightAttempt {
+            request: id,
+            attempt: request.on_attempt_sent(server.endpoint(), now),
+            sent_at: now,
+            relative_work,
+            queue_depth,
+        };
+        server.on_attempt_sent(sent, &self.fleet.settings.slow_start);
+        self.policies
+            .slow_start_admission
+            .on_work_sent(&self.fleet, relative_work);
+    }
+
+    /// An attempt ended: its request is finished, waits for another attempt, is retried or given
+    /// up.
+    pub(super) fn on_attempt_ended(&mut self, end: &AttemptEnd, actions: &mut Actions) {
+        if let Some(server) = self.fleet.servers.find(end.server) {
+            self.record_attempt_end(server, end, actions);
+        }
+        let Some(request) = self.requests.get_mut(end.request) else {
+            return;
+        };
+        request.on_attempt_ended(end.attempt, end.outcome.never_executed());
+        let is_waiting = request.in_flight_count() > 0;
+        if end.finished {
+            self.finish(end.request, actions);
+        } else if !is_waiting && self.retry(end.request, actions) == RetryResult::NotSent {
+            self.give_up(end.request, actions);
+        }
+    }
+
+    /// Sends a request again, as a retry or as a hedged request, where the retry policy permits it
+    /// and a server is found.
+    pub(super) fn retry(&mut self, id: RequestId, actions: &mut Actions) -> RetryResult {
+        let Some(request) = self.requests.get(id) else {
+            return RetryResult::NotSent;
+        };
+        let decision = self.policies.retry_policy.decide(&self.fleet, request);
+        let RetryDecision::Retry { scope, prior } = decision else {
+            return RetryResult::NotSent;
+        };
+        let tried = request.tried_servers();
+        let Some(server) = self.select_for_retry(id, scope, &tried) else {
+            return RetryResult::NotSent;
+        };
+        self.policies.retry_policy.on_retry(prior);
+        self.send(id, server, actions);
+        RetryResult::Sent
+    }
+
+    fn select_for_retry(
+        &mut self,
+        id: RequestId,
+        scope: RetryScope,
+        tried: &[ServerId],
+    ) -> Option<ServerIndex> {
+        let candidates = Candidates {
+            servers: self.candidates(scope, tried),
+            load_knowledge: LoadKnowledge::Unchecked,
+        };
+        let request = self.requests.get(id)?;
+        let selection = ServerSelector::select(&self.fleet, request, &candidates, &mut self.rng);
+        let server = selection.server()?;
+        let target = RetryPolicy::judge_target(&self.fleet.servers[server]);
+        let load_shedder = &self.policies.load_shedder;
+        let is_suitable = target == RetryTarget::Suitable
+            && !load_shedder.exceeds_deadline(&self.fleet, request, server);
+        is_suitable.then_some(server)
+    }
+
+    /// Gives a request its final response at once: a rejection where a retry is harmless, else a
+    /// failure.
+    fn give_up(&mut self, id: RequestId, actions: &mut Actions) {
+        let Some(request) = self.requests.get(id) else {
+            return;
+        };
+        let action = match FinalResponse::decide(&self.fleet, request, &mut self.rng) {
+            FinalResponse::Reject { retry_after } => Action::Reject {
+                request: id,
+                retry_after,
+            },
+            FinalResponse::Fail => Action::Fail { request: id },
+        };
+        actions.push(action);
+        self.finish(id, actions);
+    }
+
+    /// Forgets a request that has its final response and cancels its attempts in flight.
+    pub(super) fn finish(&mut self, id: RequestId, actions: &mut Actions) {
+        let Some(request) = self.requests.on_request_finished(id) else {
+            return;
+        };
+        if self.fleet.settings.host.cancellation && !request.is_streaming() {
+            let cancel = |attempt| Action::Cancel {
+                request: id,
+                attempt,
+            };
+            actions.extend(request.in_flight_attempts().map(cancel));
+        }
+    }
+}
--- a/crates/balancer/src/balancer/servers.rs
+++ b/crates/balancer/src/balancer/servers.rs
@@ -2,7 +2,8 @@
 
 use crate::balancer::Balancer;
 use crate::policy::{
-    AttemptEvidence, Audience, Ejection, FailureDetector, GossipProtocol, Readmission, Verdict,
+    AttemptEvidence, Audience, Ejection, FailureDetector, GossipProtocol, LoadChecker, Readmission,
+    ReportVerdict, Verdict,
 };
 use crate::state::{HealthCheckKind, InFlightAttempt, ServerIndex};
 use crate::{
@@ -12,7 +13,7 @@
 
 impl Balancer {
     /// An attempt ended: what it tells of its server.
-    pub(crate) fn record_attempt_end(
+    pub(super) fn record_attempt_end(
         &mut self,
         index: ServerIndex,
         end: &AttemptEnd,
@@ -44,10 +45,7 @@
         let latency = now.saturating_sub(attempt.sent_at) as f64;
         if let Some(request) = self.requests.get(attempt.request) {
             let objective_share = (latency / request.objective() as f64).min(1.0);
-            self.fleet
-                .estimators
-                .saturation
-                .on_response(objective_share, now);
+            self.policies.load_shedder.on_response(objective_share, now);
         }
         let server = &mut self.fleet.servers[index];
         let settings = &self.fleet.settings;
@@ -63,7 +61,7 @@
         let polling = &self.fleet.settings.polling;
         let may_drain = self.policies.endpoint_poller.may_miss_drains(polling);
         self.fleet.servers[index].on_rejected(attempt.queue_depth, may_drain, now);
-        self.fleet.estimators.saturation.on_rejected(now);
+        self.policies.load_shedder.on_rejected(now);
     }
 
     fn on_attempt_failed(&mut self, index: ServerIndex, outcome: Outcome, actions: &mut Actions) {
@@ -74,8 +72,24 @@
         self.apply(verdict, index, actions);
     }
 
+    /// A server reported its load, with a response or with a health check.
+    fn on_load_report(&mut self, index: ServerIndex, report: Option<LoadReport>) {
+        let Some(report) = report else {
+            return;
+        };
+        let source = self.fleet.settings.load_source();
+        let server = &mut self.fleet.servers[index];
+        match LoadChecker::judge_report(source, server, report) {
+            ReportVerdict::Believed { in_flight } => {
+                server.on_load_report(in_flight, source, self.fleet.now);
+                self.fleet.estimators.utilization.on_load_report(in_flight);
+            }
+            ReportVerdict::ContradictsOwnAttempts | ReportVerdict::Malformed => {}
+        }
+    }
+
     /// A health check ended.
-    pub(crate) fn on_health_check_ended(
+    pub(super) fn on_health_check_ended(
         &mut self,
         id: ServerId,
         outcome: Outcome,
@@ -120,7 +134,7 @@
     }
 
     /// Looks at a server with each tick.
-    pub(crate) fn review_server(&mut self, index: ServerIndex, actions: &mut Actions) {
+    pub(super) fn review_server(&mut self, index: ServerIndex, actions: &mut Actions) {
         let detector = &self.policies.failure_detector;
         let verdict = detector.review(&self.fleet, &self.fleet.servers[index]);
         let now = self.fleet.now;
@@ -137,7 +151,7 @@
     }
 
     /// Carries out a verdict of the failure detector.
-    pub(crate) fn apply(&mut self, verdict: Verdict, index: ServerIndex, actions: &mut Actions) {
+    pub(super) fn apply(&mut self, verdict: Verdict, index: ServerIndex, actions: &mut Actions) {
         match verdict {
             Verdict::Keep => {}
             Verdict::ConfirmAt(at) => {
@@ -165,7 +179,7 @@
     }
 
     /// Makes a server the next to be checked, and soon.
-    pub(crate) fn check_soon(&mut self, index: ServerIndex) {
+    pub(super) fn check_soon(&mut self, index: ServerIndex) {
         let id = self.fleet.servers[index].id();
         self.policies.health_checker.check_soon(id, self.fleet.now);
     }
--- a/crates/balancer/src/estimators/estimates.rs
+++ b/crates/balancer/src/estimators/estimates.rs
@@ -2,15 +2,12 @@
 
 use crate::estimators::decaying_rate::decay;
 use crate::estimators::latency::LatencyEstimator;
-use crate::estimators::workload::WorkloadEstimator;
 use crate::policy::load_source::LoadSource;
-use crate::state::{InFlightAttempt, RequestState, ServerState};
+use crate::state::{InFlightAttempt, ServerState};
 use crate::{Micros, Settings};
 
 /// Half-life of what others have at a server, in microseconds.
 const ELSEWHERE_HALF_LIFE: f64 = 4_000_000.0;
-/// A server with this queue depth or more has a queue.
-const MIN_QUEUE_DEPTH: f64 = 1.5;
 /// Least divisors of a latency, against samples that a small request makes enormous.
 const MIN_MEAN_DEPTH: f64 = 0.05;
 const MIN_REPORTED_DEPTH: f64 = 0.2;
@@ -23,8 +20,6 @@
     pub(crate) now: Micros,
     /// Service times so far.
     pub(crate) latency: &'a LatencyEstimator,
-    /// The requests so far.
-    pub(crate) workload: &'a WorkloadEstimator,
     /// Something tells how many requests servers hold.
     pub(crate) is_load_known: bool,
 }
@@ -53,16 +48,6 @@
         self.queue_depth(server) * self.relative_service_time(server)
     }
 
-    /// Microseconds that a server is expected to take for one more request. Where several run at a
-    /// time each slows all others, so a server's load multiplies the request's own work.
-    pub(crate) fn expected_service_time(&self, server: &ServerState, relative_work: f64) -> f64 {
-        if self.settings.load_source() == LoadSource::Responses {
-            return self.load(server) * relative_work * self.latency.mean_service_time();
-        }
-        (self.load(server) + (relative_work - 1.0) * self.relative_service_time(server))
-            * self.latency.mean_service_time()
-    }
-
     /// How much longer than the fleet a server takes for the same load. Where nothing tells the
     /// queue of a server in slow start, it is spared by how seldom it is drawn, and not twice over.
     pub(crate) fn relative_service_time(&self, server: &ServerState) -> f64 {
@@ -93,13 +78,6 @@
             .machine_latency_factor(server.endpoint().machine_type)
     }
 
-    /// True where a request would wait at a server. Guards against an estimate that rejects all and
-    /// so is never corrected: an idle server takes a request. One in slow start does not, as one
-    /// large request may be all that it bears; others of its machine type correct its estimate.
-    pub(crate) fn has_queue(&self, server: &ServerState) -> bool {
-        server.slow_start.is_active() || self.queue_depth(server) >= MIN_QUEUE_DEPTH
-    }
-
     /// The service time on an otherwise idle server that a response shows, in microseconds.
     pub(crate) fn observed_service_time(
         &self,
@@ -116,15 +94,4 @@
         }
         latency / (attempt.queue_depth - 1.0 + attempt.relative_work).max(MIN_REPORTED_DEPTH)
     }
-
-    /// Priority weight of a request for its work, against that of a usual one.
-    pub(crate) fn value_density(&self, request: &RequestState) -> f64 {
-        let relative_work = if self.settings.weight_by_work {
-            1.0
-        } else {
-            request.relative_work()
-        };
-        let priority_weight = self.settings.class(request.class()).priority_weight;
-        self.workload.value_density(priority_weight, relative_work)
-    }
 }
--- a/crates/balancer/src/estimators/fleet.rs
+++ b/crates/balancer/src/estimators/fleet.rs
@@ -2,8 +2,6 @@
 
 use crate::estimators::estimates::Estimates;
 use crate::estimators::latency::LatencyEstimator;
-use crate::estimators::missed_objective::MissedObjectiveRate;
-use crate::estimators::saturation::SaturationEstimator;
 use crate::estimators::utilization::UtilizationEstimator;
 use crate::estimators::workload::WorkloadEstimator;
 use crate::policy::load_source::LoadSource;
@@ -18,10 +16,6 @@
     pub(crate) latency: LatencyEstimator,
     /// How full the fleet is, from load reports.
     pub(crate) utilization: UtilizationEstimator,
-    /// How full the fleet is, from latencies.
-    pub(crate) saturation: SaturationEstimator,
-    /// Requests that the fleet has no time for.
-    pub(crate) missed_objectives: MissedObjectiveRate,
 }
 
 impl Estimators {
@@ -31,8 +25,6 @@
             workload: WorkloadEstimator::new(),
             latency: LatencyEstimator::new(shortest_objective),
             utilization: UtilizationEstimator::new(),
-            saturation: SaturationEstimator::default(),
-            missed_objectives: MissedObjectiveRate::default(),
         }
     }
 
@@ -49,7 +41,6 @@
             settings,
             now,
             latency: &self.latency,
-            workload: &self.workload,
             is_load_known: settings.load_source() != LoadSource::Unknown,
         };
         let service_time = estimates.observed_service_time(server, attempt, latency);
--- a/crates/balancer/src/fleet.rs
+++ b/crates/balancer/src/fleet.rs
@@ -77,7 +77,6 @@
             settings: &self.settings,
             now: self.now,
             latency: &self.estimators.latency,
-            workload: &self.estimators.workload,
             is_load_known: self.is_load_known(),
         }
     }
--- a/crates/balancer/src/policy.rs
+++ b/crates/balancer/src/policy.rs
@@ -5,20 +5,20 @@
 //! calls no other decision. The law of each stands at the top of its file.
 
 mod attempt_evidence;
-mod dispatch;
 mod ejection;
 mod endpoint_poller;
 mod failure_detector;
+mod final_response;
 mod gossip_protocol;
 pub(crate) mod health_check_trust;
 mod health_checker;
-mod load_check;
-mod load_shedding;
+mod load_checker;
+mod load_shedder;
 pub(crate) mod load_source;
-mod pick;
-mod retry;
+mod response_forecast;
 mod retry_budget;
 mod retry_policy;
+mod server_selector;
 mod slow_start_admission;
 pub(crate) mod subset_size;
 mod subsetter;
@@ -29,8 +29,15 @@
 pub(crate) use ejection::{Ejection, Readmission};
 pub(crate) use endpoint_poller::{EndpointPoller, ListLoss};
 pub(crate) use failure_detector::{Audience, FailureDetector, Verdict};
+pub(crate) use final_response::FinalResponse;
 pub(crate) use gossip_protocol::{GossipProtocol, PeerMessage};
 pub(crate) use health_checker::{CheckTarget, HealthChecker};
-pub(crate) use retry_policy::RetryPolicy;
+pub(crate) use load_checker::{LoadCheckResult, LoadChecker, ReportVerdict};
+pub(crate) use load_shedder::{LoadShedder, ShedDecision};
+pub(crate) use load_source::LoadSource;
+pub(crate) use retry_policy::{RetryDecision, RetryPolicy, RetryTarget};
+pub(crate) use server_selector::{
+    Candidates, LoadKnowledge, Selection, ServerSelector, ServerWait,
+};
 pub(crate) use slow_start_admission::{Admission, SlowStartAdmission};
 pub(crate) use subsetter::{CandidateFilter, Subsetter};
--- /dev/null
+++ b/crates/balancer/src/policy/load_checker/tests.rs
@@ -0,0 +1,116 @@
+use super::{LoadCheckResult, LoadChecker, ReportVerdict};
+use crate::fleet::Fleet;
+use crate::policy::load_source::LoadSource;
+use crate::policy::test_support::{
+    FIRST, MS, SECOND, fail_health_check, fleet, request, send, settings_with_load_checks,
+};
+use crate::state::{RequestState, ServerIndex};
+use crate::{LoadReport, ServerId};
+
+fn report(in_flight: f64) -> LoadReport {
+    LoadReport {
+        in_flight,
+        queued: 0.0,
+    }
+}
+
+fn report_load(fleet: &mut Fleet, server: ServerIndex, in_flight: f64) {
+    let now = fleet.now;
+    fleet.servers[server].on_load_report(in_flight, LoadSource::LoadChecks, now);
+}
+
+/// A request for which the first three servers were asked for their load.
+fn request_with_load_checks(fleet: &Fleet) -> RequestState {
+    let mut request = request(fleet);
+    request.on_load_checks_started((0..3).map(ServerId).collect());
+    request
+}
+
+fn least_loaded(fleet: &Fleet, request: &RequestState) -> Vec<ServerIndex> {
+    match LoadChecker::least_loaded(fleet, request) {
+        LoadCheckResult::LeastLoaded(servers) => servers,
+        LoadCheckResult::NotChecked => panic!("no load checks"),
+    }
+}
+
+#[test]
+fn fuller_fleet_is_asked_for_the_load_of_more_servers() {
+    let mut fleet = fleet(settings_with_load_checks(), 20);
+    let mut rng = fastrand::Rng::with_seed(1);
+    let mut asked = |fleet: &Fleet| {
+        let candidates = fleet.servers.indices().collect();
+        LoadChecker::choose_servers(fleet, candidates, &mut rng).len()
+    };
+    // ln(0.05) / ln(0.5) is 4.3.
+    assert_eq!(asked(&fleet), 4);
+    (0..200).for_each(|_| fleet.estimators.utilization.on_load_report(0.0));
+    assert_eq!(asked(&fleet), 2);
+    (0..200).for_each(|_| fleet.estimators.utilization.on_load_report(1.0));
+    assert_eq!(asked(&fleet), 8);
+}
+
+#[test]
+fn request_goes_to_the_least_loaded_of_the_servers_that_answered() {
+    let mut fleet = fleet(settings_with_load_checks(), 3);
+    let request = request_with_load_checks(&fleet);
+    report_load(&mut fleet, FIRST, 2.0);
+    report_load(&mut fleet, SECOND, 1.0);
+    // The third one was idle when it last answered, but has not answered for this request.
+    fleet.servers[ServerIndex(2)]
+        .load
+        .on_health_check_report(0.0, 0.0, 0);
+    assert_eq!(least_loaded(&fleet, &request), [SECOND]);
+}
+
+#[test]
+fn servers_within_a_quarter_of_a_request_are_equally_loaded() {
+    let mut fleet = fleet(settings_with_load_checks(), 3);
+    let request = request_with_load_checks(&fleet);
+    report_load(&mut fleet, FIRST, 1.2);
+    report_load(&mut fleet, SECOND, 1.0);
+    report_load(&mut fleet, ServerIndex(2), 1.3);
+    assert_eq!(least_loaded(&fleet, &request), [FIRST, SECOND]);
+}
+
+#[test]
+fn only_idle_servers_are_believed_where_most_health_checks_fail() {
+    let mut fleet = fleet(settings_with_load_checks(), 10);
+    let request = request_with_load_checks(&fleet);
+    report_load(&mut fleet, FIRST, 1.0);
+    assert_eq!(least_loaded(&fleet, &request), [FIRST]);
+    (3..9).for_each(|n| fail_health_check(&mut fleet, ServerIndex(n)));
+    assert_eq!(least_loaded(&fleet, &request), []);
+    report_load(&mut fleet, SECOND, 0.0);
+    assert_eq!(least_loaded(&fleet, &request), [SECOND]);
+}
+
+#[test]
+fn request_without_load_checks_has_no_result() {
+    let fleet = fleet(settings_with_load_checks(), 1);
+    let result = LoadChecker::least_loaded(&fleet, &request(&fleet));
+    assert_eq!(result, LoadCheckResult::NotChecked);
+}
+
+#[test]
+fn report_below_the_attempts_in_flight_before_the_check_contradicts_them() {
+    let mut fleet = fleet(settings_with_load_checks(), 1);
+    send(&mut fleet, FIRST, 1);
+    send(&mut fleet, FIRST, 2);
+    fleet.now += MS;
+    let now = fleet.now;
+    fleet.servers[FIRST].health_check.on_started(now);
+    send(&mut fleet, FIRST, 3);
+    let judge = |source, in_flight| {
+        LoadChecker::judge_report(source, &fleet.servers[FIRST], report(in_flight))
+    };
+    let believed = |in_flight| ReportVerdict::Believed { in_flight };
+    assert_eq!(judge(LoadSource::LoadChecks, 2.0), believed(2.0));
+    let contradiction = ReportVerdict::ContradictsOwnAttempts;
+    assert_eq!(judge(LoadSource::LoadChecks, 1.0), contradiction);
+    // Reports in responses are of some time before.
+    assert_eq!(judge(LoadSource::Responses, 1.0), believed(1.0));
+    for malformed in [-1.0, f64::NAN, f64::INFINITY] {
+        let verdict = judge(LoadSource::Responses, malformed);
+        assert_eq!(verdict, ReportVerdict::Malformed, "{malformed}");
+    }
+}
--- a/crates/balancer/src/policy/test_support.rs
+++ b/crates/balancer/src/policy/test_support.rs
@@ -33,6 +33,21 @@
     settings
 }
 
+/// The same where servers are asked for their load before each send.
+pub(crate) fn settings_with_load_checks() -> Settings {
+    let mut settings = settings();
+    settings.host.load_reports = true;
+    settings.fees.health_check = 0.001;
+    settings
+}
+
+/// The same where responses tell of load.
+pub(crate) fn settings_with_load_in_responses() -> Settings {
+    let mut settings = settings();
+    settings.host.load_reports_in_responses = true;
+    settings
+}
+
 /// The class of [`settings`].
 pub(crate) fn class() -> RequestClass {
     RequestClass::new(Idempotency::Idempotent, 250 * MS, 600 * MS)
@@ -58,16 +73,26 @@
         .on_started(now, now, duration);
 }
 
+/// A request of class 0 as it arrives.
+pub(crate) fn incoming(time_left: Micros, work_hint: Option<Micros>) -> IncomingRequest {
+    IncomingRequest {
+        id: RequestId(1),
+        class: ClassId(0),
+        time_left,
+        work_hint,
+    }
+}
+
 /// A usual request of class 0 that arrived now.
 pub(crate) fn request(fleet: &Fleet) -> RequestState {
+    request_of_work(fleet, 1.0)
+}
+
+/// The same of this work, against that of a usual one.
+pub(crate) fn request_of_work(fleet: &Fleet, relative_work: f64) -> RequestState {
     let class = &fleet.settings.classes[0];
-    let incoming = IncomingRequest {
-        id: RequestId(1),
-        class: ClassId(0),
-        time_left: class.deadline,
-        work_hint: None,
-    };
-    RequestState::new(&incoming, class, 1.0, fleet.now)
+    let incoming = incoming(class.deadline, None);
+    RequestState::new(&incoming, class, relative_work, fleet.now)
 }
 
 /// Sends an attempt of a usual request to a server now.
--- a/crates/balancer/src/state/server_state.rs
+++ b/crates/balancer/src/state/server_state.rs
@@ -4,6 +4,7 @@
 use crate::estimators::latency::ServerLatency;
 use crate::estimators::load::ServerLoad;
 use crate::estimators::slow_start::SlowStartRecord;
+use crate::policy::load_source::LoadSource;
 use crate::state::gossip_message::{GossipKind, GossipMessage};
 use crate::state::health_check_record::HealthCheckRecord;
 use crate::state::suspicion::SuspicionRecord;
@@ -180,13 +181,14 @@
         Some(self.in_flight.swap_remove(position))
     }
 
-    /// It reported the requests that it holds, with a response or with a health check.
-    pub(crate) fn on_load_report(&mut self, reported: f64, in_response: bool, now: Micros) {
+    /// It reported the requests that it holds, by what the deployment goes by.
+    pub(crate) fn on_load_report(&mut self, reported: f64, source: LoadSource, now: Micros) {
         let own = self.in_flight.len() as f64;
-        if in_response {
-            self.load.on_response_report(reported, own, now);
-        } else {
-            self.load.on_health_check_report(reported, own, now);
+        match source {
+            LoadSource::Responses => self.load.on_response_report(reported, own, now),
+            LoadSource::LoadChecks | LoadSource::Unknown => {
+                self.load.on_health_check_report(reported, own, now);
+            }
         }
     }
 
