--- a/crates/balancer/src/balancer/requests.rs
+++ b/crates/balancer/src/balancer/requests.rs
@@ -163,7 +163,7 @@
         let Some(request) = self.requests.get_mut(end.request) else {
             return;
         };
-        request.on_attempt_ended(end.attempt, end.outcome.never_executed());
+        request.on_attempt_ended(end.attempt, end.outcome);
         let is_waiting = request.in_flight_count() > 0;
         if end.finished {
             self.finish(end.request, actions);
--- a/crates/balancer/src/balancer/servers.rs
+++ b/crates/balancer/src/balancer/servers.rs
@@ -60,7 +60,11 @@
         let now = self.fleet.now;
         let polling = &self.fleet.settings.polling;
         let may_drain = self.policies.endpoint_poller.may_miss_drains(polling);
-        self.fleet.servers[index].on_rejected(attempt.queue_depth, may_drain, now);
+        let server = &mut self.fleet.servers[index];
+        server.on_rejected(attempt.queue_depth, now);
+        if may_drain {
+            server.on_possible_drain();
+        }
         self.policies.load_shedder.on_rejected(now);
     }
 
@@ -100,12 +104,11 @@
             return;
         };
         self.on_load_report(index, report);
-        let has_succeeded = outcome == Outcome::Served;
         let servers = &mut self.fleet.servers;
-        let kind = servers.on_health_check_ended(index, has_succeeded);
-        self.answer_requesters(index, has_succeeded, actions);
+        let kind = servers.on_health_check_ended(index, outcome);
+        self.answer_requesters(index, outcome, actions);
         let server = &mut self.fleet.servers[index];
-        let verdict = if has_succeeded {
+        let verdict = if outcome == Outcome::Served {
             server.health_check.on_succeeded();
             FailureDetector::judge_succeeded_check(self.fleet.now, server)
         } else if kind == HealthCheckKind::LoadOnly {
@@ -119,15 +122,10 @@
 
     /// Tells the balancers that asked for a check of the server of its success; they wait no longer
     /// in any case.
-    fn answer_requesters(
-        &mut self,
-        index: ServerIndex,
-        has_succeeded: bool,
-        actions: &mut Actions,
-    ) {
+    fn answer_requesters(&mut self, index: ServerIndex, outcome: Outcome, actions: &mut Actions) {
         let server = &mut self.fleet.servers[index];
         let requesters = server.health_check.take_requesters();
-        if has_succeeded {
+        if outcome == Outcome::Served {
             let answers = GossipProtocol::confirm_alive(server, requesters);
             actions.extend(answers.map(Action::from));
         }
--- a/crates/balancer/src/estimators/missed_objective.rs
+++ b/crates/balancer/src/estimators/missed_objective.rs
@@ -14,8 +14,13 @@
         self.rate
     }
 
-    /// A server was picked for a request, or none; `missed` where its response would be late.
-    pub(crate) fn on_server_picked(&mut self, missed: bool) {
-        self.rate += FLEET_WEIGHT * (f64::from(u8::from(missed)) - self.rate);
+    /// The server picked for a request would respond late.
+    pub(crate) fn on_missed(&mut self) {
+        self.rate += FLEET_WEIGHT * (1.0 - self.rate);
+    }
+
+    /// The server picked for a request would respond in time, or none was found.
+    pub(crate) fn on_met(&mut self) {
+        self.rate += FLEET_WEIGHT * (0.0 - self.rate);
     }
 }
--- a/crates/balancer/src/policy/health_checker.rs
+++ b/crates/balancer/src/policy/health_checker.rs
@@ -15,7 +15,7 @@
 mod tests;
 
 use crate::fleet::Fleet;
-use crate::state::{HealthCheckSchedule, ServerIndex, ServerState};
+use crate::state::{CheckTurn, HealthCheckSchedule, ServerIndex, ServerState};
 use crate::{Micros, ServerId, Settings};
 
 /// Shortest interval of random checks, in microseconds, and the span over which balancers that
@@ -66,8 +66,8 @@
     pub(crate) fn next_target(&mut self, fleet: &Fleet) -> CheckTarget {
         self.schedule.on_check_due(fleet.now, interval(fleet));
         let suspect = longest_waiting_suspect(fleet);
-        let is_suspects_turn = self.schedule.take_suspect_turn();
-        if let Some(suspect) = suspect.filter(|_| is_suspects_turn) {
+        let turn = self.schedule.take_turn();
+        if let Some(suspect) = suspect.filter(|_| turn == CheckTurn::Suspect) {
             return CheckTarget::Server(suspect);
         }
         let queued = self.schedule.pop().and_then(|id| fleet.servers.find(id));
--- a/crates/balancer/src/policy/load_shedder.rs
+++ b/crates/balancer/src/policy/load_shedder.rs
@@ -129,7 +129,11 @@
             Selection::NoneKnown => false,
         };
         let is_missed = exceeds_deadline || matches!(selection, Selection::NoneInTime(_));
-        self.missed_objectives.on_server_picked(is_missed);
+        if is_missed {
+            self.missed_objectives.on_missed();
+        } else {
+            self.missed_objectives.on_met();
+        }
         if exceeds_deadline {
             ShedDecision::ExceedsDeadline
         } else if selection == Selection::NoneKnown {
--- a/crates/balancer/src/policy/retry_policy/tests.rs
+++ b/crates/balancer/src/policy/retry_policy/tests.rs
@@ -6,8 +6,8 @@
 };
 use crate::state::{RequestState, RetryScope};
 use crate::{
-    DeduplicationScope, EjectionCause, Endpoint, Idempotency, Micros, RequestClass, ServerId,
-    Settings,
+    DeduplicationScope, EjectionCause, Endpoint, Idempotency, Micros, Outcome, RequestClass,
+    ServerId, Settings,
 };
 
 fn fleet_of_class(class: RequestClass) -> Fleet {
@@ -29,7 +29,7 @@
         ..Endpoint::ready(ServerId(0), 0)
     };
     request.on_attempt_sent(&endpoint, fleet.now);
-    request.on_attempt_ended(0, false);
+    request.on_attempt_ended(0, Outcome::Reset);
     request
 }
 
@@ -51,7 +51,7 @@
         ..class()
     });
     let mut request = request_with_an_unclear_end(&fleet);
-    request.on_attempt_ended(0, true);
+    request.on_attempt_ended(0, Outcome::Rejected);
     let expected = RetryDecision::Retry {
         scope: RetryScope::Anywhere,
         prior: PriorExecution::Impossible,
@@ -98,7 +98,7 @@
     let mut exhausted = request_with_an_unclear_end(&fleet);
     for number in 1..3 {
         exhausted.on_attempt_sent(&Endpoint::ready(ServerId(1), 1), fleet.now);
-        exhausted.on_attempt_ended(number, false);
+        exhausted.on_attempt_ended(number, Outcome::Reset);
     }
     assert_eq!(refusal(&fleet, &exhausted), RetryRefusal::AttemptsExhausted);
 }
--- a/crates/balancer/src/policy/subsetter/tests.rs
+++ b/crates/balancer/src/policy/subsetter/tests.rs
@@ -39,7 +39,7 @@
 #[test]
 fn possibly_draining_server_is_a_candidate_only_as_the_last_resort() {
     let mut fleet = fleet(settings(), 2);
-    fleet.servers[FIRST].on_rejected(1.0, true, NOW);
+    fleet.servers[FIRST].on_possible_drain();
     let trusted = candidates(&fleet, &[], CandidateFilter::TrustedOnly);
     let any = candidates(&fleet, &[], CandidateFilter::AnyReady);
     assert_eq!(trusted, [SECOND]);
--- a/crates/balancer/src/policy/test_support.rs
+++ b/crates/balancer/src/policy/test_support.rs
@@ -4,7 +4,7 @@
 use crate::policy::ejection::Ejection;
 use crate::state::{InFlightAttempt, RequestState, ServerIndex};
 use crate::{
-    ClassId, EjectionCause, Endpoint, Idempotency, IncomingRequest, Micros, RequestClass,
+    ClassId, EjectionCause, Endpoint, Idempotency, IncomingRequest, Micros, Outcome, RequestClass,
     RequestId, ServerId, Settings,
 };
 
@@ -132,5 +132,7 @@
 
 /// Fails a health check of a server.
 pub(crate) fn fail_health_check(fleet: &mut Fleet, server: ServerIndex) {
-    fleet.servers.on_health_check_ended(server, false);
+    fleet
+        .servers
+        .on_health_check_ended(server, Outcome::TimedOut);
 }
--- a/crates/balancer/src/state/endpoint_table.rs
+++ b/crates/balancer/src/state/endpoint_table.rs
@@ -9,7 +9,7 @@
 use crate::state::health_check_record::HealthCheckKind;
 use crate::state::server_index::ServerIndex;
 use crate::state::server_state::ServerState;
-use crate::{Endpoint, Micros, ServerId};
+use crate::{Endpoint, Micros, Outcome, ServerId};
 
 /// Where an entry of a list went.
 pub(crate) struct MergedEndpoint {
@@ -126,12 +126,13 @@
     pub(crate) fn on_health_check_ended(
         &mut self,
         server_index: ServerIndex,
-        succeeded: bool,
+        outcome: Outcome,
     ) -> HealthCheckKind {
         let health_check = &mut self.servers[server_index.0].health_check;
         self.failed_health_checks -= usize::from(health_check.last_failed());
-        self.failed_health_checks += usize::from(!succeeded);
-        health_check.on_ended(succeeded)
+        let kind = health_check.on_ended(outcome);
+        self.failed_health_checks += usize::from(health_check.last_failed());
+        kind
     }
 }
 
--- a/crates/balancer/src/state/endpoint_table/tests.rs
+++ b/crates/balancer/src/state/endpoint_table/tests.rs
@@ -1,5 +1,5 @@
 use super::{EndpointTable, ServerIndex};
-use crate::{Endpoint, EndpointStatus, Micros, ServerId};
+use crate::{Endpoint, EndpointStatus, Micros, Outcome, ServerId};
 
 const SLOW_START_TIME: Micros = 10;
 
@@ -56,9 +56,9 @@
 #[test]
 fn retain_renumbers_servers_and_counts_failed_health_checks_anew() {
     let mut table = table(3);
-    table.on_health_check_ended(ServerIndex(0), false);
-    table.on_health_check_ended(ServerIndex(2), false);
-    table.on_health_check_ended(ServerIndex(2), false);
+    table.on_health_check_ended(ServerIndex(0), Outcome::TimedOut);
+    table.on_health_check_ended(ServerIndex(2), Outcome::TimedOut);
+    table.on_health_check_ended(ServerIndex(2), Outcome::TimedOut);
     assert_eq!(table.failed_health_checks(), 2);
     table.retain(|server| server.id() != ServerId(0));
     assert_eq!(table.failed_health_checks(), 1);
@@ -66,7 +66,7 @@
         [0, 1, 2].map(|n| table.find(ServerId(n))),
         [None, Some(ServerIndex(0)), Some(ServerIndex(1))]
     );
-    table.on_health_check_ended(ServerIndex(1), true);
+    table.on_health_check_ended(ServerIndex(1), Outcome::Served);
     assert_eq!(table.failed_health_checks(), 0);
 }
 
--- a/crates/balancer/src/state/health_check_record.rs
+++ b/crates/balancer/src/state/health_check_record.rs
@@ -1,6 +1,6 @@
 //! The health checks of one server.
 
-use crate::Micros;
+use crate::{Micros, Outcome};
 
 /// What a health check is for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -93,9 +93,9 @@
     }
 
     /// The health check in progress ended; returns what it was for.
-    pub(crate) fn on_ended(&mut self, succeeded: bool) -> HealthCheckKind {
+    pub(crate) fn on_ended(&mut self, outcome: Outcome) -> HealthCheckKind {
         self.started_at = None;
-        self.last_failed = !succeeded;
+        self.last_failed = outcome != Outcome::Served;
         std::mem::take(&mut self.kind)
     }
 
--- a/crates/balancer/src/state/health_check_schedule.rs
+++ b/crates/balancer/src/state/health_check_schedule.rs
@@ -5,13 +5,24 @@
 
 use crate::{Micros, ServerId};
 
-/// The schedule. How long intervals are is decided in `policy/health_check.rs`.
+/// Which servers come first.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub(crate) enum CheckTurn {
+    /// Suspected ones.
+    Suspect,
+    /// Those that were made the next one.
+    #[default]
+    Queue,
+}
+
+/// The schedule. How long intervals are is decided by
+/// [`HealthChecker`](crate::policy::HealthChecker).
 #[derive(Default)]
 pub(crate) struct HealthCheckSchedule {
     queue: Vec<ServerId>,
     next_at: Micros,
     last_at: Micros,
-    suspect_turn: bool,
+    last_turn: CheckTurn,
 }
 
 impl HealthCheckSchedule {
@@ -45,9 +56,12 @@
         self.queue.pop()
     }
 
-    /// True every other time: then a suspected server comes first.
-    pub(crate) fn take_suspect_turn(&mut self) -> bool {
-        self.suspect_turn = !self.suspect_turn;
-        self.suspect_turn
+    /// Whose turn the next check is: the two alternate.
+    pub(crate) fn take_turn(&mut self) -> CheckTurn {
+        self.last_turn = match self.last_turn {
+            CheckTurn::Suspect => CheckTurn::Queue,
+            CheckTurn::Queue => CheckTurn::Suspect,
+        };
+        self.last_turn
     }
 }
--- a/crates/balancer/src/state/health_check_schedule/tests.rs
+++ b/crates/balancer/src/state/health_check_schedule/tests.rs
@@ -1,4 +1,4 @@
-use super::HealthCheckSchedule;
+use super::{CheckTurn, HealthCheckSchedule};
 use crate::ServerId;
 
 #[test]
@@ -31,6 +31,12 @@
 #[test]
 fn suspects_take_every_other_turn() {
     let mut schedule = HealthCheckSchedule::default();
-    let turns = [(); 4].map(|()| schedule.take_suspect_turn());
-    assert_eq!(turns, [true, false, true, false]);
+    let turns = [(); 4].map(|()| schedule.take_turn());
+    let expected = [
+        CheckTurn::Suspect,
+        CheckTurn::Queue,
+        CheckTurn::Suspect,
+        CheckTurn::Queue,
+    ];
+    assert_eq!(turns, expected);
 }
--- a/crates/balancer/src/state/request_state.rs
+++ b/crates/balancer/src/state/request_state.rs
@@ -3,7 +3,7 @@
 #[cfg(test)]
 mod tests;
 
-use crate::{ClassId, Endpoint, IncomingRequest, Micros, RequestClass, ServerId};
+use crate::{ClassId, Endpoint, IncomingRequest, Micros, Outcome, RequestClass, ServerId};
 
 /// Whether an attempt can have had an effect.
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -194,11 +194,11 @@
     }
 
     /// An attempt ended; unknown numbers are ignored.
-    pub(crate) fn on_attempt_ended(&mut self, number: u32, never_executed: bool) {
+    pub(crate) fn on_attempt_ended(&mut self, number: u32, outcome: Outcome) {
         let Some(attempt) = self.attempts.get_mut(number as usize) else {
             return;
         };
-        attempt.state = if never_executed {
+        attempt.state = if outcome.never_executed() {
             AttemptState::NeverExecuted
         } else {
             AttemptState::MayHaveExecuted
--- a/crates/balancer/src/state/request_state/tests.rs
+++ b/crates/balancer/src/state/request_state/tests.rs
@@ -1,6 +1,7 @@
 use super::RequestState;
 use crate::{
-    ClassId, Endpoint, Idempotency, IncomingRequest, Micros, RequestClass, RequestId, ServerId,
+    ClassId, Endpoint, Idempotency, IncomingRequest, Micros, Outcome, RequestClass, RequestId,
+    ServerId,
 };
 
 fn request_with(
@@ -45,14 +46,14 @@
         0
     );
     assert!(request.first_possible_execution().is_some());
-    request.on_attempt_ended(0, true);
+    request.on_attempt_ended(0, Outcome::Rejected);
     assert!(request.first_possible_execution().is_none());
     assert_eq!(
         request.on_attempt_sent(&Endpoint::ready(ServerId(5), 5), 1_020),
         1
     );
-    request.on_attempt_ended(1, false);
-    request.on_attempt_ended(9, true);
+    request.on_attempt_ended(1, Outcome::Reset);
+    request.on_attempt_ended(9, Outcome::Rejected);
     assert_eq!(
         request
             .first_possible_execution()
--- a/crates/balancer/src/state/server_state.rs
+++ b/crates/balancer/src/state/server_state.rs
@@ -192,9 +192,13 @@
         }
     }
 
-    /// It rejected an attempt; `may_drain` where no endpoint list could tell whether it drains.
-    pub(crate) fn on_rejected(&mut self, queue_depth: f64, may_drain: bool, now: Micros) {
+    /// It rejected an attempt that was sent at this queue depth.
+    pub(crate) fn on_rejected(&mut self, queue_depth: f64, now: Micros) {
         self.load.on_rejected(queue_depth, now);
-        self.possibly_draining = may_drain;
+    }
+
+    /// It rejected an attempt while no endpoint list could tell whether it drains.
+    pub(crate) fn on_possible_drain(&mut self) {
+        self.possibly_draining = true;
     }
 }
--- a/crates/balancer/src/state/subset_order.rs
+++ b/crates/balancer/src/state/subset_order.rs
@@ -1,5 +1,5 @@
-//! The order in which this balancer uses the servers. How many of them it uses is decided in
-//! `policy/subset.rs`.
+//! The order in which this balancer uses the servers. How many of them it uses is decided by
+//! [`SubsetSize`](crate::policy::subset_size::SubsetSize).
 
 #[cfg(test)]
 mod tests;
