--- a/crates/balancer/src/estimators/estimates.rs
+++ b/crates/balancer/src/estimators/estimates.rs
@@ -6,10 +6,16 @@
 use crate::state::{InFlightAttempt, ServerState};
 use crate::{Micros, Settings};
 
-/// Half-life of what others have at a server, in microseconds.
+/// Half-life of what others have at a server where responses tell of it, in microseconds. Shorter,
+/// and a server without new reports soon looks idle; longer, and a crowded one is avoided for
+/// longer than it is crowded. Chosen by experiment on the testbed's deployments.
 const ELSEWHERE_HALF_LIFE: f64 = 4_000_000.0;
-/// Least divisors of a latency, against samples that a small request makes enormous.
+/// Least divisor of a latency where responses tell of load, in usual requests: a small request that
+/// waited for something else would make its server look enormously slow. Chosen by experiment on
+/// the testbed's deployments.
 const MIN_MEAN_DEPTH: f64 = 0.05;
+/// The same where they do not. Inherited with the first version of the module; its source was not
+/// recorded.
 const MIN_REPORTED_DEPTH: f64 = 0.2;
 
 /// Estimates of load and service time at one moment.
--- a/crates/balancer/src/estimators/failure_rate.rs
+++ b/crates/balancer/src/estimators/failure_rate.rs
@@ -3,8 +3,9 @@
 use crate::Micros;
 use crate::estimators::weights::SERVER_WEIGHT;
 
-/// A server whose attempts fail is taken for so much slower; this is the most that its rate can
-/// come to.
+/// Most that a server's failure rate can come to, a share: the server counts as slower by one over
+/// the rest, at most five times. Higher, and a server that has recovered is hardly ever drawn to
+/// show it. Chosen by experiment on the testbed.
 const MAX_FAILURE_RATE: f64 = 0.8;
 
 /// Results of one server's attempts.
--- a/crates/balancer/src/estimators/fleet_error_rate.rs
+++ b/crates/balancer/src/estimators/fleet_error_rate.rs
@@ -3,9 +3,13 @@
 #[cfg(test)]
 mod tests;
 
-/// Weight of a new sample.
+/// Weight of a new sample, a share: about the last 50 attempts count. Higher, and one failing
+/// server raises what counts as usual; lower, and errors of the whole fleet look like those of its
+/// servers. Chosen by experiment on the testbed.
 const ERROR_WEIGHT: f64 = 0.02;
-/// Failures are never taken to be rarer than this.
+/// Failures are never taken to be rarer than this, a share: without a bound, the first failure in a
+/// fleet that never fails would eject its server. Inherited with the first version of the module;
+/// its source was not recorded.
 const MIN_ERROR_RATE: f64 = 0.01;
 
 /// Share of attempts that fail, where a run of failures at one server counts once. Failures that
--- a/crates/balancer/src/estimators/latency.rs
+++ b/crates/balancer/src/estimators/latency.rs
@@ -9,12 +9,18 @@
 use crate::estimators::weights::{FLEET_WEIGHT, SERVER_WEIGHT};
 use crate::{MachineType, Micros};
 
-/// Half-life of a server's latency factor, in microseconds: neighbours on its machine come and go
-/// in seconds.
+/// Half-life of a server's latency factor, in microseconds, after which half of its distance to
+/// that of its machine type is forgotten: neighbours on its machine come and go in seconds.
+/// Inherited with the first version of the module; its source was not recorded.
 const LATENCY_FACTOR_HALF_LIFE: f64 = 3_000_000.0;
-/// A server counts as at most this many times faster or slower than the fleet.
+/// A server counts as at most this many times faster or slower than the fleet. Wider, and one
+/// response moves a server far; narrower, and a slow machine gets more than it can do. Other bounds
+/// changed the testbed's results by less than 0.003. Inherited with the first version of the
+/// module; its source was not recorded.
 const MAX_LATENCY_FACTOR: f64 = 4.0;
-/// The first mean service time, as a share of the shortest latency objective.
+/// Mean service time before any response, as a share of the shortest latency objective. Only the
+/// first responses depend on it. Inherited with the first version of the module; its source was not
+/// recorded.
 const INITIAL_SERVICE_TIME_SHARE: f64 = 1.0 / 8.0;
 
 /// The latency of one server against the fleet's: 2 where it takes twice as long for the same load.
@@ -59,9 +65,8 @@
         usual + (server.factor - usual) * decay(now, server.updated_at, LATENCY_FACTOR_HALF_LIFE)
     }
 
-    /// The latency factor of a machine type. Guards against learning that comes too late where a
-    /// balancer sends each server next to nothing: what one server shows tells of all machines like
-    /// it.
+    /// The latency factor of a machine type. What one server shows tells of all machines like it: a
+    /// balancer that sends each server next to nothing would learn too late from the server itself.
     pub(crate) fn machine_latency_factor(&self, machine: MachineType) -> f64 {
         self.latency_by_machine_type
             .get(&machine.id)
--- a/crates/balancer/src/estimators/latency_distribution.rs
+++ b/crates/balancer/src/estimators/latency_distribution.rs
@@ -7,9 +7,13 @@
 use crate::estimators::weights::FLEET_WEIGHT;
 use crate::state::{InFlightAttempt, ServerState};
 
-/// The first mean, as a share of the shortest latency objective.
+/// Typical latency before any response, as a share of the shortest latency objective. Only the
+/// first responses depend on it. Inherited with the first version of the module; its source was not
+/// recorded.
 const INITIAL_LATENCY_SHARE: f64 = 1.0 / 4.0;
-/// Least variance of the logarithm, so that equal latencies do not make every other one impossible.
+/// Least variance of the natural logarithm of latencies: where all latencies are equal, a slightly
+/// longer one must not count as impossible. Inherited with the first version of the module; its
+/// source was not recorded.
 const MIN_LOG_VARIANCE: f64 = 0.1;
 
 /// Moving mean and variance of the logarithm of latencies in microseconds.
--- a/crates/balancer/src/estimators/load.rs
+++ b/crates/balancer/src/estimators/load.rs
@@ -8,7 +8,8 @@
 
 /// Half-life of the means over load reports, in microseconds. Reports that come with responses were
 /// taken some hundred milliseconds before, and what came and went since is unknown: only a mean
-/// over many of them tells what others have at a server.
+/// over many of them tells what others have at a server. Chosen by experiment: 0.3 s was tried, and
+/// is mostly noise (docs/deployments.md).
 const REPORT_MEAN_HALF_LIFE: f64 = 3_000_000.0;
 
 /// What is known of a server's load beside this balancer's attempts.
@@ -37,8 +38,8 @@
         self.updated_at = now;
     }
 
-    /// A response reported the requests in flight some time ago. Guards against old reports set
-    /// against own requests of now: means are compared over the same time.
+    /// A response reported the requests in flight some time ago. An old report says nothing against
+    /// the own requests of now, so means over the same time are compared.
     pub(crate) fn on_response_report(&mut self, reported: f64, own: f64, now: Micros) {
         let weight = 1.0 - decay(now, self.updated_at, REPORT_MEAN_HALF_LIFE);
         self.mean_reported += weight * (reported - self.mean_reported);
--- a/crates/balancer/src/estimators/saturation.rs
+++ b/crates/balancer/src/estimators/saturation.rs
@@ -6,9 +6,12 @@
 use crate::Micros;
 use crate::estimators::decaying_rate::decay;
 
-/// Weight of a new sample.
+/// Weight of a new sample, a share: about the last 10 responses count. Inherited with the first
+/// version of the module; its source was not recorded.
 const SATURATION_WEIGHT: f64 = 0.1;
-/// Half-life in microseconds, so that some requests always find out.
+/// Half-life of the saturation, in microseconds: where all requests are shed no response comes, and
+/// only its decay lets some find out that the fleet has recovered. Longer keeps shedding after a
+/// burst. Inherited with the first version of the module; its source was not recorded.
 const SATURATION_HALF_LIFE: f64 = 3_000_000.0;
 
 /// Mean share of the latency objective that responses take; a rejection counts as all of it.
--- a/crates/balancer/src/estimators/slow_start.rs
+++ b/crates/balancer/src/estimators/slow_start.rs
@@ -8,11 +8,12 @@
 use crate::estimators::decaying_rate::DecayingRate;
 use crate::{Micros, Settings};
 
-/// Half-life of the rate at which work is sent, in microseconds.
+/// Half-life of the rate at which work is sent, in microseconds; that of the request rate.
+/// Inherited with the first version of the module; its source was not recorded.
 const WORK_RATE_HALF_LIFE: f64 = 5_000_000.0;
-/// A warm server's quota is measured anew while at least this share of the servers' capacity is
-/// there: what all send to the few that are warm in a release says little of one server's usual
-/// quota.
+/// Least share of the subset's capacity that is warm for a warm server's quota to be measured.
+/// Below it the last quota is kept: what all send to the few that are warm in a release says little
+/// of one server's usual quota. Chosen by experiment on the testbed's deployments.
 const MIN_WARM_SHARE: f64 = 0.7;
 
 /// Work sent to a server in slow start.
@@ -111,9 +112,12 @@
 
     /// Measures the quota anew; `factors` are the slow start factors of the servers in use.
     pub(crate) fn update(&mut self, factors: impl Iterator<Item = f64>, now: Micros) {
-        let (count, warm) = factors.fold((0.0, 0.0), |(count, warm), factor| {
-            (count + 1.0, warm + factor)
-        });
+        let mut count = 0.0;
+        let mut warm = 0.0;
+        for factor in factors {
+            count += 1.0;
+            warm += factor;
+        }
         if warm > MIN_WARM_SHARE * count {
             self.per_microsecond = self.work_rate.per_microsecond(now) / warm;
         }
--- a/crates/balancer/src/estimators/utilization.rs
+++ b/crates/balancer/src/estimators/utilization.rs
@@ -5,9 +5,12 @@
 
 use crate::estimators::weights::FLEET_WEIGHT;
 
-/// The estimate before the first load report.
+/// Utilization before the first load report, a share. Inherited with the first version of the
+/// module; its source was not recorded.
 const INITIAL_UTILIZATION: f64 = 0.5;
-/// A fleet above this utilization is filling up.
+/// Utilization above which a fleet is filling up, a share: its fullness rises from 0 here to 1
+/// where all servers hold a request. Inherited with the first version of the module; its source was
+/// not recorded.
 const FULL_UTILIZATION: f64 = 0.8;
 
 /// Mean share of the servers that hold a request, from load reports.
--- a/crates/balancer/src/estimators/workload.rs
+++ b/crates/balancer/src/estimators/workload.rs
@@ -7,9 +7,13 @@
 use crate::estimators::weights::FLEET_WEIGHT;
 use crate::{Micros, RequestClass};
 
-/// Half-life of the request rate, in microseconds.
+/// Half-life of the request rate, in microseconds. Shorter, and the subset of a quiet balancer
+/// changes with each request; longer, and it follows a burst late. Inherited with the first version
+/// of the module; its source was not recorded.
 const REQUEST_RATE_HALF_LIFE: f64 = 5_000_000.0;
-/// A work hint counts as at most this many times the mean.
+/// A work hint counts as at most this many times the mean, so that one enormous hint does not make
+/// every other request look small. Inherited with the first version of the module; its source was
+/// not recorded.
 const MAX_RELATIVE_HINT: f64 = 4.0;
 
 /// Moving means over the requests of this balancer.
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -1,14 +1,16 @@
-//! Decisions of a sidecar load balancer: which server a request goes to, whether it is retried, what is
-//! rejected, and which servers are checked, suspected and used.
+//! Decisions of a sidecar load balancer: which server a request goes to, whether it is retried,
+//! what is rejected, and which servers are checked, suspected and used.
 //!
-//! The library does no I/O and reads no clock. The host passes each [`Event`] with the current time to
-//! [`Balancer::handle`] and carries out the [`Action`]s that it pushes. Times are whole microseconds on one
-//! clock that only rises; ids are numbers of the host without a meaning, apart from
-//! [`Endpoint::stable_hash`], which all balancers compute alike.
+//! The library does no I/O and reads no clock. The host passes each [`Event`] with the current time
+//! to [`Balancer::handle`] and carries out the [`Action`]s that it pushes. Times are whole
+//! microseconds on one clock that only rises; ids are numbers of the host without a meaning, apart
+//! from [`Endpoint::stable_hash`], which all balancers compute alike.
 //!
 //! # Layout
 //! - `settings`, `request_class`, `endpoint`, `event`, `action`, `state_change`: the interface.
-//! - `policy`: [`Balancer`] and every decision.
+//! - `balancer`: [`Balancer`], the table of events; it alone carries out what is decided.
+//! - `policy`: every decision, one type each.
+//! - `fleet`: what decisions read.
 //! - `estimators`: what responses and load reports tell of the fleet and of each server.
 //! - `state`: servers, requests and messages, each owned by one type.
 //!
--- a/crates/balancer/src/policy/health_checker.rs
+++ b/crates/balancer/src/policy/health_checker.rs
@@ -27,7 +27,8 @@
 /// to 5 s.
 const MAX_INTERVAL: Micros = 5_000_000;
 /// Largest cost of the random checks, as a fraction of the deployment's result. Above it the
-/// interval grows. Chosen by experiment on the testbed, where half of the first value was kept.
+/// interval grows. Half of what the first version of the module had; chosen by experiment on the
+/// testbed.
 const MAX_COST: f64 = 0.001;
 /// Intervals are shorter by this factor while a server is suspected, so that one that recovers is
 /// soon used again. Inherited with the first version of the module; its source was not recorded.
--- a/crates/balancer/src/policy/load_checker.rs
+++ b/crates/balancer/src/policy/load_checker.rs
@@ -36,8 +36,8 @@
 /// be believed. Any value between 0 and 1 says the same of whole numbers.
 const REPORT_TOLERANCE: f64 = 0.5;
 /// Servers whose load is within this of the least loaded one's count as equally loaded, in usual
-/// requests. With less, all balancers that asked the same servers choose the same one. Chosen by
-/// experiment on the testbed.
+/// requests. With less, all balancers that asked the same servers choose the same one. Inherited
+/// with the first version of the module; its source was not recorded.
 const EQUAL_LOAD_TOLERANCE: f64 = 0.25;
 
 /// What the load checks of a request found.
--- a/crates/balancer/src/policy/load_shedder.rs
+++ b/crates/balancer/src/policy/load_shedder.rs
@@ -39,7 +39,7 @@
 /// by experiment over loads from 0.7 to 1.2 of capacity.
 const DEADLINE_FRACTION_LOST_WHEN_FULL: f64 = 0.25;
 /// Requests ahead of a request from which there is a queue. Below, what is ahead is the rest of an
-/// estimate. Chosen by experiment on the testbed.
+/// estimate. Inherited with the first version of the module; its source was not recorded.
 const MIN_REQUESTS_AHEAD: f64 = 0.5;
 /// Share of requests that find no server in time, above which late responses are not bought any
 /// more: the capacity they take is needed for responses in time. Chosen by experiment on the
