--- a/crates/balancer/src/policy.rs
+++ b/crates/balancer/src/policy.rs
@@ -2,7 +2,8 @@
 //!
 //! A decision owns its constants and what it alone remembers. It reads the fleet, draws from the
 //! generator that it is handed, and returns what is to be done and why; it changes nothing else and
-//! calls no other decision. The law of each stands at the top of its file.
+//! calls no other decision. The law of each stands at the top of its file; `docs/balancer.md` has
+//! them all.
 
 mod attempt_evidence;
 mod ejection;
--- a/crates/balancer/src/policy/failure_detector.rs
+++ b/crates/balancer/src/policy/failure_detector.rs
@@ -1,7 +1,9 @@
 //! Which servers are suspected, why, and when that ends.
 //!
 //! A server is suspected (ejected) where
-//! - two health checks in a row fail, or one that other balancers could not confirm in time;
+//! - a full health check fails and none has succeeded 150 ms later; without other balancers a
+//!   second check then decides, with others it is suspected by all, or by this one alone if another
+//!   one has reached it;
 //! - all attempts in flight at it have been silent for so long that `-ln P(silence) > 14` on a
 //!   sound server, under a log-normal distribution of the fleet's latencies;
 //! - `k` attempts in a row fail and `-k * ln(fleet's error rate) >= 9`;
--- a/crates/balancer/src/policy/gossip_protocol.rs
+++ b/crates/balancer/src/policy/gossip_protocol.rs
@@ -3,7 +3,7 @@
 //! After SWIM, as in section 2.2.2 of the paper: a balancer whose health check of a server fails
 //! asks a few random others to check it (indirect checks). What none of them can reach either is
 //! suspected, and the suspicion goes out with later datagrams, one to a random balancer with each
-//! scheduled health check; a record leaves the queue after about `log2(N) + 1` datagrams, which
+//! scheduled health check; a record leaves the queue after `floor(log2 N) + 2` datagrams, which
 //! spread it to all `N` balancers with high probability. A suspicion of an older incarnation of the
 //! server is ignored. Unlike in the paper a server cannot refute a suspicion itself, so what each
 //! balancer sees served outweighs it.
