--- a/crates/balancer/src/policy.rs
+++ b/crates/balancer/src/policy.rs
@@ -1,8 +1,9 @@
 //! The decisions of the balancer, one type each.
 //!
 //! A decision owns its constants and what it alone remembers. It reads the fleet, draws from the
-//! generator that it is handed, and returns what is to be done and why; it changes nothing else and
-//! calls no other decision. The law of each stands at the top of its file; `docs/balancer.md` has
+//! generator that it is handed, and returns what is to be done and why; it changes nothing else.
+//! None reaches another one through [`Balancer`](crate::Balancer): what it needs of another is
+//! imported or handed in. The law of each stands at the top of its file; `docs/balancer.md` has
 //! them all.
 
 mod attempt_evidence;
--- a/crates/balancer/src/policy/attempt_evidence/tests.rs
+++ b/crates/balancer/src/policy/attempt_evidence/tests.rs
@@ -17,43 +17,28 @@
 }
 
 #[test]
-fn timeout_is_slowness_where_the_server_has_served_others_since_the_send() {
-    let mut fleet = fleet_with_an_attempt();
-    fleet.servers[FIRST].failures.on_served(fleet.now);
-    assert_eq!(evidence(&fleet, Outcome::TimedOut), AttemptEvidence::Slow);
-}
-
-#[test]
-fn timeout_is_a_failure_where_the_server_has_served_none_or_is_suspected() {
+fn timeout_is_slowness_only_at_a_trusted_server_that_has_served_others_since_the_send() {
     let mut fleet = fleet_with_an_attempt();
     assert_eq!(evidence(&fleet, Outcome::TimedOut), AttemptEvidence::Failed);
     fleet.servers[FIRST].failures.on_served(fleet.now);
+    assert_eq!(evidence(&fleet, Outcome::TimedOut), AttemptEvidence::Slow);
     eject(&mut fleet, FIRST, EjectionCause::Attempts);
     assert_eq!(evidence(&fleet, Outcome::TimedOut), AttemptEvidence::Failed);
 }
 
 #[test]
-fn rejection_is_no_failure_and_a_cancelled_attempt_tells_nothing() {
-    let fleet = fleet_with_an_attempt();
-    assert_eq!(
-        evidence(&fleet, Outcome::Rejected),
-        AttemptEvidence::Rejected
-    );
-    assert_eq!(
-        evidence(&fleet, Outcome::Cancelled),
-        AttemptEvidence::Nothing
-    );
-    assert_eq!(evidence(&fleet, Outcome::NotSent), AttemptEvidence::Nothing);
-}
-
-#[test]
-fn errors_and_broken_connections_are_failures() {
+fn rejection_is_no_failure_and_an_attempt_that_was_cancelled_or_not_sent_tells_nothing() {
     let fleet = fleet_with_an_attempt();
-    for outcome in [Outcome::ServerError, Outcome::ConnectFailed, Outcome::Reset] {
-        assert_eq!(
-            evidence(&fleet, outcome),
-            AttemptEvidence::Failed,
-            "{outcome:?}"
-        );
+    let table = [
+        (Outcome::Served, AttemptEvidence::Served),
+        (Outcome::Rejected, AttemptEvidence::Rejected),
+        (Outcome::Cancelled, AttemptEvidence::Nothing),
+        (Outcome::NotSent, AttemptEvidence::Nothing),
+        (Outcome::ServerError, AttemptEvidence::Failed),
+        (Outcome::ConnectFailed, AttemptEvidence::Failed),
+        (Outcome::Reset, AttemptEvidence::Failed),
+    ];
+    for (outcome, expected) in table {
+        assert_eq!(evidence(&fleet, outcome), expected, "{outcome:?}");
     }
 }
--- a/crates/balancer/src/policy/ejection/tests.rs
+++ b/crates/balancer/src/policy/ejection/tests.rs
@@ -4,85 +4,69 @@
 use crate::state::{ServerIndex, Suspicion};
 use crate::{EjectionCause, Micros};
 
-/// Ten servers and a balancer that is so busy that it sends to each of them all the time.
-fn busy_fleet() -> Fleet {
-    let mut fleet = fleet(settings(), 10);
-    arrive(&mut fleet, 10_000);
-    fleet
+fn decide(fleet: &Fleet, cause: EjectionCause) -> Ejection {
+    Ejection::decide(fleet, &fleet.servers[FIRST], cause)
 }
 
-fn ejection_time(fleet: &Fleet, cause: EjectionCause) -> Micros {
-    match Ejection::decide(fleet, &fleet.servers[FIRST], cause) {
-        Ejection::Raised { suspicion, .. } => suspicion.ejection_time,
-        refused => panic!("{refused:?}"),
-    }
+/// Ejects the first server and readmits it; returns its ejection time in milliseconds.
+fn ejection_ms(fleet: &mut Fleet) -> Micros {
+    eject(fleet, FIRST, EjectionCause::Attempts);
+    let ended = fleet.servers[FIRST].suspicion.on_readmitted();
+    ended.expect("ejected").ejection_time / MS
 }
 
 #[test]
-fn ejection_time_doubles_with_each_ejection_up_to_8_seconds() {
-    let mut fleet = busy_fleet();
-    let mut times = Vec::new();
-    for _ in 0..6 {
-        times.push(ejection_time(&fleet, EjectionCause::Attempts) / MS);
-        eject(&mut fleet, FIRST, EjectionCause::Attempts);
-        fleet.servers[FIRST].suspicion.on_readmitted();
-    }
+fn ejection_time_doubles_up_to_8_seconds_until_20_seconds_pass_without_one() {
+    let mut fleet = fleet(settings(), 10);
+    arrive(&mut fleet, 10_000);
+    let times = [(); 6].map(|()| ejection_ms(&mut fleet));
     assert_eq!(times, [500, 1_000, 2_000, 4_000, 8_000, 8_000]);
-}
-
-#[test]
-fn earlier_ejections_are_forgotten_after_20_seconds() {
-    let mut fleet = busy_fleet();
-    eject(&mut fleet, FIRST, EjectionCause::Attempts);
-    fleet.servers[FIRST].suspicion.on_readmitted();
     fleet.now += 20_001 * MS;
     arrive(&mut fleet, 10_000);
-    assert_eq!(ejection_time(&fleet, EjectionCause::Attempts), 500 * MS);
+    assert_eq!(ejection_ms(&mut fleet), 500);
 }
 
 #[test]
 fn quiet_balancer_ejects_for_its_mean_pause_between_attempts_at_a_server() {
     let mut fleet = fleet(settings(), 10);
-    // 25 requests are remembered of the last 5 s, by half: 3.5 a second, or 2.9 s for ten servers.
+    // 25 requests now are a rate of 3.5 a second, or one at each of ten servers in 2.9 s.
     arrive(&mut fleet, 25);
-    let time = ejection_time(&fleet, EjectionCause::Attempts);
-    assert!((2_800 * MS..3_000 * MS).contains(&time), "{time}");
+    let time = ejection_ms(&mut fleet);
+    assert!((2_800..3_000).contains(&time), "{time}");
 }
 
 #[test]
 fn suspected_server_is_not_ejected_again() {
-    let mut fleet = busy_fleet();
+    let mut fleet = fleet(settings(), 10);
     eject(&mut fleet, FIRST, EjectionCause::Attempts);
-    let decision = Ejection::decide(&fleet, &fleet.servers[FIRST], EjectionCause::Attempts);
+    let decision = decide(&fleet, EjectionCause::Attempts);
     assert_eq!(decision, Ejection::AlreadySuspected);
 }
 
 #[test]
 fn only_attempts_are_believed_where_most_health_checks_fail() {
-    let mut fleet = busy_fleet();
+    let mut fleet = fleet(settings(), 10);
     (0..5).for_each(|n| fail_health_check(&mut fleet, ServerIndex(n)));
-    let server = &fleet.servers[FIRST];
     for cause in [EjectionCause::HealthChecks, EjectionCause::Gossip] {
-        let decision = Ejection::decide(&fleet, server, cause);
-        assert_eq!(decision, Ejection::CauseNotBelieved, "{cause:?}");
+        assert_eq!(decide(&fleet, cause), Ejection::CauseNotBelieved);
     }
-    let decision = Ejection::decide(&fleet, server, EjectionCause::Attempts);
+    let decision = decide(&fleet, EjectionCause::Attempts);
     assert!(matches!(decision, Ejection::Raised { .. }));
 }
 
 #[test]
 fn server_that_was_silent_for_longer_than_two_checks_comes_back_in_slow_start() {
-    let suspicion = |cause| Suspicion {
-        cause,
-        since: 0,
-        ejection_time: 0,
+    let readmission = |cause, after| {
+        let suspicion = Suspicion {
+            cause,
+            since: 0,
+            ejection_time: 0,
+        };
+        Readmission::decide(after, suspicion)
     };
-    let silent = suspicion(EjectionCause::HealthChecks);
-    assert_eq!(Readmission::decide(800 * MS, silent), Readmission::AtOnce);
-    assert_eq!(
-        Readmission::decide(801 * MS, silent),
-        Readmission::SlowStart
-    );
-    let failing = suspicion(EjectionCause::Attempts);
-    assert_eq!(Readmission::decide(801 * MS, failing), Readmission::AtOnce);
+    let silent = EjectionCause::HealthChecks;
+    assert_eq!(readmission(silent, 800 * MS), Readmission::AtOnce);
+    assert_eq!(readmission(silent, 801 * MS), Readmission::SlowStart);
+    let failing = EjectionCause::Attempts;
+    assert_eq!(readmission(failing, 801 * MS), Readmission::AtOnce);
 }
--- a/crates/balancer/src/policy/failure_detector/tests.rs
+++ b/crates/balancer/src/policy/failure_detector/tests.rs
@@ -3,108 +3,89 @@
 use crate::policy::test_support::{
     FIRST, MS, SECOND, eject, fleet, send, settings, settings_with_peers,
 };
-use crate::{EjectionCause, HostCapabilities, Outcome, Settings};
+use crate::{EjectionCause, Outcome, Settings};
 
-fn detector(fleet: &Fleet) -> FailureDetector {
-    FailureDetector::new(fleet.settings.shortest_objective())
+const EJECT_FOR_ATTEMPTS: Verdict = Verdict::Eject {
+    cause: EjectionCause::Attempts,
+    audience: Audience::Local,
+};
+
+fn eject_for_health_checks(audience: Audience) -> Verdict {
+    let cause = EjectionCause::HealthChecks;
+    Verdict::Eject { cause, audience }
+}
+
+fn detector() -> FailureDetector {
+    FailureDetector::new(settings().shortest_objective())
 }
 
 fn review(fleet: &Fleet) -> Verdict {
-    detector(fleet).review(fleet, &fleet.servers[FIRST])
+    detector().review(fleet, &fleet.servers[FIRST])
+}
+
+fn judge_failed_check(fleet: &Fleet) -> Verdict {
+    FailureDetector::judge_failed_check(fleet, &fleet.servers[FIRST])
 }
 
-/// A fleet whose first server has failed a health check.
+/// A fleet whose first server has failed a health check 150 ms ago.
 fn fleet_with_a_failed_check(settings: Settings) -> Fleet {
     let mut fleet = fleet(settings, 4);
-    let verdict = FailureDetector::judge_failed_check(&fleet, &fleet.servers[FIRST]);
-    let Verdict::ConfirmAt(at) = verdict else {
-        panic!("{verdict:?}");
-    };
+    let confirm_at = fleet.now + 150 * MS;
+    assert_eq!(judge_failed_check(&fleet), Verdict::ConfirmAt(confirm_at));
     let health_check = &mut fleet.servers[FIRST].health_check;
     health_check.on_failed();
-    health_check.on_confirmation_scheduled(at);
+    health_check.on_confirmation_scheduled(confirm_at);
+    assert_eq!(review(&fleet), Verdict::Keep);
+    fleet.now = confirm_at;
     fleet
 }
 
 #[test]
 fn second_failed_health_check_raises_a_suspicion() {
     let mut fleet = fleet_with_a_failed_check(settings());
-    fleet.now += 150 * MS;
     assert_eq!(review(&fleet), Verdict::CheckAgain);
-    fleet.servers[FIRST]
-        .health_check
-        .end_due_confirmation(fleet.now);
-    let verdict = FailureDetector::judge_failed_check(&fleet, &fleet.servers[FIRST]);
-    let expected = Verdict::Eject {
-        cause: EjectionCause::HealthChecks,
-        audience: Audience::Local,
-    };
-    assert_eq!(verdict, expected);
-}
-
-#[test]
-fn failed_check_that_no_other_balancer_confirms_in_time_is_announced_to_all() {
-    let mut fleet = fleet_with_a_failed_check(settings_with_peers());
-    fleet.now += 149 * MS;
-    assert_eq!(review(&fleet), Verdict::Keep);
-    fleet.now += MS;
-    let expected = Verdict::Eject {
-        cause: EjectionCause::HealthChecks,
-        audience: Audience::AllBalancers,
-    };
-    assert_eq!(review(&fleet), expected);
+    let now = fleet.now;
+    fleet.servers[FIRST].health_check.end_due_confirmation(now);
+    let expected = eject_for_health_checks(Audience::Local);
+    assert_eq!(judge_failed_check(&fleet), expected);
 }
 
 #[test]
-fn server_that_answered_another_balancer_is_suspected_by_this_one_alone() {
+fn failed_check_is_announced_unless_another_balancer_reached_the_server() {
     let mut fleet = fleet_with_a_failed_check(settings_with_peers());
+    let announced = eject_for_health_checks(Audience::AllBalancers);
+    assert_eq!(review(&fleet), announced);
     fleet.servers[FIRST].health_check.on_confirmed_alive();
-    fleet.now += 150 * MS;
-    let expected = Verdict::Eject {
-        cause: EjectionCause::HealthChecks,
-        audience: Audience::Local,
-    };
-    assert_eq!(review(&fleet), expected);
+    assert_eq!(review(&fleet), eject_for_health_checks(Audience::Local));
 }
 
 #[test]
 fn attempts_that_are_silent_for_longer_than_latencies_explain_raise_a_suspicion() {
     let mut fleet = fleet(settings(), 4);
     send(&mut fleet, FIRST, 1);
-    send(&mut fleet, SECOND, 2);
-    let mut detector = detector(&fleet);
+    let mut detector = detector();
     (0..200).for_each(|_| detector.on_response(20_000.0));
     let verdict = |fleet: &Fleet| detector.review(fleet, &fleet.servers[FIRST]);
     fleet.now += 30 * MS;
     assert_eq!(verdict(&fleet), Verdict::Keep);
     fleet.now += 400 * MS;
-    let expected = Verdict::Eject {
-        cause: EjectionCause::Attempts,
-        audience: Audience::Local,
-    };
-    assert_eq!(verdict(&fleet), expected);
+    assert_eq!(verdict(&fleet), EJECT_FOR_ATTEMPTS);
 }
 
 #[test]
 fn two_failures_in_a_row_raise_a_suspicion_where_failures_are_rare() {
-    let fleet = fleet(settings(), 4);
-    let mut detector = detector(&fleet);
+    let mut detector = detector();
     assert_eq!(detector.on_attempt_failed(1, Outcome::Reset), Verdict::Keep);
     // The first failure counts for 2 % of the fleet's attempts, until other servers have served.
     assert_eq!(detector.on_attempt_failed(2, Outcome::Reset), Verdict::Keep);
     (0..30).for_each(|_| detector.on_served());
-    let expected = Verdict::Eject {
-        cause: EjectionCause::Attempts,
-        audience: Audience::Local,
-    };
-    assert_eq!(detector.on_attempt_failed(2, Outcome::Reset), expected);
+    let second = detector.on_attempt_failed(2, Outcome::Reset);
+    assert_eq!(second, EJECT_FOR_ATTEMPTS);
 }
 
 #[test]
 fn timeouts_in_a_row_are_left_to_the_silence_of_the_attempts() {
-    let fleet = fleet(settings(), 4);
-    let mut detector = detector(&fleet);
-    let verdict = detector.on_attempt_failed(100, Outcome::TimedOut);
+    let verdict = detector().on_attempt_failed(100, Outcome::TimedOut);
     assert_eq!(verdict, Verdict::Keep);
 }
 
@@ -124,23 +105,16 @@
 fn good_health_check_ends_a_suspicion_that_attempts_raised_only_after_its_ejection_time() {
     let mut fleet = fleet(settings(), 4);
     eject(&mut fleet, FIRST, EjectionCause::Attempts);
-    let verdict = |now| FailureDetector::judge_succeeded_check(now, &fleet.servers[FIRST]);
-    assert_eq!(verdict(fleet.now), Verdict::Keep);
-    assert_eq!(verdict(fleet.now + 8_000 * MS), Verdict::Readmit);
-    let sound = &fleet.servers[SECOND];
-    assert_eq!(
-        FailureDetector::judge_succeeded_check(fleet.now, sound),
-        Verdict::Keep
-    );
+    let verdict = |now, server| FailureDetector::judge_succeeded_check(now, &fleet.servers[server]);
+    assert_eq!(verdict(fleet.now, FIRST), Verdict::Keep);
+    assert_eq!(verdict(fleet.now + 8_000 * MS, FIRST), Verdict::Readmit);
+    assert_eq!(verdict(fleet.now, SECOND), Verdict::Keep);
 }
 
 #[test]
 fn suspicion_ends_by_itself_where_the_host_cannot_check_health() {
-    let host = HostCapabilities {
-        health_checks: false,
-        ..HostCapabilities::default()
-    };
-    let mut fleet = fleet(Settings { host, ..settings() }, 4);
+    let mut fleet = fleet(settings(), 4);
+    fleet.settings.host.health_checks = false;
     eject(&mut fleet, FIRST, EjectionCause::Attempts);
     assert_eq!(review(&fleet), Verdict::Keep);
     fleet.now += 8_000 * MS;
@@ -154,9 +128,17 @@
     let verdict = |fleet: &Fleet, incarnation| {
         FailureDetector::judge_gossip(fleet.now, &fleet.servers[FIRST], incarnation)
     };
-    assert!(matches!(verdict(&fleet, 0), Verdict::Eject { .. }));
+    let followed = Verdict::Eject {
+        cause: EjectionCause::Gossip,
+        audience: Audience::AllBalancers,
+    };
+    assert_eq!(verdict(&fleet, 0), followed);
     fleet.servers[FIRST].failures.on_served(fleet.now);
     assert_eq!(verdict(&fleet, 0), Verdict::CheckSoon);
     fleet.now += 500 * MS;
-    assert!(matches!(verdict(&fleet, 0), Verdict::Eject { .. }));
+    assert_eq!(verdict(&fleet, 0), followed);
+    let mut restarted = *fleet.servers[FIRST].endpoint();
+    restarted.incarnation = Some(5);
+    fleet.servers[FIRST].on_listed(restarted);
+    assert_eq!(verdict(&fleet, 4), Verdict::Keep);
 }
--- a/crates/balancer/src/policy/final_response/tests.rs
+++ b/crates/balancer/src/policy/final_response/tests.rs
@@ -1,22 +1,13 @@
 use super::FinalResponse;
 use crate::fleet::Fleet;
-use crate::policy::test_support::{MS, class, fleet, request, settings};
-use crate::{DeduplicationScope, Endpoint, Idempotency, Outcome, RequestClass, ServerId, Settings};
+use crate::policy::test_support::{MS, class, fleet_of, request};
+use crate::{DeduplicationScope, Endpoint, Idempotency, Micros, Outcome, ServerId};
 
-fn fleet_of_class(idempotency: Idempotency, scope: DeduplicationScope) -> Fleet {
-    let class = RequestClass {
-        idempotency,
-        deduplication_scope: scope,
-        ..class()
-    };
-    let classes = vec![class];
-    fleet(
-        Settings {
-            classes,
-            ..settings()
-        },
-        1,
-    )
+fn fleet(idempotency: Idempotency, scope: DeduplicationScope) -> Fleet {
+    let mut class = class();
+    class.idempotency = idempotency;
+    class.deduplication_scope = scope;
+    fleet_of(class, 1)
 }
 
 /// The response to a request whose only attempt ended so.
@@ -27,18 +18,15 @@
     FinalResponse::decide(fleet, &request, &mut fastrand::Rng::with_seed(1))
 }
 
-fn is_rejected(response: FinalResponse) -> bool {
-    matches!(response, FinalResponse::Reject { .. })
-}
-
-#[test]
-fn request_that_never_executed_is_rejected_whatever_its_class() {
-    let fleet = fleet_of_class(Idempotency::NonIdempotent, DeduplicationScope::All);
-    assert!(is_rejected(response(&fleet, Outcome::Rejected)));
+fn retry_after(fleet: &Fleet) -> Option<Micros> {
+    match response(fleet, Outcome::Rejected) {
+        FinalResponse::Reject { retry_after } => retry_after,
+        FinalResponse::Fail => panic!("not rejected"),
+    }
 }
 
 #[test]
-fn request_that_may_have_executed_is_rejected_only_where_a_retry_is_harmless() {
+fn request_is_rejected_only_where_it_never_executed_or_a_retry_is_harmless() {
     use DeduplicationScope::{All, Cell, Zone};
     use Idempotency::{IdempotencyKey, Idempotent, NonIdempotent};
     let table = [
@@ -48,35 +36,28 @@
         (IdempotencyKey, Cell, false),
         (NonIdempotent, All, false),
     ];
-    for (idempotency, scope, rejected) in table {
-        let fleet = fleet_of_class(idempotency, scope);
-        let is_rejected = is_rejected(response(&fleet, Outcome::Reset));
-        assert_eq!(is_rejected, rejected, "{idempotency:?} {scope:?}");
+    for (idempotency, scope, is_harmless) in table {
+        let fleet = fleet(idempotency, scope);
+        let unclear = response(&fleet, Outcome::Reset);
+        assert_eq!(
+            unclear != FinalResponse::Fail,
+            is_harmless,
+            "{idempotency:?} {scope:?}"
+        );
+        assert_ne!(response(&fleet, Outcome::Rejected), FinalResponse::Fail);
     }
 }
 
 #[test]
-fn retry_after_is_the_mean_service_time_with_jitter_while_the_fleet_has_capacity() {
-    let fleet = fleet_of_class(Idempotency::Idempotent, DeduplicationScope::All);
-    let FinalResponse::Reject { retry_after } = response(&fleet, Outcome::Rejected) else {
-        panic!("not rejected");
-    };
-    let retry_after = retry_after.expect("passed on");
-    // 31.25 ms before any response.
-    assert!((23 * MS..40 * MS).contains(&retry_after), "{retry_after}");
-}
-
-#[test]
-fn retry_after_is_the_longest_one_in_a_full_fleet_and_absent_where_it_is_not_passed_on() {
-    let mut fleet = fleet_of_class(Idempotency::Idempotent, DeduplicationScope::All);
-    (0..500).for_each(|_| fleet.estimators.utilization.on_load_report(1.0));
+fn retry_after_grows_from_the_mean_service_time_to_the_longest_one_as_the_fleet_fills_up() {
+    let mut fleet = fleet(Idempotency::Idempotent, DeduplicationScope::All);
     fleet.settings.retries.max_retry_after = 100 * MS;
-    let FinalResponse::Reject { retry_after } = response(&fleet, Outcome::Rejected) else {
-        panic!("not rejected");
-    };
-    let retry_after = retry_after.expect("passed on");
-    assert!((75 * MS..=100 * MS).contains(&retry_after), "{retry_after}");
+    // 31.25 ms before any response, and a jitter of a quarter.
+    let idle = retry_after(&fleet).expect("passed on");
+    assert!((23 * MS..40 * MS).contains(&idle), "{idle}");
+    (0..500).for_each(|_| fleet.estimators.utilization.on_load_report(1.0));
+    let full = retry_after(&fleet).expect("passed on");
+    assert!((75 * MS..=100 * MS).contains(&full), "{full}");
     fleet.settings.host.retry_after = false;
-    let absent = FinalResponse::Reject { retry_after: None };
-    assert_eq!(response(&fleet, Outcome::Rejected), absent);
+    assert_eq!(retry_after(&fleet), None);
 }
--- a/crates/balancer/src/policy/load_checker/tests.rs
+++ b/crates/balancer/src/policy/load_checker/tests.rs
@@ -50,26 +50,17 @@
 }
 
 #[test]
-fn request_goes_to_the_least_loaded_of_the_servers_that_answered() {
-    let mut fleet = fleet(settings_with_load_checks(), 3);
-    let request = request_with_load_checks(&fleet);
-    report_load(&mut fleet, FIRST, 2.0);
-    report_load(&mut fleet, SECOND, 1.0);
-    // The third one was idle when it last answered, but has not answered for this request.
-    fleet.servers[ServerIndex(2)]
-        .load
-        .on_health_check_report(0.0, 0.0, 0);
-    assert_eq!(least_loaded(&fleet, &request), [SECOND]);
-}
-
-#[test]
-fn servers_within_a_quarter_of_a_request_are_equally_loaded() {
+fn request_goes_to_the_least_loaded_servers_that_answered_within_a_quarter_of_a_request() {
     let mut fleet = fleet(settings_with_load_checks(), 3);
     let request = request_with_load_checks(&fleet);
     report_load(&mut fleet, FIRST, 1.2);
     report_load(&mut fleet, SECOND, 1.0);
-    report_load(&mut fleet, ServerIndex(2), 1.3);
+    // The third one was idle when it last answered, but has not answered for this request.
+    let third = &mut fleet.servers[ServerIndex(2)];
+    third.load.on_health_check_report(0.0, 0.0, 0);
     assert_eq!(least_loaded(&fleet, &request), [FIRST, SECOND]);
+    report_load(&mut fleet, FIRST, 1.3);
+    assert_eq!(least_loaded(&fleet, &request), [SECOND]);
 }
 
 #[test]
--- a/crates/balancer/src/policy/retry_policy/tests.rs
+++ b/crates/balancer/src/policy/retry_policy/tests.rs
@@ -1,35 +1,31 @@
 use super::{RetryDecision, RetryPolicy, RetryRefusal, RetryTarget};
 use crate::fleet::Fleet;
 use crate::policy::retry_budget::PriorExecution;
-use crate::policy::test_support::{
-    FIRST, MS, SECOND, class, eject, fleet, request, restart, settings,
-};
+use crate::policy::test_support::{FIRST, MS, class, eject, fleet_of, request, restart};
 use crate::state::{RequestState, RetryScope};
-use crate::{
-    DeduplicationScope, EjectionCause, Endpoint, Idempotency, Micros, Outcome, RequestClass,
-    ServerId, Settings,
-};
+use crate::{DeduplicationScope, EjectionCause, Endpoint, Idempotency, Outcome, ServerId};
+
+/// The first request of a fleet whose class is idempotent, or not, or has a key for 100 ms in a cell.
+fn fleet(idempotency: Idempotency, late_value: f64) -> Fleet {
+    let mut class = class();
+    class.idempotency = idempotency;
+    class.late_value = late_value;
+    class.deduplication_scope = DeduplicationScope::Cell;
+    class.deduplication_window = 100 * MS;
+    fleet_of(class, 4)
+}
 
-fn fleet_of_class(class: RequestClass) -> Fleet {
-    let classes = vec![class];
-    fleet(
-        Settings {
-            classes,
-            ..settings()
-        },
-        4,
-    )
+fn send(fleet: &Fleet, request: &mut RequestState) -> u32 {
+    let mut endpoint = Endpoint::ready(ServerId(0), 0);
+    endpoint.cell = 3;
+    request.on_attempt_sent(&endpoint, fleet.now)
 }
 
-/// A request whose first attempt, at a server of cell 3, ended without a response.
-fn request_with_an_unclear_end(fleet: &Fleet) -> RequestState {
+/// A request whose only attempt, at a server of cell 3, ended so.
+fn request_after(fleet: &Fleet, outcome: Outcome) -> RequestState {
     let mut request = request(fleet);
-    let endpoint = Endpoint {
-        cell: 3,
-        ..Endpoint::ready(ServerId(0), 0)
-    };
-    request.on_attempt_sent(&endpoint, fleet.now);
-    request.on_attempt_ended(0, Outcome::Reset);
+    let attempt = send(fleet, &mut request);
+    request.on_attempt_ended(attempt, outcome);
     request
 }
 
@@ -37,157 +33,112 @@
     RetryPolicy::new().decide(fleet, request)
 }
 
-fn refusal(fleet: &Fleet, request: &RequestState) -> RetryRefusal {
-    match decide(fleet, request) {
-        RetryDecision::Refuse(refusal) => refusal,
-        retry => panic!("{retry:?}"),
-    }
+fn retry(scope: RetryScope, prior: PriorExecution) -> RetryDecision {
+    RetryDecision::Retry { scope, prior }
 }
 
+const ANYWHERE: RetryDecision = RetryDecision::Retry {
+    scope: RetryScope::Anywhere,
+    prior: PriorExecution::Possible,
+};
+
 #[test]
 fn request_that_never_executed_may_be_retried_anywhere_whatever_its_class() {
-    let fleet = fleet_of_class(RequestClass {
-        idempotency: Idempotency::NonIdempotent,
-        ..class()
-    });
-    let mut request = request_with_an_unclear_end(&fleet);
-    request.on_attempt_ended(0, Outcome::Rejected);
-    let expected = RetryDecision::Retry {
-        scope: RetryScope::Anywhere,
-        prior: PriorExecution::Impossible,
-    };
+    let fleet = fleet(Idempotency::NonIdempotent, 0.0);
+    let request = request_after(&fleet, Outcome::Rejected);
+    let expected = retry(RetryScope::Anywhere, PriorExecution::Impossible);
     assert_eq!(decide(&fleet, &request), expected);
 }
 
 #[test]
 fn request_that_must_not_execute_twice_is_not_retried_once_it_may_have_executed() {
-    let fleet = fleet_of_class(RequestClass {
-        idempotency: Idempotency::NonIdempotent,
-        ..class()
-    });
-    let request = request_with_an_unclear_end(&fleet);
-    assert_eq!(refusal(&fleet, &request), RetryRefusal::NotIdempotent);
+    let fleet = fleet(Idempotency::NonIdempotent, 0.0);
+    let request = request_after(&fleet, Outcome::Reset);
+    let refusal = RetryDecision::Refuse(RetryRefusal::NotIdempotent);
+    assert_eq!(decide(&fleet, &request), refusal);
 }
 
 #[test]
 fn idempotency_key_keeps_a_retry_to_the_cell_while_it_is_remembered() {
-    let mut fleet = fleet_of_class(RequestClass {
-        idempotency: Idempotency::IdempotencyKey,
-        deduplication_scope: DeduplicationScope::Cell,
-        deduplication_window: 100 * MS,
-        ..class()
-    });
-    let request = request_with_an_unclear_end(&fleet);
-    let expected = RetryDecision::Retry {
-        scope: RetryScope::Cell(3),
-        prior: PriorExecution::Possible,
-    };
+    let mut fleet = fleet(Idempotency::IdempotencyKey, 0.0);
+    let request = request_after(&fleet, Outcome::Reset);
     fleet.now += 49 * MS;
-    assert_eq!(decide(&fleet, &request), expected);
+    let in_cell = retry(RetryScope::Cell(3), PriorExecution::Possible);
+    assert_eq!(decide(&fleet, &request), in_cell);
     fleet.now += MS;
-    let refusal = refusal(&fleet, &request);
-    assert_eq!(refusal, RetryRefusal::DeduplicationWindowClosed);
+    let refusal = RetryDecision::Refuse(RetryRefusal::DeduplicationWindowClosed);
+    assert_eq!(decide(&fleet, &request), refusal);
 }
 
 #[test]
 fn request_is_not_retried_once_its_response_has_started_or_its_attempts_are_used_up() {
-    let fleet = fleet_of_class(class());
-    let mut streaming = request_with_an_unclear_end(&fleet);
-    streaming.on_response_started();
-    assert_eq!(refusal(&fleet, &streaming), RetryRefusal::ResponseStarted);
-    let mut exhausted = request_with_an_unclear_end(&fleet);
-    for number in 1..3 {
-        exhausted.on_attempt_sent(&Endpoint::ready(ServerId(1), 1), fleet.now);
-        exhausted.on_attempt_ended(number, Outcome::Reset);
+    let fleet = fleet(Idempotency::Idempotent, 0.0);
+    let mut request = request_after(&fleet, Outcome::Reset);
+    for _ in 1..3 {
+        assert_eq!(decide(&fleet, &request), ANYWHERE);
+        let attempt = send(&fleet, &mut request);
+        request.on_attempt_ended(attempt, Outcome::Reset);
     }
-    assert_eq!(refusal(&fleet, &exhausted), RetryRefusal::AttemptsExhausted);
+    let exhausted = RetryDecision::Refuse(RetryRefusal::AttemptsExhausted);
+    assert_eq!(decide(&fleet, &request), exhausted);
+    request.on_response_started();
+    let started = RetryDecision::Refuse(RetryRefusal::ResponseStarted);
+    assert_eq!(decide(&fleet, &request), started);
 }
 
 #[test]
-fn retry_must_leave_two_steps_for_a_response_within_the_objective() {
-    let mut fleet = fleet_of_class(class());
-    let request = request_with_an_unclear_end(&fleet);
-    fleet.now += 250 * MS - 2 * fleet.settings.step - 1;
-    assert!(matches!(
-        decide(&fleet, &request),
-        RetryDecision::Retry { .. }
-    ));
-    fleet.now += 1;
-    assert_eq!(refusal(&fleet, &request), RetryRefusal::TooLateForValue);
-}
-
-#[test]
-fn late_retry_is_useful_until_the_deadline_where_late_responses_have_value() {
-    let mut fleet = fleet_of_class(RequestClass {
-        late_value: 0.2,
-        ..class()
-    });
-    let request = request_with_an_unclear_end(&fleet);
-    fleet.now += 599 * MS;
-    assert!(matches!(
-        decide(&fleet, &request),
-        RetryDecision::Retry { .. }
-    ));
-    fleet.now += MS;
-    assert_eq!(refusal(&fleet, &request), RetryRefusal::DeadlinePassed);
+fn retry_ends_two_steps_before_the_objective_or_with_the_deadline_if_late_responses_have_value() {
+    let two_steps_before = 250 * MS - 2 * MS;
+    let table = [
+        (0.0, two_steps_before, RetryRefusal::TooLateForValue),
+        (0.2, 600 * MS, RetryRefusal::DeadlinePassed),
+    ];
+    for (late_value, end, refusal) in table {
+        let mut fleet = fleet(Idempotency::Idempotent, late_value);
+        let request = request_after(&fleet, Outcome::Reset);
+        assert_eq!(RetryPolicy::attempt_timeout(&fleet, &request), end);
+        fleet.now += end - 1;
+        assert_eq!(decide(&fleet, &request), ANYWHERE);
+        fleet.now += 1;
+        let expected = RetryDecision::Refuse(refusal);
+        assert_eq!(decide(&fleet, &request), expected);
+    }
 }
 
 #[test]
 fn hedged_request_needs_permission_and_is_never_sent_a_third_time() {
-    let mut fleet = fleet_of_class(class());
+    let mut fleet = fleet(Idempotency::Idempotent, 0.0);
     let mut request = request(&fleet);
-    let endpoint = Endpoint::ready(ServerId(0), 0);
-    request.on_attempt_sent(&endpoint, fleet.now);
-    assert!(matches!(
-        decide(&fleet, &request),
-        RetryDecision::Retry { .. }
-    ));
+    send(&fleet, &mut request);
+    assert_eq!(decide(&fleet, &request), ANYWHERE);
     fleet.settings.retries.hedging = false;
-    assert_eq!(refusal(&fleet, &request), RetryRefusal::HedgingDisabled);
+    let disabled = RetryDecision::Refuse(RetryRefusal::HedgingDisabled);
+    assert_eq!(decide(&fleet, &request), disabled);
     fleet.settings.retries.hedging = true;
-    request.on_attempt_sent(&endpoint, fleet.now);
-    assert_eq!(refusal(&fleet, &request), RetryRefusal::EnoughInFlight);
+    send(&fleet, &mut request);
+    let enough = RetryDecision::Refuse(RetryRefusal::EnoughInFlight);
+    assert_eq!(decide(&fleet, &request), enough);
 }
 
 #[test]
 fn spent_budget_refuses_until_twenty_requests_have_earned_a_retry() {
-    let fleet = fleet_of_class(class());
-    let request = request_with_an_unclear_end(&fleet);
+    let fleet = fleet(Idempotency::Idempotent, 0.0);
+    let request = request_after(&fleet, Outcome::Reset);
     let mut policy = RetryPolicy::new();
     (0..5).for_each(|_| policy.on_retry(PriorExecution::Possible));
     let spent = RetryDecision::Refuse(RetryRefusal::BudgetExhausted);
     assert_eq!(policy.decide(&fleet, &request), spent);
     (0..21).for_each(|_| policy.on_request_arrived());
-    assert!(matches!(
-        policy.decide(&fleet, &request),
-        RetryDecision::Retry { .. }
-    ));
+    assert_eq!(policy.decide(&fleet, &request), ANYWHERE);
 }
 
 #[test]
 fn retry_goes_neither_to_a_suspected_server_nor_to_one_in_slow_start() {
-    let mut fleet = fleet_of_class(class());
+    let mut fleet = fleet(Idempotency::Idempotent, 0.0);
     let judge = |fleet: &Fleet| RetryPolicy::judge_target(&fleet.servers[FIRST]);
     assert_eq!(judge(&fleet), RetryTarget::Suitable);
     restart(&mut fleet, FIRST);
     assert_eq!(judge(&fleet), RetryTarget::InSlowStart);
     eject(&mut fleet, FIRST, EjectionCause::Attempts);
     assert_eq!(judge(&fleet), RetryTarget::Untrusted);
-    assert_eq!(
-        RetryPolicy::judge_target(&fleet.servers[SECOND]),
-        RetryTarget::Suitable
-    );
-}
-
-#[test]
-fn attempt_times_out_before_an_objective_after_which_responses_are_worthless() {
-    let timeout = |late_value: f64| -> Micros {
-        let fleet = fleet_of_class(RequestClass {
-            late_value,
-            ..class()
-        });
-        RetryPolicy::attempt_timeout(&fleet, &request(&fleet))
-    };
-    assert_eq!(timeout(0.0), 248 * MS);
-    assert_eq!(timeout(0.2), 600 * MS);
 }
--- a/crates/balancer/src/policy/slow_start_admission/tests.rs
+++ b/crates/balancer/src/policy/slow_start_admission/tests.rs
@@ -1,42 +1,26 @@
 use super::{Admission, SlowStartAdmission};
 use crate::fleet::Fleet;
 use crate::policy::test_support::{FIRST, MS, SECOND, fleet, restart, send, settings};
-use crate::{Settings, SlowStartSettings};
 
 /// Two servers, the first one just started with a quarter of its capacity.
 fn fleet_with_a_cold_server() -> Fleet {
-    let slow_start = SlowStartSettings {
-        initial_capacity: 0.25,
-        ..SlowStartSettings::default()
-    };
-    let mut fleet = fleet(
-        Settings {
-            slow_start,
-            ..settings()
-        },
-        2,
-    );
+    let mut settings = settings();
+    settings.slow_start.initial_capacity = 0.25;
+    let mut fleet = fleet(settings, 2);
     restart(&mut fleet, FIRST);
     fleet
 }
 
 #[test]
 fn warm_server_is_admitted_without_a_draw() {
-    let fleet = fleet_with_a_cold_server();
+    let mut fleet = fleet_with_a_cold_server();
     let mut rng = fastrand::Rng::with_seed(1);
     let admission = SlowStartAdmission::new();
-    let decision = admission.admit(&fleet, &fleet.servers[SECOND], &mut rng);
-    assert_eq!(decision, Admission::Warm);
-    assert_eq!(rng, fastrand::Rng::with_seed(1));
-}
-
-#[test]
-fn server_whose_slow_start_is_over_is_warm() {
-    let mut fleet = fleet_with_a_cold_server();
+    let never_cold = admission.admit(&fleet, &fleet.servers[SECOND], &mut rng);
     fleet.now += fleet.settings.slow_start.duration;
-    let mut rng = fastrand::Rng::with_seed(1);
-    let decision = SlowStartAdmission::new().admit(&fleet, &fleet.servers[FIRST], &mut rng);
-    assert_eq!(decision, Admission::Warm);
+    let warmed_up = admission.admit(&fleet, &fleet.servers[FIRST], &mut rng);
+    assert_eq!([never_cold, warmed_up], [Admission::Warm; 2]);
+    assert_eq!(rng, fastrand::Rng::with_seed(1));
 }
 
 #[test]
@@ -52,26 +36,19 @@
 }
 
 #[test]
-fn cold_server_gets_no_more_than_its_bound_within_the_overload_window() {
+fn cold_server_is_bounded_within_the_overload_window_by_what_a_warm_one_gets() {
     let mut fleet = fleet_with_a_cold_server();
-    send(&mut fleet, FIRST, 1);
     let mut rng = fastrand::Rng::with_seed(1);
+    let mut admission = SlowStartAdmission::new();
+    send(&mut fleet, FIRST, 1);
     // Nothing is known of what a warm server gets, so that one request fills the bound.
-    let decision = SlowStartAdmission::new().admit(&fleet, &fleet.servers[FIRST], &mut rng);
+    let decision = admission.admit(&fleet, &fleet.servers[FIRST], &mut rng);
     assert_eq!(decision, Admission::OverQuota);
-}
-
-#[test]
-fn bound_grows_with_what_a_warm_server_gets() {
-    let mut fleet = fleet_with_a_cold_server();
-    let mut admission = SlowStartAdmission::new();
     for _ in 0..1_000 {
         fleet.now += MS;
         admission.on_work_sent(&fleet, 1.0);
     }
     admission.on_tick(&fleet, [SECOND].into_iter());
-    send(&mut fleet, FIRST, 1);
-    let mut rng = fastrand::Rng::with_seed(1);
     let decision = admission.admit(&fleet, &fleet.servers[FIRST], &mut rng);
     assert_ne!(decision, Admission::OverQuota);
 }
--- a/crates/balancer/src/policy/subsetter/tests.rs
+++ b/crates/balancer/src/policy/subsetter/tests.rs
@@ -1,80 +1,57 @@
 use super::{CandidateFilter, Subsetter};
 use crate::fleet::Fleet;
-use crate::policy::test_support::{FIRST, NOW, SECOND, fleet, settings};
-use crate::state::{RetryScope, ServerIndex, Suspicion};
+use crate::policy::test_support::{FIRST, NOW, SECOND, eject, fleet, settings};
+use crate::state::{RetryScope, ServerIndex};
 use crate::{EjectionCause, Endpoint, EndpointStatus, ServerId};
 
-fn subsetter(fleet: &Fleet) -> Subsetter {
+fn candidates_in(fleet: &Fleet, scope: RetryScope, filter: CandidateFilter) -> Vec<ServerIndex> {
     let mut subsetter = Subsetter::default();
     subsetter.on_endpoints_updated(fleet);
-    subsetter
-}
-
-fn candidates(fleet: &Fleet, tried: &[ServerId], filter: CandidateFilter) -> Vec<ServerIndex> {
-    let subsetter = subsetter(fleet);
-    let mut candidates = subsetter.candidates(fleet, RetryScope::Anywhere, tried, filter);
+    let mut candidates = subsetter.candidates(fleet, scope, &[ServerId(9)], filter);
     candidates.sort_unstable();
     candidates
 }
 
-fn suspect(fleet: &mut Fleet, server: ServerIndex) {
-    let suspicion = Suspicion {
-        cause: EjectionCause::Attempts,
-        since: NOW,
-        ejection_time: 1,
-    };
-    fleet.servers[server].suspicion.on_ejected(suspicion, 0);
+fn candidates(fleet: &Fleet, filter: CandidateFilter) -> Vec<ServerIndex> {
+    candidates_in(fleet, RetryScope::Anywhere, filter)
 }
 
 #[test]
-fn suspected_server_is_a_candidate_only_as_the_last_resort() {
-    let mut fleet = fleet(settings(), 2);
-    suspect(&mut fleet, FIRST);
-    let trusted = candidates(&fleet, &[], CandidateFilter::TrustedOnly);
-    let any = candidates(&fleet, &[], CandidateFilter::AnyReady);
-    assert_eq!(trusted, [SECOND]);
-    assert_eq!(any, [FIRST, SECOND]);
-}
-
-#[test]
-fn possibly_draining_server_is_a_candidate_only_as_the_last_resort() {
-    let mut fleet = fleet(settings(), 2);
-    fleet.servers[FIRST].on_possible_drain();
-    let trusted = candidates(&fleet, &[], CandidateFilter::TrustedOnly);
-    let any = candidates(&fleet, &[], CandidateFilter::AnyReady);
-    assert_eq!(trusted, [SECOND]);
-    assert_eq!(any, [FIRST, SECOND]);
+fn suspected_and_possibly_draining_servers_are_candidates_only_as_the_last_resort() {
+    let mut fleet = fleet(settings(), 3);
+    eject(&mut fleet, FIRST, EjectionCause::Attempts);
+    fleet.servers[SECOND].on_possible_drain();
+    let third = ServerIndex(2);
+    assert_eq!(candidates(&fleet, CandidateFilter::TrustedOnly), [third]);
+    let any = candidates(&fleet, CandidateFilter::AnyReady);
+    assert_eq!(any, [FIRST, SECOND, third]);
 }
 
 #[test]
 fn draining_and_tried_servers_are_never_candidates() {
-    let mut fleet = fleet(settings(), 3);
+    let mut fleet = fleet(settings(), 10);
     fleet.servers[FIRST].on_status_listed(EndpointStatus::Draining);
-    let left = candidates(&fleet, &[ServerId(1)], CandidateFilter::AnyReady);
-    assert_eq!(left, [ServerIndex(2)]);
+    let expected: Vec<ServerIndex> = (1..9).map(ServerIndex).collect();
+    assert_eq!(candidates(&fleet, CandidateFilter::AnyReady), expected);
 }
 
 #[test]
 fn retry_scope_limits_the_candidates_to_its_cell() {
     let mut fleet = fleet(settings(), 2);
-    let elsewhere = Endpoint {
-        cell: 7,
-        ..Endpoint::ready(ServerId(1), 1)
-    };
+    let mut elsewhere = Endpoint::ready(ServerId(1), 1);
+    elsewhere.cell = 7;
     fleet.servers.merge(elsewhere, NOW, 0);
-    let subsetter = subsetter(&fleet);
-    let scope = RetryScope::Cell(7);
-    let candidates = subsetter.candidates(&fleet, scope, &[], CandidateFilter::TrustedOnly);
-    assert_eq!(candidates, [SECOND]);
+    let in_cell = candidates_in(&fleet, RetryScope::Cell(7), CandidateFilter::TrustedOnly);
+    assert_eq!(in_cell, [SECOND]);
 }
 
 #[test]
 fn subset_goes_further_down_the_order_where_its_servers_are_suspected() {
     let mut fleet = fleet(settings(), 40);
+    let first = candidates(&fleet, CandidateFilter::TrustedOnly);
+    eject(&mut fleet, first[0], EjectionCause::Attempts);
+    let next = candidates(&fleet, CandidateFilter::TrustedOnly);
     let size = fleet.subset_size();
-    let first = candidates(&fleet, &[], CandidateFilter::TrustedOnly);
-    suspect(&mut fleet, first[0]);
-    let next = candidates(&fleet, &[], CandidateFilter::TrustedOnly);
     assert_eq!((first.len(), next.len()), (size, size));
     assert!(!next.contains(&first[0]));
 }
--- a/crates/balancer/src/policy/test_support.rs
+++ b/crates/balancer/src/policy/test_support.rs
@@ -64,6 +64,13 @@
     fleet
 }
 
+/// The same where this is the only class.
+pub(crate) fn fleet_of(class: RequestClass, servers: u32) -> Fleet {
+    let mut settings = settings();
+    settings.classes = vec![class];
+    fleet(settings, servers)
+}
+
 /// Restarts a server now, so that it is in slow start.
 pub(crate) fn restart(fleet: &mut Fleet, server: ServerIndex) {
     let duration = fleet.settings.slow_start.duration;
@@ -108,11 +115,11 @@
     fleet.servers[server].on_attempt_sent(attempt, &slow_start);
 }
 
-/// So many requests arrive now.
+/// So many requests of 1 ms arrive now.
 pub(crate) fn arrive(fleet: &mut Fleet, requests: usize) {
     let workload = &mut fleet.estimators.workload;
     for _ in 0..requests {
-        workload.on_request_arrived(&fleet.settings.classes[0], 0.0, fleet.now);
+        workload.on_request_arrived(&fleet.settings.classes[0], 1_000.0, fleet.now);
     }
 }
 
