--- a/crates/balancer/src/policy/ejection.rs
+++ b/crates/balancer/src/policy/ejection.rs
@@ -10,8 +10,8 @@
 //!
 //! as with the outlier detection of Envoy, which multiplies where this doubles. Suspicions that
 //! health checks or other balancers raised are not believed while too many health checks fail
-//! ([`HealthCheckTrust`](crate::policy::HealthCheckTrust)); they end with the first good one, after
-//! which the server is in slow start if it may have restarted meanwhile.
+//! ([`HealthCheckTrust`]); they end with the first good one, after which the server is in slow
+//! start if it may have restarted meanwhile.
 
 #[cfg(test)]
 mod tests;
--- a/crates/balancer/src/policy/subsetter.rs
+++ b/crates/balancer/src/policy/subsetter.rs
@@ -2,9 +2,10 @@
 //!
 //! Each balancer has a random order of its own over all servers, which stays the same while servers
 //! come and go, and in which each cell comes once before any comes twice ([`SubsetOrder`]). It uses
-//! the first so many servers of it that are ready ([`SubsetSize`](crate::policy::SubsetSize));
-//! where these are suspected it goes further down the order. This is random subsetting by a stable
-//! hash; that the cells take turns is a stratification.
+//! the first so many servers of it that are ready
+//! ([`SubsetSize`](crate::policy::subset_size::SubsetSize)); where these are suspected it goes
+//! further down the order. This is random subsetting by a stable hash; that the cells take turns is
+//! a stratification.
 
 #[cfg(test)]
 mod tests;
