--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -60,9 +60,7 @@
                 kind,
                 version,
                 endpoints,
-            } => {
-                self.on_endpoints_updated(kind, version, endpoints, actions);
-            }
+            } => self.on_endpoints_updated(kind, version, endpoints, actions),
             Event::RequestArrived(request) => self.on_request_arrived(&request, actions),
             Event::ResponseStarted { request } => self.on_response_started(request),
             Event::AttemptEnded(end) => self.on_attempt_ended(&end, actions),
@@ -73,9 +71,7 @@
                 server,
                 outcome,
                 load_report,
-            } => {
-                self.on_health_check_ended(server, outcome, load_report, actions);
-            }
+            } => self.on_health_check_ended(server, outcome, load_report, actions),
             Event::GossipReceived { from, message } => {
                 self.on_gossip_received(from, &message, actions);
             }
--- a/crates/balancer/src/balancer/servers.rs
+++ b/crates/balancer/src/balancer/servers.rs
@@ -202,11 +202,7 @@
         let server = &mut self.fleet.servers[index];
         server.suspicion.on_ejected(suspicion, earlier_ejections);
         record(ServerEvent::Ejected { cause }, server.id(), actions);
-        let attempts = server.in_flight().iter();
-        let waiting: Vec<RequestId> = attempts.map(|attempt| attempt.request).collect();
-        for request in waiting {
-            self.retry(request, actions);
-        }
+        self.retry_in_flight(index, actions);
         if audience == Audience::AllBalancers {
             let server = &self.fleet.servers[index];
             self.policies
@@ -215,6 +211,15 @@
         }
     }
 
+    /// Sends the requests again that have an attempt in flight at a server.
+    fn retry_in_flight(&mut self, index: ServerIndex, actions: &mut Actions) {
+        let attempts = self.fleet.servers[index].in_flight().iter();
+        let requests: Vec<RequestId> = attempts.map(|attempt| attempt.request).collect();
+        for request in requests {
+            self.retry(request, actions);
+        }
+    }
+
     /// Ends the suspicion of a server, if any.
     fn readmit(&mut self, index: ServerIndex, actions: &mut Actions) {
         let now = self.fleet.now;
--- a/crates/balancer/src/estimators/fleet.rs
+++ b/crates/balancer/src/estimators/fleet.rs
@@ -44,9 +44,14 @@
             is_load_known: settings.load_source() != LoadSource::Unknown,
         };
         let service_time = estimates.observed_service_time(server, attempt, latency);
-        let usual = estimates.machine_latency_factor(server);
+        let machine_factor = estimates.machine_latency_factor(server);
         let machine = server.endpoint().machine_type;
-        self.latency
-            .on_response(&mut server.latency, machine, usual, service_time, now);
+        self.latency.on_response(
+            &mut server.latency,
+            machine,
+            machine_factor,
+            service_time,
+            now,
+        );
     }
 }
--- a/crates/balancer/src/estimators/latency.rs
+++ b/crates/balancer/src/estimators/latency.rs
@@ -61,8 +61,15 @@
     }
 
     /// The latency factor of a server, which decays to that of its machine type.
-    pub(crate) fn latency_factor(&self, server: &ServerLatency, usual: f64, now: Micros) -> f64 {
-        usual + (server.factor - usual) * decay(now, server.updated_at, LATENCY_FACTOR_HALF_LIFE)
+    pub(crate) fn latency_factor(
+        &self,
+        server: &ServerLatency,
+        machine_factor: f64,
+        now: Micros,
+    ) -> f64 {
+        machine_factor
+            + (server.factor - machine_factor)
+                * decay(now, server.updated_at, LATENCY_FACTOR_HALF_LIFE)
     }
 
     /// The latency factor of a machine type. What one server shows tells of all machines like it: a
@@ -74,23 +81,25 @@
             .unwrap_or(1.0 / machine.speed)
     }
 
-    /// A server responded; `usual` is the latency factor of its machine type, `service_time` in
-    /// microseconds.
+    /// A server responded; `machine_factor` is the latency factor of its machine type,
+    /// `service_time` in microseconds.
     pub(crate) fn on_response(
         &mut self,
         server: &mut ServerLatency,
         machine: MachineType,
-        usual: f64,
+        machine_factor: f64,
         service_time: f64,
         now: Micros,
     ) {
         let factor = (service_time / self.mean_service_time)
             .clamp(1.0 / MAX_LATENCY_FACTOR, MAX_LATENCY_FACTOR);
-        let before = self.latency_factor(server, usual, now);
+        let before = self.latency_factor(server, machine_factor, now);
         server.factor = before + SERVER_WEIGHT * (factor - before);
         server.updated_at = now;
-        self.latency_by_machine_type
-            .insert(machine.id, usual + FLEET_WEIGHT * (factor - usual));
+        self.latency_by_machine_type.insert(
+            machine.id,
+            machine_factor + FLEET_WEIGHT * (factor - machine_factor),
+        );
         let bounded = service_time.min(MAX_LATENCY_FACTOR * self.mean_service_time);
         self.mean_service_time += FLEET_WEIGHT * (bounded - self.mean_service_time);
     }
--- a/crates/balancer/src/policy/load_shedder.rs
+++ b/crates/balancer/src/policy/load_shedder.rs
@@ -122,23 +122,19 @@
         selection: Selection,
         rng: &mut fastrand::Rng,
     ) -> ShedDecision {
-        let exceeds_deadline = match selection {
-            Selection::Server(server) | Selection::NoneInTime(server) => {
-                self.exceeds_deadline(fleet, request, server)
-            }
-            Selection::NoneKnown => false,
+        let Some(server) = selection.server() else {
+            self.missed_objectives.on_met();
+            return ShedDecision::Admit;
         };
-        let is_missed = exceeds_deadline || matches!(selection, Selection::NoneInTime(_));
-        if is_missed {
+        if self.exceeds_deadline(fleet, request, server) {
             self.missed_objectives.on_missed();
-        } else {
-            self.missed_objectives.on_met();
+            return ShedDecision::ExceedsDeadline;
         }
-        if exceeds_deadline {
-            ShedDecision::ExceedsDeadline
-        } else if selection == Selection::NoneKnown {
-            ShedDecision::Admit
-        } else if self.is_shed_at_random(fleet, request, rng) {
+        match selection {
+            Selection::NoneInTime(_) => self.missed_objectives.on_missed(),
+            Selection::Server(_) | Selection::NoneKnown => self.missed_objectives.on_met(),
+        }
+        if self.is_shed_at_random(fleet, request, rng) {
             ShedDecision::Saturated
         } else {
             ShedDecision::Admit
