--- a/crates/testbed/src/simulator/client.rs
+++ b/crates/testbed/src/simulator/client.rs
@@ -15,14 +15,14 @@
     pub(super) fn schedule_next_arrival(&mut self, sidecar: SidecarIndex) {
         if let Some(arrival) = self.sidecars[sidecar.index()].arrivals.next() {
             let event = SimulatorEvent::Arrival(sidecar, arrival);
-            self.timeline.at(arrival.at, event);
+            self.context.at(arrival.at, event);
         }
     }
 
     pub(super) fn on_arrival(&mut self, sidecar: SidecarIndex, arrival: Arrival) {
         let number = self.open.take_arrival_number();
         let within_quota = self.within_quota(arrival.tenant);
-        self.record(LogEvent::ArrivalStarted {
+        self.context.record(LogEvent::ArrivalStarted {
             arrival: number,
             sidecar,
             class: arrival.class,
@@ -30,18 +30,18 @@
             within_quota,
             work: arrival.work,
         });
-        let class = &self.scenario.class[arrival.class.index()];
+        let class = &self.context.scenario().class[arrival.class.index()];
         let key = self.open.arrivals.insert(OpenArrival {
             number,
             sidecar,
             class: arrival.class,
             work: arrival.work,
             work_hint: arrival.work_hint,
-            deadline: self.timeline.now() + from_ms(class.deadline_ms),
+            deadline: self.context.now() + from_ms(class.deadline_ms),
             requests: 0,
             honours_retry_after: arrival.honours_retry_after,
         });
-        if self.open.requests.len() >= self.scenario.load.max_open_requests {
+        if self.open.requests.len() >= self.context.scenario().load.max_open_requests {
             self.run_statistics.not_played += 1;
             self.close_arrival(key, RequestOutcome::NotPlayed);
         } else {
@@ -52,7 +52,7 @@
 
     /// whether an arrival lies within its tenant's quota; without tenants all do.
     fn within_quota(&mut self, tenant: TenantIndex) -> bool {
-        let now = self.timeline.now();
+        let now = self.context.now();
         self.quotas
             .get_mut(tenant.index())
             .is_none_or(|quota| quota.try_take(now))
@@ -61,15 +61,15 @@
     /// Sends the first request of an arrival, or a retry.
     pub(super) fn send_request(&mut self, key: ArrivalKey) {
         let number = self.open.take_request_number();
-        let now = self.timeline.now();
-        let clients = &self.scenario.clients;
+        let now = self.context.now();
+        let clients = &self.context.scenario().clients;
         let Some(arrival) = self.open.arrivals.get_mut(key) else {
             return;
         };
         arrival.requests += 1;
         let sidecar = &mut self.sidecars[arrival.sidecar.index()];
         let random = &mut sidecar.client_random;
-        let class = &self.scenario.class[arrival.class.index()];
+        let class = &self.context.scenario().class[arrival.class.index()];
         let [shortest, longest] = clients.timeout_share;
         let deadline = from_ms(class.deadline_ms) as f64;
         let timeout = (deadline * random.between(shortest, longest)) as Micros;
@@ -95,12 +95,12 @@
     }
 
     fn schedule_request(&mut self, key: RequestKey, due: Micros, disconnects_at: Option<Micros>) {
-        let delay = from_ms(self.scenario.network.client_ms);
-        let timeline = &mut self.timeline;
-        timeline.after(delay, SimulatorEvent::RequestAtSidecar(key));
-        timeline.at(due, SimulatorEvent::ClientTimeout(key));
+        let delay = from_ms(self.context.scenario().network.client_ms);
+        let context = &mut self.context;
+        context.after(delay, SimulatorEvent::RequestAtSidecar(key));
+        context.at(due, SimulatorEvent::ClientTimeout(key));
         if let Some(at) = disconnects_at {
-            timeline.at(at, SimulatorEvent::ClientDisconnect(key));
+            context.at(at, SimulatorEvent::ClientDisconnect(key));
         }
     }
 
@@ -110,7 +110,7 @@
             return;
         };
         if outcome != RequestOutcome::Unreachable {
-            self.record(LogEvent::ResponseReceived {
+            self.context.record(LogEvent::ResponseReceived {
                 request: request.number,
                 outcome,
             });
@@ -134,7 +134,8 @@
                 .requests
                 .get(key)
                 .map_or(RequestNumber::new(0), |request| request.number);
-            self.record(LogEvent::ClientDisconnected { request: number });
+            self.context
+                .record(LogEvent::ClientDisconnected { request: number });
             self.abandon_request(key);
             if let Some(request) = self.open.requests.remove(key) {
                 self.close_arrival(request.arrival, RequestOutcome::Disconnected);
@@ -152,7 +153,7 @@
 
     /// Retries an arrival whose request has ended, or closes it.
     fn on_request_ended(&mut self, key: ArrivalKey, outcome: RequestOutcome, retry_after: Micros) {
-        let scenario = self.scenario;
+        let scenario = self.context.scenario();
         let Some(arrival) = self.open.arrivals.get(key) else {
             return;
         };
@@ -166,10 +167,10 @@
         } else {
             backoff
         };
-        let in_time = self.timeline.now() + wait < arrival.deadline;
+        let in_time = self.context.now() + wait < arrival.deadline;
         let retries_left = arrival.requests <= scenario.clients.retries;
         if may_retry(outcome, class.idempotency) && retries_left && in_time {
-            self.timeline.after(wait, SimulatorEvent::RetryDue(key));
+            self.context.after(wait, SimulatorEvent::RetryDue(key));
         } else {
             self.close_arrival(key, outcome);
         }
@@ -177,7 +178,7 @@
 
     fn close_arrival(&mut self, key: ArrivalKey, outcome: RequestOutcome) {
         if let Some(arrival) = self.open.arrivals.remove(key) {
-            self.record(LogEvent::ArrivalEnded {
+            self.context.record(LogEvent::ArrivalEnded {
                 arrival: arrival.number,
                 outcome,
                 requests: arrival.requests,
--- a/crates/testbed/src/simulator/discovery/endpoints.rs
+++ b/crates/testbed/src/simulator/discovery/endpoints.rs
@@ -95,7 +95,7 @@
     ) {
         let mut endpoints = Vec::with_capacity(listed.len());
         for &endpoint in listed {
-            self.record(LogEvent::EndpointListed {
+            self.context.record(LogEvent::EndpointListed {
                 sidecar: sidecar_index,
                 server: endpoint.server,
                 status: endpoint.status,
@@ -130,7 +130,8 @@
             zone: server.zone,
             cell: server.zone,
             machine_type: self
-                .scenario
+                .context
+                .scenario()
                 .advertised_machine_type(server.model.machine_type()),
         }
     }
--- a/crates/testbed/src/simulator/discovery/mod.rs
+++ b/crates/testbed/src/simulator/discovery/mod.rs
@@ -27,7 +27,7 @@
         let incarnation = self.servers[server.index()].started_at;
         let change = self.discovery.on_announced(status, incarnation);
         let event = SimulatorEvent::ListChange { server, change };
-        self.timeline.after(from_ms(after_ms), event);
+        self.context.after(from_ms(after_ms), event);
     }
 
     pub(super) fn on_list_change(&mut self, server: ServerIndex, change: usize) {
@@ -39,32 +39,34 @@
     }
 
     fn notify_watches(&mut self) {
-        let spread_ms = self.scenario.discovery.spread_ms;
+        let spread_ms = self.context.scenario().discovery.spread_ms;
         for sidecar_index in SidecarIndex::all(self.sidecars.len()) {
             if self.sidecars[sidecar_index.index()].watches {
                 let delay = self.discovery.draw_notification_delay(spread_ms);
                 let process = self.process(sidecar_index);
                 let event = SimulatorEvent::WatchNotification(process);
-                self.timeline.after(delay, event);
+                self.context.after(delay, event);
             }
         }
     }
 
     /// A sidecar polls the list, and watches it from then on.
     pub(super) fn poll_endpoints(&mut self, sidecar_index: SidecarIndex) {
-        self.record(LogEvent::DiscoveryPolled {
+        self.context.record(LogEvent::DiscoveryPolled {
             sidecar: sidecar_index,
         });
         let process = self.process(sidecar_index);
         let poll = self.sidecars[sidecar_index.index()].on_poll_started();
-        let now = self.timeline.now();
-        let (at, lost) = self.discovery.on_poll(now, &self.scenario.discovery);
+        let now = self.context.now();
+        let (at, lost) = self
+            .discovery
+            .on_poll(now, &self.context.scenario().discovery);
         let result = PollResult {
             process,
             poll,
             lost,
         };
-        self.timeline.at(at, SimulatorEvent::PollResult(result));
+        self.context.at(at, SimulatorEvent::PollResult(result));
     }
 
     pub(super) fn on_poll_result(&mut self, result: &PollResult) {
@@ -103,7 +105,7 @@
 
     /// Discovery goes down or silent, or comes back.
     pub(super) fn on_discovery_fault(&mut self, availability: Availability) {
-        let now = self.timeline.now();
+        let now = self.context.now();
         self.discovery.on_availability_changed(availability, now);
         let noticed_after = match availability {
             Availability::Up => return,
@@ -120,7 +122,7 @@
                     lost: true,
                 };
                 let event = SimulatorEvent::PollResult(result);
-                self.timeline.after(noticed_after, event);
+                self.context.after(noticed_after, event);
             }
         }
     }
--- a/crates/testbed/src/simulator/faults/schedule.rs
+++ b/crates/testbed/src/simulator/faults/schedule.rs
@@ -9,7 +9,7 @@
 
 impl Simulator<'_> {
     pub(in crate::simulator) fn schedule_faults(&mut self) {
-        let scenario = self.scenario;
+        let scenario = self.context.scenario();
         let zones: Vec<u32> = self.servers.iter().map(|server| server.zone).collect();
         for (index, fault) in scenario.fault.iter().enumerate() {
             self.fault_targets.push(targets(scenario, index, &zones));
@@ -36,18 +36,18 @@
             down_time: from_s(fault.down_s),
             kill: fault.kill,
         });
-        self.timeline.at(at, restart);
+        self.context.at(at, restart);
     }
 
     fn schedule_fault(&mut self, index: usize, start: Micros, end: Micros) {
         for (at, starts) in [(start, true), (end, false)] {
             let event = SimulatorEvent::Fault { index, starts };
-            self.timeline.at(at, event);
+            self.context.at(at, event);
         }
     }
 
     pub(in crate::simulator) fn on_fault(&mut self, index: usize, starts: bool) {
-        let scenario = self.scenario;
+        let scenario = self.context.scenario();
         let fault = &scenario.fault[index];
         match fault.kind {
             FaultKind::DiscoveryDown if starts => self.on_discovery_fault(Availability::Down),
--- a/crates/testbed/src/simulator/faults/servers.rs
+++ b/crates/testbed/src/simulator/faults/servers.rs
@@ -41,7 +41,7 @@
         } else {
             (State::Paused, State::Up, ServerState::Up)
         };
-        let now = self.timeline.now();
+        let now = self.context.now();
         let model = &mut self.servers[server_index.index()].model;
         if model.state() == from {
             model.set_state(now, to, &mut self.server_events);
@@ -51,7 +51,7 @@
 
     /// Slows a server by a factor, or ends its slowness.
     fn on_slowdown(&mut self, server_index: ServerIndex, factor: Option<f64>) {
-        let now = self.timeline.now();
+        let now = self.context.now();
         let model = &mut self.servers[server_index.index()].model;
         model.set_slowdown(now, factor.unwrap_or(1.0), &mut self.server_events);
         let state = if factor.is_some() {
@@ -65,23 +65,23 @@
     fn on_crash(&mut self, server_index: ServerIndex) {
         self.record_server_state(server_index, ServerState::Down);
         self.end_server_process(server_index);
-        let notice_ms = self.scenario.discovery.notice_ms;
+        let notice_ms = self.context.scenario().discovery.notice_ms;
         self.announce(server_index, ListedStatus::Gone, notice_ms);
     }
 
     fn on_silence(&mut self, server_index: ServerIndex) {
         self.record_server_state(server_index, ServerState::Silent);
-        let now = self.timeline.now();
+        let now = self.context.now();
         let server = &mut self.servers[server_index.index()];
         server.on_machine_vanished(now, &mut self.server_events);
-        let notice_ms = self.scenario.discovery.silent_notice_ms;
+        let notice_ms = self.context.scenario().discovery.silent_notice_ms;
         self.announce(server_index, ListedStatus::Gone, notice_ms);
     }
 
     fn on_drain(&mut self, server_index: ServerIndex) {
         self.servers[server_index.index()].on_drain();
         self.record_server_state(server_index, ServerState::Draining);
-        let notice_ms = self.scenario.discovery.notice_ms;
+        let notice_ms = self.context.scenario().discovery.notice_ms;
         self.announce(server_index, ListedStatus::Draining, notice_ms);
     }
 
@@ -93,18 +93,18 @@
     }
 
     fn restart_server(&mut self, server_index: ServerIndex) {
-        let now = self.timeline.now();
+        let now = self.context.now();
         let server = &mut self.servers[server_index.index()];
         let lost = server.on_restarted(now, &mut self.server_events);
         self.reset_attempts(lost);
         self.record_server_state(server_index, ServerState::Cold);
-        let add_ms = self.scenario.discovery.add_ms;
+        let add_ms = self.context.scenario().discovery.add_ms;
         self.announce(server_index, ListedStatus::Ready, add_ms);
     }
 
     /// A new server takes the place of one that has drained.
     fn replace_server(&mut self, old: ServerIndex) {
-        let (scenario, now) = (self.scenario, self.timeline.now());
+        let (scenario, now) = (self.context.scenario(), self.context.now());
         self.end_server_process(old);
         self.record_server_state(old, ServerState::Down);
         self.announce(old, ListedStatus::Gone, scenario.discovery.notice_ms);
--- a/crates/testbed/src/simulator/mod.rs
+++ b/crates/testbed/src/simulator/mod.rs
@@ -7,6 +7,7 @@
 //! is `server_model`'s, and what is asked for is `workload`'s.
 
 mod client;
+mod context;
 mod discovery;
 mod error;
 mod event;
@@ -21,19 +22,19 @@
 
 use arrowstand_balancer::Action;
 
-use crate::event_log::{EventLog, LogEvent, LogRecord};
+use crate::event_log::{EventLog, LogEvent};
 use crate::index::{ServerIndex, SidecarIndex};
 use crate::random::{RandomStream, StreamId};
 use crate::scenario::{Micros, Scenario, from_ms, from_s};
 use crate::server_model::Event as ServerModelEvent;
 use crate::workload::{TenantQuota, quotas};
 
+use context::Context;
 use discovery::Discovery;
 use event::SimulatorEvent;
 use request::OpenWork;
 use server::Server;
 use sidecar::Sidecar;
-use timeline::Timeline;
 
 pub use error::SimulatorError;
 pub use run::{RunStatistics, run};
@@ -48,9 +49,7 @@
 /// A scenario being simulated. Owns all that is open; sidecars, servers and discovery own their
 /// state.
 struct Simulator<'a> {
-    scenario: &'a Scenario,
-    timeline: Timeline,
-    log: &'a mut dyn EventLog,
+    context: Context<'a>,
     sidecars: Vec<Sidecar>,
     servers: Vec<Server>,
     discovery: Discovery,
@@ -71,9 +70,7 @@
     /// Builds servers and sidecars, and schedules the first arrivals and the faults.
     fn new(scenario: &'a Scenario, log: &'a mut dyn EventLog) -> Result<Self, SimulatorError> {
         let mut simulator = Self {
-            scenario,
-            timeline: Timeline::new(),
-            log,
+            context: Context::new(scenario, log),
             sidecars: Vec::new(),
             servers: Vec::new(),
             discovery: Discovery::new(scenario),
@@ -89,16 +86,16 @@
         simulator.build_sidecars()?;
         simulator.schedule_faults();
         simulator
-            .timeline
+            .context
             .after(GAUGE_INTERVAL, SimulatorEvent::GaugeTick);
         Ok(simulator)
     }
 
     /// Plays until nothing is open after the last arrival, or the run has gone on for too long.
     fn play(&mut self) {
-        let last_arrival = from_s(self.scenario.seconds);
-        while let Some(event) = self.timeline.next(last_arrival + MAX_RUN_OUT) {
-            if self.timeline.now() > last_arrival && self.open.arrivals.is_empty() {
+        let last_arrival = from_s(self.context.scenario().seconds);
+        while let Some(event) = self.context.next_event(last_arrival + MAX_RUN_OUT) {
+            if self.context.now() > last_arrival && self.open.arrivals.is_empty() {
                 return;
             }
             self.run_statistics.events_played += 1;
@@ -136,14 +133,9 @@
         }
     }
 
-    fn record(&mut self, event: LogEvent) {
-        let at = self.timeline.now();
-        self.log.record(&LogRecord { at, event });
-    }
-
     /// One way between a sidecar and a server in microseconds, drawn by the sidecar's stream.
     fn draw_delay(&mut self, sidecar: SidecarIndex, server: ServerIndex) -> Micros {
-        let network = &self.scenario.network;
+        let network = &self.context.scenario().network;
         let sidecar = &mut self.sidecars[sidecar.index()];
         let base_ms = if sidecar.zone == self.servers[server.index()].zone {
             network.same_ms
@@ -162,10 +154,10 @@
                 in_flight: model.in_flight() as u32,
                 connections: model.connections() as u32,
             };
-            self.record(gauge);
+            self.context.record(gauge);
         }
         self.close_idle_connections();
-        self.timeline
+        self.context
             .after(GAUGE_INTERVAL, SimulatorEvent::GaugeTick);
     }
 }
--- a/crates/testbed/src/simulator/server/attempts.rs
+++ b/crates/testbed/src/simulator/server/attempts.rs
@@ -28,7 +28,7 @@
             return;
         };
         let class = request.class;
-        let now = self.timeline.now();
+        let now = self.context.now();
         let mut attempt = new_attempt(request_key, request, server, timeout, now);
         let sidecar = attempt.sidecar;
         attempt.job = self.open.take_job();
@@ -55,7 +55,7 @@
 
     /// Work of one attempt, which differs from the request's by its class's noise.
     fn draw_attempt_work(&mut self, sidecar: SidecarIndex, class: ClassIndex, work: f64) -> f64 {
-        let class = self.scenario.class.get(class.index());
+        let class = self.context.scenario().class.get(class.index());
         let noise = class.map_or(0.0, |class| class.noise);
         if noise > 0.0 {
             let random = &mut self.sidecars[sidecar.index()].network_random;
@@ -71,16 +71,16 @@
         };
         let (delay, due) = (attempt.delay, attempt.due);
         if attempt.new_connection {
-            let connect_timeout = from_ms(self.scenario.permissions.connect_timeout_ms);
-            let connect_due = self.timeline.now() + connect_timeout;
-            let timeline = &mut self.timeline;
-            timeline.after(delay, SimulatorEvent::ConnectAtServer(key));
-            timeline.at(due.min(connect_due), SimulatorEvent::AttemptTimeout(key));
+            let connect_timeout = from_ms(self.context.scenario().permissions.connect_timeout_ms);
+            let connect_due = self.context.now() + connect_timeout;
+            let context = &mut self.context;
+            context.after(delay, SimulatorEvent::ConnectAtServer(key));
+            context.at(due.min(connect_due), SimulatorEvent::AttemptTimeout(key));
         } else {
             self.on_attempt_written(key);
-            let timeline = &mut self.timeline;
-            timeline.after(delay, SimulatorEvent::AttemptAtServer(key));
-            timeline.at(due, SimulatorEvent::AttemptTimeout(key));
+            let context = &mut self.context;
+            context.after(delay, SimulatorEvent::AttemptAtServer(key));
+            context.at(due, SimulatorEvent::AttemptTimeout(key));
         }
     }
 
@@ -100,7 +100,7 @@
             server.blackholed.push(key);
         } else if open_start.is_none() || attempt.connection.is_some_and(|c| c != server.start) {
             let reset = SimulatorEvent::ResultAtSidecar(key, Outcome::Reset);
-            self.timeline.after(attempt.delay, reset);
+            self.context.after(attempt.delay, reset);
         } else {
             self.deliver_attempt(key);
         }
@@ -108,7 +108,7 @@
 
     /// Hands an attempt to the server, which accepts or rejects it.
     fn deliver_attempt(&mut self, key: AttemptKey) {
-        let now = self.timeline.now();
+        let now = self.context.now();
         let Some(attempt) = self.open.attempts.get_mut(key) else {
             return;
         };
@@ -129,18 +129,18 @@
             cold,
         };
         if attempt.new_connection {
-            self.record(LogEvent::ConnectionOpened {
+            self.context.record(LogEvent::ConnectionOpened {
                 server: server_index,
             });
         }
-        self.record(received);
+        self.context.record(received);
         if !accepted {
-            self.record(LogEvent::AttemptRejected {
+            self.context.record(LogEvent::AttemptRejected {
                 request,
                 server: server_index,
             });
             let result = SimulatorEvent::ResultAtSidecar(key, Outcome::Rejected);
-            self.timeline.after(delay, result);
+            self.context.after(delay, result);
         }
         self.apply_server_events(server_index);
     }
--- a/crates/testbed/src/simulator/server/connecting.rs
+++ b/crates/testbed/src/simulator/server/connecting.rs
@@ -23,7 +23,7 @@
             server,
             cross_zone: sidecar_zone != self.servers[server.index()].zone,
         };
-        self.record(started);
+        self.context.record(started);
     }
 
     /// A new connection's first packet is at the server.
@@ -46,7 +46,7 @@
         } else {
             SimulatorEvent::ResultAtSidecar(key, Outcome::ConnectFailed)
         };
-        self.timeline.after(attempt.delay, answer);
+        self.context.after(attempt.delay, answer);
     }
 
     /// The sidecar knows that its connection is open, and writes the request.
@@ -62,10 +62,10 @@
         let model = &self.servers[attempt.server.index()].model;
         let further_round_trips = (model.machine_type().handshake_rtts - 1.0).max(0.0);
         self.on_attempt_written(key);
-        let timeline = &mut self.timeline;
-        timeline.at(due, SimulatorEvent::AttemptTimeout(key));
+        let context = &mut self.context;
+        context.at(due, SimulatorEvent::AttemptTimeout(key));
         let handshake = (further_round_trips * 2.0 * delay as f64) as Micros;
-        timeline.after(delay + handshake, SimulatorEvent::AttemptAtServer(key));
+        context.after(delay + handshake, SimulatorEvent::AttemptAtServer(key));
     }
 
     /// Closes an attempt's connection; the server notices what it has of it after the way there.
@@ -83,7 +83,7 @@
                 server_start,
                 job: attempt.job,
             });
-            self.timeline.after(attempt.delay, noticed);
+            self.context.after(attempt.delay, noticed);
         }
     }
 }
--- a/crates/testbed/src/simulator/server/health_checks.rs
+++ b/crates/testbed/src/simulator/server/health_checks.rs
@@ -19,7 +19,8 @@
         sidecar: SidecarIndex,
         server: ServerIndex,
     ) {
-        self.record(LogEvent::HealthChecked { sidecar, server });
+        self.context
+            .record(LogEvent::HealthChecked { sidecar, server });
         let process = self.process(sidecar);
         let delay = self.draw_delay(sidecar, server);
         let new_connection = self.reuse_connection(sidecar, server).is_none();
@@ -34,7 +35,7 @@
             delay: delay as u32,
             new_connection,
         });
-        self.timeline.after(arrives_after, check);
+        self.context.after(arrives_after, check);
     }
 
     pub(in crate::simulator) fn on_health_check_at_server(&mut self, check: &HealthCheck) {
@@ -42,12 +43,12 @@
         let server = &mut self.servers[check.server.index()];
         if server.refuses(check) {
             let refused = result(check, Outcome::ConnectFailed, None);
-            self.timeline.after(delay, refused);
+            self.context.after(delay, refused);
         } else if !server.answers_health_checks() {
             server.on_unanswered_health_check();
-            let timeout = from_ms(self.scenario.permissions.health_check_timeout_ms);
+            let timeout = from_ms(self.context.scenario().permissions.health_check_timeout_ms);
             let timed_out = result(check, Outcome::TimedOut, None);
-            self.timeline
+            self.context
                 .after(timeout.saturating_sub(2 * delay), timed_out);
         } else {
             self.answer_health_check(check);
@@ -55,7 +56,7 @@
     }
 
     fn answer_health_check(&mut self, check: &HealthCheck) {
-        let (now, delay) = (self.timeline.now(), Micros::from(check.delay));
+        let (now, delay) = (self.context.now(), Micros::from(check.delay));
         let (sidecar, server_index) = (check.process.sidecar, check.server);
         let server = &mut self.servers[server_index.index()];
         if check.new_connection {
@@ -69,9 +70,9 @@
             Outcome::Rejected
         };
         let answer = result(check, outcome, report.map(reported_load));
-        self.timeline.after(delay, answer);
+        self.context.after(delay, answer);
         if check.new_connection {
-            self.record(LogEvent::ConnectionOpened {
+            self.context.record(LogEvent::ConnectionOpened {
                 server: server_index,
             });
         }
--- a/crates/testbed/src/simulator/server/mod.rs
+++ b/crates/testbed/src/simulator/server/mod.rs
@@ -145,7 +145,7 @@
 
 impl Simulator<'_> {
     pub(super) fn build_servers(&mut self) {
-        let scenario = self.scenario;
+        let scenario = self.context.scenario();
         for (position, (machine_type, group)) in scenario.fleet().into_iter().enumerate() {
             let index = ServerIndex::from_position(position);
             let zone = scenario.server_zone(group, index);
@@ -164,7 +164,7 @@
 
     pub(super) fn record_server_state(&mut self, server: ServerIndex, state: ServerState) {
         let zone = self.servers[server.index()].zone;
-        self.record(LogEvent::ServerStateChanged {
+        self.context.record(LogEvent::ServerStateChanged {
             server,
             zone,
             state,
--- a/crates/testbed/src/simulator/server/model.rs
+++ b/crates/testbed/src/simulator/server/model.rs
@@ -36,7 +36,7 @@
     }
 
     fn schedule_server_event(&mut self, server_index: ServerIndex) {
-        let now = self.timeline.now();
+        let now = self.context.now();
         let server = &mut self.servers[server_index.index()];
         let next = server.model.next_event_at();
         if next == server.next_event_at && next.is_none_or(|at| at > now) {
@@ -46,7 +46,7 @@
         server.generation += 1;
         if let Some(at) = next {
             let due = SimulatorEvent::ServerDue(server_index, server.generation);
-            self.timeline.at(at, due);
+            self.context.at(at, due);
         }
     }
 
@@ -55,7 +55,7 @@
         server_index: ServerIndex,
         generation: u32,
     ) {
-        let now = self.timeline.now();
+        let now = self.context.now();
         let server = &mut self.servers[server_index.index()];
         if server.generation == generation {
             server.next_event_at = None;
@@ -66,7 +66,7 @@
 
     /// A server notices that an attempt's connection was closed.
     pub(in crate::simulator) fn on_cancellation(&mut self, cancellation: &Cancellation) {
-        let now = self.timeline.now();
+        let now = self.context.now();
         let server_index = cancellation.server;
         let server = &mut self.servers[server_index.index()];
         let is_open = server.reachability == Reachability::Open;
@@ -83,7 +83,7 @@
 
     /// A server's process ends with resets.
     pub(in crate::simulator) fn end_server_process(&mut self, server_index: ServerIndex) {
-        let now = self.timeline.now();
+        let now = self.context.now();
         let server = &mut self.servers[server_index.index()];
         let attempts = server.on_process_ended(now, &mut self.server_events);
         self.reset_attempts(attempts);
--- a/crates/testbed/src/simulator/server/results.rs
+++ b/crates/testbed/src/simulator/server/results.rs
@@ -13,7 +13,7 @@
 impl Simulator<'_> {
     /// A server has done an attempt's work; `failed` where it ends in an error.
     pub(super) fn on_work_done(&mut self, server_index: ServerIndex, job: u64, failed: bool) {
-        let now = self.timeline.now();
+        let now = self.context.now();
         let server = &mut self.servers[server_index.index()];
         let Some(key) = server.jobs.remove(&job) else {
             return;
@@ -37,12 +37,12 @@
             server: server_index,
             work: attempt.work,
         };
-        self.record(done);
+        self.context.record(done);
         if ended {
             self.open.attempts.remove(key);
         } else {
             let result = SimulatorEvent::ResultAtSidecar(key, outcome);
-            self.timeline.after(delay, result);
+            self.context.after(delay, result);
         }
     }
 
@@ -51,7 +51,7 @@
         for key in attempts {
             if let Some(attempt) = self.open.attempts.get(key) {
                 let reset = SimulatorEvent::ResultAtSidecar(key, Outcome::Reset);
-                self.timeline.after(attempt.delay, reset);
+                self.context.after(attempt.delay, reset);
             }
         }
     }
@@ -77,7 +77,7 @@
             let (sidecar, server) = (attempt.sidecar, attempt.server);
             if let Some(start) = attempt.connection.take() {
                 if is_complete_response(outcome) {
-                    let now = self.timeline.now();
+                    let now = self.context.now();
                     self.keep_connection(sidecar, server, now, start);
                 } else {
                     self.servers[server.index()].close_connection(start);
@@ -96,7 +96,7 @@
             return;
         };
         // The timeout of the connection, which has opened since.
-        let is_early = attempt.written && self.timeline.now() < attempt.due;
+        let is_early = attempt.written && self.context.now() < attempt.due;
         if attempt.ended || is_early {
             return;
         }
--- a/crates/testbed/src/simulator/sidecar/connections.rs
+++ b/crates/testbed/src/simulator/sidecar/connections.rs
@@ -66,7 +66,7 @@
 impl Simulator<'_> {
     /// How long a sidecar uses an idle connection, in microseconds.
     fn reuse_time(&self) -> Micros {
-        let idle_timeout = from_s(self.scenario.permissions.idle_timeout_s);
+        let idle_timeout = from_s(self.context.scenario().permissions.idle_timeout_s);
         (idle_timeout as f64 * REUSE_SHARE) as Micros
     }
 
@@ -80,7 +80,7 @@
         let target = &mut self.servers[server.index()];
         let connections = &mut self.sidecars[sidecar.index()].connections;
         let connection = connections.take(server, target.open_start())?;
-        if connection.idle_since + reuse_time > self.timeline.now() {
+        if connection.idle_since + reuse_time > self.context.now() {
             return Some(connection.server_start);
         }
         target.close_connection(connection.server_start);
@@ -109,7 +109,7 @@
 
     /// Closes connections that have been idle for too long.
     pub(in crate::simulator) fn close_idle_connections(&mut self) {
-        let (now, reuse_time) = (self.timeline.now(), self.reuse_time());
+        let (now, reuse_time) = (self.context.now(), self.reuse_time());
         let Some(before) = now.checked_sub(reuse_time) else {
             return;
         };
--- a/crates/testbed/src/simulator/sidecar/host.rs
+++ b/crates/testbed/src/simulator/sidecar/host.rs
@@ -18,7 +18,7 @@
         sidecar: SidecarIndex,
         event: BalancerEvent,
     ) {
-        let now = EPOCH + self.timeline.now();
+        let now = EPOCH + self.context.now();
         let mut events = VecDeque::from([event]);
         while let Some(event) = events.pop_front() {
             let mut actions = std::mem::take(&mut self.actions);
@@ -84,7 +84,7 @@
 
     /// Longest Retry-After, in microseconds.
     pub(super) fn max_retry_after(&self) -> Micros {
-        from_ms(self.scenario.permissions.max_retry_after_ms)
+        from_ms(self.context.scenario().permissions.max_retry_after_ms)
     }
 
     fn open_request(&self, sidecar: SidecarIndex, request: RequestId) -> Option<RequestKey> {
@@ -131,7 +131,7 @@
     fn set_balancer_timer(&mut self, sidecar: SidecarIndex, token: u64, after: Micros) {
         let process = self.process(sidecar);
         let timer = SimulatorEvent::BalancerTimer(BalancerTimer { process, token });
-        self.timeline.after(after, timer);
+        self.context.after(after, timer);
     }
 
     pub(in crate::simulator) fn on_balancer_timer(&mut self, timer: &BalancerTimer) {
--- a/crates/testbed/src/simulator/sidecar/mod.rs
+++ b/crates/testbed/src/simulator/sidecar/mod.rs
@@ -110,7 +110,7 @@
 
 impl Simulator<'_> {
     pub(super) fn build_sidecars(&mut self) -> Result<(), SimulatorError> {
-        let scenario = self.scenario;
+        let scenario = self.context.scenario();
         for (position, traffic_share) in traffic_shares(scenario).into_iter().enumerate() {
             let sidecar_index = SidecarIndex::from_position(position);
             balancer_settings(scenario, sidecar_index).validate()?;
@@ -127,12 +127,12 @@
 
     /// Starts a sidecar with nothing but its last endpoint list.
     pub(super) fn start_sidecar(&mut self, sidecar_index: SidecarIndex) {
-        let settings = balancer_settings(self.scenario, sidecar_index);
+        let settings = balancer_settings(self.context.scenario(), sidecar_index);
         let sidecar = &mut self.sidecars[sidecar_index.index()];
         let seed = sidecar.seeds.number();
         sidecar.balancer = WorkAwareBalancer::new(settings, seed).ok();
         sidecar.watches = false;
-        self.record(LogEvent::SidecarStateChanged {
+        self.context.record(LogEvent::SidecarStateChanged {
             sidecar: sidecar_index,
             state: ProcessState::Up,
         });
@@ -166,7 +166,7 @@
             self.kill_sidecar(restart.sidecar, restart.down_time);
             return;
         }
-        self.record(LogEvent::SidecarStateChanged {
+        self.context.record(LogEvent::SidecarStateChanged {
             sidecar: restart.sidecar,
             state: ProcessState::ShuttingDown,
         });
@@ -175,11 +175,11 @@
             down_time: restart.down_time.saturating_sub(SHUTDOWN_GRACE),
             kill: true,
         });
-        self.timeline.after(SHUTDOWN_GRACE, kill);
+        self.context.after(SHUTDOWN_GRACE, kill);
     }
 
     fn kill_sidecar(&mut self, sidecar_index: SidecarIndex, down_time: Micros) {
-        self.record(LogEvent::SidecarStateChanged {
+        self.context.record(LogEvent::SidecarStateChanged {
             sidecar: sidecar_index,
             state: ProcessState::Killed,
         });
@@ -190,7 +190,7 @@
         for request in open.into_values() {
             self.lose_request(request);
         }
-        self.timeline
+        self.context
             .after(down_time, SimulatorEvent::SidecarUp(sidecar_index));
     }
 
@@ -204,13 +204,13 @@
             self.close_attempt_connection(attempt);
         }
         if !had_response {
-            let delay = from_ms(self.scenario.network.client_ms);
+            let delay = from_ms(self.context.scenario().network.client_ms);
             let lost = SimulatorEvent::ResponseAtClient(ClientResponse {
                 request: key,
                 outcome: RequestOutcome::ConnectionLost,
                 retry_after: 0,
             });
-            self.timeline.after(delay, lost);
+            self.context.after(delay, lost);
         }
     }
 }
--- a/crates/testbed/src/simulator/sidecar/requests.rs
+++ b/crates/testbed/src/simulator/sidecar/requests.rs
@@ -34,7 +34,7 @@
         let incoming = IncomingRequest {
             id: RequestId(number.value()),
             class: ClassId(request.class.value()),
-            time_left: due.saturating_sub(self.timeline.now()),
+            time_left: due.saturating_sub(self.context.now()),
             work_hint: request.work_hint,
         };
         let arrival = self.open.arrivals.get(request.arrival);
@@ -45,11 +45,11 @@
             class: request.class,
             due,
         };
-        self.record(accepted);
+        self.context.record(accepted);
         let sidecar = &mut self.sidecars[process.sidecar.index()];
         sidecar.open_requests.insert(number, key);
         let respond_by = due.saturating_sub(RESPONSE_MARGIN);
-        self.timeline
+        self.context
             .at(respond_by, SimulatorEvent::ResponseDue(key));
         let arrived = BalancerEvent::RequestArrived(incoming);
         self.handle_balancer_event(process.sidecar, arrived);
@@ -104,13 +104,13 @@
             return;
         }
         self.close_request(key, events);
-        let delay = from_ms(self.scenario.network.client_ms);
+        let delay = from_ms(self.context.scenario().network.client_ms);
         let response = SimulatorEvent::ResponseAtClient(ClientResponse {
             request: key,
             outcome,
             retry_after: retry_after as u32,
         });
-        self.timeline.after(delay, response);
+        self.context.after(delay, response);
     }
 
     fn close_request(&mut self, key: RequestKey, events: &mut VecDeque<BalancerEvent>) {
@@ -159,7 +159,7 @@
         let request = attempt.request;
         let responded = self.open.requests.get(request).is_none_or(|r| r.responded);
         let finished = responded || outcome == Outcome::Served;
-        let end = attempt_end(attempt, outcome, finished, self.timeline.now());
+        let end = attempt_end(attempt, outcome, finished, self.context.now());
         events.push_back(BalancerEvent::AttemptEnded(end));
         if outcome == Outcome::Served && !responded {
             self.respond(request, RequestOutcome::Served, 0, events);
