--- a/crates/testbed/src/simulator/mod.rs
+++ b/crates/testbed/src/simulator/mod.rs
@@ -13,6 +13,7 @@
 mod event;
 mod event_queue;
 pub mod faults;
+mod network;
 mod process;
 mod request;
 mod run;
@@ -23,15 +24,16 @@
 use arrowstand_balancer::Action;
 
 use crate::event_log::{EventLog, LogEvent};
-use crate::index::{ServerIndex, SidecarIndex};
+use crate::index::ServerIndex;
 use crate::random::{RandomStream, StreamId};
-use crate::scenario::{Micros, Scenario, from_ms, from_s};
+use crate::scenario::{Micros, Scenario, from_s};
 use crate::server_model::Event as ServerModelEvent;
 use crate::workload::{TenantQuota, quotas};
 
 use context::Context;
 use discovery::Discovery;
 use event::SimulatorEvent;
+use network::Network;
 use request::OpenWork;
 use server::Server;
 use sidecar::Sidecar;
@@ -50,6 +52,7 @@
 /// state.
 struct Simulator<'a> {
     context: Context<'a>,
+    network: Network,
     sidecars: Vec<Sidecar>,
     servers: Vec<Server>,
     discovery: Discovery,
@@ -71,6 +74,7 @@
     fn new(scenario: &'a Scenario, log: &'a mut dyn EventLog) -> Result<Self, SimulatorError> {
         let mut simulator = Self {
             context: Context::new(scenario, log),
+            network: Network::new(scenario),
             sidecars: Vec::new(),
             servers: Vec::new(),
             discovery: Discovery::new(scenario),
@@ -133,18 +137,6 @@
         }
     }
 
-    /// One way between a sidecar and a server in microseconds, drawn by the sidecar's stream.
-    fn draw_delay(&mut self, sidecar: SidecarIndex, server: ServerIndex) -> Micros {
-        let network = &self.context.scenario().network;
-        let sidecar = &mut self.sidecars[sidecar.index()];
-        let base_ms = if sidecar.zone == self.servers[server.index()].zone {
-            network.same_ms
-        } else {
-            network.cross_ms
-        };
-        from_ms(base_ms * (1.0 + network.jitter * sidecar.network_random.unit()))
-    }
-
     /// Records gauges of all servers, and closes idle connections.
     fn on_gauge_tick(&mut self) {
         for server in ServerIndex::all(self.servers.len()) {
--- a/crates/testbed/src/simulator/server/attempts.rs
+++ b/crates/testbed/src/simulator/server/attempts.rs
@@ -7,7 +7,7 @@
 
 use super::{Reachability, Server};
 use crate::event_log::LogEvent;
-use crate::index::{ClassIndex, ServerIndex, SidecarIndex};
+use crate::index::ServerIndex;
 use crate::scenario::{Micros, from_ms};
 use crate::server_model::{Event as ServerModelEvent, Job};
 use crate::simulator::Simulator;
@@ -28,15 +28,19 @@
             return;
         };
         let class = request.class;
+        let scenario = self.context.scenario();
         let now = self.context.now();
         let mut attempt = new_attempt(request_key, request, server, timeout, now);
         let sidecar = attempt.sidecar;
         attempt.job = self.open.take_job();
         let is_known = self.servers.get(server.index()).is_some();
         if is_known {
-            attempt.delay = self.draw_delay(sidecar, server);
+            let zone = self.servers[server.index()].zone;
+            attempt.delay = self.network.draw_delay(sidecar, zone, scenario);
         }
-        attempt.work = self.draw_attempt_work(sidecar, class, attempt.work);
+        attempt.work = self
+            .network
+            .draw_attempt_work(sidecar, class, attempt.work, scenario);
         if is_known {
             attempt.connection = self.reuse_connection(sidecar, server);
         }
@@ -53,18 +57,6 @@
         }
     }
 
-    /// Work of one attempt, which differs from the request's by its class's noise.
-    fn draw_attempt_work(&mut self, sidecar: SidecarIndex, class: ClassIndex, work: f64) -> f64 {
-        let class = self.context.scenario().class.get(class.index());
-        let noise = class.map_or(0.0, |class| class.noise);
-        if noise > 0.0 {
-            let random = &mut self.sidecars[sidecar.index()].network_random;
-            work * (noise * random.normal() - noise * noise / 2.0).exp()
-        } else {
-            work
-        }
-    }
-
     fn schedule_attempt(&mut self, key: AttemptKey) {
         let Some(attempt) = self.open.attempts.get(key) else {
             return;
--- a/crates/testbed/src/simulator/server/connecting.rs
+++ b/crates/testbed/src/simulator/server/connecting.rs
@@ -16,12 +16,12 @@
         };
         attempt.written = true;
         let (sidecar, server) = (attempt.sidecar, attempt.server);
-        let sidecar_zone = self.sidecars[sidecar.index()].zone;
+        let zone = self.servers[server.index()].zone;
         let started = LogEvent::AttemptStarted {
             request: attempt.request_number,
             sidecar,
             server,
-            cross_zone: sidecar_zone != self.servers[server.index()].zone,
+            cross_zone: self.network.is_cross_zone(sidecar, zone),
         };
         self.context.record(started);
     }
--- a/crates/testbed/src/simulator/server/health_checks.rs
+++ b/crates/testbed/src/simulator/server/health_checks.rs
@@ -22,7 +22,10 @@
         self.context
             .record(LogEvent::HealthChecked { sidecar, server });
         let process = self.process(sidecar);
-        let delay = self.draw_delay(sidecar, server);
+        let zone = self.servers[server.index()].zone;
+        let delay = self
+            .network
+            .draw_delay(sidecar, zone, self.context.scenario());
         let new_connection = self.reuse_connection(sidecar, server).is_none();
         let arrives_after = if new_connection {
             DELAYS_OF_NEW_CONNECTION * delay
--- a/crates/testbed/src/simulator/sidecar/mod.rs
+++ b/crates/testbed/src/simulator/sidecar/mod.rs
@@ -36,7 +36,6 @@
 
 /// A sidecar, and all that is its own.
 pub(super) struct Sidecar {
-    pub(super) zone: u32,
     /// Counts its processes.
     incarnation: u32,
     /// Absent while it is down.
@@ -54,8 +53,6 @@
     pub(super) arrivals: ArrivalStream,
     /// Draws its clients' timeouts and backoffs.
     pub(super) client_random: RandomStream,
-    /// Draws delays, and the noise of attempts.
-    pub(super) network_random: RandomStream,
     /// Draws the seeds of its balancers.
     seeds: RandomStream,
 }
@@ -70,7 +67,6 @@
     ) -> Self {
         let stream = |cause, number| RandomStream::new(scenario.seed, cause, number);
         Self {
-            zone: scenario.sidecar_zone(sidecar_index),
             incarnation: 0,
             balancer: None,
             endpoints,
@@ -81,7 +77,6 @@
             arrivals: ArrivalStream::new(scenario, sidecar_index, traffic_share),
             // Requests draw from a stream of their own, so that arrivals stay as they are.
             client_random: stream(StreamId::Clients, sidecar_index.index() + REQUEST_STREAMS),
-            network_random: stream(StreamId::Network, sidecar_index.index()),
             seeds: stream(StreamId::Seeds, sidecar_index.index()),
         }
     }
