--- a/crates/testbed/src/simulator/client.rs
+++ b/crates/testbed/src/simulator/clients.rs
@@ -1,6 +1,6 @@
 //! The simulator's clients: what they ask for, how long they wait, and when they retry.
 //!
-//! What a sidecar makes of a request is `sidecar`'s.
+//! What a sidecar makes of a request is `sidecars`'.
 
 use super::Simulator;
 use super::event::{ClientResponse, SimulatorEvent};
--- a/crates/testbed/src/simulator/discovery/endpoint_list.rs
+++ b/crates/testbed/src/simulator/discovery/endpoint_list.rs
@@ -2,11 +2,11 @@
 
 use std::collections::BTreeMap;
 
-use super::endpoints::{CachedEndpoints, ListedEndpoint};
 use crate::event_log::ListedStatus;
 use crate::index::ServerIndex;
 use crate::random::{RandomStream, StreamId};
 use crate::scenario::{self, Micros, Scenario, from_ms};
+use crate::simulator::sidecars::{CachedEndpoints, ListedEndpoint};
 
 /// A poll without a response is given up after this, in microseconds.
 const POLL_TIMEOUT: Micros = 5_000_000;
--- a/crates/testbed/src/simulator/discovery/mod.rs
+++ b/crates/testbed/src/simulator/discovery/mod.rs
@@ -1,10 +1,9 @@
 //! The simulator's discovery: it learns late of what happens to servers, and sidecars poll and
 //! watch its list.
 //!
-//! `endpoint_list` owns the list; what a sidecar makes of it is `endpoints`.
+//! `endpoint_list` owns the list; what a sidecar makes of it is `sidecars::endpoints`.
 
 mod endpoint_list;
-mod endpoints;
 
 use super::Simulator;
 use super::event::{PollResult, SimulatorEvent};
@@ -14,7 +13,6 @@
 use crate::scenario::{Micros, from_ms};
 
 pub(super) use endpoint_list::{Availability, Discovery};
-pub(super) use endpoints::CachedEndpoints;
 
 /// A watch that says nothing is given up after this, in microseconds.
 const WATCH_TIMEOUT: Micros = 3_000_000;
--- a/crates/testbed/src/simulator/faults/servers.rs
+++ b/crates/testbed/src/simulator/faults/servers.rs
@@ -5,7 +5,7 @@
 use crate::scenario::{Fault, FaultKind};
 use crate::server_model::State;
 use crate::simulator::Simulator;
-use crate::simulator::server::Server;
+use crate::simulator::fleet::Server;
 
 impl Simulator<'_> {
     pub(super) fn on_server_fault(
--- a/crates/testbed/src/simulator/mod.rs
+++ b/crates/testbed/src/simulator/mod.rs
@@ -6,19 +6,19 @@
 //! own, so the same scenario and seed give the same event log to the last entry. Servers' behaviour
 //! is `server_model`'s, and what is asked for is `workload`'s.
 
-mod client;
+mod clients;
 mod context;
 mod discovery;
 mod error;
 mod event;
 mod event_queue;
 pub mod faults;
+mod fleet;
 mod network;
 mod process;
 mod request;
 mod run;
-mod server;
-mod sidecar;
+mod sidecars;
 mod timeline;
 
 use arrowstand_balancer::Action;
@@ -33,10 +33,10 @@
 use context::Context;
 use discovery::Discovery;
 use event::SimulatorEvent;
+use fleet::Server;
 use network::Network;
 use request::OpenWork;
-use server::Server;
-use sidecar::Sidecar;
+use sidecars::Sidecar;
 
 pub use error::SimulatorError;
 pub use run::{RunStatistics, run};
--- a/crates/testbed/src/simulator/discovery/endpoints.rs
+++ b/crates/testbed/src/simulator/sidecars/endpoints.rs
@@ -26,7 +26,7 @@
 }
 
 impl CachedEndpoints {
-    pub(super) fn new(
+    pub(in crate::simulator) fn new(
         version: u64,
         endpoints: BTreeMap<ServerIndex, (ListedStatus, Micros)>,
     ) -> Self {
@@ -34,7 +34,7 @@
     }
 
     /// The list's version.
-    pub(super) fn version(&self) -> u64 {
+    pub(in crate::simulator) fn version(&self) -> u64 {
         self.version
     }
 
@@ -66,7 +66,7 @@
     }
 
     /// Gives a balancer changes of the list.
-    pub(super) fn update_endpoints(
+    pub(in crate::simulator) fn update_endpoints(
         &mut self,
         sidecar_index: SidecarIndex,
         version: u64,
@@ -76,7 +76,7 @@
     }
 
     /// Tells a balancer that its list can no longer be followed.
-    pub(super) fn on_endpoints_lost(&mut self, sidecar_index: SidecarIndex) {
+    pub(in crate::simulator) fn on_endpoints_lost(&mut self, sidecar_index: SidecarIndex) {
         self.sidecars[sidecar_index.index()].watches = false;
         let lost = BalancerEvent::EndpointsUpdated {
             kind: UpdateKind::Lost,
--- a/crates/testbed/src/simulator/sidecar/mod.rs
+++ b/crates/testbed/src/simulator/sidecars/mod.rs
@@ -5,6 +5,7 @@
 //! connections.
 
 mod connections;
+mod endpoints;
 mod host;
 mod requests;
 mod settings;
@@ -13,7 +14,6 @@
 
 use arrowstand_control::WorkAwareBalancer;
 
-use super::discovery::CachedEndpoints;
 use super::event::{ClientResponse, SidecarRestart, SimulatorEvent};
 use super::process::SidecarProcess;
 use super::request::RequestKey;
@@ -24,6 +24,8 @@
 use crate::scenario::{Micros, Scenario, from_ms};
 use crate::workload::{ArrivalStream, traffic_shares};
 
+pub(super) use endpoints::{CachedEndpoints, ListedEndpoint};
+
 use connections::IdleConnections;
 use settings::balancer_settings;
 
