--- a/crates/testbed/src/simulator/discovery/mod.rs
+++ b/crates/testbed/src/simulator/discovery/mod.rs
@@ -1,127 +1,155 @@
 //! The simulator's discovery: it learns late of what happens to servers, and sidecars poll and
 //! watch its list.
 //!
-//! `endpoint_list` owns the list; what a sidecar makes of it is `sidecars::endpoints`.
+//! Owns the list (`endpoint_list`), whether it answers, and the polls that wait. What a sidecar
+//! knows of the list, and which poll it still waits for, is `sidecars`'.
 
 mod endpoint_list;
 
-use super::Simulator;
-use super::event::{PollResult, SimulatorEvent};
+use super::context::Context;
+use super::event::{EndpointPoll, PollResult, SimulatorEvent};
 use super::process::SidecarProcess;
-use crate::event_log::{ListedStatus, LogEvent};
-use crate::index::{ServerIndex, SidecarIndex};
-use crate::scenario::{Micros, from_ms};
+use crate::index::ServerIndex;
+use crate::random::{RandomStream, StreamId};
+use crate::scenario::{self, Micros, Scenario, from_ms};
 
-pub(super) use endpoint_list::{Availability, Discovery};
+use endpoint_list::EndpointList;
 
+pub(super) use endpoint_list::ListedEndpoint;
+
+/// A poll without a response is given up after this, in microseconds.
+const POLL_TIMEOUT: Micros = 5_000_000;
+/// A refused poll is back after this, in microseconds.
+const REFUSAL_DELAY: Micros = 2_000;
 /// A watch that says nothing is given up after this, in microseconds.
 const WATCH_TIMEOUT: Micros = 3_000_000;
 /// The end of a watch that discovery closes is noticed after this, in microseconds.
 const WATCH_CLOSE_DELAY: Micros = 1_000;
+/// Microseconds of a second, in which polls are counted against the capacity.
+const MICROS_PER_S: f64 = 1e6;
 
-impl Simulator<'_> {
-    /// Something happened to a server that discovery notices after a while, in milliseconds.
-    pub(super) fn announce(&mut self, server: ServerIndex, status: ListedStatus, after_ms: f64) {
-        let incarnation = self.servers[server.index()].started_at;
-        let change = self.discovery.on_announced(status, incarnation);
-        let event = SimulatorEvent::ListChange { server, change };
-        self.context.after(from_ms(after_ms), event);
-    }
+/// Whether discovery answers.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(super) enum Availability {
+    Up,
+    /// It refuses polls and ends watches.
+    Down,
+    /// It says nothing and keeps connections open.
+    Silent,
+}
+
+/// The service that lists servers.
+pub(super) struct Discovery {
+    list: EndpointList,
+    availability: Availability,
+    /// When the polls that wait will have been served.
+    busy_until: Micros,
+    /// Draws how long a change takes to reach each watch.
+    random: RandomStream,
+}
 
-    pub(super) fn on_list_change(&mut self, server: ServerIndex, change: usize) {
-        let started_at = self.servers[server.index()].started_at;
-        let is_news = self.discovery.on_noticed(server, change, started_at);
-        if is_news && self.discovery.is_up() {
-            self.notify_watches();
+impl Discovery {
+    /// Discovery with an empty list, available.
+    pub(super) fn new(scenario: &Scenario) -> Self {
+        Self {
+            list: EndpointList::new(),
+            availability: Availability::Up,
+            busy_until: 0,
+            random: RandomStream::new(scenario.seed, StreamId::Discovery, 0),
         }
     }
 
-    fn notify_watches(&mut self) {
-        let spread_ms = self.context.scenario().discovery.spread_ms;
-        for sidecar_index in SidecarIndex::all(self.sidecars.len()) {
-            if self.sidecars[sidecar_index.index()].watches {
-                let delay = self.discovery.draw_notification_delay(spread_ms);
-                let process = self.process(sidecar_index);
-                let event = SimulatorEvent::WatchNotification(process);
-                self.context.after(delay, event);
-            }
-        }
+    /// Lists a server that was there before the run; its process started at `incarnation`.
+    pub(super) fn add_initial(&mut self, server: ServerIndex, incarnation: Micros) {
+        self.list.add_initial(server, incarnation);
     }
 
-    /// A sidecar polls the list, and watches it from then on.
-    pub(super) fn poll_endpoints(&mut self, sidecar_index: SidecarIndex) {
-        self.context.record(LogEvent::DiscoveryPolled {
-            sidecar: sidecar_index,
-        });
-        let process = self.process(sidecar_index);
-        let poll = self.sidecars[sidecar_index.index()].on_poll_started();
-        let now = self.context.now();
-        let (at, lost) = self
-            .discovery
-            .on_poll(now, &self.context.scenario().discovery);
-        let result = PollResult {
-            process,
-            poll,
-            lost,
-        };
-        self.context.at(at, SimulatorEvent::PollResult(result));
+    /// The servers that are listed and not gone, in the order of their numbers.
+    pub(super) fn present_endpoints(&self) -> impl Iterator<Item = ListedEndpoint> {
+        self.list.present()
     }
 
-    pub(super) fn on_poll_result(&mut self, result: &PollResult) {
-        let sidecar_index = result.process.sidecar;
-        let sidecar = &self.sidecars[sidecar_index.index()];
-        if !self.is_current(result.process)
-            || sidecar.polls != result.poll
-            || !self.is_up(sidecar_index)
-        {
+    /// What the list says anew since a version, in the order of the servers' numbers.
+    pub(super) fn changes_since(&self, version: u64) -> Vec<ListedEndpoint> {
+        self.list.changes_since(version)
+    }
+
+    /// The list's version.
+    pub(super) fn version(&self) -> u64 {
+        self.list.version()
+    }
+
+    /// Whether polls are answered and watches learn of changes.
+    pub(super) fn is_up(&self) -> bool {
+        self.availability == Availability::Up
+    }
+
+    /// A change of a server that started last at `started_at` is noticed, and those who watch the
+    /// list learn of it. It says nothing new where the server has started since: a death that is
+    /// noticed after the return is none, and what came back is not listed as it was before.
+    pub(super) fn on_list_change(
+        &mut self,
+        endpoint: ListedEndpoint,
+        started_at: Micros,
+        watching: impl Iterator<Item = SidecarProcess>,
+        context: &mut Context<'_>,
+    ) {
+        if started_at > endpoint.incarnation {
             return;
         }
-        if result.lost || !self.discovery.is_up() {
-            self.on_endpoints_lost(sidecar_index);
-            return;
+        self.list.update(endpoint);
+        if self.is_up() {
+            self.notify_watches(watching, context);
         }
-        self.sidecars[sidecar_index.index()].watches = true;
-        self.send_changes(sidecar_index);
     }
 
-    /// A change has reached a watch.
-    pub(super) fn on_watch_notification(&mut self, process: SidecarProcess) {
-        let sidecar = &self.sidecars[process.sidecar.index()];
-        let is_news = sidecar.endpoints.version() < self.discovery.version();
-        if self.is_current(process) && sidecar.watches && self.discovery.is_up() && is_news {
-            self.send_changes(process.sidecar);
+    fn notify_watches(
+        &mut self,
+        watching: impl Iterator<Item = SidecarProcess>,
+        context: &mut Context<'_>,
+    ) {
+        let spread_ms = context.scenario().discovery.spread_ms;
+        for process in watching {
+            let delay = from_ms(spread_ms * self.random.unit());
+            context.after(delay, SimulatorEvent::WatchNotification(process));
         }
     }
 
-    /// Gives a sidecar what has changed since its list, which may be nothing.
-    fn send_changes(&mut self, sidecar_index: SidecarIndex) {
-        let cached = self.sidecars[sidecar_index.index()].endpoints.version();
-        let version = self.discovery.version();
-        let changes = self.discovery.changes_since(cached);
-        self.update_endpoints(sidecar_index, version, &changes);
+    /// A sidecar polls: schedules when it has the answer, or notices that there is none.
+    pub(super) fn on_poll(&mut self, poll: EndpointPoll, context: &mut Context<'_>) {
+        let now = context.now();
+        let (at, lost) = match self.availability {
+            Availability::Silent => (now + POLL_TIMEOUT, true),
+            Availability::Down => (now + REFUSAL_DELAY, true),
+            Availability::Up => self.queue_poll(now, &context.scenario().discovery),
+        };
+        context.at(at, SimulatorEvent::PollResult(PollResult { poll, lost }));
     }
 
-    /// Discovery goes down or silent, or comes back.
-    pub(super) fn on_discovery_fault(&mut self, availability: Availability) {
-        let now = self.context.now();
-        self.discovery.on_availability_changed(availability, now);
-        let noticed_after = match availability {
-            Availability::Up => return,
-            Availability::Down => WATCH_CLOSE_DELAY,
-            Availability::Silent => WATCH_TIMEOUT,
-        };
-        for sidecar_index in SidecarIndex::all(self.sidecars.len()) {
-            let process = self.process(sidecar_index);
-            let sidecar = &mut self.sidecars[sidecar_index.index()];
-            if std::mem::take(&mut sidecar.watches) {
-                let result = PollResult {
-                    process,
-                    poll: sidecar.polls,
-                    lost: true,
-                };
-                let event = SimulatorEvent::PollResult(result);
-                self.context.after(noticed_after, event);
-            }
+    /// When a poll that queues behind the others is served, or given up; true where it is given up.
+    fn queue_poll(&mut self, now: Micros, settings: &scenario::Discovery) -> (Micros, bool) {
+        let start = self.busy_until.max(now);
+        let timeout = from_ms(settings.timeout_ms);
+        if start > now + timeout {
+            return (now + timeout, true);
+        }
+        self.busy_until = start + (MICROS_PER_S / settings.capacity) as Micros;
+        (self.busy_until, false)
+    }
+
+    /// Discovery goes down or silent, or comes back. Gives back after which time sidecars notice that
+    /// their watches have ended, in microseconds; nothing where these go on.
+    pub(super) fn on_availability_changed(
+        &mut self,
+        availability: Availability,
+        now: Micros,
+    ) -> Option<Micros> {
+        self.availability = availability;
+        self.busy_until = now;
+        match availability {
+            Availability::Up => None,
+            Availability::Down => Some(WATCH_CLOSE_DELAY),
+            Availability::Silent => Some(WATCH_TIMEOUT),
         }
     }
 }
--- a/crates/testbed/src/simulator/event.rs
+++ b/crates/testbed/src/simulator/event.rs
@@ -5,6 +5,7 @@
 
 use arrowstand_balancer::Outcome;
 
+use super::discovery::ListedEndpoint;
 use super::process::SidecarProcess;
 use super::request::{ArrivalKey, AttemptKey, RequestKey};
 use crate::event_log::RequestOutcome;
@@ -52,8 +53,8 @@
     PollResult(PollResult),
     /// A change of the endpoint list has reached a sidecar's watch.
     WatchNotification(SidecarProcess),
-    /// Discovery notices the change of this number about a server.
-    ListChange { server: ServerIndex, change: usize },
+    /// Discovery notices what has happened to a server.
+    ListChange(ListedEndpoint),
     /// The fault of this index starts, or ends.
     Fault { index: usize, starts: bool },
     /// A sidecar is to be restarted.
@@ -112,11 +113,17 @@
     pub(super) queued: u32,
 }
 
-/// How a poll of the endpoint list ended.
-pub(super) struct PollResult {
+/// A sidecar's poll of the endpoint list, and the watch that follows it.
+#[derive(Clone, Copy)]
+pub(super) struct EndpointPoll {
     pub(super) process: SidecarProcess,
     /// The sidecar's number of the poll: results of earlier ones are void.
-    pub(super) poll: u32,
+    pub(super) number: u32,
+}
+
+/// How a poll of the endpoint list ended.
+pub(super) struct PollResult {
+    pub(super) poll: EndpointPoll,
     /// Whether it failed, or the watch that followed was cut.
     pub(super) lost: bool,
 }
--- a/crates/testbed/src/simulator/fleet/mod.rs
+++ b/crates/testbed/src/simulator/fleet/mod.rs
@@ -13,10 +13,12 @@
 use std::collections::BTreeMap;
 
 use super::Simulator;
+use super::discovery::ListedEndpoint;
+use super::event::SimulatorEvent;
 use super::request::AttemptKey;
-use crate::event_log::{LogEvent, ServerState};
+use crate::event_log::{ListedStatus, LogEvent, ServerState};
 use crate::index::ServerIndex;
-use crate::scenario::{MachineType, Micros, Scenario};
+use crate::scenario::{MachineType, Micros, Scenario, from_ms};
 use crate::server_model::{Event as ServerModelEvent, ServerModel, State};
 
 /// How the network answers for a server.
@@ -162,6 +164,16 @@
         }
     }
 
+    /// Something happened to a server that discovery notices after a while, in milliseconds.
+    pub(super) fn announce(&mut self, server: ServerIndex, status: ListedStatus, notice_ms: f64) {
+        let noticed = SimulatorEvent::ListChange(ListedEndpoint {
+            server,
+            status,
+            incarnation: self.servers[server.index()].started_at,
+        });
+        self.context.after(from_ms(notice_ms), noticed);
+    }
+
     pub(super) fn record_server_state(&mut self, server: ServerIndex, state: ServerState) {
         let zone = self.servers[server.index()].zone;
         self.context.record(LogEvent::ServerStateChanged {
--- a/crates/testbed/src/simulator/mod.rs
+++ b/crates/testbed/src/simulator/mod.rs
@@ -129,7 +129,7 @@
             Event::HealthCheckResult(result) => self.on_health_check_result(&result),
             Event::PollResult(result) => self.on_poll_result(&result),
             Event::WatchNotification(process) => self.on_watch_notification(process),
-            Event::ListChange { server, change } => self.on_list_change(server, change),
+            Event::ListChange(endpoint) => self.on_list_change(endpoint),
             Event::Fault { index, starts } => self.on_fault(index, starts),
             Event::SidecarRestart(restart) => self.on_sidecar_restart(&restart),
             Event::SidecarUp(sidecar) => self.start_sidecar(sidecar),
--- a/crates/testbed/src/simulator/sidecars/mod.rs
+++ b/crates/testbed/src/simulator/sidecars/mod.rs
@@ -24,9 +24,8 @@
 use crate::scenario::{Micros, Scenario, from_ms};
 use crate::workload::{ArrivalStream, traffic_shares};
 
-pub(super) use endpoints::{CachedEndpoints, ListedEndpoint};
-
 use connections::IdleConnections;
+use endpoints::CachedEndpoints;
 use settings::balancer_settings;
 
 /// How long a sidecar goes on responding once it is asked to shut down, in microseconds: the real
@@ -111,7 +110,9 @@
         for (position, traffic_share) in traffic_shares(scenario).into_iter().enumerate() {
             let sidecar_index = SidecarIndex::from_position(position);
             balancer_settings(scenario, sidecar_index).validate()?;
-            let endpoints = self.discovery.cached_list();
+            let discovery = &self.discovery;
+            let endpoints =
+                CachedEndpoints::new(discovery.version(), discovery.present_endpoints());
             let sidecar = Sidecar::new(scenario, sidecar_index, traffic_share, endpoints);
             self.sidecars.push(sidecar);
         }
