--- a/crates/testbed/src/simulator/discovery/endpoint_list.rs
+++ b/crates/testbed/src/simulator/discovery/endpoint_list.rs
@@ -32,12 +32,20 @@
 }
 
 impl EndpointList {
-    /// An empty list.
-    pub(super) fn new() -> Self {
-        Self {
+    /// The first version, of servers that were there before the run.
+    pub(super) fn new(servers: impl Iterator<Item = (ServerIndex, Micros)>) -> Self {
+        let mut list = Self {
             version: 1,
             entries: BTreeMap::new(),
+        };
+        for (server, incarnation) in servers {
+            list.set_entry(ListedEndpoint {
+                server,
+                status: ListedStatus::Ready,
+                incarnation,
+            });
         }
+        list
     }
 
     /// The list's version, which each change raises by one.
@@ -45,15 +53,6 @@
         self.version
     }
 
-    /// Lists a server that was there before the run: part of the first version.
-    pub(super) fn add_initial(&mut self, server: ServerIndex, incarnation: Micros) {
-        self.set_entry(ListedEndpoint {
-            server,
-            status: ListedStatus::Ready,
-            incarnation,
-        });
-    }
-
     /// Lists a server anew, as a further version.
     pub(super) fn update(&mut self, endpoint: ListedEndpoint) {
         self.version += 1;
--- a/crates/testbed/src/simulator/discovery/mod.rs
+++ b/crates/testbed/src/simulator/discovery/mod.rs
@@ -49,21 +49,20 @@
 }
 
 impl Discovery {
-    /// Discovery with an empty list, available.
-    pub(super) fn new(scenario: &Scenario) -> Self {
+    /// Discovery that lists the servers which were there before the run, with the starts of their
+    /// processes.
+    pub(super) fn new(
+        scenario: &Scenario,
+        servers: impl Iterator<Item = (ServerIndex, Micros)>,
+    ) -> Self {
         Self {
-            list: EndpointList::new(),
+            list: EndpointList::new(servers),
             availability: Availability::Up,
             busy_until: 0,
             random: RandomStream::new(scenario.seed, StreamId::Discovery, 0),
         }
     }
 
-    /// Lists a server that was there before the run; its process started at `incarnation`.
-    pub(super) fn add_initial(&mut self, server: ServerIndex, incarnation: Micros) {
-        self.list.add_initial(server, incarnation);
-    }
-
     /// The servers that are listed and not gone, in the order of their numbers.
     pub(super) fn present_endpoints(&self) -> impl Iterator<Item = ListedEndpoint> {
         self.list.present()
--- a/crates/testbed/src/simulator/event.rs
+++ b/crates/testbed/src/simulator/event.rs
@@ -5,9 +5,10 @@
 
 use arrowstand_balancer::Outcome;
 
+use super::attempts::AttemptKey;
 use super::discovery::ListedEndpoint;
 use super::process::SidecarProcess;
-use super::request::{ArrivalKey, AttemptKey, RequestKey};
+use super::request::{ArrivalKey, RequestKey};
 use crate::event_log::RequestOutcome;
 use crate::index::{ServerIndex, SidecarIndex};
 use crate::scenario::Micros;
--- a/crates/testbed/src/simulator/faults/mod.rs
+++ b/crates/testbed/src/simulator/faults/mod.rs
@@ -1,9 +1,8 @@
 //! Whom a scenario's faults hit, and when; alike for simulator and emulator.
 //!
-//! What a fault does in the simulator is `schedule` and `servers`.
+//! When a fault starts and ends in the simulator is `schedule`; what it does is its component's.
 
 mod schedule;
-mod servers;
 
 use crate::index::{ServerIndex, SidecarIndex};
 use crate::random::{RandomStream, StreamId};
--- a/crates/testbed/src/simulator/faults/schedule.rs
+++ b/crates/testbed/src/simulator/faults/schedule.rs
@@ -10,7 +10,7 @@
 impl Simulator<'_> {
     pub(in crate::simulator) fn schedule_faults(&mut self) {
         let scenario = self.context.scenario();
-        let zones: Vec<u32> = self.servers.iter().map(|server| server.zone).collect();
+        let zones = self.fleet.zones();
         for (index, fault) in scenario.fault.iter().enumerate() {
             self.fault_targets.push(targets(scenario, index, &zones));
             let start = from_s(fault.at_s);
@@ -61,7 +61,13 @@
             | FaultKind::RestartAll => {}
             _ => {
                 for server in self.fault_targets[index].clone() {
-                    self.on_server_fault(server, fault, starts);
+                    self.fleet.on_fault(
+                        server,
+                        fault,
+                        starts,
+                        &mut self.attempts,
+                        &mut self.context,
+                    );
                 }
             }
         }
--- a/crates/testbed/src/simulator/fleet/attempts.rs
+++ b/crates/testbed/src/simulator/fleet/attempts.rs
@@ -1,190 +1,186 @@
-//! An attempt's way to its server: sent, received, accepted or rejected. Its connection is
-//! `connecting`'s.
+//! An attempt at its server: connected, received, accepted or rejected, worked on, cancelled.
 
-use std::collections::VecDeque;
+use arrowstand_balancer::Outcome;
 
-use arrowstand_balancer::{Event as BalancerEvent, Outcome};
-
-use super::{Reachability, Server};
+use super::Fleet;
+use super::server::Reachability;
 use crate::event_log::LogEvent;
 use crate::index::ServerIndex;
-use crate::scenario::{Micros, from_ms};
-use crate::server_model::{Event as ServerModelEvent, Job};
-use crate::simulator::Simulator;
-use crate::simulator::event::SimulatorEvent;
-use crate::simulator::request::{Attempt, AttemptKey, Request, RequestKey};
+use crate::simulator::attempts::{Attempt, AttemptKey, Attempts};
+use crate::simulator::context::Context;
+use crate::simulator::event::{Cancellation, SimulatorEvent};
 
-impl Simulator<'_> {
-    /// Sends an attempt of a request; `timeout` is cut to the time that the request has left.
-    pub(in crate::simulator) fn send_attempt(
+impl Fleet {
+    /// A new connection's first packet is at the server.
+    pub(in crate::simulator) fn on_connect(
         &mut self,
-        request_key: RequestKey,
-        server: ServerIndex,
-        timeout: Option<Micros>,
-        events: &mut VecDeque<BalancerEvent>,
+        key: AttemptKey,
+        attempts: &mut Attempts,
+        context: &mut Context<'_>,
     ) {
-        let request = self.open.requests.get(request_key);
-        let Some(request) = request.filter(|request| !request.responded) else {
+        let Some(attempt) = attempts.get_mut(key) else {
             return;
         };
-        let class = request.class;
-        let scenario = self.context.scenario();
-        let now = self.context.now();
-        let mut attempt = new_attempt(request_key, request, server, timeout, now);
-        let sidecar = attempt.sidecar;
-        attempt.job = self.open.take_job();
-        let is_known = self.servers.get(server.index()).is_some();
-        if is_known {
-            let zone = self.servers[server.index()].zone;
-            attempt.delay = self.network.draw_delay(sidecar, zone, scenario);
-        }
-        attempt.work = self
-            .network
-            .draw_attempt_work(sidecar, class, attempt.work, scenario);
-        if is_known {
-            attempt.connection = self.reuse_connection(sidecar, server);
+        let server = self.server_mut(attempt.details.server);
+        if server.reachability() == Reachability::Silent {
+            return;
         }
-        attempt.new_connection = attempt.connection.is_none();
-        attempt.written = !attempt.new_connection;
-        let key = self.open.attempts.insert(attempt);
-        if let Some(request) = self.open.requests.get_mut(request_key) {
-            request.attempts.push(key);
+        if attempt.has_ended() {
+            attempts.remove(key);
+            return;
         }
-        if is_known {
-            self.schedule_attempt(key);
+        let answer = if let Some(start) = server.connect() {
+            attempt.on_connected(start);
+            SimulatorEvent::ConnectionOpen(key)
         } else {
-            self.end_attempt(key, Outcome::NotSent, events);
-        }
-    }
-
-    fn schedule_attempt(&mut self, key: AttemptKey) {
-        let Some(attempt) = self.open.attempts.get(key) else {
-            return;
+            SimulatorEvent::ResultAtSidecar(key, Outcome::ConnectFailed)
         };
-        let (delay, due) = (attempt.delay, attempt.due);
-        if attempt.new_connection {
-            let connect_timeout = from_ms(self.context.scenario().permissions.connect_timeout_ms);
-            let connect_due = self.context.now() + connect_timeout;
-            let context = &mut self.context;
-            context.after(delay, SimulatorEvent::ConnectAtServer(key));
-            context.at(due.min(connect_due), SimulatorEvent::AttemptTimeout(key));
-        } else {
-            self.on_attempt_written(key);
-            let context = &mut self.context;
-            context.after(delay, SimulatorEvent::AttemptAtServer(key));
-            context.at(due, SimulatorEvent::AttemptTimeout(key));
-        }
+        context.after(attempt.details.delay, answer);
     }
 
     /// An attempt's last byte is at the server.
-    pub(in crate::simulator) fn on_attempt_at_server(&mut self, key: AttemptKey) {
-        let Some(attempt) = self.open.attempts.get(key) else {
+    pub(in crate::simulator) fn on_attempt(
+        &mut self,
+        key: AttemptKey,
+        attempts: &mut Attempts,
+        context: &mut Context<'_>,
+    ) {
+        let Some(attempt) = attempts.get(key) else {
             return;
         };
         // Its connection was closed before all of it had arrived.
-        if attempt.ended && attempt.new_connection {
-            self.open.attempts.remove(key);
+        if attempt.has_ended() && attempt.opens_connection() {
+            attempts.remove(key);
             return;
         }
-        let server = &mut self.servers[attempt.server.index()];
-        let open_start = server.open_start();
-        if server.reachability == Reachability::Silent {
-            server.blackholed.push(key);
-        } else if open_start.is_none() || attempt.connection.is_some_and(|c| c != server.start) {
+        let server = self.server_mut(attempt.details.server);
+        let start = server.start();
+        if server.reachability() == Reachability::Silent {
+            server.on_blackholed(key);
+        } else if server.open_start().is_none() || attempt.connection().is_some_and(|c| c != start)
+        {
             let reset = SimulatorEvent::ResultAtSidecar(key, Outcome::Reset);
-            self.context.after(attempt.delay, reset);
+            context.after(attempt.details.delay, reset);
         } else {
-            self.deliver_attempt(key);
+            self.deliver(key, attempts, context);
         }
     }
 
     /// Hands an attempt to the server, which accepts or rejects it.
-    fn deliver_attempt(&mut self, key: AttemptKey) {
-        let now = self.context.now();
-        let Some(attempt) = self.open.attempts.get_mut(key) else {
+    fn deliver(&mut self, key: AttemptKey, attempts: &mut Attempts, context: &mut Context<'_>) {
+        let Some(attempt) = attempts.get_mut(key) else {
             return;
         };
-        let server_index = attempt.server;
-        let server = &mut self.servers[server_index.index()];
-        let (capacity, cold) = (server.model.capacity(now), server.model.is_cold(now));
-        attempt.reset_pending = self.server_random.chance(server.reset_share);
-        if attempt.new_connection {
-            server.model.handshake(now, &mut self.server_events);
+        let now = context.now();
+        let server = &mut self.servers[attempt.details.server.index()];
+        let capacity = server.model.capacity(now);
+        let cold = server.model.is_cold(now);
+        attempt.on_received(self.random.chance(server.reset_share()));
+        if attempt.opens_connection() {
+            server.model.handshake(now, &mut self.model_events);
         }
-        let accepted = server.try_accept(now, key, attempt, &mut self.server_events);
-        let (request, delay) = (attempt.request_number, attempt.delay);
-        let received = LogEvent::AttemptReceived {
-            request,
-            server: server_index,
-            work: attempt.work,
-            capacity,
-            cold,
-        };
-        if attempt.new_connection {
-            self.context.record(LogEvent::ConnectionOpened {
-                server: server_index,
-            });
-        }
-        self.context.record(received);
+        let accepted = server.try_accept(now, key, attempt, &mut self.model_events);
+        record_arrival(attempt, capacity, cold, context);
         if !accepted {
-            self.context.record(LogEvent::AttemptRejected {
-                request,
-                server: server_index,
-            });
-            let result = SimulatorEvent::ResultAtSidecar(key, Outcome::Rejected);
-            self.context.after(delay, result);
+            reject(key, attempt, context);
         }
-        self.apply_server_events(server_index);
+        let server = attempt.details.server;
+        self.apply_model_events(server, attempts, context);
     }
-}
 
-impl Server {
-    /// Accepts an attempt's job; false where the server drains, or its model rejects the job.
-    fn try_accept(
+    /// A server has done an attempt's work; `failed` where it ends in an error.
+    pub(super) fn on_work_done(
         &mut self,
-        now: Micros,
-        key: AttemptKey,
-        attempt: &Attempt,
-        events: &mut Vec<ServerModelEvent>,
-    ) -> bool {
-        let job = Job {
-            id: attempt.job,
-            work: attempt.work,
-            deadline: attempt.due,
+        server_index: ServerIndex,
+        job: u64,
+        failed: bool,
+        attempts: &mut Attempts,
+        context: &mut Context<'_>,
+    ) {
+        let server = &mut self.servers[server_index.index()];
+        let Some(key) = server.on_job_ended(job) else {
+            return;
+        };
+        let Some(attempt) = attempts.get_mut(key) else {
+            return;
         };
-        let accepted = !self.draining && self.model.try_accept(now, job, events);
-        if accepted {
-            self.jobs.insert(job.id, key);
+        attempt.on_work_done(server.model.response_report(context.now()));
+        // Drawn whether or not the connection breaks, so that one fault moves no other's draws.
+        let malformed = self.random.chance(server.malformed_share());
+        let outcome = if attempt.is_reset_pending() || malformed {
+            Outcome::Reset
+        } else if failed {
+            Outcome::ServerError
+        } else {
+            Outcome::Served
+        };
+        context.record(LogEvent::WorkDone {
+            request: attempt.details.request_number,
+            server: server_index,
+            work: attempt.details.work,
+        });
+        if attempt.has_ended() {
+            attempts.remove(key);
+        } else {
+            let result = SimulatorEvent::ResultAtSidecar(key, outcome);
+            context.after(attempt.details.delay, result);
         }
-        accepted
+    }
+
+    /// A server notices that an attempt's connection was closed.
+    pub(in crate::simulator) fn on_cancellation(
+        &mut self,
+        cancellation: &Cancellation,
+        attempts: &mut Attempts,
+        context: &mut Context<'_>,
+    ) {
+        let server = &mut self.servers[cancellation.server.index()];
+        let is_open = server.reachability() == Reachability::Open;
+        if server.start() != cancellation.server_start || !is_open {
+            return;
+        }
+        let job = cancellation.job;
+        let never_runs = server
+            .model
+            .cancel(context.now(), job, &mut self.model_events);
+        if never_runs && let Some(key) = server.on_job_ended(job) {
+            attempts.remove_if_ended(key);
+        }
+        self.apply_model_events(cancellation.server, attempts, context);
     }
 }
 
-/// An attempt before its delay, its work and its connection are known.
-fn new_attempt(
-    key: RequestKey,
-    request: &Request,
-    server: ServerIndex,
-    timeout: Option<Micros>,
-    now: Micros,
-) -> Attempt {
-    let time_left = request.due.saturating_sub(now);
-    Attempt {
-        request: key,
-        request_number: request.number,
-        index: request.attempts.len() as u32,
-        sidecar: request.process.sidecar,
+fn record_arrival(attempt: &Attempt, capacity: f64, cold: bool, context: &mut Context<'_>) {
+    let details = &attempt.details;
+    let server = details.server;
+    if attempt.opens_connection() {
+        context.record(LogEvent::ConnectionOpened { server });
+    }
+    context.record(LogEvent::AttemptReceived {
+        request: details.request_number,
         server,
-        job: 0,
-        sent_at: now,
-        due: now + timeout.map_or(time_left, |timeout| timeout.min(time_left)),
-        work: request.work,
-        delay: 0,
-        connection: None,
-        new_connection: true,
-        written: false,
-        ended: false,
-        reset_pending: false,
-        reported_in_flight: None,
+        work: details.work,
+        capacity,
+        cold,
+    });
+}
+
+fn reject(key: AttemptKey, attempt: &Attempt, context: &mut Context<'_>) {
+    let details = &attempt.details;
+    context.record(LogEvent::AttemptRejected {
+        request: details.request_number,
+        server: details.server,
+    });
+    let result = SimulatorEvent::ResultAtSidecar(key, Outcome::Rejected);
+    context.after(details.delay, result);
+}
+
+/// The connections of attempts are reset by their server.
+pub(super) fn reset(lost: Vec<AttemptKey>, attempts: &Attempts, context: &mut Context<'_>) {
+    for key in lost {
+        if let Some(attempt) = attempts.get(key) {
+            let reset = SimulatorEvent::ResultAtSidecar(key, Outcome::Reset);
+            context.after(attempt.details.delay, reset);
+        }
     }
 }
--- a/crates/testbed/src/simulator/fleet/mod.rs
+++ b/crates/testbed/src/simulator/fleet/mod.rs
@@ -1,185 +1,165 @@
-//! The simulator's servers, and everything on the way to them and back.
+//! The simulator's fleet of servers: what happens to attempts and health checks at a server.
 //!
-//! This file owns a server's state. `attempts` is an attempt's way to the server, `connecting` its
-//! connection, `results` its way back, `model` what the server model does by itself,
-//! `health_checks` the way of a health check.
+//! Owns the servers and their random stream. `attempts` is an attempt at its server,
+//! `health_checks` a health check, `model` what a server's model does by itself, `faults` what a
+//! fault does. What a sidecar makes of a result, and when discovery lists a server, is theirs.
 
 mod attempts;
-mod connecting;
+mod faults;
 mod health_checks;
 mod model;
-mod results;
+mod server;
 
-use std::collections::BTreeMap;
-
-use super::Simulator;
+use super::attempts::Attempts;
+use super::context::Context;
 use super::discovery::ListedEndpoint;
 use super::event::SimulatorEvent;
-use super::request::AttemptKey;
 use crate::event_log::{ListedStatus, LogEvent, ServerState};
 use crate::index::ServerIndex;
-use crate::scenario::{MachineType, Micros, Scenario, from_ms};
-use crate::server_model::{Event as ServerModelEvent, ServerModel, State};
-
-/// How the network answers for a server.
-#[derive(Clone, Copy, PartialEq, Eq)]
-pub(super) enum Reachability {
-    /// Its process answers.
-    Open,
-    /// Its process is gone: connections are refused.
-    Refusing,
-    /// Its machine is gone: nothing responds.
-    Silent,
-}
-
-/// A server: its model, and what the network does for it.
-pub(super) struct Server {
-    pub(super) model: ServerModel,
-    pub(super) zone: u32,
-    reachability: Reachability,
-    /// Counts its starts: connections belong to one.
-    start: u32,
-    /// When its process started; 0 where it was there before the run.
-    pub(super) started_at: Micros,
-    /// It rejects what is new.
-    draining: bool,
-    /// Attempts that it works on, by their jobs.
-    jobs: BTreeMap<u64, AttemptKey>,
-    /// Attempts that were sent into silence.
-    blackholed: Vec<AttemptKey>,
-    /// Share of its responses that is malformed.
-    malformed_share: f64,
-    /// Share of its connections that is reset during a request.
-    reset_share: f64,
-    /// Counts the changes of its next event: only the last one counts.
-    generation: u32,
-    /// When its model has something to do by itself.
-    next_event_at: Option<Micros>,
+use crate::random::{RandomStream, StreamId};
+use crate::scenario::{MachineType, Micros, from_ms};
+use crate::server_model::Event as ServerModelEvent;
+
+use server::Server;
+
+/// All servers of a run, with those that replaced others in its course.
+pub(super) struct Fleet {
+    servers: Vec<Server>,
+    /// Draws resets and malformed responses.
+    random: RandomStream,
+    /// Buffer of what a server's model did, until it is carried out.
+    model_events: Vec<ServerModelEvent>,
 }
 
-impl Server {
-    /// A server of a machine type, its speed drawn; a cold one has been started now.
-    pub(super) fn new(
-        scenario: &Scenario,
-        machine_type: &MachineType,
-        index: ServerIndex,
-        zone: u32,
-        now: Micros,
-        cold: bool,
-    ) -> Self {
-        Self {
-            model: ServerModel::from_scenario(scenario, machine_type, index, now, cold),
-            zone,
-            reachability: Reachability::Open,
-            start: 0,
-            started_at: if cold { now.max(1) } else { 0 },
-            draining: false,
-            jobs: BTreeMap::new(),
-            blackholed: Vec::new(),
-            malformed_share: 0.0,
-            reset_share: 0.0,
-            generation: 0,
-            next_event_at: None,
+impl Fleet {
+    /// The servers of a scenario, whose states are recorded.
+    pub(super) fn new(context: &mut Context<'_>) -> Self {
+        let scenario = context.scenario();
+        let mut fleet = Self {
+            servers: Vec::new(),
+            random: RandomStream::new(scenario.seed, StreamId::Machines, 0),
+            model_events: Vec::new(),
+        };
+        for (position, (machine_type, group)) in scenario.fleet().into_iter().enumerate() {
+            let index = ServerIndex::from_position(position);
+            let zone = scenario.server_zone(group, index);
+            let server = Server::new(scenario, machine_type, index, zone, 0, group.cold);
+            fleet.servers.push(server);
+            let state = if group.cold {
+                ServerState::Cold
+            } else {
+                ServerState::Up
+            };
+            fleet.record_state(index, state, context);
         }
+        fleet
     }
 
-    /// The start to which new connections belong; absent where they are refused.
-    pub(super) fn open_start(&self) -> Option<u32> {
-        (self.reachability != Reachability::Refusing).then_some(self.start)
+    /// Whether there is a server of this index.
+    pub(super) fn contains(&self, server: ServerIndex) -> bool {
+        self.servers.get(server.index()).is_some()
     }
 
-    /// A connection that belongs to a start is closed; one to an earlier start went with it.
-    pub(super) fn close_connection(&mut self, start: u32) {
-        if start == self.start {
-            self.model.disconnect();
-        }
+    /// Zone of a server.
+    pub(super) fn zone(&self, server: ServerIndex) -> u32 {
+        self.server(server).zone()
     }
 
-    /// From now on it rejects what is new.
-    pub(super) fn on_drain(&mut self) {
-        self.draining = true;
+    /// Zones of all servers, in the order of their indexes.
+    pub(super) fn zones(&self) -> Vec<u32> {
+        self.servers.iter().map(Server::zone).collect()
     }
 
-    /// Sets the share of its responses that is malformed.
-    pub(super) fn set_malformed_share(&mut self, share: f64) {
-        self.malformed_share = share;
+    /// When a server's process started, in microseconds; 0 where it was there before the run.
+    pub(super) fn started_at(&self, server: ServerIndex) -> Micros {
+        self.server(server).started_at()
     }
 
-    /// Sets the share of its connections that is reset amid a request.
-    pub(super) fn set_reset_share(&mut self, share: f64) {
-        self.reset_share = share;
+    /// All servers, with the starts of their processes.
+    pub(super) fn starts(&self) -> impl Iterator<Item = (ServerIndex, Micros)> {
+        ServerIndex::all(self.servers.len()).zip(self.servers.iter().map(Server::started_at))
     }
 
-    /// Its process ends with resets; gives back the attempts that it worked on.
-    pub(super) fn on_process_ended(
-        &mut self,
-        now: Micros,
-        events: &mut Vec<ServerModelEvent>,
-    ) -> Vec<AttemptKey> {
-        self.reachability = Reachability::Refusing;
-        self.start += 1;
-        self.model.set_state(now, State::Down, events);
-        std::mem::take(&mut self.jobs).into_values().collect()
+    /// The type of machine that a server runs on.
+    pub(super) fn machine_type(&self, server: ServerIndex) -> &MachineType {
+        self.server(server).model.machine_type()
     }
 
-    /// Its machine vanishes without a reset.
-    pub(super) fn on_machine_vanished(&mut self, now: Micros, events: &mut Vec<ServerModelEvent>) {
-        self.reachability = Reachability::Silent;
-        self.model.set_state(now, State::Down, events);
-        let held = std::mem::take(&mut self.jobs).into_values();
-        self.blackholed.extend(held);
+    /// The start of a server to which new connections belong; absent where they are refused.
+    pub(super) fn open_start(&self, server: ServerIndex) -> Option<u32> {
+        self.server(server).open_start()
     }
 
-    /// It is back, cold; gives back the attempts that went into silence.
-    pub(super) fn on_restarted(
-        &mut self,
-        now: Micros,
-        events: &mut Vec<ServerModelEvent>,
-    ) -> Vec<AttemptKey> {
-        self.start += 1;
-        self.reachability = Reachability::Open;
-        self.draining = false;
-        self.started_at = now;
-        self.model.set_state(now, State::Up, events);
-        std::mem::take(&mut self.blackholed)
+    /// Whether a server works on a job, or has it in its queue.
+    pub(super) fn holds_job(&self, server: ServerIndex, job: u64) -> bool {
+        self.server(server).holds_job(job)
     }
-}
 
-impl Simulator<'_> {
-    pub(super) fn build_servers(&mut self) {
-        let scenario = self.context.scenario();
-        for (position, (machine_type, group)) in scenario.fleet().into_iter().enumerate() {
-            let index = ServerIndex::from_position(position);
-            let zone = scenario.server_zone(group, index);
-            let server = Server::new(scenario, machine_type, index, zone, 0, group.cold);
-            let started_at = server.started_at;
-            self.servers.push(server);
-            let state = if group.cold {
-                ServerState::Cold
-            } else {
-                ServerState::Up
-            };
-            self.record_server_state(index, state);
-            self.discovery.add_initial(index, started_at);
+    /// How many servers were slowed by overload for a time.
+    pub(super) fn count_slowed(&self) -> usize {
+        let slowed = |server: &&Server| server.model.time_slowed() > 0;
+        self.servers.iter().filter(slowed).count()
+    }
+
+    /// Most requests that a server had in flight at once.
+    pub(super) fn max_in_flight(&self) -> usize {
+        let in_flight = |server: &Server| server.model.counters.max_in_flight;
+        self.servers.iter().map(in_flight).max().unwrap_or(0)
+    }
+
+    /// A sidecar closes a connection that belongs to a server's start.
+    pub(super) fn close_connection(&mut self, server: ServerIndex, start: u32) {
+        self.server_mut(server).close_connection(start);
+    }
+
+    /// Records a gauge of each server.
+    pub(super) fn record_gauges(&self, context: &mut Context<'_>) {
+        for server in ServerIndex::all(self.servers.len()) {
+            let model = &self.server(server).model;
+            context.record(LogEvent::ServerGauge {
+                server,
+                in_flight: model.in_flight() as u32,
+                connections: model.connections() as u32,
+            });
         }
     }
 
     /// Something happened to a server that discovery notices after a while, in milliseconds.
-    pub(super) fn announce(&mut self, server: ServerIndex, status: ListedStatus, notice_ms: f64) {
+    fn announce(
+        &self,
+        server: ServerIndex,
+        status: ListedStatus,
+        notice_ms: f64,
+        context: &mut Context<'_>,
+    ) {
         let noticed = SimulatorEvent::ListChange(ListedEndpoint {
             server,
             status,
-            incarnation: self.servers[server.index()].started_at,
+            incarnation: self.started_at(server),
         });
-        self.context.after(from_ms(notice_ms), noticed);
+        context.after(from_ms(notice_ms), noticed);
     }
 
-    pub(super) fn record_server_state(&mut self, server: ServerIndex, state: ServerState) {
-        let zone = self.servers[server.index()].zone;
-        self.context.record(LogEvent::ServerStateChanged {
+    fn record_state(&self, server: ServerIndex, state: ServerState, context: &mut Context<'_>) {
+        context.record(LogEvent::ServerStateChanged {
             server,
-            zone,
+            zone: self.zone(server),
             state,
         });
     }
+
+    /// A server's process ends with resets.
+    fn end_process(&mut self, server: ServerIndex, attempts: &Attempts, context: &mut Context<'_>) {
+        let ending = &mut self.servers[server.index()];
+        let lost = ending.on_process_ended(context.now(), &mut self.model_events);
+        attempts::reset(lost, attempts, context);
+    }
+
+    fn server(&self, server: ServerIndex) -> &Server {
+        &self.servers[server.index()]
+    }
+
+    fn server_mut(&mut self, server: ServerIndex) -> &mut Server {
+        &mut self.servers[server.index()]
+    }
 }
--- a/crates/testbed/src/simulator/mod.rs
+++ b/crates/testbed/src/simulator/mod.rs
@@ -6,6 +6,7 @@
 //! own, so the same scenario and seed give the same event log to the last entry. Servers' behaviour
 //! is `server_model`'s, and what is asked for is `workload`'s.
 
+mod attempts;
 mod clients;
 mod context;
 mod discovery;
@@ -23,17 +24,16 @@
 
 use arrowstand_balancer::Action;
 
-use crate::event_log::{EventLog, LogEvent};
+use crate::event_log::EventLog;
 use crate::index::ServerIndex;
-use crate::random::{RandomStream, StreamId};
 use crate::scenario::{Micros, Scenario, from_s};
-use crate::server_model::Event as ServerModelEvent;
 use crate::workload::{TenantQuota, quotas};
 
+use attempts::Attempts;
 use context::Context;
 use discovery::Discovery;
 use event::SimulatorEvent;
-use fleet::Server;
+use fleet::Fleet;
 use network::Network;
 use request::OpenWork;
 use sidecars::Sidecar;
@@ -54,16 +54,13 @@
     context: Context<'a>,
     network: Network,
     sidecars: Vec<Sidecar>,
-    servers: Vec<Server>,
+    attempts: Attempts,
+    fleet: Fleet,
     discovery: Discovery,
     open: OpenWork,
-    /// Draws resets and malformed responses.
-    server_random: RandomStream,
     quotas: Vec<TenantQuota>,
     /// Servers that each fault hits.
     fault_targets: Vec<Vec<ServerIndex>>,
-    /// Buffer of what a server did, until it is carried out.
-    server_events: Vec<ServerModelEvent>,
     /// Buffer of what a balancer asks for.
     actions: Vec<Action>,
     run_statistics: RunStatistics,
@@ -72,21 +69,21 @@
 impl<'a> Simulator<'a> {
     /// Builds servers and sidecars, and schedules the first arrivals and the faults.
     fn new(scenario: &'a Scenario, log: &'a mut dyn EventLog) -> Result<Self, SimulatorError> {
+        let mut context = Context::new(scenario, log);
+        let fleet = Fleet::new(&mut context);
         let mut simulator = Self {
-            context: Context::new(scenario, log),
+            context,
             network: Network::new(scenario),
             sidecars: Vec::new(),
-            servers: Vec::new(),
-            discovery: Discovery::new(scenario),
+            attempts: Attempts::new(),
+            discovery: Discovery::new(scenario, fleet.starts()),
+            fleet,
             open: OpenWork::new(),
-            server_random: RandomStream::new(scenario.seed, StreamId::Machines, 0),
             quotas: quotas(scenario),
             fault_targets: Vec::new(),
-            server_events: Vec::new(),
             actions: Vec::new(),
             run_statistics: RunStatistics::default(),
         };
-        simulator.build_servers();
         simulator.build_sidecars()?;
         simulator.schedule_faults();
         simulator
@@ -118,13 +115,25 @@
             Event::ClientTimeout(request) => self.on_client_timeout(request),
             Event::ClientDisconnect(request) => self.on_client_disconnect(request),
             Event::ResponseAtClient(response) => self.on_response_at_client(&response),
-            Event::ConnectAtServer(attempt) => self.on_connect_at_server(attempt),
+            Event::ConnectAtServer(attempt) => {
+                self.fleet
+                    .on_connect(attempt, &mut self.attempts, &mut self.context)
+            }
             Event::ConnectionOpen(attempt) => self.on_connection_open(attempt),
-            Event::AttemptAtServer(attempt) => self.on_attempt_at_server(attempt),
+            Event::AttemptAtServer(attempt) => {
+                self.fleet
+                    .on_attempt(attempt, &mut self.attempts, &mut self.context)
+            }
             Event::ResultAtSidecar(attempt, outcome) => self.on_result_at_sidecar(attempt, outcome),
             Event::AttemptTimeout(attempt) => self.on_attempt_timeout(attempt),
-            Event::CancellationAtServer(cancellation) => self.on_cancellation(&cancellation),
-            Event::ServerDue(server, generation) => self.on_server_due(server, generation),
+            Event::CancellationAtServer(cancellation) => {
+                self.fleet
+                    .on_cancellation(&cancellation, &mut self.attempts, &mut self.context)
+            }
+            Event::ServerDue(server, generation) => {
+                self.fleet
+                    .on_server_due(server, generation, &mut self.attempts, &mut self.context)
+            }
             Event::HealthCheckAtServer(check) => self.on_health_check_at_server(&check),
             Event::HealthCheckResult(result) => self.on_health_check_result(&result),
             Event::PollResult(result) => self.on_poll_result(&result),
@@ -139,15 +148,7 @@
 
     /// Records gauges of all servers, and closes idle connections.
     fn on_gauge_tick(&mut self) {
-        for server in ServerIndex::all(self.servers.len()) {
-            let model = &self.servers[server.index()].model;
-            let gauge = LogEvent::ServerGauge {
-                server,
-                in_flight: model.in_flight() as u32,
-                connections: model.connections() as u32,
-            };
-            self.context.record(gauge);
-        }
+        self.fleet.record_gauges(&mut self.context);
         self.close_idle_connections();
         self.context
             .after(GAUGE_INTERVAL, SimulatorEvent::GaugeTick);
--- a/crates/testbed/src/simulator/request.rs
+++ b/crates/testbed/src/simulator/request.rs
@@ -1,26 +1,23 @@
-//! What is open in the simulator: arrivals, their requests, and the requests' attempts.
+//! What is open in the simulator: arrivals, and their requests.
 
 use slotmap::{SlotMap, new_key_type};
 
+use super::attempts::AttemptKey;
 use super::process::SidecarProcess;
-use crate::index::{ArrivalNumber, ClassIndex, RequestNumber, ServerIndex, SidecarIndex};
+use crate::index::{ArrivalNumber, ClassIndex, RequestNumber, SidecarIndex};
 use crate::scenario::Micros;
 
 new_key_type! {
     pub(super) struct ArrivalKey;
     pub(super) struct RequestKey;
-    pub(super) struct AttemptKey;
 }
 
 /// All that is open, by keys that outlive it: what is removed is no longer found.
 pub(super) struct OpenWork {
     pub(super) arrivals: SlotMap<ArrivalKey, OpenArrival>,
     pub(super) requests: SlotMap<RequestKey, Request>,
-    pub(super) attempts: SlotMap<AttemptKey, Attempt>,
     /// The next number of an arrival or a request.
     next_number: u64,
-    /// The next number of an attempt at a server's model.
-    next_job: u64,
 }
 
 impl OpenWork {
@@ -29,9 +26,7 @@
         Self {
             arrivals: SlotMap::with_key(),
             requests: SlotMap::with_key(),
-            attempts: SlotMap::with_key(),
             next_number: 1,
-            next_job: 1,
         }
     }
 
@@ -50,13 +45,6 @@
         self.next_number += 1;
         number
     }
-
-    /// A number for an attempt at a server's model.
-    pub(super) fn take_job(&mut self) -> u64 {
-        let job = self.next_job;
-        self.next_job += 1;
-        job
-    }
 }
 
 /// What a client wants, with all its requests.
@@ -91,34 +79,3 @@
     /// The sidecar has given its final response, which may still be on its way.
     pub(super) responded: bool,
 }
-
-/// One attempt of a sidecar at a server.
-pub(super) struct Attempt {
-    pub(super) request: RequestKey,
-    pub(super) request_number: RequestNumber,
-    /// Counts the request's attempts from 0.
-    pub(super) index: u32,
-    pub(super) sidecar: SidecarIndex,
-    pub(super) server: ServerIndex,
-    /// Its number at the server's model.
-    pub(super) job: u64,
-    pub(super) sent_at: Micros,
-    /// When its sidecar gives up.
-    pub(super) due: Micros,
-    /// Work in microseconds of a standard core.
-    pub(super) work: f64,
-    /// One way to the server, in microseconds.
-    pub(super) delay: Micros,
-    /// Its connection, by the server's start that this belongs to.
-    pub(super) connection: Option<u32>,
-    /// Whether it opens a connection of its own.
-    pub(super) new_connection: bool,
-    /// Its last byte is written.
-    pub(super) written: bool,
-    /// Its sidecar knows how it ended.
-    pub(super) ended: bool,
-    /// Its connection will be reset before the response.
-    pub(super) reset_pending: bool,
-    /// Requests in flight that its response reports.
-    pub(super) reported_in_flight: Option<usize>,
-}
--- a/crates/testbed/src/simulator/run.rs
+++ b/crates/testbed/src/simulator/run.rs
@@ -49,12 +49,8 @@
 }
 
 fn overload_remark(simulator: &Simulator<'_>) -> String {
-    let models = || simulator.servers.iter().map(|server| &server.model);
-    let slowed = models().filter(|model| model.time_slowed() > 0).count();
-    let held = models()
-        .map(|model| model.counters.max_in_flight)
-        .max()
-        .unwrap_or(0);
+    let slowed = simulator.fleet.count_slowed();
+    let held = simulator.fleet.max_in_flight();
     format!("{slowed} servers were slowed by overload for a time; one held {held} at most")
 }
 
--- a/crates/testbed/src/simulator/sidecars/connections.rs
+++ b/crates/testbed/src/simulator/sidecars/connections.rs
@@ -77,13 +77,13 @@
         server: ServerIndex,
     ) -> Option<u32> {
         let reuse_time = self.reuse_time();
-        let target = &mut self.servers[server.index()];
+        let open_start = self.fleet.open_start(server);
         let connections = &mut self.sidecars[sidecar.index()].connections;
-        let connection = connections.take(server, target.open_start())?;
+        let connection = connections.take(server, open_start)?;
         if connection.idle_since + reuse_time > self.context.now() {
             return Some(connection.server_start);
         }
-        target.close_connection(connection.server_start);
+        self.fleet.close_connection(server, connection.server_start);
         None
     }
 
@@ -103,7 +103,7 @@
             let connections = &mut self.sidecars[sidecar.index()].connections;
             connections.add(server, connection);
         } else {
-            self.servers[server.index()].close_connection(server_start);
+            self.fleet.close_connection(server, server_start);
         }
     }
 
@@ -114,11 +114,11 @@
             return;
         };
         for sidecar in &mut self.sidecars {
-            let servers = &mut self.servers;
+            let fleet = &mut self.fleet;
             sidecar
                 .connections
                 .remove_idle_since(before, |server, start| {
-                    servers[server.index()].close_connection(start);
+                    fleet.close_connection(server, start);
                 });
         }
     }
--- a/crates/testbed/src/simulator/sidecars/endpoints.rs
+++ b/crates/testbed/src/simulator/sidecars/endpoints.rs
@@ -53,7 +53,7 @@
 
 impl Simulator<'_> {
     pub(in crate::simulator) fn on_list_change(&mut self, endpoint: ListedEndpoint) {
-        let started_at = self.servers[endpoint.server.index()].started_at;
+        let started_at = self.fleet.started_at(endpoint.server);
         let watching = watching(&self.sidecars);
         self.discovery
             .on_list_change(endpoint, started_at, watching, &mut self.context);
@@ -175,7 +175,8 @@
 
     /// A list entry as balancers take it.
     fn balancer_endpoint(&self, listed: ListedEndpoint) -> Endpoint {
-        let server = &self.servers[listed.server.index()];
+        let zone = self.fleet.zone(listed.server);
+        let machine_type = self.fleet.machine_type(listed.server);
         let incarnation = (listed.incarnation > 0).then_some(EPOCH + listed.incarnation);
         Endpoint {
             server: ServerId(listed.server.value()),
@@ -186,12 +187,12 @@
                 ListedStatus::Gone => EndpointStatus::Removed,
             },
             incarnation,
-            zone: server.zone,
-            cell: server.zone,
+            zone,
+            cell: zone,
             machine_type: self
                 .context
                 .scenario()
-                .advertised_machine_type(server.model.machine_type()),
+                .advertised_machine_type(machine_type),
         }
     }
 }
--- a/crates/testbed/src/simulator/sidecars/host.rs
+++ b/crates/testbed/src/simulator/sidecars/host.rs
@@ -2,12 +2,12 @@
 
 use std::collections::VecDeque;
 
-use arrowstand_balancer::{Action, Event as BalancerEvent, LoadReport, RequestId, ServerId};
+use arrowstand_balancer::{Action, Event as BalancerEvent, RequestId};
 
 use crate::event_log::RequestOutcome;
 use crate::index::{RequestNumber, ServerIndex, SidecarIndex};
 use crate::scenario::{Micros, from_ms};
-use crate::simulator::event::{BalancerTimer, HealthCheckResult, SimulatorEvent};
+use crate::simulator::event::{BalancerTimer, SimulatorEvent};
 use crate::simulator::request::RequestKey;
 use crate::simulator::{EPOCH, Simulator};
 
@@ -141,20 +141,4 @@
             self.handle_balancer_event(timer.process.sidecar, fired);
         }
     }
-
-    pub(in crate::simulator) fn on_health_check_result(&mut self, result: &HealthCheckResult) {
-        if !self.is_current(result.process) {
-            return;
-        }
-        let load_report = result.load.map(|load| LoadReport {
-            in_flight: f64::from(load.in_flight),
-            queued: f64::from(load.queued),
-        });
-        let ended = BalancerEvent::HealthCheckEnded {
-            server: ServerId(result.server.value()),
-            outcome: result.outcome,
-            load_report,
-        };
-        self.handle_balancer_event(result.process.sidecar, ended);
-    }
 }
--- a/crates/testbed/src/simulator/sidecars/mod.rs
+++ b/crates/testbed/src/simulator/sidecars/mod.rs
@@ -4,8 +4,10 @@
 //! balancer asks for, `requests` is a request's life at the sidecar, `connections` the pool of idle
 //! connections.
 
+mod attempts;
 mod connections;
 mod endpoints;
+mod health_checks;
 mod host;
 mod requests;
 mod settings;
@@ -183,7 +185,7 @@
         });
         let (connections, open) = self.sidecars[sidecar_index.index()].on_killed();
         for (server, server_start) in connections.into_connections() {
-            self.servers[server.index()].close_connection(server_start);
+            self.fleet.close_connection(server, server_start);
         }
         for request in open.into_values() {
             self.lose_request(request);
--- a/crates/testbed/src/simulator/sidecars/requests.rs
+++ b/crates/testbed/src/simulator/sidecars/requests.rs
@@ -12,8 +12,9 @@
 use crate::index::{ArrivalNumber, RequestNumber};
 use crate::scenario::{Micros, from_ms};
 use crate::simulator::Simulator;
+use crate::simulator::attempts::{Attempt, AttemptKey};
 use crate::simulator::event::{ClientResponse, SimulatorEvent};
-use crate::simulator::request::{Attempt, AttemptKey, RequestKey};
+use crate::simulator::request::RequestKey;
 
 impl Simulator<'_> {
     /// A request's last byte is at its sidecar.
@@ -132,12 +133,7 @@
 
     /// Closes an attempt's connection, and lets the balancer know that it is cancelled.
     pub(super) fn cancel_attempt(&mut self, key: AttemptKey, events: &mut VecDeque<BalancerEvent>) {
-        if self
-            .open
-            .attempts
-            .get(key)
-            .is_some_and(|attempt| !attempt.ended)
-        {
+        if self.attempts.get(key).is_some_and(|a| !a.has_ended()) {
             self.close_attempt_connection(key);
             self.end_attempt(key, Outcome::Cancelled, events);
         }
@@ -150,13 +146,13 @@
         outcome: Outcome,
         events: &mut VecDeque<BalancerEvent>,
     ) {
-        let Some(attempt) = self.open.attempts.get_mut(key) else {
+        let Some(attempt) = self.attempts.get_mut(key) else {
             return;
         };
-        if std::mem::replace(&mut attempt.ended, true) {
+        if !attempt.end() {
             return;
         }
-        let request = attempt.request;
+        let request = attempt.details.request;
         let responded = self.open.requests.get(request).is_none_or(|r| r.responded);
         let finished = responded || outcome == Outcome::Served;
         let end = attempt_end(attempt, outcome, finished, self.context.now());
@@ -174,17 +170,18 @@
 
 /// How an attempt ended; `finished` where its request needs no further attempt.
 fn attempt_end(attempt: &Attempt, outcome: Outcome, finished: bool, now: Micros) -> AttemptEnd {
-    let load_report = attempt.reported_in_flight.map(|in_flight| LoadReport {
+    let load_report = attempt.reported_in_flight().map(|in_flight| LoadReport {
         in_flight: in_flight as f64,
         queued: 0.0,
     });
+    let details = &attempt.details;
     AttemptEnd {
-        request: RequestId(attempt.request_number.value()),
-        attempt: attempt.index,
-        server: ServerId(attempt.server.value()),
+        request: RequestId(details.request_number.value()),
+        attempt: details.index,
+        server: ServerId(details.server.value()),
         outcome,
         finished,
-        elapsed: now - attempt.sent_at,
+        elapsed: now - details.sent_at,
         load_report,
     }
 }
