--- a/crates/testbed/src/simulator/faults/mod.rs
+++ b/crates/testbed/src/simulator/faults/mod.rs
@@ -4,6 +4,8 @@
 
 mod schedule;
 
+pub(super) use schedule::{FaultEffect, Faults};
+
 use crate::index::{ServerIndex, SidecarIndex};
 use crate::random::{RandomStream, StreamId};
 use crate::scenario::{Fault, Micros, Scenario, from_s};
--- a/crates/testbed/src/simulator/faults/schedule.rs
+++ b/crates/testbed/src/simulator/faults/schedule.rs
@@ -1,75 +1,100 @@
-//! When the simulator's faults start and end.
+//! When the simulator's faults start and end, and which component each is for.
+//!
+//! Owns the servers that each fault hits. What a fault does there is `fleet`'s; what a restart does
+//! is `sidecars`'; bursts and expensive requests are part of the arrivals that `workload` draws.
 
 use super::{rolling_restart, targets};
-use crate::index::SidecarIndex;
-use crate::scenario::{Fault, FaultKind, Micros, from_s};
-use crate::simulator::Simulator;
+use crate::index::{ServerIndex, SidecarIndex};
+use crate::scenario::{Fault, FaultKind, Micros, Scenario, from_s};
+use crate::simulator::context::Context;
 use crate::simulator::discovery::Availability;
 use crate::simulator::event::{SidecarRestart, SimulatorEvent};
 
-impl Simulator<'_> {
-    pub(in crate::simulator) fn schedule_faults(&mut self) {
-        let scenario = self.context.scenario();
-        let zones = self.fleet.zones();
-        for (index, fault) in scenario.fault.iter().enumerate() {
-            self.fault_targets.push(targets(scenario, index, &zones));
-            let start = from_s(fault.at_s);
-            match fault.kind {
-                FaultKind::RollingRestart => {
-                    for (sidecar, later) in rolling_restart(scenario, index) {
-                        self.schedule_restart(sidecar, start + later, fault);
-                    }
-                }
-                FaultKind::RestartAll => {
-                    for sidecar in SidecarIndex::all(self.sidecars.len()) {
-                        self.schedule_restart(sidecar, start, fault);
-                    }
-                }
-                _ => self.schedule_fault(index, start, start + from_s(fault.for_s)),
-            }
-        }
-    }
+/// The scenario's faults, by their indexes there.
+pub(in crate::simulator) struct Faults {
+    /// Servers that each fault hits.
+    targets: Vec<Vec<ServerIndex>>,
+}
 
-    fn schedule_restart(&mut self, sidecar: SidecarIndex, at: Micros, fault: &Fault) {
-        let restart = SimulatorEvent::SidecarRestart(SidecarRestart {
-            sidecar,
-            down_time: from_s(fault.down_s),
-            kill: fault.kill,
-        });
-        self.context.at(at, restart);
+/// What changes as a fault starts or ends.
+pub(in crate::simulator) enum FaultEffect<'a> {
+    /// These servers are hit, or hit no longer.
+    Servers(&'a [ServerIndex]),
+    /// Discovery answers in this way from now on.
+    Discovery(Availability),
+    /// Nothing: the fault acts in another way.
+    Nothing,
+}
+
+impl Faults {
+    /// Draws the servers that each fault hits; `zones` has each server's zone.
+    pub(in crate::simulator) fn new(scenario: &Scenario, zones: &[u32]) -> Self {
+        let indexes = 0..scenario.fault.len();
+        Self {
+            targets: indexes
+                .map(|index| targets(scenario, index, zones))
+                .collect(),
+        }
     }
 
-    fn schedule_fault(&mut self, index: usize, start: Micros, end: Micros) {
-        for (at, starts) in [(start, true), (end, false)] {
-            let event = SimulatorEvent::Fault { index, starts };
-            self.context.at(at, event);
+    /// Schedules when each fault starts and ends.
+    pub(in crate::simulator) fn schedule(&self, context: &mut Context<'_>) {
+        for (index, fault) in context.scenario().fault.iter().enumerate() {
+            schedule(index, fault, context);
         }
     }
 
-    pub(in crate::simulator) fn on_fault(&mut self, index: usize, starts: bool) {
-        let scenario = self.context.scenario();
-        let fault = &scenario.fault[index];
+    /// What changes as the fault of this index starts or ends.
+    pub(in crate::simulator) fn effect(
+        &self,
+        index: usize,
+        fault: &Fault,
+        starts: bool,
+    ) -> FaultEffect<'_> {
         match fault.kind {
-            FaultKind::DiscoveryDown if starts => self.on_discovery_fault(Availability::Down),
-            FaultKind::DiscoverySilent if starts => self.on_discovery_fault(Availability::Silent),
+            FaultKind::DiscoveryDown if starts => FaultEffect::Discovery(Availability::Down),
+            FaultKind::DiscoverySilent if starts => FaultEffect::Discovery(Availability::Silent),
             FaultKind::DiscoveryDown | FaultKind::DiscoverySilent => {
-                self.on_discovery_fault(Availability::Up);
+                FaultEffect::Discovery(Availability::Up)
             }
             FaultKind::Burst
             | FaultKind::ExpensiveRequests
             | FaultKind::RollingRestart
-            | FaultKind::RestartAll => {}
-            _ => {
-                for server in self.fault_targets[index].clone() {
-                    self.fleet.on_fault(
-                        server,
-                        fault,
-                        starts,
-                        &mut self.attempts,
-                        &mut self.context,
-                    );
-                }
+            | FaultKind::RestartAll => FaultEffect::Nothing,
+            _ => FaultEffect::Servers(&self.targets[index]),
+        }
+    }
+}
+
+/// Schedules a fault's start and end, or the restarts that it consists of.
+fn schedule(index: usize, fault: &Fault, context: &mut Context<'_>) {
+    let scenario = context.scenario();
+    let start = from_s(fault.at_s);
+    match fault.kind {
+        FaultKind::RollingRestart => {
+            for (sidecar, later) in rolling_restart(scenario, index) {
+                schedule_restart(sidecar, start + later, fault, context);
+            }
+        }
+        FaultKind::RestartAll => {
+            for sidecar in SidecarIndex::all(scenario.sidecars.count) {
+                schedule_restart(sidecar, start, fault, context);
+            }
+        }
+        _ => {
+            let end = start + from_s(fault.for_s);
+            for (at, starts) in [(start, true), (end, false)] {
+                context.at(at, SimulatorEvent::Fault { index, starts });
             }
         }
     }
 }
+
+fn schedule_restart(sidecar: SidecarIndex, at: Micros, fault: &Fault, context: &mut Context<'_>) {
+    let restart = SidecarRestart {
+        sidecar,
+        down_time: from_s(fault.down_s),
+        kill: fault.kill,
+    };
+    context.at(at, SimulatorEvent::SidecarRestart(restart));
+}
--- a/crates/testbed/src/simulator/mod.rs
+++ b/crates/testbed/src/simulator/mod.rs
@@ -25,7 +25,6 @@
 use arrowstand_balancer::Action;
 
 use crate::event_log::EventLog;
-use crate::index::ServerIndex;
 use crate::scenario::{Micros, Scenario, from_s};
 use crate::workload::{TenantQuota, quotas};
 
@@ -33,6 +32,7 @@
 use context::Context;
 use discovery::Discovery;
 use event::SimulatorEvent;
+use faults::{FaultEffect, Faults};
 use fleet::Fleet;
 use network::Network;
 use request::OpenWork;
@@ -59,8 +59,7 @@
     discovery: Discovery,
     open: OpenWork,
     quotas: Vec<TenantQuota>,
-    /// Servers that each fault hits.
-    fault_targets: Vec<Vec<ServerIndex>>,
+    faults: Faults,
     /// Buffer of what a balancer asks for.
     actions: Vec<Action>,
     run_statistics: RunStatistics,
@@ -76,16 +75,16 @@
             network: Network::new(scenario),
             sidecars: Vec::new(),
             attempts: Attempts::new(),
+            faults: Faults::new(scenario, &fleet.zones()),
             discovery: Discovery::new(scenario, fleet.starts()),
             fleet,
             open: OpenWork::new(),
             quotas: quotas(scenario),
-            fault_targets: Vec::new(),
             actions: Vec::new(),
             run_statistics: RunStatistics::default(),
         };
         simulator.build_sidecars()?;
-        simulator.schedule_faults();
+        simulator.faults.schedule(&mut simulator.context);
         simulator
             .context
             .after(GAUGE_INTERVAL, SimulatorEvent::GaugeTick);
@@ -146,6 +145,22 @@
         }
     }
 
+    fn on_fault(&mut self, index: usize, starts: bool) {
+        let fault = &self.context.scenario().fault[index];
+        match self.faults.effect(index, fault, starts) {
+            FaultEffect::Servers(servers) => {
+                for &server in servers {
+                    let attempts = &mut self.attempts;
+                    let context = &mut self.context;
+                    self.fleet
+                        .on_fault(server, fault, starts, attempts, context);
+                }
+            }
+            FaultEffect::Discovery(availability) => self.on_discovery_fault(availability),
+            FaultEffect::Nothing => {}
+        }
+    }
+
     /// Records gauges of all servers, and closes idle connections.
     fn on_gauge_tick(&mut self) {
         self.fleet.record_gauges(&mut self.context);
