--- a/crates/testbed/src/simulator/attempts.rs
+++ b/crates/testbed/src/simulator/attempts.rs
@@ -6,7 +6,6 @@
 
 use slotmap::{SlotMap, new_key_type};
 
-use super::request::RequestKey;
 use crate::index::{RequestNumber, ServerIndex, SidecarIndex};
 use crate::scenario::Micros;
 
@@ -17,8 +16,7 @@
 
 /// What an attempt is from its start on.
 pub(super) struct AttemptDetails {
-    pub(super) request: RequestKey,
-    pub(super) request_number: RequestNumber,
+    pub(super) request: RequestNumber,
     /// Counts the request's attempts from 0.
     pub(super) index: u32,
     pub(super) sidecar: SidecarIndex,
--- a/crates/testbed/src/simulator/event.rs
+++ b/crates/testbed/src/simulator/event.rs
@@ -10,7 +10,7 @@
 use super::process::SidecarProcess;
 use super::request::{ArrivalKey, RequestKey};
 use crate::event_log::RequestOutcome;
-use crate::index::{ServerIndex, SidecarIndex};
+use crate::index::{RequestNumber, ServerIndex, SidecarIndex};
 use crate::scenario::Micros;
 use crate::workload::Arrival;
 
@@ -19,13 +19,13 @@
     /// A client of this sidecar wants something.
     Arrival(SidecarIndex, Arrival),
     /// A client's backoff is over.
-    RetryDue(ArrivalKey),
+    RetryDue(SidecarIndex, ArrivalKey),
     /// A request's last byte is at its sidecar.
     RequestAtSidecar(RequestKey),
     /// A timer of a balancer fires.
     BalancerTimer(BalancerTimer),
     /// The last moment at which a sidecar can respond in time.
-    ResponseDue(RequestKey),
+    ResponseDue(SidecarIndex, RequestNumber),
     /// A client's timeout is over.
     ClientTimeout(RequestKey),
     /// A client disconnects early.
--- a/crates/testbed/src/simulator/fleet/attempts.rs
+++ b/crates/testbed/src/simulator/fleet/attempts.rs
@@ -115,7 +115,7 @@
             Outcome::Served
         };
         context.record(LogEvent::WorkDone {
-            request: attempt.details.request_number,
+            request: attempt.details.request,
             server: server_index,
             work: attempt.details.work,
         });
@@ -157,7 +157,7 @@
         context.record(LogEvent::ConnectionOpened { server });
     }
     context.record(LogEvent::AttemptReceived {
-        request: details.request_number,
+        request: details.request,
         server,
         work: details.work,
         capacity,
@@ -168,7 +168,7 @@
 fn reject(key: AttemptKey, attempt: &Attempt, context: &mut Context<'_>) {
     let details = &attempt.details;
     context.record(LogEvent::AttemptRejected {
-        request: details.request_number,
+        request: details.request,
         server: details.server,
     });
     let result = SimulatorEvent::ResultAtSidecar(key, Outcome::Rejected);
--- a/crates/testbed/src/simulator/mod.rs
+++ b/crates/testbed/src/simulator/mod.rs
@@ -24,18 +24,20 @@
 
 use arrowstand_balancer::Action;
 
-use crate::event_log::EventLog;
+use crate::event_log::{EventLog, LogEvent};
+use crate::index::SidecarIndex;
 use crate::scenario::{Micros, Scenario, from_s};
-use crate::workload::{TenantQuota, quotas};
+use crate::workload::Arrival;
 
 use attempts::Attempts;
+use clients::Clients;
 use context::Context;
 use discovery::Discovery;
 use event::SimulatorEvent;
 use faults::{FaultEffect, Faults};
 use fleet::Fleet;
 use network::Network;
-use request::OpenWork;
+use request::{ArrivalKey, RequestKey};
 use sidecars::Sidecar;
 
 pub use error::SimulatorError;
@@ -57,12 +59,11 @@
     attempts: Attempts,
     fleet: Fleet,
     discovery: Discovery,
-    open: OpenWork,
-    quotas: Vec<TenantQuota>,
+    clients: Clients,
     faults: Faults,
     /// Buffer of what a balancer asks for.
     actions: Vec<Action>,
-    run_statistics: RunStatistics,
+    events_played: u64,
 }
 
 impl<'a> Simulator<'a> {
@@ -78,10 +79,9 @@
             faults: Faults::new(scenario, &fleet.zones()),
             discovery: Discovery::new(scenario, fleet.starts()),
             fleet,
-            open: OpenWork::new(),
-            quotas: quotas(scenario),
+            clients: Clients::new(scenario),
             actions: Vec::new(),
-            run_statistics: RunStatistics::default(),
+            events_played: 0,
         };
         simulator.build_sidecars()?;
         simulator.faults.schedule(&mut simulator.context);
@@ -95,25 +95,35 @@
     fn play(&mut self) {
         let last_arrival = from_s(self.context.scenario().seconds);
         while let Some(event) = self.context.next_event(last_arrival + MAX_RUN_OUT) {
-            if self.context.now() > last_arrival && self.open.arrivals.is_empty() {
+            if self.context.now() > last_arrival && self.clients.is_idle() {
                 return;
             }
-            self.run_statistics.events_played += 1;
+            self.events_played += 1;
             self.handle(event);
         }
     }
 
+    /// What the run has taken so far.
+    fn run_statistics(&self) -> RunStatistics {
+        RunStatistics {
+            events_played: self.events_played,
+            not_played: self.clients.not_played(),
+        }
+    }
+
     fn handle(&mut self, event: SimulatorEvent) {
         use SimulatorEvent as Event;
         match event {
-            Event::Arrival(sidecar, arrival) => self.on_arrival(sidecar, arrival),
-            Event::RetryDue(arrival) => self.send_request(arrival),
+            Event::Arrival(sidecar, arrival) => self.on_arrival(sidecar, &arrival),
+            Event::RetryDue(sidecar, arrival) => self.on_retry_due(sidecar, arrival),
             Event::RequestAtSidecar(request) => self.on_request_at_sidecar(request),
             Event::BalancerTimer(timer) => self.on_balancer_timer(&timer),
-            Event::ResponseDue(request) => self.on_response_due(request),
+            Event::ResponseDue(sidecar, request) => self.on_response_due(sidecar, request),
             Event::ClientTimeout(request) => self.on_client_timeout(request),
             Event::ClientDisconnect(request) => self.on_client_disconnect(request),
-            Event::ResponseAtClient(response) => self.on_response_at_client(&response),
+            Event::ResponseAtClient(response) => {
+                self.clients.on_response(&response, &mut self.context)
+            }
             Event::ConnectAtServer(attempt) => {
                 self.fleet
                     .on_connect(attempt, &mut self.attempts, &mut self.context)
@@ -145,6 +155,36 @@
         }
     }
 
+    fn on_arrival(&mut self, sidecar: SidecarIndex, arrival: &Arrival) {
+        let process = self.process(sidecar);
+        self.clients.on_arrival(arrival, process, &mut self.context);
+    }
+
+    fn on_retry_due(&mut self, sidecar: SidecarIndex, arrival: ArrivalKey) {
+        let process = self.process(sidecar);
+        self.clients
+            .send_request(arrival, process, &mut self.context);
+    }
+
+    fn on_client_timeout(&mut self, key: RequestKey) {
+        let request = self.clients.request(key);
+        if let Some(request) = request.filter(|request| self.awaits_response(request)) {
+            self.abandon_request(&request);
+            self.clients.on_timed_out(key, &mut self.context);
+        }
+    }
+
+    fn on_client_disconnect(&mut self, key: RequestKey) {
+        let request = self.clients.request(key);
+        if let Some(request) = request.filter(|request| self.awaits_response(request)) {
+            self.context.record(LogEvent::ClientDisconnected {
+                request: request.number,
+            });
+            self.abandon_request(&request);
+            self.clients.on_disconnected(key, &mut self.context);
+        }
+    }
+
     fn on_fault(&mut self, index: usize, starts: bool) {
         let fault = &self.context.scenario().fault[index];
         match self.faults.effect(index, fault, starts) {
--- a/crates/testbed/src/simulator/request.rs
+++ b/crates/testbed/src/simulator/request.rs
@@ -1,81 +1,36 @@
-//! What is open in the simulator: arrivals, and their requests.
+//! A client's request, as it travels to its sidecar.
+//!
+//! Nothing in it changes on the way: what the client makes of it is `clients`', and its attempts
+//! and its response are `sidecars`'.
 
-use slotmap::{SlotMap, new_key_type};
+use slotmap::new_key_type;
 
-use super::attempts::AttemptKey;
 use super::process::SidecarProcess;
-use crate::index::{ArrivalNumber, ClassIndex, RequestNumber, SidecarIndex};
+use crate::index::{ArrivalNumber, ClassIndex, RequestNumber};
 use crate::scenario::Micros;
 
 new_key_type! {
+    /// Names what a client wants; one that is closed is no longer found.
     pub(super) struct ArrivalKey;
+    /// Names a request; one that its client no longer waits for is no longer found.
     pub(super) struct RequestKey;
 }
 
-/// All that is open, by keys that outlive it: what is removed is no longer found.
-pub(super) struct OpenWork {
-    pub(super) arrivals: SlotMap<ArrivalKey, OpenArrival>,
-    pub(super) requests: SlotMap<RequestKey, Request>,
-    /// The next number of an arrival or a request.
-    next_number: u64,
-}
-
-impl OpenWork {
-    /// Nothing is open yet.
-    pub(super) fn new() -> Self {
-        Self {
-            arrivals: SlotMap::with_key(),
-            requests: SlotMap::with_key(),
-            next_number: 1,
-        }
-    }
-
-    /// A number for an arrival.
-    pub(super) fn take_arrival_number(&mut self) -> ArrivalNumber {
-        ArrivalNumber::new(self.take_number())
-    }
-
-    /// A number for a request.
-    pub(super) fn take_request_number(&mut self) -> RequestNumber {
-        RequestNumber::new(self.take_number())
-    }
-
-    fn take_number(&mut self) -> u64 {
-        let number = self.next_number;
-        self.next_number += 1;
-        number
-    }
-}
-
-/// What a client wants, with all its requests.
-pub(super) struct OpenArrival {
-    pub(super) number: ArrivalNumber,
-    pub(super) sidecar: SidecarIndex,
-    pub(super) class: ClassIndex,
-    /// Work in microseconds of a standard core.
-    pub(super) work: f64,
-    /// What the client hints of the work, in microseconds of a standard core.
-    pub(super) work_hint: Option<Micros>,
-    pub(super) deadline: Micros,
-    /// Requests sent so far.
-    pub(super) requests: u32,
-    /// Whether the client keeps to a Retry-After.
-    pub(super) honours_retry_after: bool,
-}
-
 /// One request of a client to its sidecar: the first of an arrival or a retry.
+#[derive(Clone, Copy)]
 pub(super) struct Request {
     pub(super) number: RequestNumber,
     pub(super) arrival: ArrivalKey,
+    pub(super) arrival_number: ArrivalNumber,
     /// The process that it was sent to.
     pub(super) process: SidecarProcess,
     pub(super) class: ClassIndex,
     /// Work in microseconds of a standard core.
     pub(super) work: f64,
+    /// What the client hints of the work, in microseconds of a standard core.
     pub(super) work_hint: Option<Micros>,
+    /// When its last byte is at the sidecar.
+    pub(super) arrives_at: Micros,
     /// When its client gives up.
     pub(super) due: Micros,
-    pub(super) attempts: Vec<AttemptKey>,
-    /// The sidecar has given its final response, which may still be on its way.
-    pub(super) responded: bool,
 }
--- a/crates/testbed/src/simulator/run.rs
+++ b/crates/testbed/src/simulator/run.rs
@@ -33,7 +33,7 @@
     };
     let mut simulator = Simulator::new(scenario, &mut readers)?;
     simulator.play();
-    let run_statistics = simulator.run_statistics;
+    let run_statistics = simulator.run_statistics();
     let overload = overload_remark(&simulator);
     auditor.finish();
     let mut report = statistics.report(SIMULATOR, scenario.seed);
--- a/crates/testbed/src/simulator/sidecars/attempts.rs
+++ b/crates/testbed/src/simulator/sidecars/attempts.rs
@@ -4,32 +4,31 @@
 
 use arrowstand_balancer::{Event as BalancerEvent, Outcome};
 
+use super::requests::OpenRequest;
 use crate::event_log::LogEvent;
-use crate::index::ServerIndex;
+use crate::index::{RequestNumber, ServerIndex, SidecarIndex};
 use crate::scenario::{Micros, from_ms};
 use crate::simulator::Simulator;
 use crate::simulator::attempts::{AttemptDetails, AttemptKey};
 use crate::simulator::event::{Cancellation, SimulatorEvent};
-use crate::simulator::request::{Request, RequestKey};
 
 impl Simulator<'_> {
-    /// Sends an attempt of a request; `timeout` is cut to the time that the request has left.
+    /// Sends an attempt of an open request; `timeout` is cut to the time that the request has left.
     pub(super) fn send_attempt(
         &mut self,
-        request_key: RequestKey,
+        sidecar: SidecarIndex,
+        number: RequestNumber,
         server: ServerIndex,
         timeout: Option<Micros>,
         events: &mut VecDeque<BalancerEvent>,
     ) {
-        let request = self.open.requests.get(request_key);
-        let Some(request) = request.filter(|request| !request.responded) else {
+        let open = self.sidecars[sidecar.index()].open_requests.get(&number);
+        let Some(open) = open else {
             return;
         };
-        let class = request.class;
+        let class = open.request.class;
         let scenario = self.context.scenario();
-        let mut details =
-            attempt_details(request_key, request, server, timeout, self.context.now());
-        let sidecar = details.sidecar;
+        let mut details = attempt_details(open, server, timeout, self.context.now());
         let is_known = self.fleet.contains(server);
         if is_known {
             let zone = self.fleet.zone(server);
@@ -44,8 +43,9 @@
             None
         };
         let key = self.attempts.start(details, kept_connection);
-        if let Some(request) = self.open.requests.get_mut(request_key) {
-            request.attempts.push(key);
+        let open_requests = &mut self.sidecars[sidecar.index()].open_requests;
+        if let Some(open) = open_requests.get_mut(&number) {
+            open.attempts.push(key);
         }
         if is_known {
             self.schedule_attempt(key);
@@ -82,7 +82,7 @@
         let details = &attempt.details;
         let zone = self.fleet.zone(details.server);
         self.context.record(LogEvent::AttemptStarted {
-            request: details.request_number,
+            request: details.request,
             sidecar: details.sidecar,
             server: details.server,
             cross_zone: self.network.is_cross_zone(details.sidecar, zone),
@@ -182,17 +182,16 @@
 
 /// An attempt's details before its delay and its own work are drawn.
 fn attempt_details(
-    key: RequestKey,
-    request: &Request,
+    open: &OpenRequest,
     server: ServerIndex,
     timeout: Option<Micros>,
     now: Micros,
 ) -> AttemptDetails {
+    let request = &open.request;
     let time_left = request.due.saturating_sub(now);
     AttemptDetails {
-        request: key,
-        request_number: request.number,
-        index: request.attempts.len() as u32,
+        request: request.number,
+        index: open.attempts.len() as u32,
         sidecar: request.process.sidecar,
         server,
         sent_at: now,
--- a/crates/testbed/src/simulator/sidecars/endpoints.rs
+++ b/crates/testbed/src/simulator/sidecars/endpoints.rs
@@ -75,7 +75,7 @@
         let process = result.poll.process;
         let sidecar = &self.sidecars[process.sidecar.index()];
         let is_awaited = sidecar.polls == result.poll.number;
-        if !is_awaited || !self.is_current(process) || !self.is_up(process.sidecar) {
+        if !is_awaited || !self.is_running(process) {
             return;
         }
         if result.lost || !self.discovery.is_up() {
--- a/crates/testbed/src/simulator/sidecars/health_checks.rs
+++ b/crates/testbed/src/simulator/sidecars/health_checks.rs
@@ -36,7 +36,7 @@
 
     pub(in crate::simulator) fn on_health_check_at_server(&mut self, check: &HealthCheck) {
         let sidecar = check.process.sidecar;
-        let is_running = self.is_current(check.process) && self.is_up(sidecar);
+        let is_running = self.is_running(check.process);
         let kept =
             self.fleet
                 .on_health_check(check, is_running, &mut self.attempts, &mut self.context);
--- a/crates/testbed/src/simulator/sidecars/host.rs
+++ b/crates/testbed/src/simulator/sidecars/host.rs
@@ -8,7 +8,6 @@
 use crate::index::{RequestNumber, ServerIndex, SidecarIndex};
 use crate::scenario::{Micros, from_ms};
 use crate::simulator::event::{BalancerTimer, SimulatorEvent};
-use crate::simulator::request::RequestKey;
 use crate::simulator::{EPOCH, Simulator};
 
 impl Simulator<'_> {
@@ -58,13 +57,13 @@
                 server,
                 timeout,
             } => {
-                if let Some(key) = self.open_request(sidecar, request) {
-                    self.send_attempt(key, ServerIndex::new(server.0), timeout, events);
-                }
+                let number = RequestNumber::new(request.0);
+                let server = ServerIndex::new(server.0);
+                self.send_attempt(sidecar, number, server, timeout, events);
             }
             Action::Cancel { request, attempt } => {
-                let open = self.open_request(sidecar, request);
-                if let Some(key) = open.and_then(|key| self.attempt_of(key, attempt)) {
+                let number = RequestNumber::new(request.0);
+                if let Some(key) = self.attempt_of(sidecar, number, attempt) {
                     self.cancel_attempt(key, events);
                 }
             }
@@ -87,24 +86,6 @@
         from_ms(self.context.scenario().permissions.max_retry_after_ms)
     }
 
-    fn open_request(&self, sidecar: SidecarIndex, request: RequestId) -> Option<RequestKey> {
-        let open = &self.sidecars[sidecar.index()].open_requests;
-        open.get(&RequestNumber::new(request.0)).copied()
-    }
-
-    fn respond_if_open(
-        &mut self,
-        sidecar: SidecarIndex,
-        request: RequestId,
-        outcome: RequestOutcome,
-        retry_after: Micros,
-        events: &mut VecDeque<BalancerEvent>,
-    ) {
-        if let Some(key) = self.open_request(sidecar, request) {
-            self.respond(key, outcome, retry_after, events);
-        }
-    }
-
     fn reject_request(
         &mut self,
         sidecar: SidecarIndex,
@@ -112,9 +93,10 @@
         retry_after: Option<Micros>,
         events: &mut VecDeque<BalancerEvent>,
     ) {
+        let number = RequestNumber::new(request.0);
         let outcome = RequestOutcome::Rejected;
         let retry_after = retry_after.unwrap_or(self.max_retry_after());
-        self.respond_if_open(sidecar, request, outcome, retry_after, events);
+        self.respond(sidecar, number, outcome, retry_after, events);
     }
 
     fn fail_request(
@@ -123,9 +105,10 @@
         request: RequestId,
         events: &mut VecDeque<BalancerEvent>,
     ) {
+        let number = RequestNumber::new(request.0);
         let outcome = RequestOutcome::Failed;
         let retry_after = self.max_retry_after();
-        self.respond_if_open(sidecar, request, outcome, retry_after, events);
+        self.respond(sidecar, number, outcome, retry_after, events);
     }
 
     fn set_balancer_timer(&mut self, sidecar: SidecarIndex, token: u64, after: Micros) {
--- a/crates/testbed/src/simulator/sidecars/mod.rs
+++ b/crates/testbed/src/simulator/sidecars/mod.rs
@@ -18,25 +18,20 @@
 
 use super::event::{ClientResponse, SidecarRestart, SimulatorEvent};
 use super::process::SidecarProcess;
-use super::request::RequestKey;
 use super::{Simulator, SimulatorError};
 use crate::event_log::{LogEvent, ProcessState, RequestOutcome};
 use crate::index::{RequestNumber, SidecarIndex};
 use crate::random::{RandomStream, StreamId};
 use crate::scenario::{Micros, Scenario, from_ms};
-use crate::workload::{ArrivalStream, traffic_shares};
 
 use connections::IdleConnections;
 use endpoints::CachedEndpoints;
+use requests::OpenRequest;
 use settings::balancer_settings;
 
 /// How long a sidecar goes on responding once it is asked to shut down, in microseconds: the real
 /// program accepts for that long, and drains.
 const SHUTDOWN_GRACE: Micros = 700_000;
-/// Number of the first sidecar's stream for its clients' requests, apart from those for their
-/// arrivals.
-const REQUEST_STREAMS: usize = 1 << 30;
-
 /// A sidecar, and all that is its own.
 pub(super) struct Sidecar {
     /// Counts its processes.
@@ -51,24 +46,14 @@
     pub(super) polls: u32,
     connections: IdleConnections,
     /// Open requests by their numbers.
-    open_requests: BTreeMap<RequestNumber, RequestKey>,
-    /// What its clients want.
-    pub(super) arrivals: ArrivalStream,
-    /// Draws its clients' timeouts and backoffs.
-    pub(super) client_random: RandomStream,
+    open_requests: BTreeMap<RequestNumber, OpenRequest>,
     /// Draws the seeds of its balancers.
     seeds: RandomStream,
 }
 
 impl Sidecar {
-    /// A sidecar that is down; `traffic_share` is its share of the traffic.
-    fn new(
-        scenario: &Scenario,
-        sidecar_index: SidecarIndex,
-        traffic_share: f64,
-        endpoints: CachedEndpoints,
-    ) -> Self {
-        let stream = |cause, number| RandomStream::new(scenario.seed, cause, number);
+    /// A sidecar that is down.
+    fn new(scenario: &Scenario, sidecar_index: SidecarIndex, endpoints: CachedEndpoints) -> Self {
         Self {
             incarnation: 0,
             balancer: None,
@@ -77,18 +62,10 @@
             polls: 0,
             connections: IdleConnections::default(),
             open_requests: BTreeMap::new(),
-            arrivals: ArrivalStream::new(scenario, sidecar_index, traffic_share),
-            // Requests draw from a stream of their own, so that arrivals stay as they are.
-            client_random: stream(StreamId::Clients, sidecar_index.index() + REQUEST_STREAMS),
-            seeds: stream(StreamId::Seeds, sidecar_index.index()),
+            seeds: RandomStream::new(scenario.seed, StreamId::Seeds, sidecar_index.index()),
         }
     }
 
-    /// Number of its present process.
-    pub(super) fn incarnation(&self) -> u32 {
-        self.incarnation
-    }
-
     /// Ends its watch and gives the poll's number.
     pub(super) fn on_poll_started(&mut self) -> u32 {
         self.watches = false;
@@ -97,7 +74,7 @@
     }
 
     /// Forgets the process with its connections and requests, and gives these back.
-    fn on_killed(&mut self) -> (IdleConnections, BTreeMap<RequestNumber, RequestKey>) {
+    fn on_killed(&mut self) -> (IdleConnections, BTreeMap<RequestNumber, OpenRequest>) {
         self.balancer = None;
         self.watches = false;
         self.incarnation += 1;
@@ -109,18 +86,18 @@
 impl Simulator<'_> {
     pub(super) fn build_sidecars(&mut self) -> Result<(), SimulatorError> {
         let scenario = self.context.scenario();
-        for (position, traffic_share) in traffic_shares(scenario).into_iter().enumerate() {
-            let sidecar_index = SidecarIndex::from_position(position);
+        for sidecar_index in SidecarIndex::all(scenario.sidecars.count) {
             balancer_settings(scenario, sidecar_index).validate()?;
             let discovery = &self.discovery;
             let endpoints =
                 CachedEndpoints::new(discovery.version(), discovery.present_endpoints());
-            let sidecar = Sidecar::new(scenario, sidecar_index, traffic_share, endpoints);
+            let sidecar = Sidecar::new(scenario, sidecar_index, endpoints);
             self.sidecars.push(sidecar);
         }
         for sidecar_index in SidecarIndex::all(self.sidecars.len()) {
             self.start_sidecar(sidecar_index);
-            self.schedule_next_arrival(sidecar_index);
+            self.clients
+                .schedule_next_arrival(sidecar_index, &mut self.context);
         }
         Ok(())
     }
@@ -143,6 +120,11 @@
         self.sidecars[sidecar_index.index()].balancer.is_some()
     }
 
+    /// Whether a process is the present one of its sidecar, and up.
+    pub(super) fn is_running(&self, process: SidecarProcess) -> bool {
+        self.is_current(process) && self.is_up(process.sidecar)
+    }
+
     /// The present process of a sidecar.
     pub(super) fn process(&self, sidecar_index: SidecarIndex) -> SidecarProcess {
         SidecarProcess {
@@ -195,22 +177,16 @@
     }
 
     /// Closes the connections of a request whose sidecar is gone.
-    fn lose_request(&mut self, key: RequestKey) {
-        let Some(request) = self.open.requests.get_mut(key) else {
-            return;
-        };
-        let had_response = std::mem::replace(&mut request.responded, true);
-        for attempt in std::mem::take(&mut request.attempts) {
+    fn lose_request(&mut self, open: OpenRequest) {
+        for attempt in open.attempts {
             self.close_attempt_connection(attempt);
         }
-        if !had_response {
-            let delay = from_ms(self.context.scenario().network.client_ms);
-            let lost = SimulatorEvent::ResponseAtClient(ClientResponse {
-                request: key,
-                outcome: RequestOutcome::ConnectionLost,
-                retry_after: 0,
-            });
-            self.context.after(delay, lost);
-        }
+        let delay = from_ms(self.context.scenario().network.client_ms);
+        let lost = SimulatorEvent::ResponseAtClient(ClientResponse {
+            request: open.key,
+            outcome: RequestOutcome::ConnectionLost,
+            retry_after: 0,
+        });
+        self.context.after(delay, lost);
     }
 }
