--- a/crates/testbed/src/simulator/attempts.rs
+++ b/crates/testbed/src/simulator/attempts.rs
@@ -110,9 +110,9 @@
         self.connection.take()
     }
 
-    /// Its sidecar learns how it ended; false where it knew already.
-    pub(super) fn end(&mut self) -> bool {
-        !std::mem::replace(&mut self.ended, true)
+    /// Its sidecar knows how it ended.
+    pub(super) fn on_ended(&mut self) {
+        self.ended = true;
     }
 }
 
--- a/crates/testbed/src/simulator/event.rs
+++ b/crates/testbed/src/simulator/event.rs
@@ -35,13 +35,13 @@
     /// A new connection's first packet is at the server.
     ConnectAtServer(AttemptKey),
     /// The sidecar knows that its connection is open.
-    ConnectionOpen(AttemptKey),
+    ConnectionOpen(SidecarIndex, AttemptKey),
     /// An attempt's last byte is at the server.
     AttemptAtServer(AttemptKey),
     /// The end of an attempt is at its sidecar.
-    ResultAtSidecar(AttemptKey, Outcome),
+    ResultAtSidecar(SidecarIndex, AttemptKey, Outcome),
     /// An attempt's time is over, or the time in which its connection must be open.
-    AttemptTimeout(AttemptKey),
+    AttemptTimeout(SidecarIndex, AttemptKey),
     /// A server notices that an attempt's connection was closed.
     CancellationAtServer(Cancellation),
     /// A server has something to do by itself; the number tells stale events from the present one.
--- a/crates/testbed/src/simulator/fleet/attempts.rs
+++ b/crates/testbed/src/simulator/fleet/attempts.rs
@@ -29,13 +29,13 @@
             attempts.remove(key);
             return;
         }
-        let answer = if let Some(start) = server.connect() {
+        if let Some(start) = server.connect() {
             attempt.on_connected(start);
-            SimulatorEvent::ConnectionOpen(key)
+            let open = SimulatorEvent::ConnectionOpen(attempt.details.sidecar, key);
+            context.after(attempt.details.delay, open);
         } else {
-            SimulatorEvent::ResultAtSidecar(key, Outcome::ConnectFailed)
-        };
-        context.after(attempt.details.delay, answer);
+            send_result(key, attempt, Outcome::ConnectFailed, context);
+        }
     }
 
     /// An attempt's last byte is at the server.
@@ -59,8 +59,7 @@
             server.on_blackholed(key);
         } else if server.open_start().is_none() || attempt.connection().is_some_and(|c| c != start)
         {
-            let reset = SimulatorEvent::ResultAtSidecar(key, Outcome::Reset);
-            context.after(attempt.details.delay, reset);
+            send_result(key, attempt, Outcome::Reset, context);
         } else {
             self.deliver(key, attempts, context);
         }
@@ -122,8 +121,7 @@
         if attempt.has_ended() {
             attempts.remove(key);
         } else {
-            let result = SimulatorEvent::ResultAtSidecar(key, outcome);
-            context.after(attempt.details.delay, result);
+            send_result(key, attempt, outcome, context);
         }
     }
 
@@ -171,16 +169,21 @@
         request: details.request,
         server: details.server,
     });
-    let result = SimulatorEvent::ResultAtSidecar(key, Outcome::Rejected);
-    context.after(details.delay, result);
+    send_result(key, attempt, Outcome::Rejected, context);
 }
 
 /// The connections of attempts are reset by their server.
 pub(super) fn reset(lost: Vec<AttemptKey>, attempts: &Attempts, context: &mut Context<'_>) {
     for key in lost {
         if let Some(attempt) = attempts.get(key) {
-            let reset = SimulatorEvent::ResultAtSidecar(key, Outcome::Reset);
-            context.after(attempt.details.delay, reset);
+            send_result(key, attempt, Outcome::Reset, context);
         }
     }
 }
+
+/// Sends the end of an attempt on its way to the sidecar.
+fn send_result(key: AttemptKey, attempt: &Attempt, outcome: Outcome, context: &mut Context<'_>) {
+    let details = &attempt.details;
+    let result = SimulatorEvent::ResultAtSidecar(details.sidecar, key, outcome);
+    context.after(details.delay, result);
+}
--- /dev/null
+++ b/crates/testbed/src/simulator/handover.rs
@@ -0,0 +1,197 @@
+//! Events that several components have a part in: what one says of them is handed to the next here,
+//! and each component gets the others that it needs.
+//!
+//! Holds no state and decides nothing.
+
+use super::Simulator;
+use super::attempts::AttemptKey;
+use super::discovery::{Availability, ListedEndpoint};
+use super::event::{Cancellation, ClientResponse, HealthCheck, SimulatorEvent};
+use super::faults::FaultEffect;
+use super::request::{ArrivalKey, RequestKey};
+use super::sidecars::{Environment, Sidecars};
+use crate::event_log::{LogEvent, RequestOutcome};
+use crate::index::{ServerIndex, SidecarIndex};
+use crate::scenario::Micros;
+use crate::workload::Arrival;
+
+/// Between two gauges, in microseconds.
+const GAUGE_INTERVAL: Micros = 1_000_000;
+
+impl<'a> Simulator<'a> {
+    /// The sidecars, and what they reach beside their own state.
+    pub(super) fn sidecars(&mut self) -> (&mut Sidecars, Environment<'_, 'a>) {
+        let environment = Environment {
+            context: &mut self.context,
+            network: &mut self.network,
+            attempts: &mut self.attempts,
+            fleet: &mut self.fleet,
+            discovery: &mut self.discovery,
+        };
+        (&mut self.sidecars, environment)
+    }
+
+    /// Starts all sidecars, each with the first arrival of its clients, and then the faults.
+    pub(super) fn start(&mut self) {
+        for index in self.sidecars.indexes() {
+            let (sidecars, mut environment) = self.sidecars();
+            sidecars.at(index).start(&mut environment);
+            let context = &mut self.context;
+            self.clients.schedule_next_arrival(index, context);
+        }
+        self.faults.schedule(&mut self.context);
+        let tick = SimulatorEvent::GaugeTick;
+        self.context.after(GAUGE_INTERVAL, tick);
+    }
+
+    /// A client of a sidecar wants something.
+    pub(super) fn on_arrival(&mut self, sidecar: SidecarIndex, arrival: &Arrival) {
+        let process = self.sidecars.process(sidecar);
+        let context = &mut self.context;
+        self.clients.on_arrival(arrival, process, context);
+    }
+
+    /// A client's backoff is over.
+    pub(super) fn on_retry_due(&mut self, sidecar: SidecarIndex, arrival: ArrivalKey) {
+        let process = self.sidecars.process(sidecar);
+        let context = &mut self.context;
+        self.clients.send_request(arrival, process, context);
+    }
+
+    /// The response is at the client.
+    pub(super) fn on_response_at_client(&mut self, response: &ClientResponse) {
+        self.clients.on_response(response, &mut self.context);
+    }
+
+    /// A request's last byte is at its sidecar, which may be gone.
+    pub(super) fn on_request_at_sidecar(&mut self, key: RequestKey) {
+        let Some(request) = self.clients.request(key) else {
+            return;
+        };
+        if self.sidecars.is_running(request.process) {
+            let (sidecars, mut environment) = self.sidecars();
+            let sidecar = sidecars.at(request.process.sidecar);
+            sidecar.accept_request(key, request, &mut environment);
+        } else {
+            let unreachable = ClientResponse {
+                request: key,
+                outcome: RequestOutcome::Unreachable,
+                retry_after: 0,
+            };
+            self.clients.on_response(&unreachable, &mut self.context);
+        }
+    }
+
+    /// A client gives up, unless the response is on its way.
+    pub(super) fn on_client_timeout(&mut self, key: RequestKey) {
+        let Some(request) = self.clients.request(key) else {
+            return;
+        };
+        if self.sidecars.awaits_response(&request, self.context.now()) {
+            let (sidecars, mut environment) = self.sidecars();
+            let sidecar = sidecars.at(request.process.sidecar);
+            sidecar.abandon_request(request.number, &mut environment);
+            self.clients.on_timed_out(key, &mut self.context);
+        }
+    }
+
+    /// A client disconnects, unless the response is on its way.
+    pub(super) fn on_client_disconnect(&mut self, key: RequestKey) {
+        let Some(request) = self.clients.request(key) else {
+            return;
+        };
+        if self.sidecars.awaits_response(&request, self.context.now()) {
+            self.context.record(LogEvent::ClientDisconnected {
+                request: request.number,
+            });
+            let (sidecars, mut environment) = self.sidecars();
+            let sidecar = sidecars.at(request.process.sidecar);
+            sidecar.abandon_request(request.number, &mut environment);
+            self.clients.on_disconnected(key, &mut self.context);
+        }
+    }
+
+    /// A new connection's first packet is at the server.
+    pub(super) fn on_connect_at_server(&mut self, attempt: AttemptKey) {
+        let attempts = &mut self.attempts;
+        self.fleet.on_connect(attempt, attempts, &mut self.context);
+    }
+
+    /// An attempt's last byte is at the server.
+    pub(super) fn on_attempt_at_server(&mut self, attempt: AttemptKey) {
+        let attempts = &mut self.attempts;
+        self.fleet.on_attempt(attempt, attempts, &mut self.context);
+    }
+
+    /// A server notices that an attempt's connection was closed.
+    pub(super) fn on_cancellation(&mut self, cancellation: &Cancellation) {
+        let attempts = &mut self.attempts;
+        let context = &mut self.context;
+        self.fleet.on_cancellation(cancellation, attempts, context);
+    }
+
+    /// A server has something to do by itself.
+    pub(super) fn on_server_due(&mut self, server: ServerIndex, generation: u32) {
+        let attempts = &mut self.attempts;
+        let context = &mut self.context;
+        self.fleet
+            .on_server_due(server, generation, attempts, context);
+    }
+
+    /// Discovery notices what has happened to a server, and tells those who watch its list.
+    pub(super) fn on_list_change(&mut self, endpoint: ListedEndpoint) {
+        let started_at = self.fleet.started_at(endpoint.server);
+        let watching = self.sidecars.watching();
+        self.discovery
+            .on_list_change(endpoint, started_at, watching, &mut self.context);
+    }
+
+    /// A health check is at its server, whose answer lets the sidecar keep the connection.
+    pub(super) fn on_health_check_at_server(&mut self, check: &HealthCheck) {
+        let is_running = self.sidecars.is_running(check.process);
+        let attempts = &mut self.attempts;
+        let context = &mut self.context;
+        let kept = self
+            .fleet
+            .on_health_check(check, is_running, attempts, context);
+        if let Some(server_start) = kept {
+            let idle_since = self.context.now() + Micros::from(check.delay);
+            let sidecar = self.sidecars.at(check.process.sidecar);
+            sidecar.keep_connection(check.server, idle_since, server_start, &mut self.fleet);
+        }
+    }
+
+    /// A fault starts or ends.
+    pub(super) fn on_fault(&mut self, index: usize, starts: bool) {
+        let fault = &self.context.scenario().fault[index];
+        match self.faults.effect(index, fault, starts) {
+            FaultEffect::Servers(servers) => {
+                for &server in servers {
+                    let attempts = &mut self.attempts;
+                    let context = &mut self.context;
+                    self.fleet
+                        .on_fault(server, fault, starts, attempts, context);
+                }
+            }
+            FaultEffect::Discovery(availability) => self.on_availability_changed(availability),
+            FaultEffect::Nothing => {}
+        }
+    }
+
+    fn on_availability_changed(&mut self, availability: Availability) {
+        let now = self.context.now();
+        let watches_end = self.discovery.on_availability_changed(availability, now);
+        if let Some(noticed_after) = watches_end {
+            self.sidecars.end_watches(noticed_after, &mut self.context);
+        }
+    }
+
+    /// Records gauges of all servers, and closes idle connections.
+    pub(super) fn on_gauge_tick(&mut self) {
+        self.fleet.record_gauges(&mut self.context);
+        self.sidecars
+            .close_idle_connections(&mut self.fleet, &self.context);
+        let tick = SimulatorEvent::GaugeTick;
+        self.context.after(GAUGE_INTERVAL, tick);
+    }
+}
--- a/crates/testbed/src/simulator/sidecars/attempts.rs
+++ b/crates/testbed/src/simulator/sidecars/attempts.rs
@@ -1,168 +1,99 @@
-//! An attempt at its sidecar: sent on a connection that was kept or a new one, written, ended.
+//! An attempt at its sidecar: sent on a connection that was kept or a new one, and ended.
+//!
+//! Its connection is `connecting`'s; what its server makes of it is `fleet`'s.
 
 use std::collections::VecDeque;
 
-use arrowstand_balancer::{Event as BalancerEvent, Outcome};
+use arrowstand_balancer::{
+    AttemptEnd, Event as BalancerEvent, LoadReport, Outcome, RequestId, ServerId,
+};
 
+use super::connecting::{close_connection, schedule};
+use super::environment::Environment;
 use super::requests::OpenRequest;
-use crate::event_log::LogEvent;
-use crate::index::{RequestNumber, ServerIndex, SidecarIndex};
-use crate::scenario::{Micros, from_ms};
-use crate::simulator::Simulator;
-use crate::simulator::attempts::{AttemptDetails, AttemptKey};
-use crate::simulator::event::{Cancellation, SimulatorEvent};
+use super::sidecar::Sidecar;
+use crate::event_log::RequestOutcome;
+use crate::index::{RequestNumber, ServerIndex};
+use crate::scenario::Micros;
+use crate::simulator::attempts::{Attempt, AttemptDetails, AttemptKey};
 
-impl Simulator<'_> {
+impl Sidecar {
     /// Sends an attempt of an open request; `timeout` is cut to the time that the request has left.
     pub(super) fn send_attempt(
         &mut self,
-        sidecar: SidecarIndex,
         number: RequestNumber,
         server: ServerIndex,
         timeout: Option<Micros>,
         events: &mut VecDeque<BalancerEvent>,
+        environment: &mut Environment<'_, '_>,
     ) {
-        let open = self.sidecars[sidecar.index()].open_requests.get(&number);
-        let Some(open) = open else {
+        let Some(open) = self.open_requests.get(&number) else {
             return;
         };
         let class = open.request.class;
-        let scenario = self.context.scenario();
-        let mut details = attempt_details(open, server, timeout, self.context.now());
-        let is_known = self.fleet.contains(server);
+        let now = environment.context.now();
+        let mut details = attempt_details(open, server, timeout, now);
+        // The delay is drawn before the work: the order is part of what a seed means.
+        let is_known = environment.fleet.contains(server);
         if is_known {
-            let zone = self.fleet.zone(server);
-            details.delay = self.network.draw_delay(sidecar, zone, scenario);
+            details.delay = environment.draw_delay(self.index, server);
         }
-        details.work = self
-            .network
-            .draw_attempt_work(sidecar, class, details.work, scenario);
+        details.work = environment.draw_attempt_work(self.index, class, details.work);
         let kept_connection = if is_known {
-            self.reuse_connection(sidecar, server)
+            self.reuse_connection(server, environment)
         } else {
             None
         };
-        let key = self.attempts.start(details, kept_connection);
-        let open_requests = &mut self.sidecars[sidecar.index()].open_requests;
-        if let Some(open) = open_requests.get_mut(&number) {
+        let key = environment.attempts.start(details, kept_connection);
+        if let Some(open) = self.open_requests.get_mut(&number) {
             open.attempts.push(key);
         }
         if is_known {
-            self.schedule_attempt(key);
+            schedule(key, environment);
         } else {
-            self.end_attempt(key, Outcome::NotSent, events);
-        }
-    }
-
-    fn schedule_attempt(&mut self, key: AttemptKey) {
-        let Some(attempt) = self.attempts.get(key) else {
-            return;
-        };
-        let delay = attempt.details.delay;
-        let due = attempt.details.due;
-        if attempt.opens_connection() {
-            let connect_timeout = from_ms(self.context.scenario().permissions.connect_timeout_ms);
-            let connect_due = self.context.now() + connect_timeout;
-            let context = &mut self.context;
-            context.after(delay, SimulatorEvent::ConnectAtServer(key));
-            context.at(due.min(connect_due), SimulatorEvent::AttemptTimeout(key));
-        } else {
-            self.on_attempt_written(key);
-            let context = &mut self.context;
-            context.after(delay, SimulatorEvent::AttemptAtServer(key));
-            context.at(due, SimulatorEvent::AttemptTimeout(key));
-        }
-    }
-
-    fn on_attempt_written(&mut self, key: AttemptKey) {
-        let Some(attempt) = self.attempts.get_mut(key) else {
-            return;
-        };
-        attempt.on_written();
-        let details = &attempt.details;
-        let zone = self.fleet.zone(details.server);
-        self.context.record(LogEvent::AttemptStarted {
-            request: details.request,
-            sidecar: details.sidecar,
-            server: details.server,
-            cross_zone: self.network.is_cross_zone(details.sidecar, zone),
-        });
-    }
-
-    /// The sidecar knows that its connection is open, and writes the request.
-    pub(in crate::simulator) fn on_connection_open(&mut self, key: AttemptKey) {
-        let Some(attempt) = self.attempts.get(key) else {
-            return;
-        };
-        if attempt.has_ended() {
-            self.attempts.remove(key);
-            return;
-        }
-        let due = attempt.details.due;
-        let delay = attempt.details.delay;
-        let machine_type = self.fleet.machine_type(attempt.details.server);
-        let further_round_trips = (machine_type.handshake_rtts - 1.0).max(0.0);
-        let handshake = (further_round_trips * 2.0 * delay as f64) as Micros;
-        self.on_attempt_written(key);
-        let context = &mut self.context;
-        context.at(due, SimulatorEvent::AttemptTimeout(key));
-        context.after(delay + handshake, SimulatorEvent::AttemptAtServer(key));
-    }
-
-    /// Closes an attempt's connection; the server notices what it has of it after the way there.
-    pub(super) fn close_attempt_connection(&mut self, key: AttemptKey) {
-        let Some(attempt) = self.attempts.get_mut(key) else {
-            return;
-        };
-        let Some(server_start) = attempt.take_connection() else {
-            return;
-        };
-        let server = attempt.details.server;
-        self.fleet.close_connection(server, server_start);
-        if attempt.is_written() {
-            let noticed = SimulatorEvent::CancellationAtServer(Cancellation {
-                server,
-                server_start,
-                job: attempt.job(),
-            });
-            self.context.after(attempt.details.delay, noticed);
+            self.end_attempt(key, Outcome::NotSent, events, environment);
         }
     }
 
     /// The end of an attempt is at its sidecar.
-    pub(in crate::simulator) fn on_result_at_sidecar(&mut self, key: AttemptKey, outcome: Outcome) {
-        let Some(attempt) = self.attempts.get_mut(key) else {
+    pub(in crate::simulator) fn on_attempt_result(
+        &mut self,
+        key: AttemptKey,
+        outcome: Outcome,
+        environment: &mut Environment<'_, '_>,
+    ) {
+        let Some(attempt) = environment.attempts.get_mut(key) else {
             return;
         };
         if !attempt.has_ended() {
-            let sidecar = attempt.details.sidecar;
             let server = attempt.details.server;
             if let Some(start) = attempt.take_connection() {
                 if is_complete_response(outcome) {
-                    let now = self.context.now();
-                    self.keep_connection(sidecar, server, now, start);
+                    let idle_since = environment.context.now();
+                    self.keep_connection(server, idle_since, start, environment.fleet);
                 } else {
-                    self.fleet.close_connection(server, start);
+                    environment.fleet.close_connection(server, start);
                 }
             }
-            let mut events = VecDeque::new();
-            self.end_attempt(key, outcome, &mut events);
-            self.handle_balancer_events(sidecar, events);
+            self.on_attempt_ended(key, outcome, environment);
         }
-        self.attempts.remove(key);
+        environment.attempts.remove(key);
     }
 
     /// An attempt's time is over, or its connection did not open in time.
-    pub(in crate::simulator) fn on_attempt_timeout(&mut self, key: AttemptKey) {
-        let Some(attempt) = self.attempts.get(key) else {
+    pub(in crate::simulator) fn on_attempt_timeout(
+        &mut self,
+        key: AttemptKey,
+        environment: &mut Environment<'_, '_>,
+    ) {
+        let Some(attempt) = environment.attempts.get(key) else {
             return;
         };
         // The timeout of the connection, which has opened since.
-        let is_early = attempt.is_written() && self.context.now() < attempt.details.due;
+        let is_early = attempt.is_written() && environment.context.now() < attempt.details.due;
         if attempt.has_ended() || is_early {
             return;
         }
-        let sidecar = attempt.details.sidecar;
         let server = attempt.details.server;
         let job = attempt.job();
         let outcome = if attempt.is_written() {
@@ -170,12 +101,59 @@
         } else {
             Outcome::ConnectFailed
         };
-        self.close_attempt_connection(key);
+        close_connection(key, environment);
+        self.on_attempt_ended(key, outcome, environment);
+        if outcome == Outcome::ConnectFailed && !environment.fleet.holds_job(server, job) {
+            environment.attempts.remove(key);
+        }
+    }
+
+    /// Closes an attempt's connection, and lets the balancer know that it is cancelled.
+    pub(super) fn cancel_attempt(
+        &mut self,
+        key: AttemptKey,
+        events: &mut VecDeque<BalancerEvent>,
+        environment: &mut Environment<'_, '_>,
+    ) {
+        let attempt = environment.attempts.get(key);
+        if attempt.is_some_and(|attempt| !attempt.has_ended()) {
+            close_connection(key, environment);
+            self.end_attempt(key, Outcome::Cancelled, events, environment);
+        }
+    }
+
+    /// An attempt has ended by itself: the balancer learns of it, and decides.
+    fn on_attempt_ended(
+        &mut self,
+        key: AttemptKey,
+        outcome: Outcome,
+        environment: &mut Environment<'_, '_>,
+    ) {
         let mut events = VecDeque::new();
-        self.end_attempt(key, outcome, &mut events);
-        self.handle_balancer_events(sidecar, events);
-        if outcome == Outcome::ConnectFailed && !self.fleet.holds_job(server, job) {
-            self.attempts.remove(key);
+        self.end_attempt(key, outcome, &mut events, environment);
+        self.handle_balancer_events(events, environment);
+    }
+
+    /// Lets the balancer know how an attempt ended; a served one is the response.
+    fn end_attempt(
+        &mut self,
+        key: AttemptKey,
+        outcome: Outcome,
+        events: &mut VecDeque<BalancerEvent>,
+        environment: &mut Environment<'_, '_>,
+    ) {
+        let attempt = environment.attempts.get_mut(key);
+        let Some(attempt) = attempt.filter(|attempt| !attempt.has_ended()) else {
+            return;
+        };
+        attempt.on_ended();
+        let number = attempt.details.request;
+        let is_served = outcome == Outcome::Served;
+        let finished = is_served || !self.has_open_request(number);
+        let end = attempt_end(attempt, outcome, finished, environment.context.now());
+        events.push_back(BalancerEvent::AttemptEnded(end));
+        if is_served {
+            self.respond(number, RequestOutcome::Served, 0, events, environment);
         }
     }
 }
@@ -201,6 +179,24 @@
     }
 }
 
+/// How an attempt ended; `finished` where its request needs no further attempt.
+fn attempt_end(attempt: &Attempt, outcome: Outcome, finished: bool, now: Micros) -> AttemptEnd {
+    let details = &attempt.details;
+    let load_report = attempt.reported_in_flight().map(|in_flight| LoadReport {
+        in_flight: in_flight as f64,
+        queued: 0.0,
+    });
+    AttemptEnd {
+        request: RequestId(details.request.value()),
+        attempt: details.index,
+        server: ServerId(details.server.value()),
+        outcome,
+        finished,
+        elapsed: now - details.sent_at,
+        load_report,
+    }
+}
+
 /// Whether an attempt ended with a complete response, after which its connection can be used again.
 fn is_complete_response(outcome: Outcome) -> bool {
     matches!(
--- /dev/null
+++ b/crates/testbed/src/simulator/sidecars/connecting.rs
@@ -0,0 +1,95 @@
+//! An attempt's connection at its sidecar: opened, written to, closed.
+
+use super::environment::Environment;
+use super::sidecar::Sidecar;
+use crate::event_log::LogEvent;
+use crate::scenario::{Micros, from_ms};
+use crate::simulator::attempts::AttemptKey;
+use crate::simulator::event::{Cancellation, SimulatorEvent};
+
+impl Sidecar {
+    /// The connection of an attempt is open, and its request is written.
+    pub(in crate::simulator) fn on_connection_open(
+        &mut self,
+        key: AttemptKey,
+        environment: &mut Environment<'_, '_>,
+    ) {
+        let Some(attempt) = environment.attempts.get(key) else {
+            return;
+        };
+        if attempt.has_ended() {
+            environment.attempts.remove(key);
+            return;
+        }
+        let due = attempt.details.due;
+        let delay = attempt.details.delay;
+        let machine_type = environment.fleet.machine_type(attempt.details.server);
+        let further_round_trips = (machine_type.handshake_rtts - 1.0).max(0.0);
+        let handshake = (further_round_trips * 2.0 * delay as f64) as Micros;
+        write(key, environment);
+        let timeout = SimulatorEvent::AttemptTimeout(self.index, key);
+        environment.context.at(due, timeout);
+        let arrives = SimulatorEvent::AttemptAtServer(key);
+        environment.context.after(delay + handshake, arrives);
+    }
+}
+
+/// Schedules what follows as an attempt starts: the opening of its connection, or its arrival.
+pub(super) fn schedule(key: AttemptKey, environment: &mut Environment<'_, '_>) {
+    let Some(attempt) = environment.attempts.get(key) else {
+        return;
+    };
+    let delay = attempt.details.delay;
+    let due = attempt.details.due;
+    let timeout = SimulatorEvent::AttemptTimeout(attempt.details.sidecar, key);
+    if attempt.opens_connection() {
+        let context = &mut *environment.context;
+        let connect_timeout = from_ms(context.scenario().permissions.connect_timeout_ms);
+        let connect_due = context.now() + connect_timeout;
+        context.after(delay, SimulatorEvent::ConnectAtServer(key));
+        context.at(due.min(connect_due), timeout);
+    } else {
+        write(key, environment);
+        let context = &mut *environment.context;
+        context.after(delay, SimulatorEvent::AttemptAtServer(key));
+        context.at(due, timeout);
+    }
+}
+
+/// Writes an attempt's request to its connection.
+fn write(key: AttemptKey, environment: &mut Environment<'_, '_>) {
+    let Some(attempt) = environment.attempts.get_mut(key) else {
+        return;
+    };
+    attempt.on_written();
+    let details = &attempt.details;
+    let started = LogEvent::AttemptStarted {
+        request: details.request,
+        sidecar: details.sidecar,
+        server: details.server,
+        cross_zone: environment
+            .network
+            .is_cross_zone(details.sidecar, environment.fleet.zone(details.server)),
+    };
+    environment.context.record(started);
+}
+
+/// Closes an attempt's connection; the server notices what it has of it after the way there.
+pub(super) fn close_connection(key: AttemptKey, environment: &mut Environment<'_, '_>) {
+    let Some(attempt) = environment.attempts.get_mut(key) else {
+        return;
+    };
+    let Some(server_start) = attempt.take_connection() else {
+        return;
+    };
+    let server = attempt.details.server;
+    environment.fleet.close_connection(server, server_start);
+    if attempt.is_written() {
+        let noticed = SimulatorEvent::CancellationAtServer(Cancellation {
+            server,
+            server_start,
+            job: attempt.job(),
+        });
+        environment.context.after(attempt.details.delay, noticed);
+    }
+}
--- a/crates/testbed/src/simulator/sidecars/connections.rs
+++ b/crates/testbed/src/simulator/sidecars/connections.rs
@@ -4,9 +4,12 @@
 
 use rustc_hash::FxHashMap;
 
-use crate::index::{ServerIndex, SidecarIndex};
+use super::environment::Environment;
+use super::sidecar::Sidecar;
+use crate::index::ServerIndex;
 use crate::scenario::{Micros, from_s};
-use crate::simulator::Simulator;
+use crate::simulator::context::Context;
+use crate::simulator::fleet::Fleet;
 
 /// Share of the servers' idle timeout after which a sidecar no longer uses a connection.
 const REUSE_SHARE: f64 = 0.75;
@@ -63,63 +66,57 @@
     }
 }
 
-impl Simulator<'_> {
-    /// How long a sidecar uses an idle connection, in microseconds.
-    fn reuse_time(&self) -> Micros {
-        let idle_timeout = from_s(self.context.scenario().permissions.idle_timeout_s);
-        (idle_timeout as f64 * REUSE_SHARE) as Micros
-    }
-
+impl Sidecar {
     /// Takes an idle connection to a server, as the server's start that it belongs to.
-    pub(in crate::simulator) fn reuse_connection(
+    pub(super) fn reuse_connection(
         &mut self,
-        sidecar: SidecarIndex,
         server: ServerIndex,
+        environment: &mut Environment<'_, '_>,
     ) -> Option<u32> {
-        let reuse_time = self.reuse_time();
-        let open_start = self.fleet.open_start(server);
-        let connections = &mut self.sidecars[sidecar.index()].connections;
-        let connection = connections.take(server, open_start)?;
-        if connection.idle_since + reuse_time > self.context.now() {
+        let open_start = environment.fleet.open_start(server);
+        let connection = self.connections.take(server, open_start)?;
+        if connection.idle_since + reuse_time(environment.context) > environment.context.now() {
             return Some(connection.server_start);
         }
-        self.fleet.close_connection(server, connection.server_start);
+        environment
+            .fleet
+            .close_connection(server, connection.server_start);
         None
     }
 
     /// Keeps a connection that is idle from a moment on; a sidecar that is down has closed it.
     pub(in crate::simulator) fn keep_connection(
         &mut self,
-        sidecar: SidecarIndex,
         server: ServerIndex,
         idle_since: Micros,
         server_start: u32,
+        fleet: &mut Fleet,
     ) {
-        if self.is_up(sidecar) {
+        if self.is_up() {
             let connection = IdleConnection {
                 idle_since,
                 server_start,
             };
-            let connections = &mut self.sidecars[sidecar.index()].connections;
-            connections.add(server, connection);
+            self.connections.add(server, connection);
         } else {
-            self.fleet.close_connection(server, server_start);
+            fleet.close_connection(server, server_start);
         }
     }
 
     /// Closes connections that have been idle for too long.
-    pub(in crate::simulator) fn close_idle_connections(&mut self) {
-        let (now, reuse_time) = (self.context.now(), self.reuse_time());
-        let Some(before) = now.checked_sub(reuse_time) else {
+    pub(super) fn close_idle_connections(&mut self, fleet: &mut Fleet, context: &Context<'_>) {
+        let Some(before) = context.now().checked_sub(reuse_time(context)) else {
             return;
         };
-        for sidecar in &mut self.sidecars {
-            let fleet = &mut self.fleet;
-            sidecar
-                .connections
-                .remove_idle_since(before, |server, start| {
-                    fleet.close_connection(server, start);
-                });
-        }
+        self.connections
+            .remove_idle_since(before, |server, server_start| {
+                fleet.close_connection(server, server_start);
+            });
     }
 }
+
+/// How long a sidecar uses an idle connection, in microseconds.
+fn reuse_time(context: &Context<'_>) -> Micros {
+    let idle_timeout = from_s(context.scenario().permissions.idle_timeout_s);
+    (idle_timeout as f64 * REUSE_SHARE) as Micros
+}
--- a/crates/testbed/src/simulator/sidecars/host.rs
+++ b/crates/testbed/src/simulator/sidecars/host.rs
@@ -1,55 +1,61 @@
 //! Hosts a sidecar's balancer: gives it events, and carries out the actions that it asks for.
+//!
+//! Decides nothing itself: what an action means for a request, an attempt or a health check is in
+//! their files.
 
 use std::collections::VecDeque;
 
 use arrowstand_balancer::{Action, Event as BalancerEvent, RequestId};
 
+use super::environment::Environment;
+use super::sidecar::Sidecar;
 use crate::event_log::RequestOutcome;
-use crate::index::{RequestNumber, ServerIndex, SidecarIndex};
+use crate::index::{RequestNumber, ServerIndex};
 use crate::scenario::{Micros, from_ms};
+use crate::simulator::EPOCH;
+use crate::simulator::context::Context;
 use crate::simulator::event::{BalancerTimer, SimulatorEvent};
-use crate::simulator::{EPOCH, Simulator};
 
-impl Simulator<'_> {
-    /// Gives an event to a balancer and carries out what it asks for, and what follows from that.
-    pub(in crate::simulator) fn handle_balancer_event(
+impl Sidecar {
+    /// Gives an event to the balancer and carries out what it asks for, and what follows from that.
+    /// Nothing happens while the sidecar is down.
+    pub(super) fn handle_balancer_event(
         &mut self,
-        sidecar: SidecarIndex,
         event: BalancerEvent,
+        environment: &mut Environment<'_, '_>,
     ) {
-        let now = EPOCH + self.context.now();
+        let now = EPOCH + environment.context.now();
         let mut events = VecDeque::from([event]);
         while let Some(event) = events.pop_front() {
-            let mut actions = std::mem::take(&mut self.actions);
-            actions.clear();
-            let Some(balancer) = &mut self.sidecars[sidecar.index()].balancer else {
+            let Some(balancer) = &mut self.balancer else {
                 return;
             };
+            let mut actions = std::mem::take(&mut self.actions);
             balancer.handle(now, event, &mut actions);
             for action in actions.drain(..) {
-                self.execute(sidecar, action, &mut events);
+                self.execute(action, &mut events, environment);
             }
             self.actions = actions;
         }
     }
 
-    /// Gives a balancer events one after the other, each with all that follows from it.
-    pub(in crate::simulator) fn handle_balancer_events(
+    /// Gives the balancer events one after the other, each with all that follows from it.
+    pub(super) fn handle_balancer_events(
         &mut self,
-        sidecar: SidecarIndex,
         events: VecDeque<BalancerEvent>,
+        environment: &mut Environment<'_, '_>,
     ) {
         for event in events {
-            self.handle_balancer_event(sidecar, event);
+            self.handle_balancer_event(event, environment);
         }
     }
 
     /// Carries out an action; what the balancer is to learn of it is added to `events`.
     fn execute(
         &mut self,
-        sidecar: SidecarIndex,
         action: Action,
         events: &mut VecDeque<BalancerEvent>,
+        environment: &mut Environment<'_, '_>,
     ) {
         match action {
             Action::Send {
@@ -57,71 +63,70 @@
                 server,
                 timeout,
             } => {
-                let number = RequestNumber::new(request.0);
                 let server = ServerIndex::new(server.0);
-                self.send_attempt(sidecar, number, server, timeout, events);
+                self.send_attempt(number(request), server, timeout, events, environment);
             }
             Action::Cancel { request, attempt } => {
-                let number = RequestNumber::new(request.0);
-                if let Some(key) = self.attempt_of(sidecar, number, attempt) {
-                    self.cancel_attempt(key, events);
+                if let Some(key) = self.attempt_of(number(request), attempt) {
+                    self.cancel_attempt(key, events, environment);
                 }
             }
             Action::Reject {
                 request,
                 retry_after,
-            } => self.reject_request(sidecar, request, retry_after, events),
-            Action::Fail { request } => self.fail_request(sidecar, request, events),
-            Action::SetTimer { token, after } => self.set_balancer_timer(sidecar, token, after),
+            } => self.reject_request(number(request), retry_after, events, environment),
+            Action::Fail { request } => self.fail_request(number(request), events, environment),
+            Action::SetTimer { token, after } => self.set_timer(token, after, environment),
             Action::HealthCheck { server } => {
-                self.send_health_check(sidecar, ServerIndex::new(server.0))
+                self.send_health_check(ServerIndex::new(server.0), environment);
             }
-            Action::PollEndpoints => self.poll_endpoints(sidecar),
+            Action::PollEndpoints => self.poll_endpoints(environment),
             Action::SendGossip { .. } | Action::Record(_) => {}
         }
     }
 
-    /// Longest Retry-After, in microseconds.
-    pub(super) fn max_retry_after(&self) -> Micros {
-        from_ms(self.context.scenario().permissions.max_retry_after_ms)
-    }
-
     fn reject_request(
         &mut self,
-        sidecar: SidecarIndex,
-        request: RequestId,
+        number: RequestNumber,
         retry_after: Option<Micros>,
         events: &mut VecDeque<BalancerEvent>,
+        environment: &mut Environment<'_, '_>,
     ) {
-        let number = RequestNumber::new(request.0);
+        let retry_after = retry_after.unwrap_or(max_retry_after(environment.context));
         let outcome = RequestOutcome::Rejected;
-        let retry_after = retry_after.unwrap_or(self.max_retry_after());
-        self.respond(sidecar, number, outcome, retry_after, events);
+        self.respond(number, outcome, retry_after, events, environment);
     }
 
-    fn fail_request(
+    /// Responds with an error where a request is open, and the longest Retry-After.
+    pub(super) fn fail_request(
         &mut self,
-        sidecar: SidecarIndex,
-        request: RequestId,
+        number: RequestNumber,
         events: &mut VecDeque<BalancerEvent>,
+        environment: &mut Environment<'_, '_>,
     ) {
-        let number = RequestNumber::new(request.0);
+        let retry_after = max_retry_after(environment.context);
         let outcome = RequestOutcome::Failed;
-        let retry_after = self.max_retry_after();
-        self.respond(sidecar, number, outcome, retry_after, events);
+        self.respond(number, outcome, retry_after, events, environment);
     }
 
-    fn set_balancer_timer(&mut self, sidecar: SidecarIndex, token: u64, after: Micros) {
-        let process = self.process(sidecar);
+    fn set_timer(&self, token: u64, after: Micros, environment: &mut Environment<'_, '_>) {
+        let process = self.process();
         let timer = SimulatorEvent::BalancerTimer(BalancerTimer { process, token });
-        self.context.after(after, timer);
+        environment.context.after(after, timer);
     }
 
-    pub(in crate::simulator) fn on_balancer_timer(&mut self, timer: &BalancerTimer) {
-        if self.is_current(timer.process) {
-            let token = timer.token;
-            let fired = BalancerEvent::TimerFired { token };
-            self.handle_balancer_event(timer.process.sidecar, fired);
-        }
+    /// A timer of the balancer fires.
+    pub(super) fn on_balancer_timer(&mut self, token: u64, environment: &mut Environment<'_, '_>) {
+        self.handle_balancer_event(BalancerEvent::TimerFired { token }, environment);
     }
 }
+
+/// Longest Retry-After, in microseconds.
+fn max_retry_after(context: &Context<'_>) -> Micros {
+    from_ms(context.scenario().permissions.max_retry_after_ms)
+}
+
+/// The number of a request as the balancer names it.
+fn number(request: RequestId) -> RequestNumber {
+    RequestNumber::new(request.0)
+}
--- a/crates/testbed/src/simulator/sidecars/mod.rs
+++ b/crates/testbed/src/simulator/sidecars/mod.rs
@@ -1,192 +1,160 @@
 //! The simulator's sidecars: each hosts one balancer as the real program does.
 //!
-//! This file owns a sidecar's state, its start and its restarts. `host` carries out what the
-//! balancer asks for, `requests` is a request's life at the sidecar, `connections` the pool of idle
-//! connections.
+//! Owns all sidecars, and passes on what concerns more than one. `sidecar` owns one sidecar's state,
+//! its start and its restarts; `host` carries out what its balancer asks for, `requests` is a
+//! request's life there, `attempts` an attempt's, `connecting` its connection's, `health_checks` a health check's, `endpoints` what
+//! it knows of the endpoint list, `connections` the pool of idle connections. What happens at a
+//! server is `fleet`'s.
 
 mod attempts;
+mod connecting;
 mod connections;
 mod endpoints;
+mod environment;
 mod health_checks;
 mod host;
 mod requests;
 mod settings;
+mod sidecar;
 
-use std::collections::BTreeMap;
-
-use arrowstand_control::WorkAwareBalancer;
-
-use super::event::{ClientResponse, SidecarRestart, SimulatorEvent};
+use super::SimulatorError;
+use super::context::Context;
+use super::discovery::Discovery;
+use super::event::{BalancerTimer, HealthCheckResult, PollResult, SidecarRestart};
+use super::fleet::Fleet;
 use super::process::SidecarProcess;
-use super::{Simulator, SimulatorError};
-use crate::event_log::{LogEvent, ProcessState, RequestOutcome};
-use crate::index::{RequestNumber, SidecarIndex};
-use crate::random::{RandomStream, StreamId};
-use crate::scenario::{Micros, Scenario, from_ms};
+use super::request::Request;
+use crate::index::SidecarIndex;
+use crate::scenario::{Micros, Scenario};
 
-use connections::IdleConnections;
 use endpoints::CachedEndpoints;
-use requests::OpenRequest;
 use settings::balancer_settings;
+use sidecar::Sidecar;
+
+pub(super) use environment::Environment;
 
-/// How long a sidecar goes on responding once it is asked to shut down, in microseconds: the real
-/// program accepts for that long, and drains.
-const SHUTDOWN_GRACE: Micros = 700_000;
-/// A sidecar, and all that is its own.
-pub(super) struct Sidecar {
-    /// Counts its processes.
-    incarnation: u32,
-    /// Absent while it is down.
-    balancer: Option<WorkAwareBalancer>,
-    /// The endpoint list as it last had it.
-    pub(super) endpoints: CachedEndpoints,
-    /// Whether it watches the list.
-    pub(super) watches: bool,
-    /// Polls of the list so far: only the last one's result counts.
-    pub(super) polls: u32,
-    connections: IdleConnections,
-    /// Open requests by their numbers.
-    open_requests: BTreeMap<RequestNumber, OpenRequest>,
-    /// Draws the seeds of its balancers.
-    seeds: RandomStream,
+/// All sidecars of a run.
+pub(super) struct Sidecars {
+    sidecars: Vec<Sidecar>,
 }
 
-impl Sidecar {
-    /// A sidecar that is down.
-    fn new(scenario: &Scenario, sidecar_index: SidecarIndex, endpoints: CachedEndpoints) -> Self {
-        Self {
-            incarnation: 0,
-            balancer: None,
-            endpoints,
-            watches: false,
-            polls: 0,
-            connections: IdleConnections::default(),
-            open_requests: BTreeMap::new(),
-            seeds: RandomStream::new(scenario.seed, StreamId::Seeds, sidecar_index.index()),
+impl Sidecars {
+    /// Sidecars that are down and have the present endpoint list from an earlier process.
+    pub(super) fn new(scenario: &Scenario, discovery: &Discovery) -> Result<Self, SimulatorError> {
+        let mut sidecars = Vec::with_capacity(scenario.sidecars.count);
+        for index in SidecarIndex::all(scenario.sidecars.count) {
+            balancer_settings(scenario, index).validate()?;
+            let cached = CachedEndpoints::new(discovery);
+            sidecars.push(Sidecar::new(scenario, index, cached));
         }
+        Ok(Self { sidecars })
     }
 
-    /// Ends its watch and gives the poll's number.
-    pub(super) fn on_poll_started(&mut self) -> u32 {
-        self.watches = false;
-        self.polls += 1;
-        self.polls
+    /// The indexes of all sidecars, in order.
+    pub(super) fn indexes(&self) -> impl Iterator<Item = SidecarIndex> + use<> {
+        SidecarIndex::all(self.sidecars.len())
     }
 
-    /// Forgets the process with its connections and requests, and gives these back.
-    fn on_killed(&mut self) -> (IdleConnections, BTreeMap<RequestNumber, OpenRequest>) {
-        self.balancer = None;
-        self.watches = false;
-        self.incarnation += 1;
-        let connections = std::mem::take(&mut self.connections);
-        (connections, std::mem::take(&mut self.open_requests))
+    /// One sidecar, to be told what has reached it.
+    pub(super) fn at(&mut self, sidecar: SidecarIndex) -> &mut Sidecar {
+        &mut self.sidecars[sidecar.index()]
     }
-}
 
-impl Simulator<'_> {
-    pub(super) fn build_sidecars(&mut self) -> Result<(), SimulatorError> {
-        let scenario = self.context.scenario();
-        for sidecar_index in SidecarIndex::all(scenario.sidecars.count) {
-            balancer_settings(scenario, sidecar_index).validate()?;
-            let discovery = &self.discovery;
-            let endpoints =
-                CachedEndpoints::new(discovery.version(), discovery.present_endpoints());
-            let sidecar = Sidecar::new(scenario, sidecar_index, endpoints);
-            self.sidecars.push(sidecar);
-        }
-        for sidecar_index in SidecarIndex::all(self.sidecars.len()) {
-            self.start_sidecar(sidecar_index);
-            self.clients
-                .schedule_next_arrival(sidecar_index, &mut self.context);
-        }
-        Ok(())
+    /// The present process of a sidecar.
+    pub(super) fn process(&self, sidecar: SidecarIndex) -> SidecarProcess {
+        self.sidecars[sidecar.index()].process()
     }
 
-    /// Starts a sidecar with nothing but its last endpoint list.
-    pub(super) fn start_sidecar(&mut self, sidecar_index: SidecarIndex) {
-        let settings = balancer_settings(self.context.scenario(), sidecar_index);
-        let sidecar = &mut self.sidecars[sidecar_index.index()];
-        let seed = sidecar.seeds.number();
-        sidecar.balancer = WorkAwareBalancer::new(settings, seed).ok();
-        sidecar.watches = false;
-        self.context.record(LogEvent::SidecarStateChanged {
-            sidecar: sidecar_index,
-            state: ProcessState::Up,
-        });
-        self.restore_endpoints(sidecar_index);
+    /// Whether a process is the present one of its sidecar, and up.
+    pub(super) fn is_running(&self, process: SidecarProcess) -> bool {
+        self.sidecars[process.sidecar.index()].is_running(process)
     }
 
-    pub(super) fn is_up(&self, sidecar_index: SidecarIndex) -> bool {
-        self.sidecars[sidecar_index.index()].balancer.is_some()
+    /// Whether a client's request is on its way to the sidecar or open there: once the sidecar has
+    /// responded, its response is on its way and comes within the grace.
+    pub(super) fn awaits_response(&self, request: &Request, now: Micros) -> bool {
+        let has_arrived = request.arrives_at <= now;
+        let sidecar = &self.sidecars[request.process.sidecar.index()];
+        !has_arrived || sidecar.has_open_request(request.number)
     }
 
-    /// Whether a process is the present one of its sidecar, and up.
-    pub(super) fn is_running(&self, process: SidecarProcess) -> bool {
-        self.is_current(process) && self.is_up(process.sidecar)
+    /// The processes that watch the endpoint list.
+    pub(super) fn watching(&self) -> impl Iterator<Item = SidecarProcess> {
+        let watching = self.sidecars.iter().filter(|sidecar| sidecar.is_watching());
+        watching.map(Sidecar::process)
     }
 
-    /// The present process of a sidecar.
-    pub(super) fn process(&self, sidecar_index: SidecarIndex) -> SidecarProcess {
-        SidecarProcess {
-            sidecar: sidecar_index,
-            incarnation: self.sidecars[sidecar_index.index()].incarnation,
+    /// All watches of the endpoint list end, which sidecars notice after a span.
+    pub(super) fn end_watches(&mut self, noticed_after: Micros, context: &mut Context<'_>) {
+        for sidecar in &mut self.sidecars {
+            sidecar.end_watch(noticed_after, context);
         }
     }
 
-    /// Whether a process has not been killed since.
-    pub(super) fn is_current(&self, process: SidecarProcess) -> bool {
-        self.process(process.sidecar) == process
+    /// Closes connections that have been idle for too long.
+    pub(super) fn close_idle_connections(&mut self, fleet: &mut Fleet, context: &Context<'_>) {
+        for sidecar in &mut self.sidecars {
+            sidecar.close_idle_connections(fleet, context);
+        }
     }
 
-    /// Ends a sidecar: what it holds is lost where it is killed, and responded to first where it is
-    /// asked to shut down.
-    pub(super) fn on_sidecar_restart(&mut self, restart: &SidecarRestart) {
-        if !self.is_up(restart.sidecar) {
-            return;
+    /// A timer of a balancer fires; one of an earlier process is void.
+    pub(super) fn on_balancer_timer(
+        &mut self,
+        timer: &BalancerTimer,
+        environment: &mut Environment<'_, '_>,
+    ) {
+        let sidecar = self.at(timer.process.sidecar);
+        if sidecar.is_current(timer.process) {
+            sidecar.on_balancer_timer(timer.token, environment);
         }
-        if restart.kill {
-            self.kill_sidecar(restart.sidecar, restart.down_time);
-            return;
+    }
+
+    /// The end of a health check is at its sidecar; that of an earlier process is void.
+    pub(super) fn on_health_check_result(
+        &mut self,
+        result: &HealthCheckResult,
+        environment: &mut Environment<'_, '_>,
+    ) {
+        let sidecar = self.at(result.process.sidecar);
+        if sidecar.is_current(result.process) {
+            sidecar.on_health_check_result(result, environment);
         }
-        self.context.record(LogEvent::SidecarStateChanged {
-            sidecar: restart.sidecar,
-            state: ProcessState::ShuttingDown,
-        });
-        let kill = SimulatorEvent::SidecarRestart(SidecarRestart {
-            sidecar: restart.sidecar,
-            down_time: restart.down_time.saturating_sub(SHUTDOWN_GRACE),
-            kill: true,
-        });
-        self.context.after(SHUTDOWN_GRACE, kill);
     }
 
-    fn kill_sidecar(&mut self, sidecar_index: SidecarIndex, down_time: Micros) {
-        self.context.record(LogEvent::SidecarStateChanged {
-            sidecar: sidecar_index,
-            state: ProcessState::Killed,
-        });
-        let (connections, open) = self.sidecars[sidecar_index.index()].on_killed();
-        for (server, server_start) in connections.into_connections() {
-            self.fleet.close_connection(server, server_start);
+    /// The answer to a poll is at its sidecar; that of an earlier process or poll is void.
+    pub(super) fn on_poll_result(
+        &mut self,
+        result: &PollResult,
+        environment: &mut Environment<'_, '_>,
+    ) {
+        let sidecar = self.at(result.poll.process.sidecar);
+        if sidecar.awaits_poll(result.poll) {
+            sidecar.on_poll_result(result.lost, environment);
         }
-        for request in open.into_values() {
-            self.lose_request(request);
+    }
+
+    /// A change of the endpoint list has reached a watch; that of an earlier process is void.
+    pub(super) fn on_watch_notification(
+        &mut self,
+        process: SidecarProcess,
+        environment: &mut Environment<'_, '_>,
+    ) {
+        let sidecar = self.at(process.sidecar);
+        if sidecar.is_current(process) {
+            sidecar.on_watch_notification(environment);
         }
-        self.context
-            .after(down_time, SimulatorEvent::SidecarUp(sidecar_index));
     }
 
-    /// Closes the connections of a request whose sidecar is gone.
-    fn lose_request(&mut self, open: OpenRequest) {
-        for attempt in open.attempts {
-            self.close_attempt_connection(attempt);
+    /// A sidecar is to be restarted; one that is down stays so until it is up again by itself.
+    pub(super) fn on_restart(
+        &mut self,
+        restart: &SidecarRestart,
+        environment: &mut Environment<'_, '_>,
+    ) {
+        let sidecar = self.at(restart.sidecar);
+        if sidecar.is_up() {
+            sidecar.on_restart(restart, environment);
         }
-        let delay = from_ms(self.context.scenario().network.client_ms);
-        let lost = SimulatorEvent::ResponseAtClient(ClientResponse {
-            request: open.key,
-            outcome: RequestOutcome::ConnectionLost,
-            retry_after: 0,
-        });
-        self.context.after(delay, lost);
     }
 }
