--- a/crates/testbed/src/simulator/clients/mod.rs
+++ b/crates/testbed/src/simulator/clients/mod.rs
@@ -9,6 +9,7 @@
 use slotmap::SlotMap;
 
 use super::context::Context;
+use super::convert::scaled;
 use super::event::SimulatorEvent;
 use super::process::SidecarProcess;
 use super::request::{ArrivalKey, Request, RequestKey};
@@ -63,6 +64,16 @@
     disconnects_at: Option<Micros>,
 }
 
+impl Patience {
+    /// Schedules how the client ends a request that has no response.
+    fn schedule(&self, request: RequestKey, context: &mut Context<'_>) {
+        context.at(self.due, SimulatorEvent::ClientTimeout(request));
+        if let Some(at) = self.disconnects_at {
+            context.at(at, SimulatorEvent::ClientDisconnect(request));
+        }
+    }
+}
+
 /// The clients of all sidecars.
 pub(super) struct Clients {
     by_sidecar: Vec<SidecarClients>,
@@ -196,10 +207,7 @@
             due: patience.due,
         });
         context.after(client_delay, SimulatorEvent::RequestAtSidecar(request));
-        context.at(patience.due, SimulatorEvent::ClientTimeout(request));
-        if let Some(at) = patience.disconnects_at {
-            context.at(at, SimulatorEvent::ClientDisconnect(request));
-        }
+        patience.schedule(request, context);
     }
 
     fn take_number(&mut self) -> u64 {
@@ -219,11 +227,11 @@
     let now = context.now();
     let class = &scenario.class[arrival.class.index()];
     let [shortest, longest] = scenario.clients.timeout_share;
-    let deadline = from_ms(class.deadline_ms) as f64;
-    let timeout = (deadline * random.between(shortest, longest)) as Micros;
+    let deadline = from_ms(class.deadline_ms);
+    let timeout = scaled(deadline, random.between(shortest, longest));
     // The moment is drawn whether or not it counts, so that the share moves no other draw.
     let disconnects = random.chance(scenario.clients.disconnect_share);
-    let disconnects_at = now + (random.unit() * timeout as f64) as Micros;
+    let disconnects_at = now + scaled(timeout, random.unit());
     Patience {
         due: (now + timeout).min(arrival.deadline),
         disconnects_at: disconnects.then_some(disconnects_at),
--- a/crates/testbed/src/simulator/clients/responses.rs
+++ b/crates/testbed/src/simulator/clients/responses.rs
@@ -25,7 +25,7 @@
                 outcome,
             });
         }
-        let retry_after = response.retry_after.into();
+        let retry_after = response.retry_after;
         self.on_request_ended(request.arrival, outcome, retry_after, context);
     }
 
--- a/crates/testbed/src/simulator/discovery/mod.rs
+++ b/crates/testbed/src/simulator/discovery/mod.rs
@@ -7,6 +7,7 @@
 mod endpoint_list;
 
 use super::context::Context;
+use super::convert::whole_micros;
 use super::event::{EndpointPoll, PollResult, SimulatorEvent};
 use super::process::SidecarProcess;
 use crate::index::ServerIndex;
@@ -132,7 +133,7 @@
         if start > now + timeout {
             return (now + timeout, true);
         }
-        self.busy_until = start + (MICROS_PER_S / settings.capacity) as Micros;
+        self.busy_until = start + whole_micros(MICROS_PER_S / settings.capacity);
         (self.busy_until, false)
     }
 
--- a/crates/testbed/src/simulator/event.rs
+++ b/crates/testbed/src/simulator/event.rs
@@ -12,6 +12,7 @@
 use crate::event_log::RequestOutcome;
 use crate::index::{RequestNumber, ServerIndex, SidecarIndex};
 use crate::scenario::Micros;
+use crate::server_model::LoadReport;
 use crate::workload::Arrival;
 
 /// An event on the timeline.
@@ -78,7 +79,7 @@
     pub(super) request: RequestKey,
     pub(super) outcome: RequestOutcome,
     /// Retry-After in microseconds.
-    pub(super) retry_after: u32,
+    pub(super) retry_after: Micros,
 }
 
 /// An attempt whose connection was closed by its sidecar.
@@ -94,7 +95,7 @@
     pub(super) process: SidecarProcess,
     pub(super) server: ServerIndex,
     /// One way to the server, in microseconds.
-    pub(super) delay: u32,
+    pub(super) delay: Micros,
     /// Whether it opens a connection of its own.
     pub(super) new_connection: bool,
 }
@@ -104,14 +105,8 @@
     pub(super) process: SidecarProcess,
     pub(super) server: ServerIndex,
     pub(super) outcome: Outcome,
-    pub(super) load: Option<ReportedLoad>,
-}
-
-/// What a response to a health check reports.
-#[derive(Clone, Copy)]
-pub(super) struct ReportedLoad {
-    pub(super) in_flight: u32,
-    pub(super) queued: u32,
+    /// What a response reports.
+    pub(super) load: Option<LoadReport>,
 }
 
 /// A sidecar's poll of the endpoint list, and the watch that follows it.
--- a/crates/testbed/src/simulator/event_queue.rs
+++ b/crates/testbed/src/simulator/event_queue.rs
@@ -84,7 +84,7 @@
         match slice.saturating_sub(self.slice) {
             0 => self.near.push(queued),
             ahead if ahead < WHEEL_SLICES => {
-                self.wheel[(slice % WHEEL_SLICES) as usize].push(queued);
+                self.wheel[wheel_position(slice)].push(queued);
             }
             _ => self.far.entry(slice).or_default().push(queued),
         }
@@ -104,12 +104,17 @@
 
     fn advance_slice(&mut self) {
         self.slice += 1;
-        let on_wheel = &mut self.wheel[(self.slice % WHEEL_SLICES) as usize];
+        let on_wheel = &mut self.wheel[wheel_position(self.slice)];
         let mut events = std::mem::take(on_wheel);
         events.extend(self.far.remove(&self.slice).into_iter().flatten());
         self.near = events.into();
     }
 }
 
+/// Where a slice lies on the wheel.
+fn wheel_position(slice: u64) -> usize {
+    (slice % WHEEL_SLICES) as usize
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/testbed/src/simulator/event_queue/tests.rs
+++ b/crates/testbed/src/simulator/event_queue/tests.rs
@@ -6,7 +6,9 @@
     /// Whatever is put in while time goes on comes out as from one sorted list.
     #[test]
     fn events_come_out_by_time_and_within_a_moment_in_the_order_of_their_push(spans in prop::collection::vec((0u64..40_000_000, any::<bool>()), 1..200)) {
-        let (mut queue, mut list, mut now) = (EventQueue::new(), Vec::new(), 0);
+        let mut queue = EventQueue::new();
+        let mut list = Vec::new();
+        let mut now = 0;
         for (turn, (span, pop)) in spans.into_iter().enumerate() {
             queue.push(now + span, turn);
             list.push((now + span, turn));
--- a/crates/testbed/src/simulator/faults/mod.rs
+++ b/crates/testbed/src/simulator/faults/mod.rs
@@ -28,11 +28,15 @@
         .as_ref()
         .and_then(|zone| scenario.network.zones.iter().position(|name| name == zone));
     let is_in_zone = |&server: &ServerIndex| {
-        zone.is_none_or(|zone| zones.get(server.index()) == Some(&(zone as u32)))
+        zone.is_none_or(|zone| {
+            zones
+                .get(server.index())
+                .is_some_and(|&z| z as usize == zone)
+        })
     };
     let mut servers: Vec<ServerIndex> = ServerIndex::all(zones.len()).filter(is_in_zone).collect();
-    let hit = (servers.len() as f64 * target_share(fault)).round() as usize;
-    let count = hit.clamp(1, servers.len().max(1));
+    let hit = share_of(servers.len(), target_share(fault)).round();
+    let count = (hit as usize).clamp(1, servers.len().max(1));
     draw(scenario, index, &mut servers, count)
 }
 
@@ -41,10 +45,11 @@
 pub fn rolling_restart(scenario: &Scenario, index: usize) -> Vec<(SidecarIndex, Micros)> {
     let fault = &scenario.fault[index];
     let all = scenario.sidecars.count;
-    let count = ((all as f64 * target_share(fault)).round() as usize).clamp(1, all);
+    let hit = share_of(all, target_share(fault)).round();
+    let count = (hit as usize).clamp(1, all);
     let mut sidecars = SidecarIndex::all(all).collect();
     let drawn = draw(scenario, index, &mut sidecars, count);
-    let batch = ((all as f64 * fault.batch).floor() as usize).max(1);
+    let batch = (share_of(all, fault.batch) as usize).max(1);
     let batches = drawn.len().div_ceil(batch);
     let interval = from_s(fault.for_s) / batches.max(1) as Micros;
     let in_turn = drawn.iter().enumerate();
@@ -62,6 +67,11 @@
     }
 }
 
+/// A share of so many, before it is rounded.
+fn share_of(count: usize, share: f64) -> f64 {
+    count as f64 * share
+}
+
 /// So many of the candidates, drawn by the fault's own stream, in order.
 fn draw<T: Copy + Ord>(
     scenario: &Scenario,
--- a/crates/testbed/src/simulator/fleet/attempts.rs
+++ b/crates/testbed/src/simulator/fleet/attempts.rs
@@ -106,13 +106,6 @@
         attempt.on_work_done(server.model.response_report(context.now()));
         // Drawn whether or not the connection breaks, so that one fault moves no other's draws.
         let malformed = self.random.chance(server.malformed_share());
-        let outcome = if attempt.is_reset_pending() || malformed {
-            Outcome::Reset
-        } else if failed {
-            Outcome::ServerError
-        } else {
-            Outcome::Served
-        };
         context.record(LogEvent::WorkDone {
             request: attempt.details.request,
             server: server_index,
@@ -121,6 +114,7 @@
         if attempt.has_ended() {
             attempts.remove(key);
         } else {
+            let outcome = response_outcome(attempt, malformed, failed);
             send_result(key, attempt, outcome, context);
         }
     }
@@ -148,6 +142,17 @@
     }
 }
 
+/// How a sidecar sees the end of an attempt whose work is done.
+fn response_outcome(attempt: &Attempt, malformed: bool, failed: bool) -> Outcome {
+    if attempt.is_reset_pending() || malformed {
+        Outcome::Reset
+    } else if failed {
+        Outcome::ServerError
+    } else {
+        Outcome::Served
+    }
+}
+
 fn record_arrival(attempt: &Attempt, capacity: f64, cold: bool, context: &mut Context<'_>) {
     let details = &attempt.details;
     let server = details.server;
--- a/crates/testbed/src/simulator/fleet/health_checks.rs
+++ b/crates/testbed/src/simulator/fleet/health_checks.rs
@@ -4,11 +4,11 @@
 
 use super::Fleet;
 use crate::event_log::LogEvent;
-use crate::scenario::{Micros, from_ms};
+use crate::scenario::from_ms;
 use crate::server_model::LoadReport;
 use crate::simulator::attempts::Attempts;
 use crate::simulator::context::Context;
-use crate::simulator::event::{HealthCheck, HealthCheckResult, ReportedLoad, SimulatorEvent};
+use crate::simulator::event::{HealthCheck, HealthCheckResult, SimulatorEvent};
 
 impl Fleet {
     /// A health check is at its server. Gives back the start of the connection that its sidecar may
@@ -20,7 +20,7 @@
         attempts: &mut Attempts,
         context: &mut Context<'_>,
     ) -> Option<u32> {
-        let delay = Micros::from(check.delay);
+        let delay = check.delay;
         let server = self.server_mut(check.server);
         if server.refuses(check) {
             let refused = result(check, Outcome::ConnectFailed, None);
@@ -56,8 +56,8 @@
         } else {
             Outcome::Rejected
         };
-        let answer = result(check, outcome, report.map(reported_load));
-        context.after(Micros::from(check.delay), answer);
+        let answer = result(check, outcome, report);
+        context.after(check.delay, answer);
         if check.new_connection {
             context.record(LogEvent::ConnectionOpened {
                 server: check.server,
@@ -67,7 +67,7 @@
     }
 }
 
-fn result(check: &HealthCheck, outcome: Outcome, load: Option<ReportedLoad>) -> SimulatorEvent {
+fn result(check: &HealthCheck, outcome: Outcome, load: Option<LoadReport>) -> SimulatorEvent {
     SimulatorEvent::HealthCheckResult(HealthCheckResult {
         process: check.process,
         server: check.server,
@@ -75,10 +75,3 @@
         load,
     })
 }
-
-fn reported_load(report: LoadReport) -> ReportedLoad {
-    ReportedLoad {
-        in_flight: report.in_flight as u32,
-        queued: report.queued as u32,
-    }
-}
--- a/crates/testbed/src/simulator/fleet/mod.rs
+++ b/crates/testbed/src/simulator/fleet/mod.rs
@@ -12,6 +12,7 @@
 
 use super::attempts::Attempts;
 use super::context::Context;
+use super::convert::saturating_u32;
 use super::discovery::ListedEndpoint;
 use super::event::SimulatorEvent;
 use crate::event_log::{ListedStatus, LogEvent, ServerState};
@@ -118,8 +119,8 @@
             let model = &self.server(server).model;
             context.record(LogEvent::ServerGauge {
                 server,
-                in_flight: model.in_flight() as u32,
-                connections: model.connections() as u32,
+                in_flight: saturating_u32(model.in_flight()),
+                connections: saturating_u32(model.connections()),
             });
         }
     }
--- a/crates/testbed/src/simulator/handover.rs
+++ b/crates/testbed/src/simulator/handover.rs
@@ -155,7 +155,7 @@
             .fleet
             .on_health_check(check, is_running, attempts, context);
         if let Some(server_start) = kept {
-            let idle_since = self.context.now() + Micros::from(check.delay);
+            let idle_since = self.context.now() + check.delay;
             let sidecar = self.sidecars.at(check.process.sidecar);
             sidecar.keep_connection(check.server, idle_since, server_start, &mut self.fleet);
         }
--- a/crates/testbed/src/simulator/mod.rs
+++ b/crates/testbed/src/simulator/mod.rs
@@ -13,6 +13,7 @@
 mod attempts;
 mod clients;
 mod context;
+mod convert;
 mod discovery;
 mod error;
 mod event;
--- a/crates/testbed/src/simulator/sidecars/attempts.rs
+++ b/crates/testbed/src/simulator/sidecars/attempts.rs
@@ -16,6 +16,7 @@
 use crate::index::{RequestNumber, ServerIndex};
 use crate::scenario::Micros;
 use crate::simulator::attempts::{Attempt, AttemptDetails, AttemptKey};
+use crate::simulator::convert::saturating_u32;
 
 impl Sidecar {
     /// Sends an attempt of an open request; `timeout` is cut to the time that the request has left.
@@ -33,12 +34,8 @@
         let class = open.request.class;
         let now = environment.context.now();
         let mut details = attempt_details(open, server, timeout, now);
-        // The delay is drawn before the work: the order is part of what a seed means.
         let is_known = environment.fleet.contains(server);
-        if is_known {
-            details.delay = environment.draw_delay(self.index, server);
-        }
-        details.work = environment.draw_attempt_work(self.index, class, details.work);
+        environment.draw_attempt(&mut details, class, is_known);
         let kept_connection = if is_known {
             self.reuse_connection(server, environment)
         } else {
@@ -169,7 +166,7 @@
     let time_left = request.due.saturating_sub(now);
     AttemptDetails {
         request: request.number,
-        index: open.attempts.len() as u32,
+        index: saturating_u32(open.attempts.len()),
         sidecar: request.process.sidecar,
         server,
         sent_at: now,
--- a/crates/testbed/src/simulator/sidecars/connections.rs
+++ b/crates/testbed/src/simulator/sidecars/connections.rs
@@ -9,6 +9,7 @@
 use crate::index::ServerIndex;
 use crate::scenario::{Micros, from_s};
 use crate::simulator::context::Context;
+use crate::simulator::convert::scaled;
 use crate::simulator::fleet::Fleet;
 
 /// Share of the servers' idle timeout after which a sidecar no longer uses a connection.
@@ -118,5 +119,5 @@
 /// How long a sidecar uses an idle connection, in microseconds.
 fn reuse_time(context: &Context<'_>) -> Micros {
     let idle_timeout = from_s(context.scenario().permissions.idle_timeout_s);
-    (idle_timeout as f64 * REUSE_SHARE) as Micros
+    scaled(idle_timeout, REUSE_SHARE)
 }
--- a/crates/testbed/src/simulator/sidecars/environment.rs
+++ b/crates/testbed/src/simulator/sidecars/environment.rs
@@ -2,7 +2,7 @@
 
 use crate::index::{ClassIndex, ServerIndex, SidecarIndex};
 use crate::scenario::Micros;
-use crate::simulator::attempts::Attempts;
+use crate::simulator::attempts::{AttemptDetails, Attempts};
 use crate::simulator::context::Context;
 use crate::simulator::discovery::Discovery;
 use crate::simulator::fleet::Fleet;
@@ -26,15 +26,21 @@
             .draw_delay(sidecar, zone, self.context.scenario())
     }
 
-    /// Work of one attempt at a request's work, drawn; in microseconds of a standard core.
-    pub(super) fn draw_attempt_work(
+    /// Draws an attempt's delay, where its server is known, and its work of the request's.
+    pub(super) fn draw_attempt(
         &mut self,
-        sidecar: SidecarIndex,
+        details: &mut AttemptDetails,
         class: ClassIndex,
-        work: f64,
-    ) -> f64 {
+        server_is_known: bool,
+    ) {
+        let sidecar = details.sidecar;
+        // The delay is drawn before the work: the order is part of what a seed means.
+        if server_is_known {
+            details.delay = self.draw_delay(sidecar, details.server);
+        }
         let scenario = self.context.scenario();
-        self.network
-            .draw_attempt_work(sidecar, class, work, scenario)
+        details.work = self
+            .network
+            .draw_attempt_work(sidecar, class, details.work, scenario);
     }
 }
--- a/crates/testbed/src/simulator/sidecars/health_checks.rs
+++ b/crates/testbed/src/simulator/sidecars/health_checks.rs
@@ -33,7 +33,7 @@
         let check = SimulatorEvent::HealthCheckAtServer(HealthCheck {
             process: self.process(),
             server,
-            delay: delay as u32,
+            delay,
             new_connection,
         });
         environment.context.after(arrives_after, check);
@@ -46,8 +46,8 @@
         environment: &mut Environment<'_, '_>,
     ) {
         let load_report = result.load.map(|load| LoadReport {
-            in_flight: f64::from(load.in_flight),
-            queued: f64::from(load.queued),
+            in_flight: load.in_flight as f64,
+            queued: load.queued as f64,
         });
         let ended = BalancerEvent::HealthCheckEnded {
             server: ServerId(result.server.value()),
--- a/crates/testbed/src/simulator/sidecars/mod.rs
+++ b/crates/testbed/src/simulator/sidecars/mod.rs
@@ -2,9 +2,9 @@
 //!
 //! Owns all sidecars, and passes on what concerns more than one. `sidecar` owns one sidecar's state,
 //! its start and its restarts; `host` carries out what its balancer asks for, `requests` is a
-//! request's life there, `attempts` an attempt's, `connecting` its connection's, `health_checks` a health check's, `endpoints` what
-//! it knows of the endpoint list, `connections` the pool of idle connections. What happens at a
-//! server is `fleet`'s.
+//! request's life there, `attempts` an attempt's, `connecting` that of an attempt's connection,
+//! `health_checks` a health check's, `endpoints` what it knows of the endpoint list, `connections`
+//! the pool of idle connections. What happens at a server is `fleet`'s.
 
 mod attempts;
 mod connecting;
--- a/crates/testbed/src/simulator/sidecars/requests.rs
+++ b/crates/testbed/src/simulator/sidecars/requests.rs
@@ -60,12 +60,7 @@
         let respond_by = request.due.saturating_sub(RESPONSE_MARGIN);
         let due = SimulatorEvent::ResponseDue(self.index, request.number);
         context.at(respond_by, due);
-        let arrived = BalancerEvent::RequestArrived(IncomingRequest {
-            id: RequestId(request.number.value()),
-            class: ClassId(request.class.value()),
-            time_left: request.due.saturating_sub(context.now()),
-            work_hint: request.work_hint,
-        });
+        let arrived = request_arrived(&request, context.now());
         self.handle_balancer_event(arrived, environment);
     }
 
@@ -134,6 +129,15 @@
     }
 }
 
+fn request_arrived(request: &Request, now: Micros) -> BalancerEvent {
+    BalancerEvent::RequestArrived(IncomingRequest {
+        id: RequestId(request.number.value()),
+        class: ClassId(request.class.value()),
+        time_left: request.due.saturating_sub(now),
+        work_hint: request.work_hint,
+    })
+}
+
 fn client_disconnected(number: RequestNumber) -> BalancerEvent {
     let request = RequestId(number.value());
     BalancerEvent::ClientDisconnected { request }
@@ -150,7 +154,7 @@
     let response = SimulatorEvent::ResponseAtClient(ClientResponse {
         request,
         outcome,
-        retry_after: retry_after as u32,
+        retry_after,
     });
     context.after(delay, response);
 }
--- a/crates/testbed/src/simulator/sidecars/settings.rs
+++ b/crates/testbed/src/simulator/sidecars/settings.rs
@@ -7,9 +7,10 @@
 
 use crate::index::SidecarIndex;
 use crate::scenario::{
-    Class, DeduplicationScope, Idempotency, LoadReportSource, MachineType, Micros, Scenario,
-    from_ms, from_s,
+    Class, DeduplicationScope, Idempotency, LoadReportSource, MachineType, Micros, Prices,
+    Scenario, from_ms, from_s,
 };
+use crate::simulator::convert::saturating_u32;
 
 /// A sidecar responds this long before the client gives up, in microseconds: the real program's
 /// `step-ms`.
@@ -44,7 +45,7 @@
         identity: BalancerIdentity {
             zone: scenario.sidecar_zone(sidecar_index),
             index: sidecar_index.value(),
-            count: scenario.sidecars.count as u32,
+            count: saturating_u32(scenario.sidecars.count),
         },
         step: RESPONSE_MARGIN,
         host: host_capabilities(scenario),
@@ -53,12 +54,7 @@
             max_retry_after: from_ms(permissions.max_retry_after_ms),
             max_attempts: permissions.max_attempts,
         },
-        fees: Fees {
-            health_check: scenario.prices.health_check,
-            handshake: scenario.prices.handshake,
-            connection: 0.0,
-            cross_zone: scenario.prices.cross_zone,
-        },
+        fees: fees(&scenario.prices),
         idle_timeout: from_s(permissions.idle_timeout_s),
         weight_by_work: scenario.load.weight_by_work,
         polling: PollingSettings {
@@ -70,6 +66,16 @@
     }
 }
 
+/// What the site charges; it has no price for an open connection.
+fn fees(prices: &Prices) -> Fees {
+    Fees {
+        health_check: prices.health_check,
+        handshake: prices.handshake,
+        connection: 0.0,
+        cross_zone: prices.cross_zone,
+    }
+}
+
 fn host_capabilities(scenario: &Scenario) -> HostCapabilities {
     HostCapabilities {
         cancellation: scenario.permissions.cancellation,
--- a/crates/testbed/tests/simulator/main.rs
+++ b/crates/testbed/tests/simulator/main.rs
@@ -40,7 +40,8 @@
         };
         log.iter().filter_map(arrival).collect()
     };
-    let (few, many) = (arrivals(6), arrivals(7));
+    let few = arrivals(6);
+    let many = arrivals(7);
     assert!(few.len() > 500);
     assert_eq!(few, many);
 }
