--- a/crates/testbed/src/simulator/clients/mod.rs
+++ b/crates/testbed/src/simulator/clients/mod.rs
@@ -237,3 +237,6 @@
         disconnects_at: disconnects.then_some(disconnects_at),
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/testbed/src/simulator/discovery/mod.rs
+++ b/crates/testbed/src/simulator/discovery/mod.rs
@@ -153,3 +153,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/testbed/src/simulator/fleet/mod.rs
+++ b/crates/testbed/src/simulator/fleet/mod.rs
@@ -164,3 +164,6 @@
         &mut self.servers[server.index()]
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/testbed/src/simulator/fleet/tests.rs
@@ -0,0 +1,210 @@
+//! The fleet alone: what becomes of attempts and health checks at a server, also amid faults.
+
+use arrowstand_balancer::Outcome;
+
+use super::Fleet;
+use crate::event_log::{ListedStatus, LogRecord};
+use crate::index::{RequestNumber, ServerIndex, SidecarIndex};
+use crate::scenario::{Fault, FaultKind, MachineType, Micros, Scenario, Servers};
+use crate::simulator::attempts::{AttemptDetails, AttemptKey, Attempts};
+use crate::simulator::context::Context;
+use crate::simulator::event::{HealthCheck, SimulatorEvent};
+use crate::simulator::process::SidecarProcess;
+
+const END: Micros = 60_000_000;
+const SERVER: ServerIndex = ServerIndex::new(0);
+const SIDECAR: SidecarIndex = SidecarIndex::new(0);
+/// One way to the server.
+const DELAY: Micros = 500;
+
+/// One server, which was there before the run.
+fn scenario() -> Scenario {
+    Scenario {
+        machine_type: vec![MachineType::default()],
+        servers: vec![Servers::default()],
+        ..Scenario::default()
+    }
+}
+
+/// An attempt that opens a connection, or is sent on one that was kept since the server's start.
+fn start_attempt(attempts: &mut Attempts, kept_connection: Option<u32>) -> AttemptKey {
+    let details = AttemptDetails {
+        request: RequestNumber::new(1),
+        index: 0,
+        sidecar: SIDECAR,
+        server: SERVER,
+        sent_at: 0,
+        due: 1_000_000,
+        work: 20_000.0,
+        delay: DELAY,
+    };
+    attempts.start(details, kept_connection)
+}
+
+fn fault(kind: FaultKind) -> Fault {
+    Fault {
+        kind,
+        ..Fault::default()
+    }
+}
+
+/// When the result of an attempt is at its sidecar, and which it is; nothing where there is none.
+/// What the server does by itself is carried out.
+fn result(
+    fleet: &mut Fleet,
+    attempts: &mut Attempts,
+    context: &mut Context<'_>,
+) -> Option<(Micros, Outcome)> {
+    while let Some(event) = context.next_event(END) {
+        match event {
+            SimulatorEvent::ResultAtSidecar(_, _, outcome) => {
+                return Some((context.now(), outcome));
+            }
+            SimulatorEvent::ServerDue(server, generation) => {
+                fleet.on_server_due(server, generation, attempts, context);
+            }
+            _ => {}
+        }
+    }
+    None
+}
+
+#[test]
+fn an_attempt_is_worked_on_and_served() {
+    let scenario = scenario();
+    let mut log: Vec<LogRecord> = Vec::new();
+    let mut context = Context::new(&scenario, &mut log);
+    let mut fleet = Fleet::new(&mut context);
+    let mut attempts = Attempts::new();
+    let attempt = start_attempt(&mut attempts, Some(0));
+
+    fleet.on_attempt(attempt, &mut attempts, &mut context);
+
+    let job = attempts.get(attempt).expect("open").job();
+    assert!(fleet.holds_job(SERVER, job));
+    let (at, outcome) = result(&mut fleet, &mut attempts, &mut context).expect("ends");
+    assert_eq!(outcome, Outcome::Served);
+    assert!(at > DELAY, "it took its work and the way back: {at}");
+    assert!(!fleet.holds_job(SERVER, job));
+}
+
+#[test]
+fn a_connection_to_a_server_whose_process_is_gone_is_refused() {
+    let scenario = scenario();
+    let mut log: Vec<LogRecord> = Vec::new();
+    let mut context = Context::new(&scenario, &mut log);
+    let mut fleet = Fleet::new(&mut context);
+    let mut attempts = Attempts::new();
+    let attempt = start_attempt(&mut attempts, None);
+    let crash = fault(FaultKind::Crash);
+    fleet.on_fault(SERVER, &crash, true, &mut attempts, &mut context);
+
+    fleet.on_connect(attempt, &mut attempts, &mut context);
+
+    assert!(fleet.open_start(SERVER).is_none());
+    let expected = (DELAY, Outcome::ConnectFailed);
+    let ended = result(&mut fleet, &mut attempts, &mut context);
+    assert_eq!(ended, Some(expected));
+}
+
+#[test]
+fn a_crash_resets_the_attempts_that_a_server_works_on() {
+    let scenario = scenario();
+    let mut log: Vec<LogRecord> = Vec::new();
+    let mut context = Context::new(&scenario, &mut log);
+    let mut fleet = Fleet::new(&mut context);
+    let mut attempts = Attempts::new();
+    let attempt = start_attempt(&mut attempts, Some(0));
+    fleet.on_attempt(attempt, &mut attempts, &mut context);
+
+    let crash = fault(FaultKind::Crash);
+    fleet.on_fault(SERVER, &crash, true, &mut attempts, &mut context);
+
+    let ended = result(&mut fleet, &mut attempts, &mut context);
+    assert_eq!(ended, Some((DELAY, Outcome::Reset)));
+}
+
+#[test]
+fn a_kept_connection_of_an_earlier_start_is_reset_as_it_is_used() {
+    let scenario = scenario();
+    let mut log: Vec<LogRecord> = Vec::new();
+    let mut context = Context::new(&scenario, &mut log);
+    let mut fleet = Fleet::new(&mut context);
+    let mut attempts = Attempts::new();
+    let attempt = start_attempt(&mut attempts, Some(0));
+    let crash = fault(FaultKind::Crash);
+    fleet.on_fault(SERVER, &crash, true, &mut attempts, &mut context);
+    fleet.on_fault(SERVER, &crash, false, &mut attempts, &mut context);
+
+    fleet.on_attempt(attempt, &mut attempts, &mut context);
+
+    let ended = result(&mut fleet, &mut attempts, &mut context);
+    assert_eq!(ended, Some((DELAY, Outcome::Reset)));
+}
+
+#[test]
+fn an_attempt_sent_into_silence_is_reset_once_the_server_is_back() {
+    let scenario = scenario();
+    let mut log: Vec<LogRecord> = Vec::new();
+    let mut context = Context::new(&scenario, &mut log);
+    let mut fleet = Fleet::new(&mut context);
+    let mut attempts = Attempts::new();
+    let attempt = start_attempt(&mut attempts, Some(0));
+    let silence = fault(FaultKind::Silence);
+    fleet.on_fault(SERVER, &silence, true, &mut attempts, &mut context);
+    fleet.on_attempt(attempt, &mut attempts, &mut context);
+    assert_eq!(result(&mut fleet, &mut attempts, &mut context), None);
+
+    let back_at = context.now();
+    fleet.on_fault(SERVER, &silence, false, &mut attempts, &mut context);
+
+    let ended = result(&mut fleet, &mut attempts, &mut context);
+    assert_eq!(ended, Some((back_at + DELAY, Outcome::Reset)));
+}
+
+#[test]
+fn a_server_that_drains_rejects_what_is_new_and_is_listed_so_after_the_notice() {
+    let scenario = scenario();
+    let mut log: Vec<LogRecord> = Vec::new();
+    let mut context = Context::new(&scenario, &mut log);
+    let mut fleet = Fleet::new(&mut context);
+    let mut attempts = Attempts::new();
+    let attempt = start_attempt(&mut attempts, Some(0));
+    let drain = fault(FaultKind::Drain);
+    fleet.on_fault(SERVER, &drain, true, &mut attempts, &mut context);
+
+    fleet.on_attempt(attempt, &mut attempts, &mut context);
+
+    let ended = result(&mut fleet, &mut attempts, &mut context);
+    assert_eq!(ended, Some((DELAY, Outcome::Rejected)));
+    let Some(SimulatorEvent::ListChange(endpoint)) = context.next_event(END) else {
+        panic!("discovery notices");
+    };
+    assert!(endpoint.status == ListedStatus::Draining);
+    assert_eq!(context.now(), 1_500_000);
+}
+
+#[test]
+fn the_connection_of_a_health_check_is_kept_only_for_a_process_that_runs() {
+    let scenario = scenario();
+    let mut log: Vec<LogRecord> = Vec::new();
+    let mut context = Context::new(&scenario, &mut log);
+    let mut fleet = Fleet::new(&mut context);
+    let mut attempts = Attempts::new();
+    let check = HealthCheck {
+        process: SidecarProcess {
+            sidecar: SIDECAR,
+            incarnation: 0,
+        },
+        server: SERVER,
+        delay: DELAY,
+        new_connection: true,
+    };
+
+    let kept = fleet.on_health_check(&check, true, &mut attempts, &mut context);
+    let closed = fleet.on_health_check(&check, false, &mut attempts, &mut context);
+
+    assert_eq!(kept, Some(0));
+    assert_eq!(closed, None);
+    assert_eq!(fleet.server(SERVER).model.connections(), 1);
+}
--- a/crates/testbed/src/simulator/network.rs
+++ b/crates/testbed/src/simulator/network.rs
@@ -76,3 +76,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/testbed/src/simulator/network/tests.rs
@@ -0,0 +1,82 @@
+//! The network alone: delays by zone, and the noise of attempts.
+
+use super::Network;
+use crate::index::{ClassIndex, SidecarIndex};
+use crate::scenario::{self, Class, Scenario};
+
+const CLASS: ClassIndex = ClassIndex::new(0);
+
+/// Two zones with a sidecar in each, and a class whose work differs by `noise`.
+fn scenario(jitter: f64, noise: f64) -> Scenario {
+    let class = Class {
+        noise,
+        ..Class::default()
+    };
+    Scenario {
+        network: scenario::Network {
+            zones: vec!["a".into(), "b".into()],
+            same_ms: 0.5,
+            cross_ms: 4.0,
+            jitter,
+            ..scenario::Network::default()
+        },
+        sidecars: scenario::Sidecars {
+            count: 2,
+            ..scenario::Sidecars::default()
+        },
+        class: vec![class],
+        ..Scenario::default()
+    }
+}
+
+#[test]
+fn a_way_out_of_the_sidecars_zone_takes_longer() {
+    let scenario = scenario(0.0, 0.0);
+    let mut network = Network::new(&scenario);
+    let sidecar = SidecarIndex::new(1);
+
+    assert!(network.is_cross_zone(sidecar, 0));
+    assert!(!network.is_cross_zone(sidecar, 1));
+    assert_eq!(network.draw_delay(sidecar, 0, &scenario), 4_000);
+    assert_eq!(network.draw_delay(sidecar, 1, &scenario), 500);
+}
+
+#[test]
+fn a_delay_is_up_to_the_jitter_longer() {
+    let scenario = scenario(0.2, 0.0);
+    let mut network = Network::new(&scenario);
+    let sidecar = SidecarIndex::new(0);
+
+    let delays: Vec<_> = (0..200)
+        .map(|_| network.draw_delay(sidecar, 0, &scenario))
+        .collect();
+
+    assert!(delays.iter().all(|delay| (500..=600).contains(delay)));
+    assert!(delays.iter().any(|delay| *delay > 550));
+}
+
+#[test]
+fn a_sidecars_draws_leave_those_of_another_as_they_are() {
+    let scenario = scenario(0.2, 0.0);
+    let mut alone = Network::new(&scenario);
+    let mut beside = Network::new(&scenario);
+
+    beside.draw_delay(SidecarIndex::new(1), 0, &scenario);
+
+    let sidecar = SidecarIndex::new(0);
+    let expected = alone.draw_delay(sidecar, 0, &scenario);
+    assert_eq!(beside.draw_delay(sidecar, 0, &scenario), expected);
+}
+
+#[test]
+fn an_attempts_work_is_its_requests_without_noise_and_differs_with_it() {
+    let sidecar = SidecarIndex::new(0);
+    let draw = |noise| {
+        let scenario = scenario(0.0, noise);
+        Network::new(&scenario).draw_attempt_work(sidecar, CLASS, 1_000.0, &scenario)
+    };
+
+    assert!((draw(0.0) - 1_000.0).abs() < f64::EPSILON);
+    let noisy = draw(0.5);
+    assert!(noisy > 0.0 && (noisy - 1_000.0).abs() > 1.0, "{noisy}");
+}
