--- a/crates/testbed/src/simulator/handover.rs
+++ b/crates/testbed/src/simulator/handover.rs
@@ -20,7 +20,7 @@
 
 impl<'a> Simulator<'a> {
     /// The sidecars, and what they reach beside their own state.
-    pub(super) fn sidecars(&mut self) -> (&mut Sidecars, Environment<'_, 'a>) {
+    pub(super) fn sidecars_with_environment(&mut self) -> (&mut Sidecars, Environment<'_, 'a>) {
         let environment = Environment {
             context: &mut self.context,
             network: &mut self.network,
@@ -34,7 +34,7 @@
     /// Starts all sidecars, each with the first arrival of its clients, and then the faults.
     pub(super) fn start(&mut self) {
         for index in self.sidecars.indexes() {
-            let (sidecars, mut environment) = self.sidecars();
+            let (sidecars, mut environment) = self.sidecars_with_environment();
             sidecars.at(index).start(&mut environment);
             let context = &mut self.context;
             self.clients.schedule_next_arrival(index, context);
@@ -69,7 +69,7 @@
             return;
         };
         if self.sidecars.is_running(request.process) {
-            let (sidecars, mut environment) = self.sidecars();
+            let (sidecars, mut environment) = self.sidecars_with_environment();
             let sidecar = sidecars.at(request.process.sidecar);
             sidecar.accept_request(key, request, &mut environment);
         } else {
@@ -88,7 +88,7 @@
             return;
         };
         if self.sidecars.awaits_response(&request, self.context.now()) {
-            let (sidecars, mut environment) = self.sidecars();
+            let (sidecars, mut environment) = self.sidecars_with_environment();
             let sidecar = sidecars.at(request.process.sidecar);
             sidecar.abandon_request(request.number, &mut environment);
             self.clients.on_timed_out(key, &mut self.context);
@@ -104,7 +104,7 @@
             self.context.record(LogEvent::ClientDisconnected {
                 request: request.number,
             });
-            let (sidecars, mut environment) = self.sidecars();
+            let (sidecars, mut environment) = self.sidecars_with_environment();
             let sidecar = sidecars.at(request.process.sidecar);
             sidecar.abandon_request(request.number, &mut environment);
             self.clients.on_disconnected(key, &mut self.context);
--- a/crates/testbed/src/simulator/mod.rs
+++ b/crates/testbed/src/simulator/mod.rs
@@ -106,7 +106,7 @@
     /// Passes an event to the component that handles it, or to `handover` where several do.
     fn handle(&mut self, event: SimulatorEvent) {
         use SimulatorEvent as Event;
-        let (sidecars, others) = &mut self.sidecars();
+        let (sidecars, others) = &mut self.sidecars_with_environment();
         match event {
             Event::Arrival(sidecar, arrival) => self.on_arrival(sidecar, &arrival),
             Event::RetryDue(sidecar, arrival) => self.on_retry_due(sidecar, arrival),
