--- a/crates/testbed/src/simulator/event.rs
+++ b/crates/testbed/src/simulator/event.rs
@@ -5,11 +5,14 @@
 
 use arrowstand_balancer::Outcome;
 
+use super::attempts::AttemptKey;
+use super::discovery::ListedEndpoint;
 use super::process::SidecarProcess;
-use super::request::{ArrivalKey, AttemptKey, RequestKey};
+use super::request::{ArrivalKey, RequestKey};
 use crate::event_log::RequestOutcome;
-use crate::index::{ServerIndex, SidecarIndex};
+use crate::index::{RequestNumber, ServerIndex, SidecarIndex};
 use crate::scenario::Micros;
+use crate::server_model::LoadReport;
 use crate::workload::Arrival;
 
 /// An event on the timeline.
@@ -17,13 +20,13 @@
     /// A client of this sidecar wants something.
     Arrival(SidecarIndex, Arrival),
     /// A client's backoff is over.
-    RetryDue(ArrivalKey),
+    RetryDue(SidecarIndex, ArrivalKey),
     /// A request's last byte is at its sidecar.
     RequestAtSidecar(RequestKey),
     /// A timer of a balancer fires.
     BalancerTimer(BalancerTimer),
     /// The last moment at which a sidecar can respond in time.
-    ResponseDue(RequestKey),
+    ResponseDue(SidecarIndex, RequestNumber),
     /// A client's timeout is over.
     ClientTimeout(RequestKey),
     /// A client disconnects early.
@@ -33,13 +36,13 @@
     /// A new connection's first packet is at the server.
     ConnectAtServer(AttemptKey),
     /// The sidecar knows that its connection is open.
-    ConnectionOpen(AttemptKey),
+    ConnectionOpen(SidecarIndex, AttemptKey),
     /// An attempt's last byte is at the server.
     AttemptAtServer(AttemptKey),
     /// The end of an attempt is at its sidecar.
-    ResultAtSidecar(AttemptKey, Outcome),
+    ResultAtSidecar(SidecarIndex, AttemptKey, Outcome),
     /// An attempt's time is over, or the time in which its connection must be open.
-    AttemptTimeout(AttemptKey),
+    AttemptTimeout(SidecarIndex, AttemptKey),
     /// A server notices that an attempt's connection was closed.
     CancellationAtServer(Cancellation),
     /// A server has something to do by itself; the number tells stale events from the present one.
@@ -52,8 +55,8 @@
     PollResult(PollResult),
     /// A change of the endpoint list has reached a sidecar's watch.
     WatchNotification(SidecarProcess),
-    /// Discovery notices the change of this number about a server.
-    ListChange { server: ServerIndex, change: usize },
+    /// Discovery notices what has happened to a server.
+    ListChange(ListedEndpoint),
     /// The fault of this index starts, or ends.
     Fault { index: usize, starts: bool },
     /// A sidecar is to be restarted.
@@ -76,7 +79,7 @@
     pub(super) request: RequestKey,
     pub(super) outcome: RequestOutcome,
     /// Retry-After in microseconds.
-    pub(super) retry_after: u32,
+    pub(super) retry_after: Micros,
 }
 
 /// An attempt whose connection was closed by its sidecar.
@@ -92,7 +95,7 @@
     pub(super) process: SidecarProcess,
     pub(super) server: ServerIndex,
     /// One way to the server, in microseconds.
-    pub(super) delay: u32,
+    pub(super) delay: Micros,
     /// Whether it opens a connection of its own.
     pub(super) new_connection: bool,
 }
@@ -102,21 +105,21 @@
     pub(super) process: SidecarProcess,
     pub(super) server: ServerIndex,
     pub(super) outcome: Outcome,
-    pub(super) load: Option<ReportedLoad>,
+    /// What a response reports.
+    pub(super) load: Option<LoadReport>,
 }
 
-/// What a response to a health check reports.
+/// A sidecar's poll of the endpoint list, and the watch that follows it.
 #[derive(Clone, Copy)]
-pub(super) struct ReportedLoad {
-    pub(super) in_flight: u32,
-    pub(super) queued: u32,
+pub(super) struct EndpointPoll {
+    pub(super) process: SidecarProcess,
+    /// The sidecar's number of the poll: results of earlier ones are void.
+    pub(super) number: u32,
 }
 
 /// How a poll of the endpoint list ended.
 pub(super) struct PollResult {
-    pub(super) process: SidecarProcess,
-    /// The sidecar's number of the poll: results of earlier ones are void.
-    pub(super) poll: u32,
+    pub(super) poll: EndpointPoll,
     /// Whether it failed, or the watch that followed was cut.
     pub(super) lost: bool,
 }
--- /dev/null
+++ b/crates/testbed/src/simulator/fleet/health_checks.rs
@@ -0,0 +1,77 @@
+//! A health check at its server.
+
+use arrowstand_balancer::Outcome;
+
+use super::Fleet;
+use crate::event_log::LogEvent;
+use crate::scenario::from_ms;
+use crate::server_model::LoadReport;
+use crate::simulator::attempts::Attempts;
+use crate::simulator::context::Context;
+use crate::simulator::event::{HealthCheck, HealthCheckResult, SimulatorEvent};
+
+impl Fleet {
+    /// A health check is at its server. Gives back the start of the connection that its sidecar may
+    /// keep, where the server answers and `process_is_running`; any other connection is closed.
+    pub(in crate::simulator) fn on_health_check(
+        &mut self,
+        check: &HealthCheck,
+        process_is_running: bool,
+        attempts: &mut Attempts,
+        context: &mut Context<'_>,
+    ) -> Option<u32> {
+        let delay = check.delay;
+        let server = self.server_mut(check.server);
+        if server.refuses(check) {
+            let refused = result(check, Outcome::ConnectFailed, None);
+            context.after(delay, refused);
+            return None;
+        }
+        if !server.answers_health_checks() {
+            server.on_unanswered_health_check();
+            let timeout = from_ms(context.scenario().permissions.health_check_timeout_ms);
+            let timed_out = result(check, Outcome::TimedOut, None);
+            context.after(timeout.saturating_sub(2 * delay), timed_out);
+            return None;
+        }
+        let start = self.answer_health_check(check, context);
+        if !process_is_running {
+            self.close_connection(check.server, start);
+        }
+        self.apply_model_events(check.server, attempts, context);
+        process_is_running.then_some(start)
+    }
+
+    /// Answers a health check; gives back the start that its connection belongs to.
+    fn answer_health_check(&mut self, check: &HealthCheck, context: &mut Context<'_>) -> u32 {
+        let now = context.now();
+        let server = &mut self.servers[check.server.index()];
+        if check.new_connection {
+            server.model.handshake(now, &mut self.model_events);
+        }
+        let start = server.start();
+        let report = server.model.health_check(now, &mut self.model_events);
+        let outcome = if report.is_some() {
+            Outcome::Served
+        } else {
+            Outcome::Rejected
+        };
+        let answer = result(check, outcome, report);
+        context.after(check.delay, answer);
+        if check.new_connection {
+            context.record(LogEvent::ConnectionOpened {
+                server: check.server,
+            });
+        }
+        start
+    }
+}
+
+fn result(check: &HealthCheck, outcome: Outcome, load: Option<LoadReport>) -> SimulatorEvent {
+    SimulatorEvent::HealthCheckResult(HealthCheckResult {
+        process: check.process,
+        server: check.server,
+        outcome,
+        load,
+    })
+}
--- /dev/null
+++ b/crates/testbed/src/simulator/fleet/model.rs
@@ -0,0 +1,67 @@
+//! What a server's model does by itself, and when the simulator looks at it next.
+
+use super::Fleet;
+use crate::event_log::ServerState;
+use crate::index::ServerIndex;
+use crate::server_model::Event as ServerModelEvent;
+use crate::simulator::attempts::Attempts;
+use crate::simulator::context::Context;
+use crate::simulator::event::SimulatorEvent;
+
+impl Fleet {
+    /// A server's model has something to do; `generation` tells stale events from the present one.
+    pub(in crate::simulator) fn on_server_due(
+        &mut self,
+        server_index: ServerIndex,
+        generation: u32,
+        attempts: &mut Attempts,
+        context: &mut Context<'_>,
+    ) {
+        let server = &mut self.servers[server_index.index()];
+        if server.advance(context.now(), generation, &mut self.model_events) {
+            self.apply_model_events(server_index, attempts, context);
+        }
+    }
+
+    /// Carries out what a server's model did, and plans when to look at it next.
+    pub(super) fn apply_model_events(
+        &mut self,
+        server_index: ServerIndex,
+        attempts: &mut Attempts,
+        context: &mut Context<'_>,
+    ) {
+        let mut events = std::mem::take(&mut self.model_events);
+        for event in events.drain(..) {
+            self.on_model_event(server_index, event, attempts, context);
+        }
+        self.model_events = events;
+        let server = self.server_mut(server_index);
+        if let Some((generation, at)) = server.reschedule(context.now()) {
+            context.at(at, SimulatorEvent::ServerDue(server_index, generation));
+        }
+    }
+
+    fn on_model_event(
+        &mut self,
+        server_index: ServerIndex,
+        event: ServerModelEvent,
+        attempts: &mut Attempts,
+        context: &mut Context<'_>,
+    ) {
+        match event {
+            ServerModelEvent::Started(_) => {}
+            ServerModelEvent::Completed { id, error } => {
+                self.on_work_done(server_index, id, error, attempts, context);
+            }
+            ServerModelEvent::Expired(id) => {
+                if let Some(key) = self.server_mut(server_index).on_job_ended(id) {
+                    attempts.remove_if_ended(key);
+                }
+            }
+            ServerModelEvent::OverloadShutdown => {
+                self.record_state(server_index, ServerState::OverloadShutdown, context);
+                self.end_process(server_index, attempts, context);
+            }
+        }
+    }
+}
--- a/crates/testbed/src/simulator/run.rs
+++ b/crates/testbed/src/simulator/run.rs
@@ -33,7 +33,7 @@
     };
     let mut simulator = Simulator::new(scenario, &mut readers)?;
     simulator.play();
-    let run_statistics = simulator.run_statistics;
+    let run_statistics = simulator.run_statistics();
     let overload = overload_remark(&simulator);
     auditor.finish();
     let mut report = statistics.report(SIMULATOR, scenario.seed);
@@ -49,12 +49,8 @@
 }
 
 fn overload_remark(simulator: &Simulator<'_>) -> String {
-    let models = || simulator.servers.iter().map(|server| &server.model);
-    let slowed = models().filter(|model| model.time_slowed() > 0).count();
-    let held = models()
-        .map(|model| model.counters.max_in_flight)
-        .max()
-        .unwrap_or(0);
+    let slowed = simulator.fleet.count_slowed();
+    let held = simulator.fleet.max_in_flight();
     format!("{slowed} servers were slowed by overload for a time; one held {held} at most")
 }
 
--- /dev/null
+++ b/crates/testbed/src/simulator/sidecars/endpoints.rs
@@ -0,0 +1,208 @@
+//! The endpoint list at a sidecar: what it knows of it, and how its balancer learns of changes.
+//!
+//! Owns the cached list and the state of poll and watch. Which changes there are is `discovery`'s.
+
+use std::collections::BTreeMap;
+
+use arrowstand_balancer::{Endpoint, EndpointStatus, Event as BalancerEvent, ServerId, UpdateKind};
+use arrowstand_control::stable_hash;
+
+use super::environment::Environment;
+use super::sidecar::Sidecar;
+use crate::event_log::{ListedStatus, LogEvent};
+use crate::index::ServerIndex;
+use crate::scenario::{Micros, Scenario};
+use crate::simulator::EPOCH;
+use crate::simulator::context::Context;
+use crate::simulator::discovery::{Discovery, ListedEndpoint};
+use crate::simulator::event::{EndpointPoll, PollResult, SimulatorEvent};
+use crate::simulator::fleet::Fleet;
+
+/// The list as a sidecar had it last, which outlives its process.
+pub(super) struct CachedEndpoints {
+    version: u64,
+    endpoints: BTreeMap<ServerIndex, ListedEndpoint>,
+}
+
+impl CachedEndpoints {
+    /// The list as discovery holds it now.
+    pub(super) fn new(discovery: &Discovery) -> Self {
+        let present = discovery.present_endpoints();
+        Self {
+            version: discovery.version(),
+            endpoints: present
+                .map(|endpoint| (endpoint.server, endpoint))
+                .collect(),
+        }
+    }
+
+    fn on_listed(&mut self, endpoint: ListedEndpoint) {
+        if endpoint.status == ListedStatus::Gone {
+            self.endpoints.remove(&endpoint.server);
+        } else {
+            self.endpoints.insert(endpoint.server, endpoint);
+        }
+    }
+}
+
+/// A sidecar's side of discovery.
+pub(super) struct Subscription {
+    cached: CachedEndpoints,
+    /// Whether it watches the list.
+    watches: bool,
+    /// Polls of the list so far: only the last one's result counts.
+    polls: u32,
+}
+
+impl Subscription {
+    /// Nothing but a list of an earlier process.
+    pub(super) fn new(cached: CachedEndpoints) -> Self {
+        Self {
+            cached,
+            watches: false,
+            polls: 0,
+        }
+    }
+
+    /// It no longer watches the list.
+    pub(super) fn on_watch_ended(&mut self) {
+        self.watches = false;
+    }
+
+    /// Ends the watch, and gives the poll's number.
+    fn on_poll_started(&mut self) -> u32 {
+        self.watches = false;
+        self.polls += 1;
+        self.polls
+    }
+}
+
+impl Sidecar {
+    /// Whether it watches the list.
+    pub(super) fn is_watching(&self) -> bool {
+        self.subscription.watches
+    }
+
+    /// Whether it still waits for the result of a poll, or the end of the watch that followed.
+    pub(super) fn awaits_poll(&self, poll: EndpointPoll) -> bool {
+        self.is_running(poll.process) && self.subscription.polls == poll.number
+    }
+
+    /// Polls the list, and watches it from then on.
+    pub(super) fn poll_endpoints(&mut self, environment: &mut Environment<'_, '_>) {
+        let sidecar = self.index;
+        environment
+            .context
+            .record(LogEvent::DiscoveryPolled { sidecar });
+        let poll = EndpointPoll {
+            process: self.process(),
+            number: self.subscription.on_poll_started(),
+        };
+        environment.discovery.on_poll(poll, environment.context);
+    }
+
+    /// The poll that it waits for is answered, or `lost`.
+    pub(super) fn on_poll_result(&mut self, lost: bool, environment: &mut Environment<'_, '_>) {
+        if lost || !environment.discovery.is_up() {
+            self.on_endpoints_lost(environment);
+        } else {
+            self.subscription.watches = true;
+            self.take_changes(environment);
+        }
+    }
+
+    /// A change has reached its watch.
+    pub(super) fn on_watch_notification(&mut self, environment: &mut Environment<'_, '_>) {
+        let discovery = &*environment.discovery;
+        let is_news = self.subscription.cached.version < discovery.version();
+        if self.subscription.watches && discovery.is_up() && is_news {
+            self.take_changes(environment);
+        }
+    }
+
+    /// Discovery ends its watch, which it notices after a span.
+    pub(super) fn end_watch(&mut self, noticed_after: Micros, context: &mut Context<'_>) {
+        if std::mem::take(&mut self.subscription.watches) {
+            let poll = EndpointPoll {
+                process: self.process(),
+                number: self.subscription.polls,
+            };
+            let result = PollResult { poll, lost: true };
+            context.after(noticed_after, SimulatorEvent::PollResult(result));
+        }
+    }
+
+    /// Gives a new balancer the list that the sidecar had last.
+    pub(super) fn restore_endpoints(&mut self, environment: &mut Environment<'_, '_>) {
+        let cached = &self.subscription.cached;
+        let version = cached.version;
+        let entries: Vec<_> = cached.endpoints.values().copied().collect();
+        self.deliver_endpoints(UpdateKind::Cached, version, &entries, environment);
+    }
+
+    /// Takes over what has changed since its list, which may be nothing.
+    fn take_changes(&mut self, environment: &mut Environment<'_, '_>) {
+        let discovery = &*environment.discovery;
+        let version = discovery.version();
+        let changes = discovery.changes_since(self.subscription.cached.version);
+        self.deliver_endpoints(UpdateKind::Incremental, version, &changes, environment);
+    }
+
+    /// Tells the balancer that its list can no longer be followed.
+    fn on_endpoints_lost(&mut self, environment: &mut Environment<'_, '_>) {
+        self.subscription.on_watch_ended();
+        let lost = BalancerEvent::EndpointsUpdated {
+            kind: UpdateKind::Lost,
+            version: 0,
+            endpoints: Vec::new(),
+        };
+        self.handle_balancer_event(lost, environment);
+    }
+
+    fn deliver_endpoints(
+        &mut self,
+        kind: UpdateKind,
+        version: u64,
+        listed: &[ListedEndpoint],
+        environment: &mut Environment<'_, '_>,
+    ) {
+        let scenario = environment.context.scenario();
+        let mut endpoints = Vec::with_capacity(listed.len());
+        for &endpoint in listed {
+            environment.context.record(LogEvent::EndpointListed {
+                sidecar: self.index,
+                server: endpoint.server,
+                status: endpoint.status,
+                incarnation: endpoint.incarnation,
+            });
+            self.subscription.cached.on_listed(endpoint);
+            endpoints.push(balancer_endpoint(endpoint, environment.fleet, scenario));
+        }
+        self.subscription.cached.version = version;
+        let update = BalancerEvent::EndpointsUpdated {
+            kind,
+            version,
+            endpoints,
+        };
+        self.handle_balancer_event(update, environment);
+    }
+}
+
+/// A list entry as balancers take it.
+fn balancer_endpoint(listed: ListedEndpoint, fleet: &Fleet, scenario: &Scenario) -> Endpoint {
+    let zone = fleet.zone(listed.server);
+    let machine_type = fleet.machine_type(listed.server);
+    Endpoint {
+        server: ServerId(listed.server.value()),
+        stable_hash: stable_hash(&listed.server.to_string()),
+        status: match listed.status {
+            ListedStatus::Ready => EndpointStatus::Ready,
+            ListedStatus::Draining => EndpointStatus::Draining,
+            ListedStatus::Gone => EndpointStatus::Removed,
+        },
+        incarnation: (listed.incarnation > 0).then_some(EPOCH + listed.incarnation),
+        zone,
+        cell: zone,
+        machine_type: scenario.advertised_machine_type(machine_type),
+    }
+}
--- /dev/null
+++ b/crates/testbed/src/simulator/sidecars/environment.rs
@@ -0,0 +1,46 @@
+//! What a sidecar reaches beside its own state.
+
+use crate::index::{ClassIndex, ServerIndex, SidecarIndex};
+use crate::scenario::Micros;
+use crate::simulator::attempts::{AttemptDetails, Attempts};
+use crate::simulator::context::Context;
+use crate::simulator::discovery::Discovery;
+use crate::simulator::fleet::Fleet;
+use crate::simulator::network::Network;
+
+/// The components that a sidecar uses: not the clients, to whom it responds by events, and not the
+/// other sidecars.
+pub(in crate::simulator) struct Environment<'r, 'a> {
+    pub(in crate::simulator) context: &'r mut Context<'a>,
+    pub(in crate::simulator) network: &'r mut Network,
+    pub(in crate::simulator) attempts: &'r mut Attempts,
+    pub(in crate::simulator) fleet: &'r mut Fleet,
+    pub(in crate::simulator) discovery: &'r mut Discovery,
+}
+
+impl Environment<'_, '_> {
+    /// One way from a sidecar to a server in microseconds, drawn.
+    pub(super) fn draw_delay(&mut self, sidecar: SidecarIndex, server: ServerIndex) -> Micros {
+        let zone = self.fleet.zone(server);
+        self.network
+            .draw_delay(sidecar, zone, self.context.scenario())
+    }
+
+    /// Draws an attempt's delay, where its server is known, and its work of the request's.
+    pub(super) fn draw_attempt(
+        &mut self,
+        details: &mut AttemptDetails,
+        class: ClassIndex,
+        server_is_known: bool,
+    ) {
+        let sidecar = details.sidecar;
+        // The delay is drawn before the work: the order is part of what a seed means.
+        if server_is_known {
+            details.delay = self.draw_delay(sidecar, details.server);
+        }
+        let scenario = self.context.scenario();
+        details.work = self
+            .network
+            .draw_attempt_work(sidecar, class, details.work, scenario);
+    }
+}
--- /dev/null
+++ b/crates/testbed/src/simulator/sidecars/health_checks.rs
@@ -0,0 +1,59 @@
+//! A health check at its sidecar: sent, and answered or given up.
+
+use arrowstand_balancer::{Event as BalancerEvent, LoadReport, ServerId};
+
+use super::environment::Environment;
+use super::sidecar::Sidecar;
+use crate::event_log::LogEvent;
+use crate::index::ServerIndex;
+use crate::scenario::Micros;
+use crate::simulator::event::{HealthCheck, HealthCheckResult, SimulatorEvent};
+
+/// One-way delays until a health check on a new connection has arrived.
+const DELAYS_OF_NEW_CONNECTION: Micros = 3;
+
+impl Sidecar {
+    /// Sends a health check, on a kept connection where there is one.
+    pub(super) fn send_health_check(
+        &mut self,
+        server: ServerIndex,
+        environment: &mut Environment<'_, '_>,
+    ) {
+        environment.context.record(LogEvent::HealthChecked {
+            sidecar: self.index,
+            server,
+        });
+        let delay = environment.draw_delay(self.index, server);
+        let new_connection = self.reuse_connection(server, environment).is_none();
+        let arrives_after = if new_connection {
+            DELAYS_OF_NEW_CONNECTION * delay
+        } else {
+            delay
+        };
+        let check = SimulatorEvent::HealthCheckAtServer(HealthCheck {
+            process: self.process(),
+            server,
+            delay,
+            new_connection,
+        });
+        environment.context.after(arrives_after, check);
+    }
+
+    /// The end of a health check is known.
+    pub(super) fn on_health_check_result(
+        &mut self,
+        result: &HealthCheckResult,
+        environment: &mut Environment<'_, '_>,
+    ) {
+        let load_report = result.load.map(|load| LoadReport {
+            in_flight: load.in_flight as f64,
+            queued: load.queued as f64,
+        });
+        let ended = BalancerEvent::HealthCheckEnded {
+            server: ServerId(result.server.value()),
+            outcome: result.outcome,
+            load_report,
+        };
+        self.handle_balancer_event(ended, environment);
+    }
+}
--- /dev/null
+++ b/crates/testbed/src/simulator/sidecars/requests.rs
@@ -0,0 +1,160 @@
+//! A request's life at its sidecar: accepted, attempted, responded to or abandoned.
+
+use std::collections::VecDeque;
+
+use arrowstand_balancer::{ClassId, Event as BalancerEvent, IncomingRequest, RequestId};
+
+use super::connecting::close_connection;
+use super::environment::Environment;
+use super::settings::RESPONSE_MARGIN;
+use super::sidecar::Sidecar;
+use crate::event_log::{LogEvent, RequestOutcome};
+use crate::index::RequestNumber;
+use crate::scenario::{Micros, from_ms};
+use crate::simulator::attempts::AttemptKey;
+use crate::simulator::context::Context;
+use crate::simulator::event::{ClientResponse, SimulatorEvent};
+use crate::simulator::request::{Request, RequestKey};
+
+/// A request that its sidecar has accepted and not yet responded to.
+pub(super) struct OpenRequest {
+    pub(super) key: RequestKey,
+    pub(super) request: Request,
+    /// Its attempts, by their indexes.
+    pub(super) attempts: Vec<AttemptKey>,
+}
+
+impl OpenRequest {
+    /// Its sidecar's process is gone, and all connections with it.
+    pub(super) fn on_process_lost(self, environment: &mut Environment<'_, '_>) {
+        for attempt in self.attempts {
+            close_connection(attempt, environment);
+        }
+        let outcome = RequestOutcome::ConnectionLost;
+        send_response(self.key, outcome, 0, environment.context);
+    }
+}
+
+impl Sidecar {
+    /// A request's last byte is at its sidecar, which runs.
+    pub(in crate::simulator) fn accept_request(
+        &mut self,
+        key: RequestKey,
+        request: Request,
+        environment: &mut Environment<'_, '_>,
+    ) {
+        let context = &mut *environment.context;
+        context.record(LogEvent::RequestAccepted {
+            request: request.number,
+            arrival: request.arrival_number,
+            sidecar: self.index,
+            class: request.class,
+            due: request.due,
+        });
+        let open = OpenRequest {
+            key,
+            request,
+            attempts: Vec::new(),
+        };
+        self.open_requests.insert(request.number, open);
+        let respond_by = request.due.saturating_sub(RESPONSE_MARGIN);
+        let due = SimulatorEvent::ResponseDue(self.index, request.number);
+        context.at(respond_by, due);
+        let arrived = request_arrived(&request, context.now());
+        self.handle_balancer_event(arrived, environment);
+    }
+
+    /// Whether it has accepted a request and not yet responded to it.
+    pub(super) fn has_open_request(&self, number: RequestNumber) -> bool {
+        self.open_requests.contains_key(&number)
+    }
+
+    /// The sidecar's last moment for a request that its balancer has not decided.
+    pub(in crate::simulator) fn on_response_due(
+        &mut self,
+        number: RequestNumber,
+        environment: &mut Environment<'_, '_>,
+    ) {
+        if !self.has_open_request(number) {
+            return;
+        }
+        let mut events = VecDeque::from([client_disconnected(number)]);
+        self.fail_request(number, &mut events, environment);
+        self.handle_balancer_events(events, environment);
+    }
+
+    /// The client no longer waits: what is still out is cancelled.
+    pub(in crate::simulator) fn abandon_request(
+        &mut self,
+        number: RequestNumber,
+        environment: &mut Environment<'_, '_>,
+    ) {
+        let mut events = VecDeque::from([client_disconnected(number)]);
+        self.close_request(number, &mut events, environment);
+        self.handle_balancer_events(events, environment);
+    }
+
+    /// Gives the one final response to a request that is open, and cancels what is still out.
+    pub(super) fn respond(
+        &mut self,
+        number: RequestNumber,
+        outcome: RequestOutcome,
+        retry_after: Micros,
+        events: &mut VecDeque<BalancerEvent>,
+        environment: &mut Environment<'_, '_>,
+    ) {
+        if let Some(key) = self.close_request(number, events, environment) {
+            send_response(key, outcome, retry_after, environment.context);
+        }
+    }
+
+    /// Cancels what is still out of a request that is open, and gives back the client's key.
+    fn close_request(
+        &mut self,
+        number: RequestNumber,
+        events: &mut VecDeque<BalancerEvent>,
+        environment: &mut Environment<'_, '_>,
+    ) -> Option<RequestKey> {
+        let open = self.open_requests.remove(&number)?;
+        for attempt in open.attempts {
+            self.cancel_attempt(attempt, events, environment);
+        }
+        Some(open.key)
+    }
+
+    /// The attempt of an open request by its index.
+    pub(super) fn attempt_of(&self, number: RequestNumber, index: u32) -> Option<AttemptKey> {
+        let open = self.open_requests.get(&number)?;
+        open.attempts.get(index as usize).copied()
+    }
+}
+
+fn request_arrived(request: &Request, now: Micros) -> BalancerEvent {
+    BalancerEvent::RequestArrived(IncomingRequest {
+        id: RequestId(request.number.value()),
+        class: ClassId(request.class.value()),
+        time_left: request.due.saturating_sub(now),
+        work_hint: request.work_hint,
+    })
+}
+
+fn client_disconnected(number: RequestNumber) -> BalancerEvent {
+    let request = RequestId(number.value());
+    BalancerEvent::ClientDisconnected { request }
+}
+
+/// Sends a response, or the end of its connection, on the way to the client.
+fn send_response(
+    request: RequestKey,
+    outcome: RequestOutcome,
+    retry_after: Micros,
+    context: &mut Context<'_>,
+) {
+    let delay = from_ms(context.scenario().network.client_ms);
+    let response = SimulatorEvent::ResponseAtClient(ClientResponse {
+        request,
+        outcome,
+        retry_after,
+    });
+    context.after(delay, response);
+}
