--- a/crates/testbed/tests/scenario/main.rs
+++ b/crates/testbed/tests/scenario/main.rs
@@ -1,7 +1,9 @@
 //! Scenario files: shipped and stored ones can be read, and what contradicts itself is refused with
 //! line and key.
 
+mod defaults;
 mod former_keys;
+mod refusals;
 
 use std::path::PathBuf;
 
