--- a/crates/testbed/src/scenario/discovery.rs
+++ b/crates/testbed/src/scenario/discovery.rs
@@ -1,21 +1,34 @@
 //! Section on the service that lists servers.
 
-use super::section::section;
+use serde::{Deserialize, Serialize};
 
-section! {
-    /// The service that lists servers, and lets sidecars watch the list.
-    Discovery {
-        /// From a drain, crash or planned end to its place in the list, in milliseconds.
-        notice_ms: f64 = 1_500.0,
-        /// The same for a machine that falls silent, in milliseconds.
-        silent_notice_ms: f64 = 9_000.0,
-        /// From a start to its place in the list, in milliseconds.
-        add_ms: f64 = 1_200.0,
-        /// Until a change has reached a watch, in milliseconds at most.
-        spread_ms: f64 = 300.0,
-        /// Polls a second that it serves.
-        capacity: f64 = 4.0,
-        /// A poll that waits longer fails, in milliseconds.
-        timeout_ms: f64 = 3_000.0,
+/// The service that lists servers, and lets sidecars watch the list.
+#[derive(Clone, Debug, Serialize, Deserialize)]
+#[serde(default, deny_unknown_fields)]
+pub struct Discovery {
+    /// From a drain, crash or planned end to its place in the list, in milliseconds.
+    pub notice_ms: f64,
+    /// The same for a machine that falls silent, in milliseconds.
+    pub silent_notice_ms: f64,
+    /// From a start to its place in the list, in milliseconds.
+    pub add_ms: f64,
+    /// Until a change has reached a watch, in milliseconds at most.
+    pub spread_ms: f64,
+    /// Polls a second that it serves.
+    pub capacity: f64,
+    /// A poll that waits longer fails, in milliseconds.
+    pub timeout_ms: f64,
+}
+
+impl Default for Discovery {
+    fn default() -> Self {
+        Self {
+            notice_ms: 1_500.0,
+            silent_notice_ms: 9_000.0,
+            add_ms: 1_200.0,
+            spread_ms: 300.0,
+            capacity: 4.0,
+            timeout_ms: 3_000.0,
+        }
     }
 }
--- a/crates/testbed/src/scenario/fleet.rs
+++ b/crates/testbed/src/scenario/fleet.rs
@@ -1,129 +1,205 @@
 //! Sections on who is there: network, machine types, servers and sidecars.
 
-use super::section::{choice, section};
+use serde::{Deserialize, Serialize};
 
-section! {
-    /// Zones, and delays of one way between two processes.
-    Network {
-        /// Names of the zones; at least one.
-        zones: Vec<String> = vec!["fukuoka".into()],
-        /// Delay within a zone, in milliseconds.
-        same_ms: f64 = 0.25,
-        /// Delay between two zones, in milliseconds.
-        cross_ms: f64 = 4.0,
-        /// Delay between a client and its sidecar, in milliseconds.
-        client_ms: f64 = 0.1,
-        /// A delay is drawn up to this share longer.
-        jitter: f64 = 0.2,
-    }
+/// Zones, and delays of one way between two processes.
+#[derive(Clone, Debug, Serialize, Deserialize)]
+#[serde(default, deny_unknown_fields)]
+pub struct Network {
+    /// Names of the zones; at least one.
+    pub zones: Vec<String>,
+    /// Delay within a zone, in milliseconds.
+    pub same_ms: f64,
+    /// Delay between two zones, in milliseconds.
+    pub cross_ms: f64,
+    /// Delay between a client and its sidecar, in milliseconds.
+    pub client_ms: f64,
+    /// A delay is drawn up to this share longer.
+    pub jitter: f64,
 }
 
-section! {
-    /// A type of machine that servers run on, and how they behave on it.
-    MachineType {
-        /// Its name, by which `servers` refer to it.
-        name: String = "std".into(),
-        /// Cores; above zero.
-        cores: u32 = 2,
-        /// Requests that run at a time and share the cores; 0 for one a core.
-        slots: u32 = 0,
-        /// Share by which each request a core beyond `thrashing_threshold` slows all of them down.
-        thrashing: f64 = 0.0,
-        /// Requests a core from which on they slow each other down.
-        thrashing_threshold: f64 = 4.0,
-        /// Work done by one core in one second, in seconds of a standard core.
-        speed: f64 = 1.0,
-        /// Speeds are drawn within this share above and below `speed`.
-        speed_spread: f64 = 0.1,
-        /// Requests that may wait.
-        queue: usize = 800,
-        /// Share of its capacity that a cold server starts with.
-        cold_capacity_share: f64 = 0.2,
-        /// Seconds until a cold server is warm, at the latest.
-        slow_start_s: f64 = 18.0,
-        /// Served requests that warm a cold server as well; 0 where only time does.
-        warm_requests: u64 = 0,
-        /// Share of requests that end in an error, after their work.
-        error_rate: f64 = 0.001,
-        /// Connections it accepts.
-        connections: usize = 1_500,
-        /// Share of its capacity that a full connection table takes.
-        connection_overhead: f64 = 0.3,
-        /// Work of a new connection, in milliseconds of a standard core.
-        handshake_ms: f64 = 3.0,
-        /// Round trips before a new connection carries its first request.
-        handshake_rtts: f64 = 2.5,
-        /// Work of a health check, in milliseconds of a standard core.
-        health_check_ms: f64 = 0.12,
-        /// Health checks a second that it answers; 0 for no cap. Further ones are rejected.
-        health_checks_per_s: f64 = 0.0,
-        /// What the cancellation of an attempt stops.
-        cancel: CancellationScope = CancellationScope::Queued,
-        /// Whether a waiting request is dropped once its sidecar no longer waits for it.
-        drops_expired: bool = true,
-        /// How lasting overload slows it; absent where it does not.
-        contention: Option<Contention> = None,
+impl Default for Network {
+    fn default() -> Self {
+        Self {
+            zones: vec!["fukuoka".into()],
+            same_ms: 0.25,
+            cross_ms: 4.0,
+            client_ms: 0.1,
+            jitter: 0.2,
+        }
     }
 }
 
-choice! {
-    /// What the cancellation of an attempt stops at a server.
-    CancellationScope {
-        /// Nothing.
-        None,
-        /// Requests that wait.
-        Queued,
-        /// Requests that run as well.
-        All,
+/// A type of machine that servers run on, and how they behave on it.
+#[derive(Clone, Debug, Serialize, Deserialize)]
+#[serde(default, deny_unknown_fields)]
+pub struct MachineType {
+    /// Its name, by which `servers` refer to it.
+    pub name: String,
+    /// Cores; above zero.
+    pub cores: u32,
+    /// Requests that run at a time and share the cores; 0 for one a core.
+    pub slots: u32,
+    /// Share by which each request a core beyond `thrashing_threshold` slows all of them down.
+    pub thrashing: f64,
+    /// Requests a core from which on they slow each other down.
+    pub thrashing_threshold: f64,
+    /// Work done by one core in one second, in seconds of a standard core.
+    pub speed: f64,
+    /// Speeds are drawn within this share above and below `speed`.
+    pub speed_spread: f64,
+    /// Requests that may wait.
+    pub queue: usize,
+    /// Share of its capacity that a cold server starts with.
+    pub cold_capacity_share: f64,
+    /// Seconds until a cold server is warm, at the latest.
+    pub slow_start_s: f64,
+    /// Served requests that warm a cold server as well; 0 where only time does.
+    pub warm_requests: u64,
+    /// Share of requests that end in an error, after their work.
+    pub error_rate: f64,
+    /// Connections it accepts.
+    pub connections: usize,
+    /// Share of its capacity that a full connection table takes.
+    pub connection_overhead: f64,
+    /// Work of a new connection, in milliseconds of a standard core.
+    pub handshake_ms: f64,
+    /// Round trips before a new connection carries its first request.
+    pub handshake_rtts: f64,
+    /// Work of a health check, in milliseconds of a standard core.
+    pub health_check_ms: f64,
+    /// Health checks a second that it answers; 0 for no cap. Further ones are rejected.
+    pub health_checks_per_s: f64,
+    /// What the cancellation of an attempt stops.
+    pub cancel: CancellationScope,
+    /// Whether a waiting request is dropped once its sidecar no longer waits for it.
+    pub drops_expired: bool,
+    /// How lasting overload slows it; absent where it does not.
+    pub contention: Option<Contention>,
+}
+
+impl Default for MachineType {
+    fn default() -> Self {
+        Self {
+            name: "std".into(),
+            cores: 2,
+            slots: 0,
+            thrashing: 0.0,
+            thrashing_threshold: 4.0,
+            speed: 1.0,
+            speed_spread: 0.1,
+            queue: 800,
+            cold_capacity_share: 0.2,
+            slow_start_s: 18.0,
+            warm_requests: 0,
+            error_rate: 0.001,
+            connections: 1_500,
+            connection_overhead: 0.3,
+            handshake_ms: 3.0,
+            handshake_rtts: 2.5,
+            health_check_ms: 0.12,
+            health_checks_per_s: 0.0,
+            cancel: CancellationScope::Queued,
+            drops_expired: true,
+            contention: None,
+        }
     }
 }
 
-section! {
-    /// Overload that lasts: once a server has more than `overload_threshold` requests a core in
-    /// flight for `overload_s`, it is slowed until it has less than `recovery_threshold` a core for
-    /// `recovery_s`, or until `max_s` have passed.
-    Contention {
-        /// Requests a core beyond which it is overloaded.
-        overload_threshold: f64 = 5.5,
-        /// Seconds of overload after which it is slowed.
-        overload_s: f64 = 2.0,
-        /// Factor by which it is slower; 1 or more.
-        slowdown: f64 = 2.6,
-        /// Requests a core below which it recovers.
-        recovery_threshold: f64 = 0.35,
-        /// Seconds that it takes to recover.
-        recovery_s: f64 = 3.0,
-        /// Seconds after which it has recovered in any case.
-        max_s: f64 = 22.0,
+/// What the cancellation of an attempt stops at a server.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(rename_all = "snake_case")]
+pub enum CancellationScope {
+    /// Nothing.
+    None,
+    /// Requests that wait.
+    Queued,
+    /// Requests that run as well.
+    All,
+}
+
+/// Overload that lasts: once a server has more than `overload_threshold` requests a core in
+/// flight for `overload_s`, it is slowed until it has less than `recovery_threshold` a core for
+/// `recovery_s`, or until `max_s` have passed.
+#[derive(Clone, Debug, Serialize, Deserialize)]
+#[serde(default, deny_unknown_fields)]
+pub struct Contention {
+    /// Requests a core beyond which it is overloaded.
+    pub overload_threshold: f64,
+    /// Seconds of overload after which it is slowed.
+    pub overload_s: f64,
+    /// Factor by which it is slower; 1 or more.
+    pub slowdown: f64,
+    /// Requests a core below which it recovers.
+    pub recovery_threshold: f64,
+    /// Seconds that it takes to recover.
+    pub recovery_s: f64,
+    /// Seconds after which it has recovered in any case.
+    pub max_s: f64,
+}
+
+impl Default for Contention {
+    fn default() -> Self {
+        Self {
+            overload_threshold: 5.5,
+            overload_s: 2.0,
+            slowdown: 2.6,
+            recovery_threshold: 0.35,
+            recovery_s: 3.0,
+            max_s: 22.0,
+        }
     }
 }
 
-section! {
-    /// A group of servers of one machine type.
-    Servers {
-        /// Name of their machine type.
-        machine_type: String = "std".into(),
-        /// How many there are.
-        count: usize = 1,
-        /// Their zone; spread over all zones where it is absent.
-        zone: Option<String> = None,
-        /// Whether they are cold at the start.
-        cold: bool = false,
+/// A group of servers of one machine type.
+#[derive(Clone, Debug, Serialize, Deserialize)]
+#[serde(default, deny_unknown_fields)]
+pub struct Servers {
+    /// Name of their machine type.
+    pub machine_type: String,
+    /// How many there are.
+    pub count: usize,
+    /// Their zone; spread over all zones where it is absent.
+    pub zone: Option<String>,
+    /// Whether they are cold at the start.
+    pub cold: bool,
+}
+
+impl Default for Servers {
+    fn default() -> Self {
+        Self {
+            machine_type: "std".into(),
+            count: 1,
+            zone: None,
+            cold: false,
+        }
     }
 }
 
-section! {
-    /// The sidecars, spread over the zones.
-    Sidecars {
-        /// How many there are.
-        count: usize = 3,
-        /// How unevenly traffic is spread over them: coefficient of variation of their shares.
-        skew: f64 = 0.0,
-        /// Whether they know cores and speed of each machine type, as by an operator's table.
-        knows_machine_types: bool = false,
-        /// Memory that each may use, in megabytes.
-        memory_mb: u64 = 192,
-        /// Sockets that each may open.
-        sockets: u64 = 1_024,
+/// The sidecars, spread over the zones.
+#[derive(Clone, Debug, Serialize, Deserialize)]
+#[serde(default, deny_unknown_fields)]
+pub struct Sidecars {
+    /// How many there are.
+    pub count: usize,
+    /// How unevenly traffic is spread over them: coefficient of variation of their shares.
+    pub skew: f64,
+    /// Whether they know cores and speed of each machine type, as by an operator's table.
+    pub knows_machine_types: bool,
+    /// Memory that each may use, in megabytes.
+    pub memory_mb: u64,
+    /// Sockets that each may open.
+    pub sockets: u64,
+}
+
+impl Default for Sidecars {
+    fn default() -> Self {
+        Self {
+            count: 3,
+            skew: 0.0,
+            knows_machine_types: false,
+            memory_mb: 192,
+            sockets: 1_024,
+        }
     }
 }
--- a/crates/testbed/src/scenario/mod.rs
+++ b/crates/testbed/src/scenario/mod.rs
@@ -16,12 +16,13 @@
 mod read;
 mod renamed_keys;
 mod rules;
-mod section;
 mod set_key;
 mod source_lines;
 mod time;
 mod traffic;
 
+use serde::{Deserialize, Serialize};
+
 pub use discovery::Discovery;
 pub use error::{ScenarioError, ScenarioErrors};
 pub use expectations::Expect;
@@ -34,46 +35,69 @@
     Class, Clients, DeduplicationScope, Idempotency, Load, LoadShape, Tenant, WorkDistribution,
 };
 
-use section::section;
+/// A whole scenario. [`Scenario::check`] finds what contradicts itself.
+#[derive(Clone, Debug, Serialize, Deserialize)]
+#[serde(default, deny_unknown_fields)]
+pub struct Scenario {
+    /// Name in reports.
+    pub name: String,
+    /// Time in which requests arrive, in seconds; what is open at its end is played to its end.
+    pub seconds: f64,
+    /// Seed of all random streams.
+    pub seed: u64,
+    /// Zones and delays.
+    pub network: Network,
+    /// Types of machines that servers run on.
+    pub machine_type: Vec<MachineType>,
+    /// Groups of servers.
+    pub servers: Vec<Servers>,
+    /// The sidecars.
+    pub sidecars: Sidecars,
+    /// Classes of requests.
+    pub class: Vec<Class>,
+    /// Tenants; none where all requests count alike.
+    pub tenant: Vec<Tenant>,
+    /// How much is asked for.
+    pub load: Load,
+    /// What clients do about slow and failed requests.
+    pub clients: Clients,
+    /// The service that lists servers.
+    pub discovery: Discovery,
+    /// What sidecars may do.
+    pub permissions: Permissions,
+    /// How servers report their load.
+    pub load_reports: LoadReports,
+    /// Figures of the rules.
+    pub rules: Rules,
+    /// What is paid for waste and its like.
+    pub prices: Prices,
+    /// What goes wrong, and when.
+    pub fault: Vec<Fault>,
+    /// What must hold, besides the rules.
+    pub expect: Expect,
+}
 
-section! {
-    /// A whole scenario. [`Scenario::check`] finds what contradicts itself.
-    Scenario {
-        /// Name in reports.
-        name: String = "day".into(),
-        /// Time in which requests arrive, in seconds; what is open at its end is played to its end.
-        seconds: f64 = 60.0,
-        /// Seed of all random streams.
-        seed: u64 = 1,
-        /// Zones and delays.
-        network: Network = Network::default(),
-        /// Types of machines that servers run on.
-        machine_type: Vec<MachineType> = Vec::new(),
-        /// Groups of servers.
-        servers: Vec<Servers> = Vec::new(),
-        /// The sidecars.
-        sidecars: Sidecars = Sidecars::default(),
-        /// Classes of requests.
-        class: Vec<Class> = Vec::new(),
-        /// Tenants; none where all requests count alike.
-        tenant: Vec<Tenant> = Vec::new(),
-        /// How much is asked for.
-        load: Load = Load::default(),
-        /// What clients do about slow and failed requests.
-        clients: Clients = Clients::default(),
-        /// The service that lists servers.
-        discovery: Discovery = Discovery::default(),
-        /// What sidecars may do.
-        permissions: Permissions = Permissions::default(),
-        /// How servers report their load.
-        load_reports: LoadReports = LoadReports::default(),
-        /// Figures of the rules.
-        rules: Rules = Rules::default(),
-        /// What is paid for waste and its like.
-        prices: Prices = Prices::default(),
-        /// What goes wrong, and when.
-        fault: Vec<Fault> = Vec::new(),
-        /// What must hold, besides the rules.
-        expect: Expect = Expect::default(),
+impl Default for Scenario {
+    fn default() -> Self {
+        Self {
+            name: "day".into(),
+            seconds: 60.0,
+            seed: 1,
+            network: Network::default(),
+            machine_type: Vec::new(),
+            servers: Vec::new(),
+            sidecars: Sidecars::default(),
+            class: Vec::new(),
+            tenant: Vec::new(),
+            load: Load::default(),
+            clients: Clients::default(),
+            discovery: Discovery::default(),
+            permissions: Permissions::default(),
+            load_reports: LoadReports::default(),
+            rules: Rules::default(),
+            prices: Prices::default(),
+            fault: Vec::new(),
+            expect: Expect::default(),
+        }
     }
 }
