--- a/crates/testbed/src/scenario/check/faults.rs
+++ b/crates/testbed/src/scenario/check/faults.rs
@@ -1,4 +1,7 @@
 //! Checks of the schedule of faults.
+//!
+//! Owns the ranges of a fault's keys, the names that it may have, and which faults exclude each
+//! other. Servers that are drawn are not known here: only those that are named can overlap.
 
 use super::Checker;
 use crate::index::ServerIndex;
@@ -18,15 +21,23 @@
     fn check_fault(&self, checker: &mut Checker, fault: &Fault, path: &str) {
         let key = |name: &str| format!("{path}.{name}");
         checker.not_negative(fault.at_s, key("at_s"));
-        let in_run = fault.at_s < self.seconds;
-        checker.require(in_run, key("at_s"), "lies after the end of the day");
+        let starts_within_run = fault.at_s < self.seconds;
+        checker.require(
+            starts_within_run,
+            key("at_s"),
+            "lies after the end of the day",
+        );
         checker.not_negative(fault.for_s, key("for_s"));
         checker.share(fault.target_share, key("target_share"));
         checker.share(fault.share, key("share"));
         checker.positive(fault.factor, key("factor"));
         checker.not_negative(fault.down_s, key("down_s"));
-        let batch = fault.batch > 0.0 && fault.batch <= 1.0;
-        checker.require(batch, key("batch"), "must be above 0 and at most 1");
+        let batch_in_range = fault.batch > 0.0 && fault.batch <= 1.0;
+        checker.require(
+            batch_in_range,
+            key("batch"),
+            "must be above 0 and at most 1",
+        );
         self.check_zone(checker, fault.zone.as_deref(), &key("zone"));
         self.check_fault_servers(checker, fault, path);
         if let Some(name) = &fault.class {
@@ -52,20 +63,21 @@
         }
     }
 
-    /// A server that is drained or crashes must not have been taken away by an earlier fault.
+    /// A server that is drained, crashes or falls silent must not have been taken away by an earlier
+    /// fault.
     fn check_overlaps(&self, checker: &mut Checker) {
-        let takes_away = |(_, fault): &(usize, &Fault)| {
-            matches!(
-                fault.kind,
-                FaultKind::Drain | FaultKind::Crash | FaultKind::Silence
-            )
+        let removing = || {
+            self.fault
+                .iter()
+                .enumerate()
+                .filter(|(_, f)| removes_servers(f))
         };
-        for (i, later) in self.fault.iter().enumerate().filter(takes_away) {
-            for (j, earlier) in self.fault.iter().enumerate().filter(takes_away) {
-                let ordered =
-                    i != j && later.at_s >= earlier.at_s && (i > j || later.at_s > earlier.at_s);
-                let overlap = ordered && later.at_s < earlier.at_s + earlier.for_s;
-                if let Some(name) = common_server(later, earlier).filter(|_| overlap) {
+        for (i, later) in removing() {
+            for (j, earlier) in removing() {
+                if !starts_during((i, later), (j, earlier)) {
+                    continue;
+                }
+                if let Some(name) = common_server(later, earlier) {
                     let at = later.at_s;
                     let why =
                         format!("{name} is not there at {at} s: fault[{j}] has taken it away");
@@ -76,8 +88,28 @@
     }
 }
 
+/// True for faults that take their servers away, so that a second one finds none.
+fn removes_servers(fault: &Fault) -> bool {
+    matches!(
+        fault.kind,
+        FaultKind::Drain | FaultKind::Crash | FaultKind::Silence
+    )
+}
+
+/// Whether a fault starts while another, earlier one lasts. Of two that start together, the one
+/// that stands first in the file is the earlier.
+fn starts_during(later: (usize, &Fault), earlier: (usize, &Fault)) -> bool {
+    let (later_index, later) = later;
+    let (earlier_index, earlier) = earlier;
+    let is_later =
+        later.at_s > earlier.at_s || (later.at_s >= earlier.at_s && later_index > earlier_index);
+    is_later && later.at_s < earlier.at_s + earlier.for_s
+}
+
 /// The first server that both faults name.
 fn common_server<'a>(fault: &'a Fault, other: &Fault) -> Option<&'a String> {
-    let named_by_other = |name: &&String| other.servers.contains(name);
-    fault.servers.iter().find(named_by_other)
+    fault
+        .servers
+        .iter()
+        .find(|name| other.servers.contains(name))
 }
--- a/crates/testbed/src/scenario/check/fleet.rs
+++ b/crates/testbed/src/scenario/check/fleet.rs
@@ -1,4 +1,6 @@
 //! Checks of network, machine types, servers and sidecars.
+//!
+//! Owns their ranges, and which machine types and zones may be named.
 
 use std::collections::BTreeSet;
 
@@ -27,8 +29,8 @@
         let zones = "network.zones";
         checker.require(!network.zones.is_empty(), zones, "at least one is needed");
         let distinct = network.zones.iter().collect::<BTreeSet<_>>().len();
-        let unique = distinct == network.zones.len();
-        checker.require(unique, zones, "a zone is there twice");
+        let all_distinct = distinct == network.zones.len();
+        checker.require(all_distinct, zones, "a zone is there twice");
         checker.not_negative(network.same_ms, "network.same_ms");
         checker.not_negative(network.cross_ms, "network.cross_ms");
         checker.not_negative(network.client_ms, "network.client_ms");
@@ -55,7 +57,8 @@
     }
 
     fn check_sidecars(&self, checker: &mut Checker) {
-        let (count, key) = (self.sidecars.count, "sidecars.count");
+        let count = self.sidecars.count;
+        let key = "sidecars.count";
         checker.require(count > 0, key, "must be above zero");
         let why = format!("must be at most {MAX_SIDECARS}");
         checker.require(count <= MAX_SIDECARS, key, why);
@@ -73,22 +76,13 @@
 
 fn check_machine_type(checker: &mut Checker, machine_type: &MachineType, path: &str) {
     let key = |name: &str| format!("{path}.{name}");
-    checker.require(machine_type.cores > 0, key("cores"), "must be above zero");
-    checker.positive(machine_type.speed, key("speed"));
-    let spread = (0.0..1.0).contains(&machine_type.speed_spread);
-    checker.require(spread, key("speed_spread"), "must lie below 1");
-    let cold_share = machine_type.cold_capacity_share;
-    checker.require(
-        cold_share > 0.0 && cold_share <= 1.0,
-        key("cold_capacity_share"),
-        "must be above 0 and at most 1",
-    );
+    check_speed(checker, machine_type, path);
     checker.not_negative(machine_type.slow_start_s, key("slow_start_s"));
     checker.share(machine_type.error_rate, key("error_rate"));
     checker.not_negative(machine_type.thrashing, key("thrashing"));
     checker.positive(machine_type.thrashing_threshold, key("thrashing_threshold"));
-    let slots = machine_type.slots == 0 || machine_type.slots >= machine_type.cores;
-    checker.require(slots, key("slots"), "must be 0 or no less than cores");
+    let slots_fit = machine_type.slots == 0 || machine_type.slots >= machine_type.cores;
+    checker.require(slots_fit, key("slots"), "must be 0 or no less than cores");
     checker.share(machine_type.connection_overhead, key("connection_overhead"));
     checker.not_negative(machine_type.handshake_ms, key("handshake_ms"));
     checker.not_negative(machine_type.handshake_rtts, key("handshake_rtts"));
@@ -99,6 +93,20 @@
     }
 }
 
+fn check_speed(checker: &mut Checker, machine_type: &MachineType, path: &str) {
+    let key = |name: &str| format!("{path}.{name}");
+    checker.require(machine_type.cores > 0, key("cores"), "must be above zero");
+    checker.positive(machine_type.speed, key("speed"));
+    let spread_in_range = (0.0..1.0).contains(&machine_type.speed_spread);
+    checker.require(spread_in_range, key("speed_spread"), "must lie below 1");
+    let cold_share = machine_type.cold_capacity_share;
+    checker.require(
+        cold_share > 0.0 && cold_share <= 1.0,
+        key("cold_capacity_share"),
+        "must be above 0 and at most 1",
+    );
+}
+
 fn check_contention(checker: &mut Checker, contention: &Contention, path: &str) {
     let key = |name: &str| format!("{path}.{name}");
     checker.positive(contention.overload_threshold, key("overload_threshold"));
@@ -107,9 +115,9 @@
         key("slowdown"),
         "must be 1 or more",
     );
-    let order = contention.recovery_threshold < contention.overload_threshold;
+    let recovers_below = contention.recovery_threshold < contention.overload_threshold;
     checker.require(
-        order,
+        recovers_below,
         key("recovery_threshold"),
         "must be below overload_threshold",
     );
--- a/crates/testbed/src/scenario/check/mod.rs
+++ b/crates/testbed/src/scenario/check/mod.rs
@@ -1,8 +1,9 @@
-//! What one key alone cannot show: ranges, names that must exist, and a schedule that contradicts
-//! itself.
+//! What the types of the keys cannot show: ranges, names that must exist, and a schedule that
+//! contradicts itself.
 //!
-//! One file for each part of a scenario; this one has the collector of errors, and the order of the
-//! checks.
+//! Owns the order of the checks and the collector of errors; each part of a scenario has a file of
+//! its own. Errors have the present names of keys: names and lines of the file are put in by `read`.
+//! Errors on one line are reported in the order of the checks, so the order is part of the messages.
 
 mod faults;
 mod fleet;
@@ -20,36 +21,39 @@
 }
 
 impl Checker {
-    /// Notes an error at a key unless the condition holds.
+    /// Records an error at a key unless the condition holds.
     fn require(&mut self, holds: bool, key: impl Into<String>, why: impl Into<String>) {
         if !holds {
             self.errors.push(ScenarioError::at_key(key, why));
         }
     }
 
+    /// Records an error unless the value is finite and above zero.
     fn positive(&mut self, value: f64, key: impl Into<String>) {
         let holds = value.is_finite() && value > 0.0;
         self.require(holds, key, "must be above zero");
     }
 
+    /// Records an error unless the value is finite and at least zero.
     fn not_negative(&mut self, value: f64, key: impl Into<String>) {
         let holds = value.is_finite() && value >= 0.0;
         self.require(holds, key, "must not be negative");
     }
 
+    /// Records an error unless the value lies between 0 and 1, both included.
     fn share(&mut self, value: f64, key: impl Into<String>) {
         let holds = (0.0..=1.0).contains(&value);
         self.require(holds, key, "must lie between 0 and 1");
     }
 
-    /// Names of a list's items: none may be empty or given twice.
+    /// Records an error for each name of a list's items that is empty or given twice.
     fn unique_names<'a>(&mut self, names: impl Iterator<Item = &'a str>, list: &str) {
         let mut seen = BTreeSet::new();
         for (i, name) in names.enumerate() {
             let key = format!("{list}[{i}].name");
             self.require(!name.is_empty(), key.as_str(), "must not be empty");
-            let why = format!("{name:?} is there twice");
-            self.require(seen.insert(name), key, why);
+            let is_new = seen.insert(name);
+            self.require(is_new, key, format!("{name:?} is there twice"));
         }
     }
 }
--- a/crates/testbed/src/scenario/check/traffic.rs
+++ b/crates/testbed/src/scenario/check/traffic.rs
@@ -1,4 +1,6 @@
 //! Checks of classes, tenants, the load and what clients do.
+//!
+//! Owns their ranges, what shares may add up to, and how long a run may be.
 
 use super::Checker;
 use crate::scenario::{Class, LoadShape, Scenario};
@@ -48,19 +50,22 @@
         checker.not_negative(load.work_hints.unwrap_or(0.0), "load.work_hints");
         checker.positive(load.period_s, "load.period_s");
         checker.not_negative(load.low, "load.low");
-        let order = load.high >= load.low;
-        checker.require(order, "load.high", "must not be below load.low");
-        let some = load.max_open_requests > 0;
-        checker.require(some, "load.max_open_requests", "must be above zero");
+        let in_order = load.high >= load.low;
+        checker.require(in_order, "load.high", "must not be below load.low");
+        checker.require(
+            load.max_open_requests > 0,
+            "load.max_open_requests",
+            "must be above zero",
+        );
     }
 
     fn check_arrival_count(&self, checker: &mut Checker) {
-        let brim_rate = if self.load.shape == LoadShape::Drift {
+        let highest_drift = if self.load.shape == LoadShape::Drift {
             self.load.high * self.full_rate()
         } else {
             0.0
         };
-        let arrivals = self.rate().max(brim_rate) * self.seconds;
+        let arrivals = self.rate().max(highest_drift) * self.seconds;
         if arrivals.is_finite() {
             let why = format!("{arrivals:.0} arrivals are more than {MAX_ARRIVALS:.0}");
             checker.require(arrivals <= MAX_ARRIVALS, "load", why);
@@ -76,8 +81,8 @@
             "must be two shares in order, above 0 and at most 1",
         );
         let [shortest, longest] = clients.backoff_ms;
-        let order = shortest >= 0.0 && shortest <= longest && longest.is_finite();
-        checker.require(order, "clients.backoff_ms", "must be two times in order");
+        let in_order = shortest >= 0.0 && shortest <= longest && longest.is_finite();
+        checker.require(in_order, "clients.backoff_ms", "must be two times in order");
         checker.share(clients.honour_retry_after, "clients.honour_retry_after");
         checker.share(clients.disconnect_share, "clients.disconnect_share");
     }
--- a/crates/testbed/src/scenario/rates.rs
+++ b/crates/testbed/src/scenario/rates.rs
@@ -1,18 +1,28 @@
 //! How many requests a scenario asks for, on the mean and at a moment.
+//!
+//! Owns the law of the load: shapes, bursts, and what a rate relative to capacity comes to. Draws
+//! nothing at random; `workload` draws arrivals at these rates.
 
 use std::f64::consts::TAU;
 
+use super::time::to_s;
 use super::{FaultKind, LoadShape, Micros, Scenario};
 
+/// Milliseconds of a second.
+const MS_PER_S: f64 = 1_000.0;
+/// Rate at the start of a ramp, as a multiple of the mean. The ramp rises by one mean over the run.
+const RAMP_START: f64 = 0.5;
+
 impl Scenario {
     /// Mean work of a request, in seconds of a standard core.
     pub fn mean_work(&self) -> f64 {
         let shares: f64 = self.class.iter().map(|class| class.share).sum();
-        self.class
+        let work: f64 = self
+            .class
             .iter()
-            .map(|class| class.share * class.work_ms / 1_000.0)
-            .sum::<f64>()
-            / shares.max(f64::MIN_POSITIVE)
+            .map(|class| class.share * class.work_ms / MS_PER_S)
+            .sum();
+        work / shares.max(f64::MIN_POSITIVE)
     }
 
     /// Requests a second, on the mean of the run.
@@ -29,28 +39,28 @@
         self.capacity() / self.mean_work().max(f64::MIN_POSITIVE)
     }
 
-    /// Requests a second at a moment; `load_drift` lies between 0 and 1 and counts for
-    /// [`LoadShape::Drift`].
+    /// Requests a second at a moment, in microseconds from the start; `load_drift` lies between 0
+    /// and 1 and counts for [`LoadShape::Drift`].
     pub fn rate_at(&self, at: Micros, load_drift: f64) -> f64 {
-        let seconds = at as f64 / 1e6;
         let burst = self.burst_factor(at);
         let mean = self.rate() * burst;
         match self.load.shape {
             LoadShape::Steady => mean,
-            LoadShape::Ramp => mean * (0.5 + (seconds / self.seconds).min(1.0)),
+            LoadShape::Ramp => mean * (RAMP_START + (to_s(at) / self.seconds).min(1.0)),
             LoadShape::Swing => {
-                let wave = (seconds / self.load.period_s * TAU).sin();
+                let wave = (to_s(at) / self.load.period_s * TAU).sin();
                 mean * (1.0 + self.load.swing * wave)
             }
-            LoadShape::Drift => {
-                burst
-                    * self.full_rate()
-                    * (self.load.low
-                        + (self.load.high - self.load.low) * load_drift.clamp(0.0, 1.0))
-            }
+            LoadShape::Drift => burst * self.full_rate() * self.drifting_share(load_drift),
         }
     }
 
+    /// Load as a share of capacity, for a drift that lies between 0 and 1.
+    fn drifting_share(&self, load_drift: f64) -> f64 {
+        let range = self.load.high - self.load.low;
+        self.load.low + range * load_drift.clamp(0.0, 1.0)
+    }
+
     /// Product of the factors of the bursts that are on.
     fn burst_factor(&self, at: Micros) -> f64 {
         self.fault
--- a/crates/testbed/src/scenario/renamed_keys.rs
+++ b/crates/testbed/src/scenario/renamed_keys.rs
@@ -1,5 +1,8 @@
 //! Keys of scenario files that were renamed, and their former names.
 //!
+//! Owns the list of renamed keys, and translates tables and paths either way. Present names stand
+//! with the sections; `renamed_keys/tests.rs` holds that each present name is one of them.
+//!
 //! Scenarios written before the renaming stay readable: a table is brought to the present names
 //! when it is loaded, a path when a key is set. Messages go the other way, and name a key as the
 //! file has it.
@@ -166,38 +169,43 @@
 /// A path with all its keys under their present names.
 pub(super) fn present_path(path: &KeyPath) -> KeyPath {
     let mut section = String::new();
-    let present = path.segments().iter().map(|segment| {
-        if index(segment).is_some() {
-            return segment.clone();
+    let mut segments = Vec::new();
+    for segment in path.segments() {
+        let mut name = segment.as_str();
+        if index(segment).is_none() {
+            name = present_name(&section, segment);
+            section = join(&section, name);
         }
-        let present = present_name(&section, segment).to_owned();
-        section = join(&section, &present);
-        present
-    });
-    KeyPath::of(present.collect())
+        segments.push(name.to_owned());
+    }
+    KeyPath::of(segments)
 }
 
 /// A path as a file has it: each key under its former name where `written` has it under that name.
 pub(super) fn written_path(written: &Table, present: &KeyPath) -> KeyPath {
+    let top = Value::Table(written.clone());
+    let mut parent = Some(&top);
     let mut section = String::new();
-    let mut parent = Some(Value::Table(written.clone()));
-    let segments = present.segments().iter().map(|segment| {
+    let mut segments = Vec::new();
+    for segment in present.segments() {
+        let mut name = segment.as_str();
         if let Some(index) = index(segment) {
-            parent = parent.take().and_then(|value| value.get(index).cloned());
-            return segment.clone();
+            parent = parent.and_then(|list| list.get(index));
+        } else {
+            name = written_name(parent, &section, segment);
+            parent = parent.and_then(|table| table.get(name));
+            section = join(&section, segment);
         }
-        let table = parent.as_ref().and_then(Value::as_table);
-        let former = former_name(&section, segment);
-        let name = former
-            .filter(|former| table.is_some_and(|t| t.contains_key(*former)))
-            .unwrap_or(segment)
-            .to_owned();
-        let child = table.and_then(|table| table.get(&name)).cloned();
-        parent = child;
-        section = join(&section, segment);
-        name
-    });
-    KeyPath::of(segments.collect())
+        segments.push(name.to_owned());
+    }
+    KeyPath::of(segments)
+}
+
+/// The name under which a file has a key of a section: the former one where `table`, the section as
+/// the file has it, has a key of that name.
+fn written_name<'a>(table: Option<&Value>, section: &str, key: &'a str) -> &'a str {
+    let is_written = |former: &&str| table.is_some_and(|table| table.get(*former).is_some());
+    former_name(section, key).filter(is_written).unwrap_or(key)
 }
 
 #[cfg(test)]
