--- a/crates/testbed/src/scenario/discovery.rs
+++ b/crates/testbed/src/scenario/discovery.rs
@@ -1,22 +1,24 @@
 //! Section on the service that lists servers.
+//!
+//! Owns its keys and defaults. The service itself is played by each engine's `discovery`.
 
 use serde::{Deserialize, Serialize};
 
-/// The service that lists servers, and lets sidecars watch the list.
+/// The service that lists servers, and lets sidecars watch and poll the list.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Discovery {
-    /// From a drain, crash or planned end to its place in the list, in milliseconds.
+    /// Time from a drain, crash or planned end until the list has it, in milliseconds.
     pub notice_ms: f64,
-    /// The same for a machine that falls silent, in milliseconds.
+    /// Time from when a machine falls silent until the list has it as gone, in milliseconds.
     pub silent_notice_ms: f64,
-    /// From a start to its place in the list, in milliseconds.
+    /// Time from a server's start until the list has it as ready, in milliseconds.
     pub add_ms: f64,
-    /// Until a change has reached a watch, in milliseconds at most.
+    /// Longest time from a change of the list until a watch has it, in milliseconds.
     pub spread_ms: f64,
-    /// Polls a second that it serves.
+    /// Polls that it serves, one after the other, in polls a second; above zero.
     pub capacity: f64,
-    /// A poll that waits longer fails, in milliseconds.
+    /// Time that a poll may wait for its turn before it fails, in milliseconds; above zero.
     pub timeout_ms: f64,
 }
 
--- a/crates/testbed/src/scenario/error.rs
+++ b/crates/testbed/src/scenario/error.rs
@@ -1,4 +1,7 @@
 //! What is wrong with a scenario: errors that name file, line and key.
+//!
+//! Owns the form of the messages. Their texts come from `check`, from serde and from TOML's parser,
+//! and lines and names as the file has them from `read`.
 
 use std::fmt;
 
@@ -50,9 +53,9 @@
 /// Everything wrong with a scenario, in the order of the file.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub struct ScenarioErrors {
-    /// Where it came from.
+    /// Name of the file, as the reader was given it.
     pub file: String,
-    /// At least one.
+    /// The errors; at least one.
     pub errors: Vec<ScenarioError>,
 }
 
--- a/crates/testbed/src/scenario/expectations.rs
+++ b/crates/testbed/src/scenario/expectations.rs
@@ -1,4 +1,6 @@
 //! Section on what must come of a run.
+//!
+//! Owns its keys. Reports compare them with what came of the run.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,11 +8,11 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Expect {
-    /// Service as weighed, at least.
+    /// Least service, weighed as in reports; a share.
     pub service: Option<f64>,
-    /// Served share of requests, at least.
+    /// Least share of the accepted requests that are served.
     pub served: Option<f64>,
-    /// Longest time from the last restart of sidecars to 0.95 of the service before, in
-    /// seconds.
+    /// Longest time from the last restart of a sidecar until the service is at 0.95 of what it was
+    /// before the first, in seconds.
     pub recovered_s: Option<f64>,
 }
--- a/crates/testbed/src/scenario/faults.rs
+++ b/crates/testbed/src/scenario/faults.rs
@@ -1,4 +1,7 @@
 //! Section on what goes wrong, and when.
+//!
+//! Owns the kinds of faults, their keys and defaults, and when one is on. Whom a fault hits is drawn
+//! in `simulator::faults`, and what it does there is each engine's.
 
 use serde::{Deserialize, Serialize};
 
@@ -28,7 +31,7 @@
     /// A share of the responses is malformed.
     #[serde(rename = "spoilt")]
     MalformedResponses,
-    /// A share of the connections is reset amid a request.
+    /// The connections of a share of the requests are reset.
     #[serde(rename = "resets")]
     ConnectionResets,
     /// A share of the requests fails.
@@ -57,17 +60,18 @@
     pub for_s: f64,
     /// Servers by name (`s0`, `s1` ...).
     pub servers: Vec<String>,
-    /// Else this share of them, drawn.
+    /// Where none are named, this share of them, drawn; for restarts in turn, of the sidecars. All
+    /// of them where it is 0.
     pub target_share: f64,
-    /// Only those of this zone.
+    /// Zone from which servers are drawn; all zones where it is absent.
     pub zone: Option<String>,
-    /// How many times slower, more expensive or more frequent.
+    /// How many times slower, more expensive or more frequent; above zero.
     pub factor: f64,
     /// Share of requests, responses or connections concerned.
     pub share: f64,
     /// Class concerned; all where it is absent.
     pub class: Option<String>,
-    /// Part of the sidecars that goes down at a time.
+    /// Share of all sidecars that goes down at a time in restarts in turn.
     pub batch: f64,
     /// How long a sidecar is down, in seconds.
     pub down_s: f64,
--- a/crates/testbed/src/scenario/fleet.rs
+++ b/crates/testbed/src/scenario/fleet.rs
@@ -1,4 +1,7 @@
 //! Sections on who is there: network, machine types, servers and sidecars.
+//!
+//! Owns their keys and defaults. What follows from them for the whole fleet is in `capacity`, and how
+//! a server behaves on its machine type in `server_model`.
 
 use serde::{Deserialize, Serialize};
 
@@ -14,7 +17,7 @@
     pub cross_ms: f64,
     /// Delay between a client and its sidecar, in milliseconds.
     pub client_ms: f64,
-    /// A delay is drawn up to this share longer.
+    /// Share by which a delay is longer at most, drawn for each message.
     pub jitter: f64,
 }
 
@@ -36,7 +39,7 @@
 pub struct MachineType {
     /// Its name, by which `servers` refer to it.
     pub name: String,
-    /// Cores; above zero.
+    /// Number of cores; above zero.
     pub cores: u32,
     /// Requests that run at a time and share the cores; 0 for one a core.
     pub slots: u32,
@@ -48,17 +51,17 @@
     pub speed: f64,
     /// Speeds are drawn within this share above and below `speed`.
     pub speed_spread: f64,
-    /// Requests that may wait.
+    /// Most requests that may wait; further ones are rejected.
     pub queue: usize,
-    /// Share of its capacity that a cold server starts with.
+    /// Share of its capacity that a cold server starts with; above zero.
     pub cold_capacity_share: f64,
     /// Seconds until a cold server is warm, at the latest.
     pub slow_start_s: f64,
-    /// Served requests that warm a cold server as well; 0 where only time does.
+    /// Number of served requests that warm a cold server as well; 0 where only time does.
     pub warm_requests: u64,
     /// Share of requests that end in an error, after their work.
     pub error_rate: f64,
-    /// Connections it accepts.
+    /// Most connections that a server has open; further ones are refused.
     pub connections: usize,
     /// Share of its capacity that a full connection table takes.
     pub connection_overhead: f64,
@@ -161,7 +164,7 @@
     pub count: usize,
     /// Their zone; spread over all zones where it is absent.
     pub zone: Option<String>,
-    /// Whether they are cold at the start.
+    /// Whether they are cold at the start of the run.
     pub cold: bool,
 }
 
@@ -180,15 +183,15 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Sidecars {
-    /// How many there are.
+    /// How many there are; above zero.
     pub count: usize,
     /// How unevenly traffic is spread over them: coefficient of variation of their shares.
     pub skew: f64,
     /// Whether they know cores and speed of each machine type, as by an operator's table.
     pub knows_machine_types: bool,
-    /// Memory that each may use, in megabytes.
+    /// Memory that each may use in the emulator, in megabytes.
     pub memory_mb: u64,
-    /// Sockets that each may open.
+    /// Most sockets that each may open in the emulator.
     pub sockets: u64,
 }
 
--- a/crates/testbed/src/scenario/key_path.rs
+++ b/crates/testbed/src/scenario/key_path.rs
@@ -9,7 +9,7 @@
 pub(super) struct KeyPath(Vec<String>);
 
 impl KeyPath {
-    /// Reads `fault[2].at_s` as `fault`, `2`, `at_s`.
+    /// Splits a path: `fault[2].at_s` becomes `fault`, `2`, `at_s`.
     pub(super) fn parse(path: &str) -> Self {
         let dotted = path.replace('[', ".").replace(']', "");
         Self(dotted.split('.').map(str::to_owned).collect())
--- a/crates/testbed/src/scenario/mod.rs
+++ b/crates/testbed/src/scenario/mod.rs
@@ -1,8 +1,9 @@
 //! What a scenario file says: the fleet, the traffic, the schedule of faults, and what must hold.
 //!
-//! Owns the sections with their keys and defaults, their reading (`read`) and the checks that one
-//! key alone cannot show (`check`). Plays nothing. Every key is described, with unit and default,
-//! in `docs/scenario.md`.
+//! Owns the sections with their keys and defaults, their reading (`read`), the checks that types
+//! cannot make (`check`), and what follows from the keys alone: fleet, capacity and rates. Plays
+//! nothing and draws nothing at random. Every key is described in `docs/scenario.md`, with unit and
+//! default, as is the meaning of absent keys.
 
 mod capacity;
 mod check;
@@ -41,19 +42,19 @@
 pub struct Scenario {
     /// Name in reports.
     pub name: String,
-    /// Time in which requests arrive, in seconds; what is open at its end is played to its end.
+    /// Time in which requests arrive, in seconds; above zero. What is open then is played to its end.
     pub seconds: f64,
     /// Seed of all random streams.
     pub seed: u64,
     /// Zones and delays.
     pub network: Network,
-    /// Types of machines that servers run on.
+    /// Types of machines that servers run on, in the order of the file.
     pub machine_type: Vec<MachineType>,
-    /// Groups of servers.
+    /// Groups of servers; servers are numbered in their order.
     pub servers: Vec<Servers>,
     /// The sidecars.
     pub sidecars: Sidecars,
-    /// Classes of requests.
+    /// Classes of requests; at least one.
     pub class: Vec<Class>,
     /// Tenants; none where all requests count alike.
     pub tenant: Vec<Tenant>,
@@ -67,9 +68,9 @@
     pub permissions: Permissions,
     /// How servers report their load.
     pub load_reports: LoadReports,
-    /// Figures of the rules.
+    /// Figures of the rules that the auditor checks.
     pub rules: Rules,
-    /// What is paid for waste and its like.
+    /// What waste and its like take from the service.
     pub prices: Prices,
     /// What goes wrong, and when.
     pub fault: Vec<Fault>,
--- a/crates/testbed/src/scenario/read.rs
+++ b/crates/testbed/src/scenario/read.rs
@@ -1,5 +1,8 @@
-//! Reads a scenario: from text to a checked [`Scenario`]. What is wrong with it is named by file,
-//! line and key.
+//! Reads a scenario: from text to a checked [`Scenario`].
+//!
+//! Owns the steps, and keeps the text, from which errors get their lines and experiments their
+//! variants. Each step is in a module of its own: former names of keys in `renamed_keys`, ranges and
+//! references in `check`, places in the text in `source_lines`.
 
 use std::path::Path;
 
@@ -17,7 +20,9 @@
 pub struct ScenarioFile {
     /// The checked scenario.
     pub scenario: Scenario,
+    /// Name of the file in messages.
     file: String,
+    /// As it was read, without the keys that were set since.
     text: String,
     /// The text's table, with the keys that were set since.
     table: Table,
--- a/crates/testbed/src/scenario/rules.rs
+++ b/crates/testbed/src/scenario/rules.rs
@@ -1,4 +1,6 @@
 //! Sections on what sidecars may do, what servers report, and how a run is judged.
+//!
+//! Owns their keys and defaults. The auditor checks the rules, and the statistics take the prices.
 
 use serde::{Deserialize, Serialize};
 
@@ -12,13 +14,13 @@
     pub cancellation: bool,
     /// Whether they may hedge requests.
     pub hedging: bool,
-    /// Attempts of a request at most.
+    /// Most attempts of a request; above zero.
     pub max_attempts: u32,
     /// Seconds after which servers close an idle connection.
     pub idle_timeout_s: f64,
-    /// Milliseconds until a connection must be open.
+    /// Milliseconds in which a connection must be open.
     pub connect_timeout_ms: f64,
-    /// Milliseconds until a health check must be answered.
+    /// Milliseconds in which a health check must have its response.
     pub health_check_timeout_ms: f64,
     /// Longest Retry-After of a rejection, in milliseconds.
     pub max_retry_after_ms: f64,
@@ -46,7 +48,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LoadReportSource {
-    /// In responses to health checks, as of now.
+    /// In responses to health checks, hardly older than the response.
     #[serde(rename = "probe")]
     HealthChecks,
     /// In every response: requests in flight, and nothing else.
@@ -60,9 +62,9 @@
 pub struct LoadReports {
     /// Where they report it.
     pub source: LoadReportSource,
-    /// Milliseconds between two measurements of the load.
+    /// Milliseconds between two measurements of the load, for `answers`.
     pub every_ms: f64,
-    /// Milliseconds from a measurement until it is reported.
+    /// Milliseconds from a measurement until it is reported, for `answers`.
     pub delay_ms: f64,
 }
 
@@ -80,7 +82,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Rules {
-    /// Milliseconds after a drain in which new attempts are still allowed.
+    /// Milliseconds after the notification of a drain in which attempts may still start.
     pub drain_grace_ms: f64,
     /// Multiple of its capacity beyond which a cold server is overloaded.
     pub cold_overload_factor: f64,
@@ -90,9 +92,10 @@
     pub response_grace_ms: f64,
     /// The emulator's allowance on every time limit, in milliseconds.
     pub emulator_extra_ms: f64,
-    /// Share of its weight that a request beyond its tenant's share counts.
+    /// Share of its weight that a request beyond its tenant's quota counts.
     pub over_share_weight: f64,
-    /// What tenants are entitled to together, as a share of capacity.
+    /// Requests that all tenants are entitled to together, as a share of those that the warm fleet
+    /// can serve.
     pub quota_of_capacity: f64,
 }
 
@@ -110,19 +113,20 @@
     }
 }
 
-/// Points of service for what is spent, as fractions.
+/// What is subtracted from the service, which lies between 0 and 1.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Prices {
-    /// Of an attempt in another zone.
+    /// Of attempts in another zone, if there is one for each arrival.
     pub cross_zone: f64,
-    /// Of wasted work.
+    /// Of wasted work, if it is as much as all arrivals need on the mean.
     pub waste: f64,
-    /// Of a health check.
+    /// Of health checks, if there is one for each arrival.
     pub health_check: f64,
-    /// Of a new connection.
+    /// Of new connections, if there is one for each arrival.
     pub handshake: f64,
-    /// Of a request that fails after its deadline.
+    /// Of the value lost by arrivals that end after their latency objective, if it is all that
+    /// arrived.
     pub late_fail: f64,
 }
 
--- a/crates/testbed/src/scenario/source_lines.rs
+++ b/crates/testbed/src/scenario/source_lines.rs
@@ -1,4 +1,6 @@
 //! Lines of a scenario's text: where a byte or a key stands. Counts lines from 1.
+//!
+//! Looks for keys under the names that the text has; `renamed_keys` gives those.
 
 use std::ops::Range;
 
@@ -12,8 +14,9 @@
     before.filter(|&&b| b == b'\n').count() + 1
 }
 
-/// The line of a key, or of the nearest thing around it that the text has; nothing where the text
-/// is no TOML or has nothing of the path.
+/// The line of a key, or of the nearest thing around it that the text has. Nothing where the text
+/// is no TOML or has nothing of the path, and for items beyond the end of a list: these were added
+/// by a variant.
 pub(super) fn line_of(text: &str, path: &KeyPath) -> Option<usize> {
     let document = Document::parse(text).ok()?;
     let line = |span: Range<usize>| line_at(text, span.start);
--- a/crates/testbed/src/scenario/traffic.rs
+++ b/crates/testbed/src/scenario/traffic.rs
@@ -1,4 +1,7 @@
 //! Sections on what is asked for: classes, tenants, the load, and what clients do.
+//!
+//! Owns their keys and defaults. The rates that follow are in `rates`; arrivals are drawn in
+//! `workload`, and each engine plays its clients.
 
 use serde::{Deserialize, Serialize};
 
@@ -12,12 +15,12 @@
     /// It must not.
     #[serde(rename = "unsafe")]
     NonIdempotent,
-    /// It carries an idempotency key, by which servers of a scope drop repeats for a while.
+    /// It carries an idempotency key: within a scope and for a while, a repeat counts as harmless.
     #[serde(rename = "keyed")]
     IdempotencyKey,
 }
 
-/// Among which servers repeats of an idempotency key are dropped.
+/// Servers among which a repeat of an idempotency key is recognised.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DeduplicationScope {
@@ -44,32 +47,32 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Class {
-    /// Its name.
+    /// Its name in reports, by which faults refer to it.
     pub name: String,
-    /// Its share of all requests.
+    /// Its share of all requests; shares of all classes are weights, and add up to 1 at most.
     pub share: f64,
     /// Mean work, in milliseconds of a standard core.
     pub work_ms: f64,
     /// How work is spread around its mean.
     pub dist: WorkDistribution,
-    /// Coefficient of variation, for `lognormal`.
+    /// Coefficient of variation of the work, for `lognormal`.
     pub cv: f64,
     /// How far the work of two attempts of a request differs: standard deviation of its
     /// logarithm.
     pub noise: f64,
-    /// Latency objective, in milliseconds.
+    /// Latency objective, in milliseconds; above zero.
     pub latency_objective_ms: f64,
     /// Time after which a response is of no use, in milliseconds; not below the objective.
     pub deadline_ms: f64,
-    /// What a response within the objective counts.
+    /// Value of a response within the objective, relative to other classes.
     pub priority_weight: f64,
-    /// Share of the weight that a response after the objective and before the deadline keeps.
+    /// Share of that value which a response after the objective and before the deadline keeps.
     pub late_value: f64,
     /// Whether its requests may run more than once.
     pub idempotency: Idempotency,
-    /// Among which servers repeats of a key are dropped, for `keyed`.
+    /// Servers among which a repeat of a key is harmless, for `keyed`.
     pub deduplication_scope: DeduplicationScope,
-    /// How long repeats of a key are dropped, in milliseconds, for `keyed`.
+    /// How long a repeat of a key is harmless, in milliseconds, for `keyed`.
     pub deduplication_window_ms: f64,
 }
 
@@ -97,9 +100,9 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Tenant {
-    /// Its name.
+    /// Its name in reports.
     pub name: String,
-    /// Share of the service that it is entitled to.
+    /// Share of what all tenants are entitled to that is its own; shares add up to 1 at most.
     pub share: f64,
     /// Its traffic, as a multiple of its share.
     pub usage: f64,
@@ -134,9 +137,9 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Load {
-    /// Requests a second; where 0, `of_capacity` counts.
+    /// Mean load in requests a second; where 0, `of_capacity` counts.
     pub rate: f64,
-    /// Share of what the warm fleet can serve.
+    /// Mean load as a share of what the warm fleet can serve.
     pub of_capacity: f64,
     /// How the load changes over time.
     pub shape: LoadShape,
@@ -151,9 +154,9 @@
     /// Where present, clients hint at the work of a request, off by a factor whose logarithm
     /// has this standard deviation.
     pub work_hints: Option<f64>,
-    /// Whether a class's weight is that of its mean work, and counts for each unit of work.
+    /// Whether a request counts its class's weight times its work over the class's mean work.
     pub weight_by_work: bool,
-    /// Open requests at which further arrivals are not played but counted as not played.
+    /// Number of open requests at which further arrivals are counted as not played, and not sent.
     pub max_open_requests: usize,
 }
 
@@ -178,9 +181,9 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Clients {
-    /// Most requests of an arrival after the first.
+    /// Most requests that a client sends for an arrival after the first.
     pub retries: u32,
-    /// A request times out after a share of the deadline that is drawn between these.
+    /// A request's timeout as a share of its class's deadline, drawn between these.
     pub timeout_share: [f64; 2],
     /// Backoff before a retry in milliseconds, drawn between these.
     pub backoff_ms: [f64; 2],
