--- a/crates/testbed/src/scenario/renamed_keys/tests.rs
+++ b/crates/testbed/src/scenario/renamed_keys/tests.rs
@@ -102,3 +102,41 @@
     let absent = KeyPath::parse("clients.disconnect_share");
     assert_eq!(written_path(&file, &absent), absent);
 }
+
+/// Section, former and present name of each row of the page's table of former names, the section
+/// without brackets.
+fn former_names_on_page() -> Vec<[String; 3]> {
+    let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/scenario.md");
+    let page = std::fs::read_to_string(path).expect("the page");
+    let (_, chapter) = page
+        .split_once("\n## Former names of keys\n")
+        .expect("the chapter");
+    let is_name = |c: char| !"`[]".contains(c);
+    let cell = |text: &str| text.trim().chars().filter(|c| is_name(*c)).collect();
+    chapter
+        .lines()
+        .filter(|line| line.starts_with('|') && line.contains('`'))
+        .map(|line| {
+            let cells: Vec<String> = line.trim_matches('|').split('|').map(cell).collect();
+            <[String; 3]>::try_from(cells).expect("three cells")
+        })
+        .collect()
+}
+
+#[test]
+fn the_page_lists_each_renamed_key_once_and_no_others() {
+    let mut in_code: Vec<[String; 3]> = RENAMED_KEYS
+        .iter()
+        .map(|renamed| {
+            let section = match renamed.section {
+                "" => "top of the file",
+                section => section,
+            };
+            [section, renamed.former, renamed.present].map(str::to_owned)
+        })
+        .collect();
+    let mut on_page = former_names_on_page();
+    in_code.sort();
+    on_page.sort();
+    assert_eq!(on_page, in_code);
+}
--- a/crates/testbed/tests/scenario/main.rs
+++ b/crates/testbed/tests/scenario/main.rs
@@ -3,6 +3,7 @@
 
 mod defaults;
 mod former_keys;
+mod page;
 mod refusals;
 
 use std::path::PathBuf;
