--- a/crates/testbed/src/scenario/check/faults.rs
+++ b/crates/testbed/src/scenario/check/faults.rs
@@ -63,8 +63,8 @@
         }
     }
 
-    /// A server that is drained, crashes or falls silent must not have been taken away by an earlier
-    /// fault.
+    /// A server that is drained, crashes or falls silent must not have been taken away by an
+    /// earlier fault.
     fn check_overlaps(&self, checker: &mut Checker) {
         let removing = || {
             self.fault
--- a/crates/testbed/src/scenario/check/mod.rs
+++ b/crates/testbed/src/scenario/check/mod.rs
@@ -2,8 +2,9 @@
 //! contradicts itself.
 //!
 //! Owns the order of the checks and the collector of errors; each part of a scenario has a file of
-//! its own. Errors have the present names of keys: names and lines of the file are put in by `read`.
-//! Errors on one line are reported in the order of the checks, so the order is part of the messages.
+//! its own. Errors have the present names of keys: names and lines of the file are put in by
+//! `read`. Errors on one line are reported in the order of the checks, so the order is part of the
+//! messages.
 
 mod faults;
 mod fleet;
--- a/crates/testbed/src/scenario/check/settings.rs
+++ b/crates/testbed/src/scenario/check/settings.rs
@@ -1,7 +1,7 @@
 //! Checks of discovery, permissions, load reports, rules and expectations.
 //!
-//! Owns their ranges. Prices, switches, `max_retry_after_ms` and `recovered_s` may have any value of
-//! their type.
+//! Owns their ranges. Prices, switches, `max_retry_after_ms` and `recovered_s` may have any value
+//! of their type.
 
 use super::Checker;
 use crate::scenario::Scenario;
--- a/crates/testbed/src/scenario/faults.rs
+++ b/crates/testbed/src/scenario/faults.rs
@@ -1,7 +1,7 @@
 //! Section on what goes wrong, and when.
 //!
-//! Owns the kinds of faults, their keys and defaults, and when one is on. Whom a fault hits is drawn
-//! in `simulator::faults`, and what it does there is each engine's.
+//! Owns the kinds of faults, their keys and defaults, and when one is on. Whom a fault hits is
+//! drawn in `simulator::faults`, and what it does there is each engine's.
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/testbed/src/scenario/fleet.rs
+++ b/crates/testbed/src/scenario/fleet.rs
@@ -1,7 +1,7 @@
 //! Sections on who is there: network, machine types, servers and sidecars.
 //!
-//! Owns their keys and defaults. What follows from them for the whole fleet is in `capacity`, and how
-//! a server behaves on its machine type in `server_model`.
+//! Owns their keys and defaults. What follows from them for the whole fleet is in `capacity`, and
+//! how a server behaves on its machine type in `server_model`.
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/testbed/src/scenario/mod.rs
+++ b/crates/testbed/src/scenario/mod.rs
@@ -42,7 +42,8 @@
 pub struct Scenario {
     /// Name in reports.
     pub name: String,
-    /// Time in which requests arrive, in seconds; above zero. What is open then is played to its end.
+    /// Time in which requests arrive, in seconds; above zero. What is open then is played to its
+    /// end.
     pub seconds: f64,
     /// Seed of all random streams.
     pub seed: u64,
--- a/crates/testbed/src/scenario/read.rs
+++ b/crates/testbed/src/scenario/read.rs
@@ -1,8 +1,8 @@
 //! Reads a scenario: from text to a checked [`Scenario`].
 //!
 //! Owns the steps, and keeps the text, from which errors get their lines and experiments their
-//! variants. Each step is in a module of its own: former names of keys in `renamed_keys`, ranges and
-//! references in `check`, places in the text in `source_lines`.
+//! variants. Each step is in a module of its own: former names of keys in `renamed_keys`, ranges
+//! and references in `check`, places in the text in `source_lines`.
 
 use std::path::Path;
 
--- a/crates/testbed/src/scenario/renamed_keys/tests.rs
+++ b/crates/testbed/src/scenario/renamed_keys/tests.rs
@@ -1,5 +1,5 @@
 use super::{KeyPath, RENAMED_KEYS, Table, present_path, with_present_names, written_path};
-use crate::scenario::{Class, Contention, Fault, MachineType, Scenario, Servers};
+use crate::scenario::{Class, Contention, Fault, Load, MachineType, Scenario, Servers};
 
 fn table(text: &str) -> Table {
     text.parse().expect("TOML")
@@ -16,9 +16,9 @@
         servers: vec![Servers::default()],
         class: vec![Class::default()],
         fault: vec![Fault::default()],
-        load: crate::scenario::Load {
+        load: Load {
             work_hints: Some(0.1),
-            ..Default::default()
+            ..Load::default()
         },
         ..Scenario::default()
     };
@@ -73,6 +73,7 @@
     ];
     for (text, key) in cases {
         let error = with_present_names(table(text)).expect_err(key);
+
         assert_eq!(error.former, key);
     }
 }
@@ -96,6 +97,7 @@
         ("load.rate", "load.rate"),
     ] {
         let path = present_path(&KeyPath::parse(written));
+
         assert_eq!(path.to_string(), present);
         assert_eq!(written_path(&file, &path).to_string(), written);
     }
--- a/crates/testbed/src/scenario/set_key.rs
+++ b/crates/testbed/src/scenario/set_key.rs
@@ -1,7 +1,7 @@
 //! Sets one key of a scenario's table, as `--set` and an experiment's axes ask for.
 //!
-//! Looks only at the way to the key: whether there is such a key, and whether it may have the value,
-//! shows when the scenario is read from the table.
+//! Looks only at the way to the key: whether there is such a key, and whether it may have the
+//! value, shows when the scenario is read from the table.
 
 use toml::{Table, Value};
 
--- a/crates/testbed/tests/scenario/former_keys.rs
+++ b/crates/testbed/tests/scenario/former_keys.rs
@@ -5,7 +5,7 @@
 use arrowstand_testbed::experiment::Plan;
 use arrowstand_testbed::scenario::ScenarioFile;
 
-use super::{GOOD, errors, line};
+use super::support::{GOOD, errors, line, message_with_key, read, with_key};
 
 /// The small scenario as it was written before keys were renamed.
 const FORMER: &str = r#"
@@ -46,18 +46,20 @@
     let root = PathBuf::from(env!("CARGO_MANIFEST_DIR"));
     for name in ["troubled", "consulta-roll"] {
         let open = |path: String| {
-            let scenario = ScenarioFile::open(&root.join(path)).unwrap_or_else(|f| panic!("{f}"));
-            format!("{:#?}", scenario.scenario)
+            let file = ScenarioFile::open(&root.join(path));
+            let file = file.unwrap_or_else(|errors| panic!("{errors}"));
+            format!("{:#?}", file.scenario)
         };
+
         let former = open(format!("tests/data/{name}-former-keys.toml"));
         let present = open(format!("scenarios/{name}.toml"));
+
         assert_eq!(former, present, "{name}");
     }
 }
 
 #[test]
 fn a_wrong_value_in_a_file_with_former_keys_is_named_as_the_file_names_it() {
-    assert_eq!(errors(FORMER), []);
     let cases = [
         ("cold_s = 4.0", "cold_s = -4.0", "kind[0].cold_s"),
         ("cold_s = 4.0", "cold_s = \"long\"", "kind[0].cold_s"),
@@ -83,13 +85,17 @@
             "trouble[0].servers[0]",
         ),
     ];
-    for (from, to, key) in cases {
-        let text = FORMER.replacen(from, to, 1);
+    assert_eq!(errors(FORMER), []);
+
+    for (part, replacement, key) in cases {
+        let text = FORMER.replacen(part, replacement, 1);
+
         let found = errors(&text);
-        let wanted = (key.to_owned(), line(&text, to));
+
+        let wanted = (key.to_owned(), line(&text, replacement));
         assert!(
             found.contains(&wanted),
-            "{to}: {found:?}, wanted {wanted:?}"
+            "{replacement}: {found:?}, wanted {wanted:?}"
         );
     }
 }
@@ -97,33 +103,47 @@
 #[test]
 fn former_keys_can_be_set_in_files_of_either_names() {
     for text in [GOOD, FORMER] {
-        let scenario = ScenarioFile::read("small.toml", text).expect("good");
-        let set = |key: &str, value: toml::Value| {
-            let variant = scenario.with(&[(key.to_owned(), value)]);
-            variant.unwrap_or_else(|f| panic!("{f}")).scenario
-        };
-        assert_eq!(set("trouble[0].times", 2.5.into()).fault[0].factor, 2.5);
-        assert_eq!(set("fault[0].factor", 2.5.into()).fault[0].factor, 2.5);
-        assert_eq!(
-            set("terminals.leave", 0.4.into()).clients.disconnect_share,
-            0.4
-        );
-        let machine_type = &set("kind[0].choke.slower", 3.5.into()).machine_type[0];
-        assert_eq!(
-            machine_type.contention.as_ref().map(|c| c.slowdown),
-            Some(3.5)
-        );
-        assert_eq!(
-            set("trouble[0].part", 0.4.into()).fault[0].target_share,
-            0.4
-        );
-        assert_eq!(set("load.open_most", 60.into()).load.max_open_requests, 60);
-        assert!(!set("allow.probes", false.into()).permissions.health_checks);
+        let file = read(text);
+        let set = |key: &str, value: toml::Value| with_key(&file, key, value).scenario;
+
+        let by_former_key = set("trouble[0].times", 2.5.into());
+        let by_present_key = set("fault[0].factor", 2.5.into());
+        let fault = set("trouble[0].part", 0.4.into());
+        let clients = set("terminals.leave", 0.4.into());
+        let machine_type = set("kind[0].choke.slower", 3.5.into());
+        let load = set("load.open_most", 60.into());
+        let permissions = set("allow.probes", false.into());
+
+        assert_eq!(by_former_key.fault[0].factor, 2.5);
+        assert_eq!(by_present_key.fault[0].factor, 2.5);
+        assert_eq!(fault.fault[0].target_share, 0.4);
+        assert_eq!(clients.clients.disconnect_share, 0.4);
+        let contention = machine_type.machine_type[0].contention.as_ref();
+        assert_eq!(contention.map(|c| c.slowdown), Some(3.5));
+        assert_eq!(load.load.max_open_requests, 60);
+        assert!(!permissions.permissions.health_checks);
+    }
+}
+
+#[test]
+fn a_list_that_is_set_may_have_former_keys_in_its_items() {
+    for text in [GOOD, FORMER] {
+        let file = read(text);
         let class = toml::toml! { name = "quote" aim_ms = 250.0 };
-        let classes = set("class", vec![class].into()).class;
-        assert_eq!(classes[0].latency_objective_ms, 250.0);
-        let missing = scenario.with(&[("trouble[4].times".to_owned(), 1.0.into())]);
-        let message = missing.expect_err("one fault only").to_string();
+
+        let variant = with_key(&file, "class", vec![class]);
+
+        assert_eq!(variant.scenario.class[0].latency_objective_ms, 250.0);
+    }
+}
+
+#[test]
+fn a_missing_item_is_named_by_the_former_key_that_was_set() {
+    for text in [GOOD, FORMER] {
+        let file = read(text);
+
+        let message = message_with_key(&file, "trouble[4].times", 1.0);
+
         assert_eq!(
             message,
             "small.toml: trouble[4].times: there is no trouble[4]"
@@ -150,26 +170,31 @@
             "terminals",
         ),
     ];
-    for (from, to, key) in cases {
-        let text = FORMER.replacen(from, to, 1);
+    for (part, replacement, key) in cases {
+        let text = FORMER.replacen(part, replacement, 1);
+
+        let found = errors(&text);
+
         let last_of_key = key.rsplit('.').next().unwrap_or_default();
-        let wanted = line(&text, last_of_key);
-        assert_eq!(errors(&text), [(key.to_owned(), wanted)], "{to}");
+        let wanted = (key.to_owned(), line(&text, last_of_key));
+        assert_eq!(found, [wanted], "{replacement}");
     }
 }
 
 #[test]
 fn a_stored_experiment_with_former_keys_as_axes_can_be_read() {
-    let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/data");
-    let opened = Plan::open(&path.join("experiment-former-keys.toml"));
-    let (plan, scenario) = opened.unwrap_or_else(|e| panic!("{e}"));
-    assert_eq!(plan.axis.len(), 2);
-    let changes = plan.axis.iter().map(|axis| {
+    let folder = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/data");
+    let opened = Plan::open(&folder.join("experiment-former-keys.toml"));
+    let (plan, file) = opened.unwrap_or_else(|errors| panic!("{errors}"));
+    let last_values = plan.axis.iter().map(|axis| {
         let value = axis.values.last().expect("values");
         (axis.key.clone(), value.clone())
     });
-    let variant = scenario.with(&changes.collect::<Vec<_>>());
+
+    let variant = file.with(&last_values.collect::<Vec<_>>());
+
     let scenario = variant.unwrap_or_else(|e| panic!("{e}")).scenario;
+    assert_eq!(plan.axis.len(), 2);
     assert_eq!(scenario.fault[1].factor, 5.0);
     assert_eq!(scenario.clients.disconnect_share, 0.1);
 }
@@ -181,9 +206,10 @@
         (GOOD, "fault[0].factor: must be above zero"),
     ];
     for (text, wanted) in cases {
-        let scenario = ScenarioFile::read("small.toml", text).expect("good");
-        let error = scenario.with(&[("trouble[0].times".to_owned(), 0.0.into())]);
-        let message = error.expect_err("no factor").to_string();
+        let file = read(text);
+
+        let message = message_with_key(&file, "trouble[0].times", 0.0);
+
         assert!(message.ends_with(wanted), "{message}");
     }
 }
--- a/crates/testbed/tests/scenario/main.rs
+++ b/crates/testbed/tests/scenario/main.rs
@@ -1,58 +1,30 @@
-//! Scenario files: shipped and stored ones can be read, and what contradicts itself is refused with
-//! line and key.
+//! Scenario files: shipped and stored ones can be read, what contradicts itself is refused with
+//! line and key, and keys, defaults, messages and their page agree.
 
 mod defaults;
 mod former_keys;
 mod page;
 mod refusals;
+mod support;
 
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 
 use arrowstand_testbed::scenario::ScenarioFile;
 
-/// A small scenario without a fault in it.
-const GOOD: &str = r#"
-name = "small"
-seconds = 10.0
-
-[[machine_type]]
-name = "std"
-
-[[servers]]
-machine_type = "std"
-count = 3
-
-[[class]]
-name = "job-status"
-share = 0.6
+use support::{GOOD, errors, line, message, message_with_key, read, with_key};
 
+/// A drain of the server that crashes in [`GOOD`], two seconds after its crash.
+const DRAIN_OF_THE_CRASHED_SERVER: &str = r#"
 [[fault]]
-kind = "crash"
-at_s = 2.0
-for_s = 3.0
+kind = "drain"
+at_s = 4.0
 servers = ["s1"]
 "#;
 
-/// Keys and lines of what is wrong with a text.
-fn errors(text: &str) -> Vec<(String, Option<usize>)> {
-    match ScenarioFile::read("small.toml", text) {
-        Ok(_) => Vec::new(),
-        Err(errors) => {
-            let errors = errors.errors.into_iter();
-            errors.map(|error| (error.key, error.line)).collect()
-        }
-    }
-}
-
-/// The first line of a text that contains something, counted from 1.
-fn line(text: &str, part: &str) -> Option<usize> {
-    let position = text.lines().position(|line| line.contains(part));
-    position.map(|position| position + 1)
-}
-
 #[test]
 fn a_wrong_value_or_key_is_named_by_line_and_key() {
-    assert_eq!(errors(GOOD), []);
+    // A text of the good scenario, what stands in its place, and the key that is named. The wrong
+    // key stands in the last line of the replacement.
     let cases = [
         ("seconds = 10.0", "seconds = -1.0", "seconds"),
         ("seconds = 10.0", "seconds = \"long\"", "seconds"),
@@ -79,13 +51,21 @@
         ),
         ("servers = [\"s1\"]", "zone = \"tokyo\"", "fault[0].zone"),
     ];
-    for (from, to, key) in cases {
-        let text = GOOD.replacen(from, to, 1);
+    assert_eq!(errors(GOOD), []);
+
+    for (part, replacement, key) in cases {
+        let text = GOOD.replacen(part, replacement, 1);
+
         let found = errors(&text);
-        let wanted = to.lines().last().and_then(|last| line(&text, last));
+
+        let wrong_line = replacement
+            .lines()
+            .last()
+            .and_then(|last| line(&text, last));
+        let wanted = (key.to_owned(), wrong_line);
         assert!(
-            found.contains(&(key.to_owned(), wanted)),
-            "{to}: {found:?}, wanted {key} {wanted:?}"
+            found.contains(&wanted),
+            "{replacement}: {found:?}, wanted {wanted:?}"
         );
     }
 }
@@ -129,114 +109,132 @@
 
 #[test]
 fn every_value_of_a_choice_is_read_and_written_under_its_stored_name() {
-    let scenario = ScenarioFile::read("small.toml", GOOD).expect("good");
+    let scenario = read(GOOD);
     for (key, values) in CHOICES {
         for value in values {
-            let changed = scenario.with(&[(key.to_owned(), (*value).into())]);
-            let changed = changed.unwrap_or_else(|errors| panic!("{errors}"));
+            let changed = with_key(&scenario, key, *value);
+
             let written = toml::Value::try_from(&changed.scenario).expect("a table");
+
             assert_eq!(value_at(&written, key), Some(&(*value).into()), "{key}");
         }
     }
 }
 
 #[test]
-fn shares_above_one_and_a_drain_of_a_crashed_server_are_refused() {
-    let more = "\n[[class]]\nname = \"quote\"\nshare = 0.5\n";
-    let text = format!("{GOOD}{more}");
-    let message = ScenarioFile::read("small.toml", &text)
-        .expect_err("too much")
-        .to_string();
+fn shares_that_add_up_to_more_than_one_are_refused() {
+    let text = format!("{GOOD}\n[[class]]\nname = \"quote\"\nshare = 0.5\n");
+
+    let message = message(&text);
+
     assert!(
         message.contains("class: shares add up to 1.100"),
         "{message}"
     );
-    let drain = "\n[[fault]]\nkind = \"drain\"\nat_s = 4.0\nservers = [\"s1\"]\n";
-    let text = format!("{GOOD}{drain}");
-    let message = ScenarioFile::read("small.toml", &text)
-        .expect_err("gone by then")
-        .to_string();
-    let at = text.lines().count();
-    assert!(
-        message.starts_with(&format!(
-            "small.toml:{at}: fault[1].servers: s1 is not there"
-        )),
-        "{message}"
-    );
-    // Once it is back, it can be drained.
-    assert_eq!(errors(&text.replace("at_s = 4.0", "at_s = 5.5")), []);
 }
 
 #[test]
-fn several_errors_are_reported_together_and_broken_toml_by_its_line() {
+fn a_drain_of_a_server_that_has_crashed_is_refused() {
+    let text = format!("{GOOD}{DRAIN_OF_THE_CRASHED_SERVER}");
+
+    let message = message(&text);
+
+    let last_line = text.lines().count();
+    let wanted = format!("small.toml:{last_line}: fault[1].servers: s1 is not there");
+    assert!(message.starts_with(&wanted), "{message}");
+}
+
+#[test]
+fn a_drain_of_a_server_that_is_back_after_a_crash_is_accepted() {
+    let later = DRAIN_OF_THE_CRASHED_SERVER.replace("at_s = 4.0", "at_s = 5.5");
+
+    let found = errors(&format!("{GOOD}{later}"));
+
+    assert_eq!(found, []);
+}
+
+#[test]
+fn several_errors_are_reported_together() {
     let text = GOOD
         .replace("count = 3", "count = 0")
         .replace("share = 0.6", "share = 2.0");
-    assert!(errors(&text).len() >= 2);
+
+    let found = errors(&text);
+
+    for key in ["servers", "class[0].share"] {
+        assert!(found.iter().any(|(named, _)| named == key), "{found:?}");
+    }
+    assert!(found.len() >= 2, "{found:?}");
+}
+
+#[test]
+fn broken_toml_is_reported_by_its_line() {
     let broken = GOOD.replace("[[class]]", "[[class");
-    let message = ScenarioFile::read("small.toml", &broken)
-        .expect_err("broken")
-        .to_string();
-    let at = line(&broken, "[[class").expect("there");
-    assert!(
-        message.starts_with(&format!("small.toml:{at}: ")),
-        "{message}"
-    );
+
+    let message = message(&broken);
+
+    let broken_line = line(&broken, "[[class").expect("there");
+    let wanted = format!("small.toml:{broken_line}: ");
+    assert!(message.starts_with(&wanted), "{message}");
 }
 
 #[test]
-fn a_key_that_is_set_takes_effect_and_an_impossible_one_is_refused() {
-    let scenario = ScenarioFile::read("small.toml", GOOD).expect("good");
-    let set = |key: &str, value: toml::Value| scenario.with(&[(key.to_owned(), value)]);
-    let more = set("sidecars.count", 7.into()).expect("set");
-    assert_eq!(
-        (
-            more.scenario.sidecars.count,
-            scenario.scenario.sidecars.count
-        ),
-        (7, 3)
-    );
-    assert_eq!(
-        set("fault[0].factor", 2.5.into())
-            .expect("set")
-            .scenario
-            .fault[0]
-            .factor,
-        2.5
-    );
+fn a_key_that_is_set_takes_effect_in_the_variant_only() {
+    let scenario = read(GOOD);
+
+    let more_sidecars = with_key(&scenario, "sidecars.count", 7);
+    let milder_fault = with_key(&scenario, "fault[0].factor", 2.5);
+
+    assert_eq!(more_sidecars.scenario.sidecars.count, 7);
+    assert_eq!(milder_fault.scenario.fault[0].factor, 2.5);
+    assert_eq!(scenario.scenario.sidecars.count, 3);
+}
+
+#[test]
+fn a_key_that_cannot_be_set_is_refused_by_name() {
+    let scenario = read(GOOD);
     for (key, value) in [
         ("sidecars.count", -1),
         ("fault[4].factor", 1),
         ("seconds.x", 1),
         ("load.speed", 1),
     ] {
-        let message = set(key, value.into()).expect_err(key).to_string();
-        assert!(
-            message.contains(key.split('.').next().unwrap_or_default()),
-            "{key}: {message}"
-        );
+        let message = message_with_key(&scenario, key, value);
+
+        let section = key.split('.').next().unwrap_or_default();
+        assert!(message.contains(section), "{key}: {message}");
     }
 }
 
 #[test]
 fn more_arrivals_than_memory_holds_are_refused() {
-    let text = GOOD.replace("seconds = 10.0", "seconds = 1e7");
-    let found = errors(&format!("{text}\n[load]\nrate = 1000.0\n"));
+    let long = GOOD.replace("seconds = 10.0", "seconds = 1e7");
+
+    let found = errors(&format!("{long}\n[load]\nrate = 1000.0\n"));
+
     assert!(found.iter().any(|(key, _)| key == "load"), "{found:?}");
 }
 
+/// The TOML files of a folder.
+fn files_in(folder: &Path) -> Vec<PathBuf> {
+    let entries = std::fs::read_dir(folder).expect("a folder");
+    entries
+        .map(|entry| entry.expect("an entry").path())
+        .filter(|path| {
+            path.extension()
+                .is_some_and(|extension| extension == "toml")
+        })
+        .collect()
+}
+
 #[test]
 fn every_shipped_scenario_can_be_read() {
-    let folder = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("scenarios");
-    let mut read = 0;
-    for folder in [folder.clone(), folder.join("losses")] {
-        for entry in std::fs::read_dir(folder).expect("scenarios") {
-            let path = entry.expect("entry").path();
-            if path.extension().is_some_and(|e| e == "toml") {
-                ScenarioFile::open(&path).unwrap_or_else(|f| panic!("{f}"));
-                read += 1;
-            }
-        }
+    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("scenarios");
+    let shipped = [files_in(&folder), files_in(&folder.join("losses"))].concat();
+
+    for path in &shipped {
+        ScenarioFile::open(path).unwrap_or_else(|errors| panic!("{errors}"));
     }
-    assert!(read >= 8, "{read}");
+
+    assert!(shipped.len() >= 8, "{}", shipped.len());
 }
