--- a/crates/testbed/src/scenario/fleet.rs
+++ b/crates/testbed/src/scenario/fleet.rs
@@ -15,9 +15,9 @@
     pub same_ms: f64,
     /// Delay between two zones, in milliseconds.
     pub cross_ms: f64,
-    /// Delay between a client and its sidecar, in milliseconds.
+    /// Delay between a client and its sidecar in the simulator, in milliseconds.
     pub client_ms: f64,
-    /// Share by which a delay is longer at most, drawn for each message.
+    /// Share by which a delay between sidecar and server is drawn longer, at most.
     pub jitter: f64,
 }
 
