--- a/crates/testbed/tests/scenario/refusals.rs
+++ b/crates/testbed/tests/scenario/refusals.rs
@@ -1,4 +1,5 @@
-//! What is said of a key that does not exist, of a value of another type, and of one out of range.
+//! What is said of a key that does not exist, of a value of another type, and of one out of range;
+//! and in which order, where a file has several errors.
 
 use std::path::Path;
 
@@ -45,3 +46,12 @@
         assert_eq!(found, message, "{key} = {value}");
     }
 }
+
+#[test]
+fn errors_are_reported_by_line_and_on_one_line_in_the_order_of_the_checks() {
+    let text = stored_text("many_errors.toml");
+
+    let errors = ScenarioFile::read("many_errors.toml", &text).expect_err("errors");
+
+    assert_eq!(format!("{errors}\n"), stored_text("many_errors.txt"));
+}
