--- a/crates/testbed/tests/scenario/former_keys.rs
+++ b/crates/testbed/tests/scenario/former_keys.rs
@@ -58,36 +58,38 @@
     }
 }
 
+/// A part of [`FORMER`], what stands in its place, and the key that is named then.
+const WRONG_VALUES: [(&str, &str, &str); 19] = [
+    ("cold_s = 4.0", "cold_s = -4.0", "kind[0].cold_s"),
+    ("cold_s = 4.0", "cold_s = \"long\"", "kind[0].cold_s"),
+    ("full_tax = 0.3", "full_tax = 1.3", "kind[0].full_tax"),
+    ("thrash = 0.1", "thrash = -0.1", "kind[0].thrash"),
+    ("thrash_at = 5.0", "thrash_at = 0.0", "kind[0].thrash_at"),
+    ("{ at = 5.5,", "{ at = 0.0,", "kind[0].choke.at"),
+    ("over_s = 2.0", "over_s = -2.0", "kind[0].choke.over_s"),
+    ("slower = 2.6", "slower = 0.5", "kind[0].choke.slower"),
+    ("below = 0.3", "below = 5.5", "kind[0].choke.below"),
+    ("rest_s = 3.0", "rest_s = \"long\"", "kind[0].choke.rest_s"),
+    ("most_s = 22.0", "most_s = \"long\"", "kind[0].choke.most_s"),
+    ("part = 0.5", "part = 1.5", "trouble[0].part"),
+    ("kind = \"std\"", "kind = \"other\"", "servers[0].kind"),
+    ("aim_ms = 300.0", "aim_ms = 0.0", "class[0].aim_ms"),
+    ("leave = 0.1", "leave = 2.0", "terminals.leave"),
+    ("at_s = 2.0", "at_s = 20.0", "trouble[0].at_s"),
+    ("times = 2.0", "times = 0.0", "trouble[0].times"),
+    ("what = \"crash\"", "what = \"quake\"", "trouble[0].what"),
+    (
+        "servers = [\"s1\"]",
+        "servers = [\"s9\"]",
+        "trouble[0].servers[0]",
+    ),
+];
+
 #[test]
 fn a_wrong_value_in_a_file_with_former_keys_is_named_as_the_file_names_it() {
-    let cases = [
-        ("cold_s = 4.0", "cold_s = -4.0", "kind[0].cold_s"),
-        ("cold_s = 4.0", "cold_s = \"long\"", "kind[0].cold_s"),
-        ("full_tax = 0.3", "full_tax = 1.3", "kind[0].full_tax"),
-        ("thrash = 0.1", "thrash = -0.1", "kind[0].thrash"),
-        ("thrash_at = 5.0", "thrash_at = 0.0", "kind[0].thrash_at"),
-        ("{ at = 5.5,", "{ at = 0.0,", "kind[0].choke.at"),
-        ("over_s = 2.0", "over_s = -2.0", "kind[0].choke.over_s"),
-        ("slower = 2.6", "slower = 0.5", "kind[0].choke.slower"),
-        ("below = 0.3", "below = 5.5", "kind[0].choke.below"),
-        ("rest_s = 3.0", "rest_s = \"long\"", "kind[0].choke.rest_s"),
-        ("most_s = 22.0", "most_s = \"long\"", "kind[0].choke.most_s"),
-        ("part = 0.5", "part = 1.5", "trouble[0].part"),
-        ("kind = \"std\"", "kind = \"other\"", "servers[0].kind"),
-        ("aim_ms = 300.0", "aim_ms = 0.0", "class[0].aim_ms"),
-        ("leave = 0.1", "leave = 2.0", "terminals.leave"),
-        ("at_s = 2.0", "at_s = 20.0", "trouble[0].at_s"),
-        ("times = 2.0", "times = 0.0", "trouble[0].times"),
-        ("what = \"crash\"", "what = \"quake\"", "trouble[0].what"),
-        (
-            "servers = [\"s1\"]",
-            "servers = [\"s9\"]",
-            "trouble[0].servers[0]",
-        ),
-    ];
     assert_eq!(errors(FORMER), []);
 
-    for (part, replacement, key) in cases {
+    for (part, replacement, key) in WRONG_VALUES {
         let text = FORMER.replacen(part, replacement, 1);
 
         let found = errors(&text);
--- a/crates/testbed/tests/scenario/main.rs
+++ b/crates/testbed/tests/scenario/main.rs
@@ -21,39 +21,40 @@
 servers = ["s1"]
 "#;
 
+/// A part of [`GOOD`], what stands in its place, and the key that is named then. The wrong key is
+/// in the last line of the replacement.
+const WRONG_VALUES_AND_KEYS: [(&str, &str, &str); 12] = [
+    ("seconds = 10.0", "seconds = -1.0", "seconds"),
+    ("seconds = 10.0", "seconds = \"long\"", "seconds"),
+    ("seconds = 10.0", "secs = 10.0", "secs"),
+    ("count = 3", "count = -3", "servers[0].count"),
+    (
+        "machine_type = \"std\"",
+        "machine_type = \"other\"",
+        "servers[0].machine_type",
+    ),
+    ("share = 0.6", "share = 1.6", "class[0].share"),
+    (
+        "share = 0.6",
+        "share = 0.6\ndeadline_ms = 10.0",
+        "class[0].deadline_ms",
+    ),
+    ("at_s = 2.0", "at_s = -2.0", "fault[0].at_s"),
+    ("at_s = 2.0", "at_s = 20.0", "fault[0].at_s"),
+    ("kind = \"crash\"", "kind = \"quake\"", "fault[0].kind"),
+    (
+        "servers = [\"s1\"]",
+        "servers = [\"s9\"]",
+        "fault[0].servers[0]",
+    ),
+    ("servers = [\"s1\"]", "zone = \"tokyo\"", "fault[0].zone"),
+];
+
 #[test]
 fn a_wrong_value_or_key_is_named_by_line_and_key() {
-    // A text of the good scenario, what stands in its place, and the key that is named. The wrong
-    // key stands in the last line of the replacement.
-    let cases = [
-        ("seconds = 10.0", "seconds = -1.0", "seconds"),
-        ("seconds = 10.0", "seconds = \"long\"", "seconds"),
-        ("seconds = 10.0", "secs = 10.0", "secs"),
-        ("count = 3", "count = -3", "servers[0].count"),
-        (
-            "machine_type = \"std\"",
-            "machine_type = \"other\"",
-            "servers[0].machine_type",
-        ),
-        ("share = 0.6", "share = 1.6", "class[0].share"),
-        (
-            "share = 0.6",
-            "share = 0.6\ndeadline_ms = 10.0",
-            "class[0].deadline_ms",
-        ),
-        ("at_s = 2.0", "at_s = -2.0", "fault[0].at_s"),
-        ("at_s = 2.0", "at_s = 20.0", "fault[0].at_s"),
-        ("kind = \"crash\"", "kind = \"quake\"", "fault[0].kind"),
-        (
-            "servers = [\"s1\"]",
-            "servers = [\"s9\"]",
-            "fault[0].servers[0]",
-        ),
-        ("servers = [\"s1\"]", "zone = \"tokyo\"", "fault[0].zone"),
-    ];
     assert_eq!(errors(GOOD), []);
 
-    for (part, replacement, key) in cases {
+    for (part, replacement, key) in WRONG_VALUES_AND_KEYS {
         let text = GOOD.replacen(part, replacement, 1);
 
         let found = errors(&text);
