--- a/crates/sidecar/tests/exchanges.rs
+++ b/crates/sidecar/tests/exchanges.rs
@@ -1,7 +1,7 @@
 //! Plays the recorded exchanges of `tests/exchanges/*.txt` against the sidecar and compares what it
 //! sent.
 //!
-//! A recording names its parties: clients (T1, T2 ...), connections that the sidecar opens to
+//! A recording names its parties: clients (C1, C2 ...), connections that the sidecar opens to
 //! servers (S1, S2 ... in the order they come), to discovery (D1 ...) and to where it moves (E1
 //! ...), and the sidecar's process (P). Nothing is measured: every wait ends with what is awaited,
 //! or fails the test. A pause only lets a time-out of the sidecar pass.
--- a/crates/sidecar/tests/support/mod.rs
+++ b/crates/sidecar/tests/support/mod.rs
@@ -147,11 +147,11 @@
         self.connections.get_mut(party).expect("there")
     }
 
-    /// Connects as a client (T), or waits for the sidecar to connect to a server (S) or to discovery
+    /// Connects as a client (C), or waits for the sidecar to connect to a server (S) or to discovery
     /// at its first (D) or second (E) address.
     fn open_connection(&self, party: &str) -> TcpStream {
         match &party[..1] {
-            "T" => TcpStream::connect(&self.listen_address).expect("the program accepts"),
+            "C" => TcpStream::connect(&self.listen_address).expect("the program accepts"),
             "S" => until(party, || self.accept_at_servers()),
             "E" => until(party, || accept(&self.relocated_discovery)),
             _ => until(party, || accept(&self.discovery)),
