--- a/crates/sidecar/tests/support/mod.rs
+++ b/crates/sidecar/tests/support/mod.rs
@@ -5,6 +5,7 @@
 mod network;
 mod options;
 mod slow_server;
+pub(crate) mod socket_table;
 mod steps;
 
 use std::collections::HashMap;
--- a/crates/sidecar/tests/support/slow_server.rs
+++ b/crates/sidecar/tests/support/slow_server.rs
@@ -1,11 +1,12 @@
 //! A server whose connections come up late: the operating system drops the sidecar's first packet,
 //! and lets a later one in.
 
-use std::fs;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
 use socket2::{Domain, Socket, Type};
 
+use super::socket_table;
+
 /// A server with a queue for one connection, which is full until it is admitted.
 pub(super) struct SlowServer {
     listener: TcpListener,
@@ -38,8 +39,7 @@
     /// True while the sidecar waits for a connection that does not come up.
     pub(super) fn is_dialled(&self) -> bool {
         let port = self.listener.local_addr().expect("bound").port();
-        let syn_sent = format!(":{port:04X} 02 ");
-        fs::read_to_string("/proc/net/tcp").is_ok_and(|table| table.contains(&syn_sent))
+        socket_table::is_dialled(port)
     }
 
     /// Empties the queue: the next packet of a connection attempt gets through.
--- a/crates/sidecar/tests/support/steps.rs
+++ b/crates/sidecar/tests/support/steps.rs
@@ -22,7 +22,7 @@
             "part" => self.send_part(party, text),
             "fill" => self.send_repeatedly(party, text),
             "chunk" => self.send_chunk(party, text),
-            "close" => drop(self.connections.remove(party)),
+            "close" => self.close(party),
             "reset" => self.reset(party),
             "read" => self.record_message(party),
             "ready" => self.wait_until_ready(),
--- a/crates/sidecar/tests/support/steps/sending.rs
+++ b/crates/sidecar/tests/support/steps/sending.rs
@@ -1,11 +1,13 @@
 //! Steps by which a peer sends something or ends its connection.
 
 use std::io::Write as _;
+use std::net::TcpStream;
 use std::time::Duration;
 
-use crate::support::Harness;
 use crate::support::network::address_of;
 use crate::support::slow_server::SlowServer;
+use crate::support::socket_table::has_end_arrived;
+use crate::support::{Harness, until};
 
 /// What `{long}` stands for: more characters than a request's target may have.
 const LONG_CHARS: usize = 9_000;
@@ -53,12 +55,20 @@
         self.send(party, format!("{:x}\r\n{text}\r\n", text.len()).as_bytes());
     }
 
+    /// Closes a connection: the sidecar gets an end of file behind what was sent, or a reset where
+    /// something is unread.
+    pub(super) fn close(&mut self, party: &str) {
+        let connection = self.connections.remove(party).expect("there");
+        close_and_wait(connection);
+    }
+
     /// Ends a connection by a reset.
     pub(super) fn reset(&mut self, party: &str) {
         let connection = self.connections.remove(party).expect("there");
         socket2::SockRef::from(&connection)
             .set_linger(Some(Duration::ZERO))
             .expect("no lingering");
+        close_and_wait(connection);
     }
 
     fn send(&mut self, party: &str, bytes: &[u8]) {
@@ -69,3 +79,17 @@
 fn unescape(text: &str) -> String {
     text.trim_end().replace("\\r", "\r").replace("\\n", "\n")
 }
+
+/// Closes a connection and waits until its end has arrived at the sidecar. A process that another
+/// test of this program is just starting holds a copy of every socket until its `exec`, and the end
+/// is sent as the last copy goes, which may be long after this program's own close.
+fn close_and_wait(connection: TcpStream) {
+    let sidecar = connection.peer_addr();
+    let own = connection.local_addr();
+    drop(connection);
+    if let (Ok(sidecar), Ok(own)) = (sidecar, own) {
+        until("the connection's end at the sidecar", || {
+            has_end_arrived(sidecar, own).then_some(())
+        });
+    }
+}
