--- a/crates/sidecar/tests/support/steps.rs
+++ b/crates/sidecar/tests/support/steps.rs
@@ -28,7 +28,6 @@
             "ready" => self.wait_until_ready(),
             "closed" => self.expect_close_or_reset(party),
             "ended" => self.record_end_of_file(party),
-            "nothing" => self.record_nothing_unread(party),
             "within" => self.record_connection_within(party, text),
             "unsent" => self.record_end_without_bytes(party),
             "silent" => self.record_no_further_connection(party),
--- a/crates/sidecar/tests/support/steps/expectations.rs
+++ b/crates/sidecar/tests/support/steps/expectations.rs
@@ -75,16 +75,6 @@
         self.record(&format!("{party} ended with {read:?} bytes"));
     }
 
-    /// Records whether nothing lies unread on a connection at this moment.
-    pub(super) fn record_nothing_unread(&mut self, party: &str) {
-        let connection = self.connection(party);
-        connection.set_nonblocking(true).expect("not blocking");
-        let unread = connection.peek(&mut [0]).ok();
-        connection.set_nonblocking(false).expect("blocking");
-        let is_nothing = unread.is_none_or(|bytes| bytes == 0);
-        self.record(&format!("{party} got nothing more: {is_nothing}"));
-    }
-
     /// Records whether the sidecar connects within a time.
     pub(super) fn record_connection_within(&mut self, party: &str, text: &str) {
         let longest = parse_milliseconds(text);
