--- a/crates/sidecar/tests/exchanges.rs
+++ b/crates/sidecar/tests/exchanges.rs
@@ -1,21 +1,23 @@
 //! Plays the recorded exchanges of `tests/exchanges/*.txt` against the sidecar and compares what it
 //! sent.
 //!
-//! A recording names its parties: clients (C1, C2 ...), connections that the sidecar opens to
-//! servers (S1, S2 ... in the order they come), to discovery (D1 ...) and to where it moves (E1
-//! ...), and the sidecar's process (P). Nothing is measured: every wait ends with what is awaited,
-//! or fails the test. A pause only lets a time-out of the sidecar pass.
+//! `tests/exchanges/README.md` defines the language of the recordings: parties, options and what
+//! each verb waits for. Nothing is measured: every wait ends with what is awaited, or fails the
+//! test.
 
 mod support;
 
+use std::collections::BTreeSet;
 use std::fs;
 use std::process::Command;
 
 use support::Harness;
 
+/// Where the recordings are.
+const RECORDINGS: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/exchanges");
+
 fn play(name: &str) -> String {
-    let path = format!("{}/tests/exchanges/{name}.txt", env!("CARGO_MANIFEST_DIR"));
-    let script = fs::read_to_string(path).expect("a recording");
+    let script = read_recording(name);
     let (first_line, steps) = script.split_once("\n@ ").expect("steps");
     let mut harness = Harness::start(name, first_line);
     for step in steps.split("\n@ ") {
@@ -26,8 +28,17 @@
     harness.take_transcript()
 }
 
+fn read_recording(name: &str) -> String {
+    fs::read_to_string(format!("{RECORDINGS}/{name}.txt")).expect("a recording")
+}
+
 macro_rules! exchanges {
-    ($($name:ident)*) => { $(#[test] fn $name() { insta::assert_snapshot!(play(stringify!($name))); })* };
+    ($($name:ident)*) => {
+        $(#[test] fn $name() { insta::assert_snapshot!(play(stringify!($name))); })*
+
+        /// The recordings that are played.
+        const PLAYED: &[&str] = &[$(stringify!($name)),*];
+    };
 }
 
 exchanges! {
@@ -100,6 +111,48 @@
     deduplication_window_that_ends_during_a_connect_blocks_the_retry
 }
 
+#[test]
+fn every_recording_is_played() {
+    let files = fs::read_dir(RECORDINGS).expect("a folder");
+
+    let recorded: BTreeSet<String> = files
+        .map(|file| file.expect("readable").file_name())
+        .filter_map(|file| Some(file.to_str()?.strip_suffix(".txt")?.to_owned()))
+        .collect();
+
+    let played: BTreeSet<String> = PLAYED.iter().map(|&name| name.to_owned()).collect();
+    assert_eq!(recorded, played);
+}
+
+#[test]
+fn readme_describes_exactly_the_verbs_that_recordings_use() {
+    let readme = include_str!("exchanges/README.md");
+
+    let used: BTreeSet<String> = PLAYED
+        .iter()
+        .flat_map(|name| verbs_of(&read_recording(name)))
+        .collect();
+    let described: BTreeSet<String> = readme
+        .split_once("## Verbs")
+        .expect("a section on verbs")
+        .1
+        .lines()
+        .filter_map(|line| line.strip_prefix("| `")?.split_once('`'))
+        .map(|(verb, _)| verb.to_owned())
+        .collect();
+
+    assert_eq!(used, described);
+}
+
+/// The verbs of a recording's steps.
+fn verbs_of(recording: &str) -> Vec<String> {
+    recording
+        .lines()
+        .filter_map(|line| line.strip_prefix("@ ")?.split_whitespace().nth(1))
+        .map(str::to_owned)
+        .collect()
+}
+
 /// The sidecar's exit code and message for a configuration.
 fn run_with_config(number: usize, config: &str) -> String {
     let path = std::env::temp_dir().join(format!(
