--- a/crates/sidecar/src/downstream/bounded_stream.rs
+++ b/crates/sidecar/src/downstream/bounded_stream.rs
@@ -13,6 +13,7 @@
 use tokio::net::TcpStream;
 
 use super::connection::ClientConnection;
+use super::socket_slot::peek;
 use crate::limits::Limits;
 
 /// Bytes of input that are thrown away by one read.
@@ -118,16 +119,33 @@
         let read = poll_read_at_most(self.socket()?, cx, buf, max_bytes);
         let bytes = buf.filled().len() - filled_before;
         match read {
-            Poll::Pending => {
-                self.client.on_input_drained();
-                return Poll::Pending;
-            }
+            Poll::Pending => return self.confirm_drained(),
             Poll::Ready(Ok(())) if bytes > 0 => self.client.on_received(bytes),
             Poll::Ready(_) => self.client.on_disconnected(),
         }
         ready!(read)?;
         Poll::Ready(Ok(bytes))
     }
+
+    /// Asks the operating system whether nothing more is to be read. The runtime alone does not
+    /// know: it clears a socket's readiness after a short read, and a client's end of file may lie
+    /// right behind the bytes of that read.
+    fn confirm_drained(&mut self) -> Poll<io::Result<usize>> {
+        if self.client.is_input_drained() {
+            return Poll::Pending;
+        }
+        let peeked = peek(&*self.socket()?);
+        match &peeked {
+            // The readiness that comes with these bytes wakes the task.
+            Ok(1..) => return Poll::Pending,
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
+                self.client.on_input_drained();
+                return Poll::Pending;
+            }
+            Ok(0) | Err(_) => self.client.on_disconnected(),
+        }
+        Poll::Ready(peeked)
+    }
 }
 
 fn poll_read_at_most(
--- a/crates/sidecar/src/downstream/connection.rs
+++ b/crates/sidecar/src/downstream/connection.rs
@@ -85,6 +85,11 @@
         self.input.on_drained();
     }
 
+    /// True where nothing was read since there was last nothing more.
+    pub(super) fn is_input_drained(&self) -> bool {
+        self.input.burst_bytes() == 0
+    }
+
     /// The client ended its side, or its connection failed.
     pub(super) fn on_disconnected(&self) {
         self.presence.mark_disconnected();
--- a/crates/sidecar/src/downstream/socket_slot.rs
+++ b/crates/sidecar/src/downstream/socket_slot.rs
@@ -34,7 +34,10 @@
     }
 }
 
-/// How many bytes lie unread, as far as one byte shows.
-fn peek(socket: &TcpStream) -> io::Result<usize> {
+/// How many bytes lie unread, as far as one byte shows; 0 at the end of file.
+///
+/// # Errors
+/// `WouldBlock` where nothing is to be read, or why the connection failed.
+pub(super) fn peek(socket: &TcpStream) -> io::Result<usize> {
     socket2::SockRef::from(socket).peek(&mut [MaybeUninit::uninit()])
 }
--- a/crates/sidecar/tests/exchanges.rs
+++ b/crates/sidecar/tests/exchanges.rs
@@ -43,6 +43,7 @@
 
 exchanges! {
     client_disconnect_as_the_connect_completes_forwards_nothing
+    client_disconnect_before_its_connection_is_accepted_forwards_nothing
     client_disconnect_before_its_request_is_read_forwards_nothing
     client_disconnect_behind_pipelined_input_forwards_nothing
     client_disconnect_cancels_its_attempt
