--- a/crates/sidecar/tests/exchanges.rs
+++ b/crates/sidecar/tests/exchanges.rs
@@ -11,19 +11,18 @@
 use std::fs;
 use std::process::Command;
 
-use support::Harness;
+use support::recording::Recording;
+use support::{Harness, config_with};
 
 /// Where the recordings are.
 const RECORDINGS: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/exchanges");
 
 fn play(name: &str) -> String {
     let script = read_recording(name);
-    let (first_line, steps) = script.split_once("\n@ ").expect("steps");
-    let mut harness = Harness::start(name, first_line);
-    for step in steps.split("\n@ ") {
-        let (words, text) = step.split_once('\n').unwrap_or((step, ""));
-        let (party, verb) = words.trim().split_once(' ').expect("a party and a verb");
-        harness.step(party, verb, text);
+    let recording = Recording::parse(&script);
+    let mut harness = Harness::start(name, recording.first_line);
+    for step in recording.steps {
+        harness.step(step);
     }
     harness.take_transcript()
 }
@@ -147,10 +146,10 @@
 
 /// The verbs of a recording's steps.
 fn verbs_of(recording: &str) -> Vec<String> {
-    recording
-        .lines()
-        .filter_map(|line| line.strip_prefix("@ ")?.split_whitespace().nth(1))
-        .map(str::to_owned)
+    Recording::parse(recording)
+        .steps
+        .iter()
+        .map(|step| step.verb.to_owned())
         .collect()
 }
 
@@ -172,10 +171,7 @@
 
 #[test]
 fn bad_configuration_names_the_key() {
-    let good = include_str!("exchanges/config.json")
-        .replace("{targets}", "")
-        .replace("\"{idle}\"", "1")
-        .replace("\"{memory}\"", "64");
+    let good = config_with("idle=1000 memory=64");
     let cases = [
         ("\"objective-ms\":15000", "\"objective-ms\":\"soon\""),
         ("\"semantics\":\"pure\"", "\"semantics\":\"tidy\""),
--- a/crates/sidecar/tests/floods.rs
+++ b/crates/sidecar/tests/floods.rs
@@ -12,6 +12,7 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
+use support::recording::Step;
 use support::{Harness, until};
 
 /// The least that a deployment gives a sidecar.
@@ -117,11 +118,16 @@
 
 /// Discovery sends a line without end.
 fn send_endless_line(harness: &mut Harness) {
-    harness.step("D1", "read", "");
+    let discovery = |verb, text| Step {
+        party: "D1",
+        verb,
+        text,
+    };
+    harness.step(discovery("read", ""));
     let head = "HTTP/1.1 200 OK\nTransfer-Encoding: chunked\n\n";
-    harness.step("D1", "send", head);
+    harness.step(discovery("send", head));
     for _ in 0..5 {
-        harness.step("D1", "fill", "[");
+        harness.step(discovery("fill", "["));
     }
 }
 
--- a/crates/sidecar/tests/start.rs
+++ b/crates/sidecar/tests/start.rs
@@ -8,7 +8,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 
-use support::until;
+use support::{config_with, until};
 
 const SIGHUP: u32 = 1;
 const SIGTERM: u32 = 15;
@@ -30,14 +30,10 @@
             .stderr(Stdio::null())
             .spawn()
             .expect("the program starts");
-        let config = include_str!("exchanges/config.json")
-            .replace("{targets}", "")
-            .replace("\"{idle}\"", "1000")
-            .replace("\"{memory}\"", "64");
         let starting = Self {
             process,
             pipe,
-            config,
+            config: config_with("idle=1000000 memory=64"),
         };
         until("a handler for the signal", || {
             starting.handles(signal).then_some(())
@@ -113,8 +109,10 @@
 #[test]
 fn sighup_during_a_start_does_not_end_it() {
     let mut sidecar = StartingSidecar::new("hup", SIGHUP);
+
     sidecar.signal("-HUP");
     sidecar.deliver_config();
+
     // It runs for as long as nobody ends it, and then ends in order.
     sidecar.wait_until_listening();
     sidecar.signal("-TERM");
@@ -124,7 +122,9 @@
 #[test]
 fn sigterm_during_a_start_is_a_clean_exit() {
     let mut sidecar = StartingSidecar::new("term", SIGTERM);
+
     sidecar.signal("-TERM");
     sidecar.deliver_config();
+
     assert_eq!(sidecar.exit_code(), Some(0));
 }
--- a/crates/sidecar/tests/support/mod.rs
+++ b/crates/sidecar/tests/support/mod.rs
@@ -1,9 +1,12 @@
-//! The sidecar with everything that it talks to: clients, servers and discovery, each played by the test.
+//! The sidecar with everything that it talks to: clients, servers and discovery, each played by the
+//! test.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 mod message;
 mod network;
 mod options;
+mod peers;
+pub(crate) mod recording;
 mod slow_server;
 pub(crate) mod socket_table;
 mod steps;
@@ -18,9 +21,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use network::{ReservedAddress, address_of, bind_free_port};
+use network::{ReservedAddress, address_of};
 use options::Options;
-use slow_server::SlowServer;
+use peers::Peers;
+use recording::Role;
 
 /// The longest wait for anything that a test expects.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
@@ -31,28 +35,26 @@
 pub(crate) struct Harness {
     sidecar: Child,
     listen_address: String,
-    servers: Vec<TcpListener>,
-    /// Servers whose connections come up late.
-    slow_servers: Vec<SlowServer>,
-    discovery: TcpListener,
-    /// Where discovery is after a reload.
-    relocated_discovery: TcpListener,
-    /// Where discovery is after a reload, without listening there.
-    refusing_discovery: ReservedAddress,
+    peers: Peers,
     config_path: PathBuf,
     /// The configuration as it was at the start.
     config: String,
     /// Open connections, by the party's name in the recording.
     connections: HashMap<String, TcpStream>,
     transcript: String,
-    /// The sidecar's own address and those of servers that refuse connections.
-    _reserved: Vec<ReservedAddress>,
+    /// Keeps the sidecar's own address.
+    _own_address: ReservedAddress,
     /// Set while every poll of discovery is rejected.
     rejects_polls: Arc<AtomicBool>,
     /// When SIGTERM was sent for the first time.
     stopped_at: Option<Instant>,
 }
 
+/// A configuration without a known server, with the options of a recording's first line.
+pub(crate) fn config_with(options: &str) -> String {
+    Options::parse(options).config(&[])
+}
+
 /// Waits until the check finds something.
 ///
 /// # Panics
@@ -73,40 +75,23 @@
     /// configurations apart.
     pub(crate) fn start(name: &str, first_line: &str) -> Self {
         let options = Options::parse(first_line);
-        let bind = |count| (0..count).map(|_| bind_free_port()).collect::<Vec<_>>();
-        let mut servers = bind(options.servers);
-        let mut known: Vec<String> = servers.iter().map(address_of).collect();
-        servers.extend(bind(options.unlisted_servers));
-        let mut reserved: Vec<_> = (0..options.refusing_servers)
-            .map(|_| ReservedAddress::new())
-            .collect();
-        known.extend(reserved.iter().map(|server| server.address().to_owned()));
-        let slow_servers: Vec<_> = (0..options.slow_servers)
-            .map(|_| SlowServer::new())
-            .collect();
-        known.extend(slow_servers.iter().map(SlowServer::address));
-        let (discovery, relocated_discovery) = (bind_free_port(), bind_free_port());
+        let peers = Peers::bind(&options);
         let own_address = ReservedAddress::new();
         let listen_address = own_address.address().to_owned();
-        reserved.push(own_address);
-        let config = options.config(&known);
+        let config = options.config(&peers.listed_addresses);
         let config_path = config_path(name);
         fs::write(&config_path, &config).expect("configuration written");
-        let sidecar = spawn_sidecar(&config_path, &listen_address, &discovery);
+        let sidecar = spawn_sidecar(&config_path, &listen_address, &peers.discovery);
         until("the listener", || TcpStream::connect(&listen_address).ok());
         Self {
             sidecar,
             listen_address,
-            servers,
-            slow_servers,
-            discovery,
-            relocated_discovery,
-            refusing_discovery: ReservedAddress::new(),
+            peers,
             config_path,
             config,
             connections: HashMap::new(),
             transcript: String::new(),
-            _reserved: reserved,
+            _own_address: own_address,
             rejects_polls: Arc::default(),
             stopped_at: None,
         }
@@ -124,7 +109,8 @@
 
     /// The listening sockets of the servers.
     pub(crate) fn servers(&self) -> Vec<TcpListener> {
-        self.servers
+        self.peers
+            .servers
             .iter()
             .map(|server| server.try_clone().expect("a second handle"))
             .collect()
@@ -148,27 +134,16 @@
         self.connections.get_mut(party).expect("there")
     }
 
-    /// Connects as a client (C), or waits for the sidecar to connect to a server (S) or to discovery
-    /// at its first (D) or second (E) address.
+    /// Connects as a client, or waits for the sidecar to connect to the party.
     fn open_connection(&self, party: &str) -> TcpStream {
-        match &party[..1] {
-            "C" => TcpStream::connect(&self.listen_address).expect("the program accepts"),
-            "S" => until(party, || self.accept_at_servers()),
-            "E" => until(party, || accept(&self.relocated_discovery)),
-            _ => until(party, || accept(&self.discovery)),
+        match Role::of(party) {
+            Role::Client => TcpStream::connect(&self.listen_address).expect("the program accepts"),
+            Role::Server => until(party, || self.peers.accept_at_servers()),
+            Role::Discovery => until(party, || self.peers.accept_at_discovery()),
+            Role::RelocatedDiscovery => until(party, || self.peers.accept_at_relocated_discovery()),
+            Role::Process => panic!("{party} has no connection"),
         }
     }
-
-    fn accept_at_servers(&self) -> Option<TcpStream> {
-        self.servers
-            .iter()
-            .find_map(accept)
-            .or_else(|| self.slow_servers.iter().find_map(SlowServer::accept))
-    }
-}
-
-fn accept(listener: &TcpListener) -> Option<TcpStream> {
-    listener.accept().ok().map(|(stream, _)| stream)
 }
 
 fn config_path(name: &str) -> PathBuf {
--- a/crates/sidecar/tests/support/network.rs
+++ b/crates/sidecar/tests/support/network.rs
@@ -17,8 +17,8 @@
 }
 
 /// A free address on which the sidecar may listen, but which nobody else gets until this is dropped.
-/// Guards against a test that runs against another one's sidecar, or against none, since its port
-/// was taken before the sidecar listened.
+/// A port that was only looked up could be taken before the sidecar listens, and the test would talk
+/// to another test's sidecar, or to none.
 pub(super) struct ReservedAddress {
     _socket: TcpSocket,
     address: String,
--- a/crates/sidecar/tests/support/steps.rs
+++ b/crates/sidecar/tests/support/steps.rs
@@ -8,6 +8,7 @@
 use std::time::Duration;
 
 use super::Harness;
+use super::recording::Step;
 use super::slow_server::SlowServer;
 
 impl Harness {
@@ -15,7 +16,8 @@
     ///
     /// # Panics
     /// If what it waits for does not come, or the verb is unknown.
-    pub(crate) fn step(&mut self, party: &str, verb: &str, text: &str) {
+    pub(crate) fn step(&mut self, step: Step<'_>) {
+        let Step { party, verb, text } = step;
         match verb {
             "send" => self.send_message(party, text),
             "connect" => drop(self.connection(party)),
@@ -32,8 +34,16 @@
             "unsent" => self.record_end_without_bytes(party),
             "silent" => self.record_no_further_connection(party),
             "dialled" => self.wait_until_dialled(),
-            "admit" => self.slow_servers.iter_mut().for_each(SlowServer::admit),
-            "refill" => self.slow_servers.iter_mut().for_each(SlowServer::refill),
+            "admit" => self
+                .peers
+                .slow_servers
+                .iter_mut()
+                .for_each(SlowServer::admit),
+            "refill" => self
+                .peers
+                .slow_servers
+                .iter_mut()
+                .for_each(SlowServer::refill),
             "deny" => self.reject_polls(),
             "stop" => self.stop(),
             "halt" => self.halt(),
--- a/crates/sidecar/tests/support/steps/expectations.rs
+++ b/crates/sidecar/tests/support/steps/expectations.rs
@@ -37,7 +37,8 @@
     /// Waits until the sidecar is connecting to a slow server.
     pub(super) fn wait_until_dialled(&self) {
         until("a dial", || {
-            self.slow_servers
+            self.peers
+                .slow_servers
                 .iter()
                 .any(SlowServer::is_dialled)
                 .then_some(())
@@ -86,7 +87,7 @@
 
     /// Records whether no server has got a further connection by this moment.
     pub(super) fn record_no_further_connection(&mut self, party: &str) {
-        let is_none = self.accept_at_servers().is_none();
+        let is_none = self.peers.accept_at_servers().is_none();
         self.record(&format!("{party} no further connection: {is_none}"));
     }
 
@@ -95,8 +96,8 @@
     }
 }
 
-/// Reads once. Guards against a signal to the test's process, such as that a child has ended, which
-/// interrupts a read with a time-out and is nothing that the sidecar sent.
+/// Reads once. A signal to the test's process, such as that a child has ended, interrupts a read that
+/// has a time-out; the read is repeated, since the sidecar sent nothing by it.
 fn read_uninterrupted(connection: &mut TcpStream, buffer: &mut [u8]) -> io::Result<usize> {
     loop {
         match connection.read(buffer) {
--- a/crates/sidecar/tests/support/steps/process.rs
+++ b/crates/sidecar/tests/support/steps/process.rs
@@ -18,7 +18,7 @@
     /// From now on each poll of discovery gets a 503.
     pub(super) fn reject_polls(&self) {
         self.rejects_polls.store(true, Ordering::Relaxed);
-        let listener = self.discovery.try_clone().expect("a second handle");
+        let listener = self.peers.discovery.try_clone().expect("a second handle");
         let rejects_polls = Arc::clone(&self.rejects_polls);
         thread::spawn(move || {
             while rejects_polls.load(Ordering::Relaxed) {
@@ -62,8 +62,8 @@
     /// address, with "refused" where nobody listens; any other text is the configuration itself.
     pub(super) fn reload(&self, text: &str) {
         let config = match text.trim() {
-            "" => self.config_with_discovery(&address_of(&self.relocated_discovery)),
-            "refused" => self.config_with_discovery(self.refusing_discovery.address()),
+            "" => self.config_with_discovery(&address_of(&self.peers.relocated_discovery)),
+            "refused" => self.config_with_discovery(self.peers.refusing_discovery.address()),
             _ => text.to_owned(),
         };
         fs::write(&self.config_path, config).expect("written");
--- a/crates/sidecar/tests/support/steps/sending.rs
+++ b/crates/sidecar/tests/support/steps/sending.rs
@@ -5,6 +5,7 @@
 use std::time::Duration;
 
 use crate::support::network::address_of;
+use crate::support::recording::Role;
 use crate::support::slow_server::SlowServer;
 use crate::support::socket_table::has_end_arrived;
 use crate::support::{Harness, until};
@@ -32,7 +33,7 @@
     pub(super) fn send_repeatedly(&mut self, party: &str, text: &str) {
         let text = unescape(text);
         let repeated = text.repeat(REPEATED_BYTES / text.len());
-        let is_discovery = party.starts_with('D');
+        let is_discovery = Role::of(party) == Role::Discovery;
         let connection = self.connection(party);
         // A client's connection may be closed by now: that is the sidecar's right.
         let _ = if is_discovery {
@@ -44,9 +45,19 @@
 
     /// Sends a chunk in which names of servers stand for their addresses.
     pub(super) fn send_chunk(&mut self, party: &str, text: &str) {
-        let first = self.servers.first().map(address_of).unwrap_or_default();
-        let last = self.servers.last().map(address_of).unwrap_or_default();
-        let slow = self.slow_servers.first().map(SlowServer::address);
+        let first = self
+            .peers
+            .servers
+            .first()
+            .map(address_of)
+            .unwrap_or_default();
+        let last = self
+            .peers
+            .servers
+            .last()
+            .map(address_of)
+            .unwrap_or_default();
+        let slow = self.peers.slow_servers.first().map(SlowServer::address);
         let text = text
             .replace("{S}", &first)
             .replace("{spare}", &last)
