--- a/crates/sidecar/tests/floods.rs
+++ b/crates/sidecar/tests/floods.rs
@@ -2,16 +2,18 @@
 //! deployment may set: memory and descriptors stay within them, and a well-behaved client gets a
 //! response to each request.
 
+#[path = "floods/peers.rs"]
+mod peers;
 mod support;
 
 use std::fs;
 use std::io::{Read as _, Write as _};
-use std::net::{TcpListener, TcpStream};
-use std::sync::Arc;
+use std::net::TcpStream;
 use std::sync::atomic::{AtomicBool, Ordering};
-use std::thread::{self, JoinHandle};
+use std::sync::{Arc, LazyLock};
 use std::time::Duration;
 
+use peers::{bad_client, request_head, spawn_servers};
 use support::recording::Step;
 use support::{Harness, until};
 
@@ -26,96 +28,6 @@
 /// The longest wait of a well-behaved client.
 const CLIENT_TIMEOUT: Duration = Duration::from_secs(10);
 
-const GOOD_RESPONSE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello";
-const ENDLESS_RESPONSE_HEAD: &str =
-    "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nffffff\r\n";
-const ENDLESS_RESPONSE_PART_BYTES: usize = 16 * 1024;
-
-fn request_head(id: &str, timeout_ms: u32, body_bytes: usize) -> String {
-    format!(
-        "POST /api HTTP/1.1\r\nHost: n\r\nX-Request-ID: {id}\r\nX-Priority-Class: book\r\n\
-         X-Timeout: {timeout_ms}m\r\nContent-Length: {body_bytes}\r\n\r\n"
-    )
-}
-
-/// A client that keeps what it can get: a head or body without end, a flood behind a request, or
-/// silence.
-fn bad_client(sidecar: &str, number: usize) -> Option<TcpStream> {
-    let mut connection = TcpStream::connect(sidecar).ok()?;
-    connection.set_nonblocking(true).ok()?;
-    let input = match number % 4 {
-        0 => format!("GET /api HTTP/1.1\r\nX-Long: {}", "a".repeat(100_000)),
-        1 => request_head(&format!("b{number}"), 9_000, 60_000) + &"b".repeat(59_999),
-        2 => {
-            request_head(&format!("f{number}"), 9_000, 0)
-                + &"GET / HTTP/1.1\r\nHost: x\r\n\r\n".repeat(30_000)
-        }
-        _ => String::new(),
-    };
-    // What the operating system does not take now is not sent: the sidecar reads no more.
-    let _ = connection.write(input.as_bytes());
-    Some(connection)
-}
-
-/// A connection at a server, and whether its response is one without end.
-struct ServerConnection {
-    stream: TcpStream,
-    is_endless: bool,
-}
-
-impl ServerConnection {
-    /// Reads what there is and responds; false once the connection has ended.
-    fn respond(&mut self, request_count: &mut usize, endless_part: &[u8]) -> bool {
-        match self.stream.read(&mut [0; 4096]) {
-            Ok(0) => return false,
-            Ok(_) if !self.is_endless => {
-                *request_count += 1;
-                self.is_endless = *request_count % 2 == 0;
-                let response = if self.is_endless {
-                    ENDLESS_RESPONSE_HEAD
-                } else {
-                    GOOD_RESPONSE
-                };
-                let _ = self.stream.write(response.as_bytes());
-            }
-            _ => {}
-        }
-        if self.is_endless {
-            let _ = self.stream.write(endless_part);
-        }
-        true
-    }
-}
-
-/// A server that responds to every other request, and starts a response without end to the others.
-fn serve(listener: &TcpListener, is_over: &AtomicBool) {
-    let mut connections: Vec<ServerConnection> = Vec::new();
-    let mut request_count = 0;
-    let endless_part = vec![b'z'; ENDLESS_RESPONSE_PART_BYTES];
-    while !is_over.load(Ordering::Relaxed) {
-        while let Ok((stream, _)) = listener.accept() {
-            stream.set_nonblocking(true).expect("not blocking");
-            connections.push(ServerConnection {
-                stream,
-                is_endless: false,
-            });
-        }
-        connections.retain_mut(|connection| connection.respond(&mut request_count, &endless_part));
-        thread::sleep(Duration::from_millis(1));
-    }
-}
-
-fn spawn_servers(harness: &Harness, is_over: &Arc<AtomicBool>) -> Vec<JoinHandle<()>> {
-    harness
-        .servers()
-        .into_iter()
-        .map(|listener| {
-            let is_over = Arc::clone(is_over);
-            thread::spawn(move || serve(&listener, &is_over))
-        })
-        .collect()
-}
-
 /// Discovery sends a line without end.
 fn send_endless_line(harness: &mut Harness) {
     let discovery = |verb, text| Step {
@@ -131,8 +43,11 @@
     }
 }
 
-/// Sends a good request and returns whether it was served; fails the test if it gets no response.
-fn is_good_request_served(sidecar: &str, round: usize) -> bool {
+/// Sends a good request and returns the start of its response.
+///
+/// # Panics
+/// If it gets no response in time.
+fn send_good_request(sidecar: &str, round: usize) -> String {
     let mut connection = TcpStream::connect(sidecar).expect("a usual client connects");
     connection
         .set_read_timeout(Some(CLIENT_TIMEOUT))
@@ -143,13 +58,7 @@
     let read = connection
         .read(&mut response)
         .unwrap_or_else(|error| panic!("request {round}: {error}"));
-    let text = String::from_utf8_lossy(&response[..read]);
-    let is_served = text.starts_with("HTTP/1.1 200");
-    assert!(
-        is_served || text.starts_with("HTTP/1.1 50"),
-        "{round}: {text:?}"
-    );
-    is_served
+    String::from_utf8_lossy(&response[..read]).into_owned()
 }
 
 /// The sidecar's counters, once it responds again.
@@ -183,22 +92,51 @@
         .count()
 }
 
-#[test]
-fn memory_and_descriptors_stay_within_the_least_limits_when_all_peers_misbehave() {
+/// What was seen while all peers misbehaved, and after that.
+struct FloodRecord {
+    most_memory_kb: u64,
+    most_descriptors: usize,
+    /// The start of the response to each request of a well-behaved client.
+    responses: Vec<String>,
+    counters_afterwards: String,
+}
+
+impl FloodRecord {
+    fn served(&self) -> usize {
+        let is_served = |response: &&String| response.starts_with("HTTP/1.1 200");
+        self.responses.iter().filter(is_served).count()
+    }
+}
+
+/// The one flood that the tests below look at.
+static FLOOD: LazyLock<FloodRecord> = LazyLock::new(|| {
+    let flood = play_flood();
+    println!(
+        "at most {} kB and {} descriptors; {} of {ROUNDS} usual requests served",
+        flood.most_memory_kb,
+        flood.most_descriptors,
+        flood.served()
+    );
+    flood
+});
+
+fn play_flood() -> FloodRecord {
     let mut harness = Harness::start("floods", "servers=4 memory=32 deadline=4000");
     let is_over = Arc::new(AtomicBool::new(false));
     let servers = spawn_servers(&harness, &is_over);
     send_endless_line(&mut harness);
     let sidecar = harness.listen_address().to_owned();
     let mut bad_clients = Vec::new();
-    let (mut most_kb, mut most_descriptors, mut served) = (0, 0, 0);
+    let mut responses = Vec::new();
+    let mut most_memory_kb = 0;
+    let mut most_descriptors = 0;
     for round in 0..ROUNDS {
         let first = BAD_CLIENTS_PER_ROUND * round;
         let numbers = first..first + BAD_CLIENTS_PER_ROUND;
         bad_clients.extend(numbers.filter_map(|number| bad_client(&sidecar, number)));
         bad_clients.truncate(MAX_BAD_CLIENTS);
-        served += usize::from(is_good_request_served(&sidecar, round));
-        most_kb = most_kb.max(anonymous_memory_kb(&harness));
+        responses.push(send_good_request(&sidecar, round));
+        most_memory_kb = most_memory_kb.max(anonymous_memory_kb(&harness));
         most_descriptors = most_descriptors.max(open_descriptors(&harness));
     }
     is_over.store(true, Ordering::Relaxed);
@@ -206,15 +144,42 @@
         server.join().expect("a server ends");
     }
     drop(bad_clients);
-    println!(
-        "at most {most_kb} kB and {most_descriptors} descriptors; {served} of {ROUNDS} usual requests served"
-    );
+    FloodRecord {
+        most_memory_kb,
+        most_descriptors,
+        responses,
+        counters_afterwards: counters_after_the_flood(&sidecar),
+    }
+}
+
+#[test]
+fn memory_stays_within_the_least_limit_when_all_peers_misbehave() {
+    let most_kb = FLOOD.most_memory_kb;
     assert!(most_kb < MEMORY_MB * 1024, "{most_kb} kB of {MEMORY_MB} MB");
-    assert!(
-        most_descriptors < DESCRIPTORS,
-        "{most_descriptors} descriptors of {DESCRIPTORS}"
-    );
-    assert!(served > 0, "no usual request was served");
-    let counters = counters_after_the_flood(&sidecar);
+}
+
+#[test]
+fn descriptors_stay_within_the_least_limit_when_all_peers_misbehave() {
+    let most = FLOOD.most_descriptors;
+    assert!(most < DESCRIPTORS, "{most} descriptors of {DESCRIPTORS}");
+}
+
+#[test]
+fn each_usual_request_gets_a_final_response_when_all_peers_misbehave() {
+    assert_eq!(FLOOD.responses.len(), ROUNDS);
+    for (round, response) in FLOOD.responses.iter().enumerate() {
+        let is_final = response.starts_with("HTTP/1.1 200") || response.starts_with("HTTP/1.1 50");
+        assert!(is_final, "{round}: {response:?}");
+    }
+}
+
+#[test]
+fn some_usual_requests_are_served_when_all_peers_misbehave() {
+    assert!(FLOOD.served() > 0, "no usual request was served");
+}
+
+#[test]
+fn counters_are_readable_once_the_flood_is_over() {
+    let counters = &FLOOD.counters_afterwards;
     assert!(counters.contains("requests_accepted"), "{counters}");
 }
