--- a/crates/docs-check/tests/docs_check/allowed_names.rs
+++ b/crates/docs-check/tests/docs_check/allowed_names.rs
@@ -1,8 +1,8 @@
 //! Names in pages that no source file has to have.
 
 /// Pages of history: they quote names as they were, and are neither searched for items nor
-/// wrapped. `docs/renamed-tests.md` is a table of former names of tests.
-pub(crate) const PAGES_OF_FORMER_NAMES: [&str; 2] = ["docs/history/", "docs/renamed-tests.md"];
+/// wrapped.
+pub(crate) const PAGES_OF_FORMER_NAMES: [&str; 1] = ["docs/history/"];
 
 /// Names that look like items and are none, with the reason.
 pub(crate) const ALLOWED_NAMES: [(&str, &str); 0] = [];
--- a/crates/docs-check/tests/docs_check/width.rs
+++ b/crates/docs-check/tests/docs_check/width.rs
@@ -9,8 +9,6 @@
 const MAX_PROSE_WIDTH: usize = 100;
 /// Columns of tables and code blocks, which cannot always be wrapped.
 const MAX_TABLE_WIDTH: usize = 120;
-/// First words of paragraphs that are being written elsewhere in wider lines.
-const UNWRAPPED_PARAGRAPHS: [&str; 1] = ["**Flaky.**"];
 
 /// Checks the width of all lines of all pages but those of history.
 pub(crate) fn check(repository: &Repository) -> Vec<Finding> {
@@ -29,12 +27,7 @@
 
 fn check_page(page: &Page) -> Vec<Finding> {
     let mut findings = Vec::new();
-    let mut is_unwrapped = false;
     for (index, line) in page.lines.iter().enumerate() {
-        let starts_unwrapped = UNWRAPPED_PARAGRAPHS
-            .iter()
-            .any(|start| line.starts_with(start));
-        is_unwrapped = !line.is_empty() && (is_unwrapped || starts_unwrapped);
         let number = index + 1;
         let is_table =
             line.trim_start().starts_with('|') || page.code_block_lines.contains(&number);
@@ -44,7 +37,7 @@
             MAX_PROSE_WIDTH
         };
         let width = line.chars().count();
-        if width > bound && !is_unwrapped {
+        if width > bound {
             let message = format!("{width} columns, {bound} at most");
             findings.push(Finding {
                 page: page.path.clone(),
--- a/crates/sidecar/src/downstream/connection.rs
+++ b/crates/sidecar/src/downstream/connection.rs
@@ -25,6 +25,7 @@
 use socket_slot::SocketSlot;
 
 pub(super) use close_state::AfterResponse;
+pub(super) use socket_slot::peek;
 
 /// What is known of a client, shared by its connection and by the requests on it.
 pub(super) struct ClientConnection {
--- a/crates/sidecar/src/downstream/connection/input_accounting.rs
+++ b/crates/sidecar/src/downstream/connection/input_accounting.rs
@@ -33,6 +33,11 @@
         self.burst_bytes.set(0);
     }
 
+    /// True where nothing was read since there was last nothing more.
+    pub(in crate::downstream) fn is_drained(&self) -> bool {
+        self.burst_bytes.get() == 0
+    }
+
     /// A request's head announced a body of so many bytes.
     pub(in crate::downstream) fn on_body_announced(&self, bytes: usize) {
         self.announced_body_bytes.set(bytes);
--- a/crates/sidecar/tests/support/steps.rs
+++ b/crates/sidecar/tests/support/steps.rs
@@ -8,6 +8,7 @@
 use std::time::Duration;
 
 use super::Harness;
+use super::recording::Step;
 use super::slow_server::SlowServer;
 
 impl Harness {
@@ -15,26 +16,34 @@
     ///
     /// # Panics
     /// If what it waits for does not come, or the verb is unknown.
-    pub(crate) fn step(&mut self, party: &str, verb: &str, text: &str) {
+    pub(crate) fn step(&mut self, step: Step<'_>) {
+        let Step { party, verb, text } = step;
         match verb {
             "send" => self.send_message(party, text),
             "connect" => drop(self.connection(party)),
             "part" => self.send_part(party, text),
             "fill" => self.send_repeatedly(party, text),
             "chunk" => self.send_chunk(party, text),
-            "close" => drop(self.connections.remove(party)),
+            "close" => self.close(party),
             "reset" => self.reset(party),
             "read" => self.record_message(party),
             "ready" => self.wait_until_ready(),
             "closed" => self.expect_close_or_reset(party),
             "ended" => self.record_end_of_file(party),
-            "nothing" => self.record_nothing_unread(party),
             "within" => self.record_connection_within(party, text),
             "unsent" => self.record_end_without_bytes(party),
             "silent" => self.record_no_further_connection(party),
             "dialled" => self.wait_until_dialled(),
-            "admit" => self.slow_servers.iter_mut().for_each(SlowServer::admit),
-            "refill" => self.slow_servers.iter_mut().for_each(SlowServer::refill),
+            "admit" => self
+                .peers
+                .slow_servers
+                .iter_mut()
+                .for_each(SlowServer::admit),
+            "refill" => self
+                .peers
+                .slow_servers
+                .iter_mut()
+                .for_each(SlowServer::refill),
             "deny" => self.reject_polls(),
             "stop" => self.stop(),
             "halt" => self.halt(),
