--- a/crates/testbed/src/emulator/clock.rs
+++ b/crates/testbed/src/emulator/clock.rs
@@ -2,8 +2,11 @@
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
+use crate::conversion::{f64_from_micros, micros_from_f64};
 use crate::scenario::Micros;
 
+/// Microseconds in a millisecond.
+const MICROS_PER_MS: f64 = 1_000.0;
 /// Spans below the timer's grain, which are not waited for.
 const TIMER_GRAIN: Micros = 500;
 
@@ -40,13 +43,12 @@
         tokio::time::Instant::from_std(self.start + Duration::from_micros(at))
     }
 
-    /// Unix milliseconds of a server's start; 0 for one before the run.
-    pub(super) fn unix_ms(&self, started_at: Micros) -> f64 {
-        if started_at == 0 {
-            0.0
-        } else {
-            self.start_unix_ms + started_at as f64 / 1_000.0
-        }
+    /// Unix time of a server's start in microseconds; `None` for one before the run.
+    pub(super) fn unix_time(&self, started_at: Micros) -> Option<Micros> {
+        (started_at > 0).then(|| {
+            let unix_ms = self.start_unix_ms + f64_from_micros(started_at) / MICROS_PER_MS;
+            micros_from_f64(unix_ms * MICROS_PER_MS)
+        })
     }
 }
 
--- a/crates/testbed/src/emulator/discovery/endpoint_list.rs
+++ b/crates/testbed/src/emulator/discovery/endpoint_list.rs
@@ -1,15 +1,14 @@
-//! What discovery lists, by version, and its form on the wire.
+//! What discovery lists, by version.
+//!
+//! Owns the versions and which of them an entry is new in; the form on the wire is the platform's.
 
 #[cfg(test)]
 mod tests;
 
 use std::collections::BTreeMap;
 
-use serde_json::{Value, json};
-
-use crate::emulator::emulated_server::EmulatedServer;
 use crate::event_log::ListedStatus;
-use crate::index::{ServerIndex, SidecarIndex};
+use crate::index::ServerIndex;
 use crate::scenario::Micros;
 
 const FIRST_VERSION: u64 = 1;
@@ -92,33 +91,3 @@
             .map(|(&server, entry)| (server, entry))
     }
 }
-
-/// The list, or its changes, on the wire.
-pub(super) fn message(version: u64, whole: bool, targets: Vec<Value>) -> Value {
-    json!({"rev": version, "all": whole, "targets": targets})
-}
-
-/// A server on the wire, with its address for a sidecar.
-pub(super) fn target(
-    number: ServerIndex,
-    server: &EmulatedServer,
-    sidecar: SidecarIndex,
-    zone: Option<&String>,
-    status: ListedStatus,
-    boot_ms: f64,
-) -> Value {
-    json!({
-        "uid": number.to_string(),
-        "endpoint": server.address(sidecar).map(|address| address.to_string()),
-        "az": zone,
-        "model": server.listed_machine_type(),
-        "pod_group": server.zone(),
-        "state": match status {
-            ListedStatus::Ready => "ready",
-            ListedStatus::Draining => "draining",
-            ListedStatus::Gone => "gone",
-        },
-        "capacity_hint": 1.0,
-        "boot_ms": boot_ms,
-    })
-}
--- a/crates/testbed/src/emulator/discovery/mod.rs
+++ b/crates/testbed/src/emulator/discovery/mod.rs
@@ -9,6 +9,8 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 
+use arrowstand_balancer::EndpointStatus;
+use arrowstand_platform::{self as platform, ListKind, ListedEndpoint};
 use serde_json::Value;
 use tokio::net::TcpListener;
 use tokio::sync::watch;
@@ -140,36 +142,52 @@
         since: Option<u64>,
     ) -> (Value, u64, Vec<Notification>) {
         let list = lock(&self.list);
-        let mut targets = Vec::new();
+        let mut endpoints = Vec::new();
         let mut notifications = Vec::new();
         for (number, entry) in list.since(since) {
             let Some(server) = self.servers.get(entry.index) else {
                 continue;
             };
-            targets.push(self.target(sidecar, number, server, entry));
+            endpoints.push(self.listed_endpoint(sidecar, number, server, entry));
             notifications.push((number, entry.status, entry.started_at));
         }
         let version = list.version();
-        let value = endpoint_list::message(version, since.is_none(), targets);
-        (value, version, notifications)
+        let message = platform::EndpointList {
+            revision: version,
+            kind: if since.is_none() {
+                ListKind::Full
+            } else {
+                ListKind::Delta
+            },
+            endpoints,
+            skipped: Vec::new(),
+        };
+        (message.to_json(), version, notifications)
     }
 
-    fn target(
+    /// A server as the list names it, with its address for a sidecar.
+    fn listed_endpoint(
         &self,
         sidecar: SidecarIndex,
         number: ServerIndex,
         server: &EmulatedServer,
         entry: &ListEntry,
-    ) -> Value {
+    ) -> ListedEndpoint {
         let zones = &self.shared.scenario.network.zones;
-        endpoint_list::target(
-            number,
-            server,
-            sidecar,
-            zones.get(server.zone() as usize),
-            entry.status,
-            self.shared.clock.unix_ms(entry.started_at),
-        )
+        let zone = zones.get(server.zone() as usize);
+        ListedEndpoint {
+            id: number.to_string(),
+            address: server.address(sidecar),
+            zone: zone.cloned().unwrap_or_default(),
+            cell: server.zone(),
+            machine_type: server.listed_machine_type(),
+            status: match entry.status {
+                ListedStatus::Ready => EndpointStatus::Ready,
+                ListedStatus::Draining => EndpointStatus::Draining,
+                ListedStatus::Gone => EndpointStatus::Removed,
+            },
+            started_at: self.shared.clock.unix_time(entry.started_at),
+        }
     }
 
     /// Records what a sidecar was notified of.
--- a/crates/testbed/src/emulator/emulated_server/attempt.rs
+++ b/crates/testbed/src/emulator/emulated_server/attempt.rs
@@ -3,11 +3,13 @@
 
 use std::io;
 
+use arrowstand_platform::ServerLoad;
 use tokio::sync::oneshot;
 
 use super::EmulatedServer;
 use super::admission::{AcceptedAttempt, Admission, AdmissionRequest, ResponseDraw};
 use super::connection::{Incoming, Reply};
+use crate::conversion::f64_from_count;
 use crate::emulator::clock::sleep_for;
 use crate::emulator::http::{HttpConnection, Message, response};
 use crate::emulator::lock::lock;
@@ -197,7 +199,12 @@
         return MALFORMED_RESPONSE.to_owned();
     }
     let load = draw.reported_in_flight.map_or(String::new(), |in_flight| {
-        format!("X-Server-Load: inflight={in_flight}\r\n")
+        let load = ServerLoad {
+            in_flight: f64_from_count(in_flight),
+            error_rate: None,
+            queued: None,
+        };
+        format!("X-Server-Load: {load}\r\n")
     });
     if error {
         return response("500 Internal Server Error", &load, "");
--- a/crates/testbed/src/emulator/emulated_server/health_check.rs
+++ b/crates/testbed/src/emulator/emulated_server/health_check.rs
@@ -2,8 +2,11 @@
 
 use std::time::Duration;
 
+use arrowstand_platform::ServerLoad;
+
 use super::EmulatedServer;
 use super::connection::{Incoming, Reply};
+use crate::conversion::f64_from_count;
 use crate::emulator::clock::sleep_for;
 use crate::emulator::http::response;
 use crate::emulator::lock::lock;
@@ -31,11 +34,12 @@
         sleep_for(incoming.delay).await;
         Reply::Send(match report {
             Some(load) => {
-                let body = format!(
-                    "inflight={},eps={:.2},queue={}",
-                    load.in_flight, load.errors_per_s, load.queued
-                );
-                response("200 OK", "", &body)
+                let body = ServerLoad {
+                    in_flight: f64_from_count(load.in_flight),
+                    error_rate: Some(load.errors_per_s),
+                    queued: Some(f64_from_count(load.queued)),
+                };
+                response("200 OK", "", &body.to_string())
             }
             None => response("503 Service Unavailable", "", ""),
         })
--- a/crates/testbed/src/emulator/emulated_server/mod.rs
+++ b/crates/testbed/src/emulator/emulated_server/mod.rs
@@ -121,8 +121,8 @@
     }
 
     /// Its address for a sidecar.
-    pub(super) fn address(&self, sidecar: SidecarIndex) -> Option<SocketAddr> {
-        self.addresses.get(sidecar.index()).copied()
+    pub(super) fn address(&self, sidecar: SidecarIndex) -> SocketAddr {
+        self.addresses[sidecar.index()]
     }
 
     /// When it last started; 0 for before the run.
--- a/crates/testbed/src/emulator/sidecars/settings.rs
+++ b/crates/testbed/src/emulator/sidecars/settings.rs
@@ -1,17 +1,33 @@
-//! The sidecars' configuration in the platform's form. Keys and values are the platform's.
+//! The sidecars' configuration: what a scenario says, in the platform's form.
+//!
+//! Owns the keys of the configuration's frame and of the table of machine types. The keys of
+//! settings and endpoint list are the platform's, the balancer's settings those of the simulator.
 
 #[cfg(test)]
 mod tests;
 
 use std::net::SocketAddr;
+use std::time::Duration;
 
+use arrowstand_platform::{
+    LoadReportLayout, MembershipMode, PlatformSettings, SettingsDocument, SimulatorFeatures,
+    TransportSettings, duration_from_ms,
+};
 use serde_json::{Value, json};
 
 use crate::index::SidecarIndex;
-use crate::scenario::{Class, DeduplicationScope, Idempotency, LoadReportSource, Scenario};
+use crate::scenario::{LoadReportSource, Scenario, from_s};
+use crate::simulator::sidecar::settings::balancer_settings;
 
 /// Cores of a sidecar's container.
 const CORES: f64 = 1.0;
+/// Of what only the simulator's channels offer, the emulator has none; its discovery is polled.
+const POLLED_DISCOVERY: SimulatorFeatures = SimulatorFeatures {
+    gossip: false,
+    retry_after: false,
+    poll_endpoints: true,
+    streamed: Vec::new(),
+};
 
 /// What one sidecar's configuration says beside its settings.
 pub(super) struct Identity<'a> {
@@ -53,96 +69,37 @@
     json!({ "machines": machines })
 }
 
-/// A sidecar's settings; those of the simulator's sidecars say the same to the decision module.
+/// A sidecar's settings, which tell its balancer what the simulator's are told.
 fn settings(scenario: &Scenario, sidecar: SidecarIndex) -> Value {
-    let classes: Vec<Value> = scenario.class.iter().map(class).collect();
-    let weight = if scenario.load.weight_by_work {
-        "work"
-    } else {
-        "request"
+    let platform = PlatformSettings {
+        balancer: balancer_settings(scenario, sidecar),
+        class_names: scenario.class.iter().map(|c| c.name.clone()).collect(),
+        zones: scenario.network.zones.clone(),
+        load_report: load_report_layout(scenario.load_reports.source),
     };
-    json!({
-        "az": scenario.network.zones.get(scenario.sidecar_zone(sidecar) as usize),
-        "zones": scenario.network.zones,
-        "balancers": scenario.sidecars.count,
-        "my-number": sidecar,
-        "membership-mode": "on_request",
-        "worth-by": weight,
-        "step-ms": 5.0,
-        "request-classes": classes,
-        "permissions": permissions(scenario),
-        "fees": {
-            "probe": scenario.prices.health_check,
-            "handshake": scenario.prices.handshake,
-            "cross-zone": scenario.prices.cross_zone,
-        },
-        "report": load_report(scenario),
-        "safety": safety(scenario),
-    })
-}
-
-fn class(class: &Class) -> Value {
-    let semantics = match class.idempotency {
-        Idempotency::Idempotent => "pure",
-        Idempotency::NonIdempotent => "side_effect",
-        Idempotency::IdempotencyKey => "token",
+    let transport = TransportSettings {
+        connect_timeout: duration_from_ms(scenario.permissions.connect_timeout_ms),
+        idle_timeout: Duration::from_micros(from_s(scenario.permissions.idle_timeout_s)),
+        drain_grace: duration_from_ms(scenario.rules.drain_grace_ms),
+        membership: MembershipMode::OnRequest,
     };
-    let scope = match class.deduplication_scope {
-        DeduplicationScope::Zone => "zone",
-        DeduplicationScope::All => "all",
+    let document = SettingsDocument {
+        platform: &platform,
+        transport: &transport,
+        features: &POLLED_DISCOVERY,
     };
-    json!({
-        "name": class.name,
-        "semantics": semantics,
-        "importance": class.priority_weight,
-        "late-value": class.late_value,
-        "objective-ms": class.latency_objective_ms,
-        "deadline-ms": class.deadline_ms,
-        "window-ms": class.deduplication_window_ms,
-        "dedup-scope": scope,
-        "streamed": false,
-    })
-}
-
-fn permissions(scenario: &Scenario) -> Value {
-    let permissions = &scenario.permissions;
-    json!({
-        "cancel": permissions.cancellation,
-        "probes": permissions.health_checks,
-        "may-duplicate": permissions.hedging,
-        "retry-after": false,
-        "max-retry-after-ms": permissions.max_retry_after_ms,
-        "peers": false,
-        "max-attempts": permissions.max_attempts,
-        "connect-timeout-ms": permissions.connect_timeout_ms,
-        "idle-close-ms": permissions.idle_timeout_s * 1_000.0,
-    })
+    document.to_json()
 }
 
-fn load_report(scenario: &Scenario) -> Value {
-    match scenario.load_reports.source {
-        LoadReportSource::HealthChecks => {
-            json!({"source": "probe", "fields": ["active", "err_rps", "waiting"]})
-        }
-        LoadReportSource::Responses => json!({"source": "answers", "fields": ["active"]}),
+/// Which of the fields stand where in the load reports of the emulated servers. Those to health
+/// checks have the rate of errors between the two that a balancer reads.
+fn load_report_layout(source: LoadReportSource) -> LoadReportLayout {
+    let queued = match source {
+        LoadReportSource::HealthChecks => Some(2),
+        LoadReportSource::Responses => None,
+    };
+    LoadReportLayout {
+        in_flight: Some(0),
+        queued,
     }
 }
-
-fn safety(scenario: &Scenario) -> Value {
-    let rules = &scenario.rules;
-    let machines = || scenario.machine_type.iter();
-    let least_cold_share = machines()
-        .map(|machine| machine.cold_capacity_share)
-        .fold(1.0, f64::min);
-    let longest_slow_start_s = machines()
-        .map(|machine| machine.slow_start_s)
-        .fold(0.0, f64::max);
-    json!({
-        "ask-every-ms": scenario.permissions.max_poll_interval_ms,
-        "drain-grace-ms": rules.drain_grace_ms,
-        "cold-from": least_cold_share,
-        "cold-ms": longest_slow_start_s * 1_000.0,
-        "overload-factor": rules.cold_overload_factor,
-        "fall-ms": rules.cold_overload_window_ms,
-    })
-}
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -7,6 +7,7 @@
 
 pub mod audit;
 pub mod cli;
+mod conversion;
 pub mod emulator;
 pub mod event_log;
 pub mod experiment;
--- a/crates/testbed/src/simulator/mod.rs
+++ b/crates/testbed/src/simulator/mod.rs
@@ -16,7 +16,7 @@
 mod request;
 mod run;
 mod server;
-mod sidecar;
+pub(crate) mod sidecar;
 mod timeline;
 
 use arrowstand_balancer::Action;
--- a/crates/testbed/src/simulator/sidecar/mod.rs
+++ b/crates/testbed/src/simulator/sidecar/mod.rs
@@ -7,7 +7,7 @@
 mod connections;
 mod host;
 mod requests;
-mod settings;
+pub(crate) mod settings;
 
 use std::collections::BTreeMap;
 
--- a/crates/testbed/src/simulator/sidecar/settings.rs
+++ b/crates/testbed/src/simulator/sidecar/settings.rs
@@ -37,7 +37,7 @@
 }
 
 /// The settings of the balancer at a sidecar, by its number.
-pub(super) fn balancer_settings(scenario: &Scenario, sidecar_index: SidecarIndex) -> Settings {
+pub(crate) fn balancer_settings(scenario: &Scenario, sidecar_index: SidecarIndex) -> Settings {
     let permissions = &scenario.permissions;
     Settings {
         classes: scenario.class.iter().map(request_class).collect(),
