--- a/crates/testbed/src/audit/cold_server.rs
+++ b/crates/testbed/src/audit/cold_server.rs
@@ -44,12 +44,14 @@
         self.reported = false;
     }
 
-    fn work_in_window(&self, informed_only: bool) -> f64 {
-        self.window
-            .iter()
-            .filter(|entry| entry.informed || !informed_only)
-            .map(|entry| entry.work)
-            .sum::<f64>()
+    fn work_in_window(&self) -> f64 {
+        self.window.iter().map(|entry| entry.work).sum()
+    }
+
+    /// Work from sidecars that knew of the server's start.
+    fn informed_work_in_window(&self) -> f64 {
+        let informed = self.window.iter().filter(|entry| entry.informed);
+        informed.map(|entry| entry.work).sum()
     }
 }
 
@@ -99,7 +101,8 @@
         received: ReceivedWork,
         notified_start: Option<Micros>,
     ) -> Option<String> {
-        let (factor, window) = (self.overload_factor, self.window);
+        let factor = self.overload_factor;
+        let window = self.window;
         let server = self.servers.entry(server).or_default();
         if !received.cold {
             server.reset();
@@ -117,7 +120,8 @@
         while server.window.front().is_some_and(|e| e.at + window <= at) {
             server.window.pop_front();
         }
-        let (all, informed) = (server.work_in_window(false), server.work_in_window(true));
+        let all = server.work_in_window();
+        let informed = server.informed_work_in_window();
         let limit = cold_work_limit(factor, capacity, window, work);
         if all <= limit || informed < INFORMED_SHARE * all || server.reported {
             return None;
--- a/crates/testbed/src/cli/mod.rs
+++ b/crates/testbed/src/cli/mod.rs
@@ -63,7 +63,8 @@
         }
         Command::Experiment(arguments) => experiment(&arguments),
         Command::Compare { a, b } => {
-            let (a, b) = (input::read_report(&a)?, input::read_report(&b)?);
+            let a = input::read_report(&a)?;
+            let b = input::read_report(&b)?;
             print!("{}", compare(&a, &b));
             Ok(true)
         }
--- a/crates/testbed/src/emulator/client/request.rs
+++ b/crates/testbed/src/emulator/client/request.rs
@@ -35,7 +35,8 @@
     /// The request on the wire, as it is sent at `now`.
     pub(super) fn text(&self, scenario: &Scenario, arrival: &Arrival, now: Micros) -> String {
         let class = &scenario.class[arrival.class.index()];
-        let (id, class_name) = (self.number, &class.name);
+        let id = self.number;
+        let class_name = &class.name;
         let timeout = self.due.saturating_sub(now).max(1);
         let (method, key, body) = match class.idempotency {
             Idempotency::Idempotent => ("GET", String::new(), ""),
--- a/crates/testbed/src/emulator/emulated_server/process.rs
+++ b/crates/testbed/src/emulator/emulated_server/process.rs
@@ -120,7 +120,8 @@
 
     pub(super) fn try_accept(&mut self, now: Micros, request: AdmissionRequest) -> Admission {
         let work = self.draw_work(request.work, request.noise);
-        let (capacity, cold) = (self.model.capacity(now), self.model.is_cold(now));
+        let capacity = self.model.capacity(now);
+        let cold = self.model.is_cold(now);
         if request.new_connection {
             self.model.handshake(now, &mut self.events);
         }
--- a/crates/testbed/src/emulator/fault_schedule.rs
+++ b/crates/testbed/src/emulator/fault_schedule.rs
@@ -14,7 +14,7 @@
 use super::shared::Shared;
 use crate::event_log::{ListedStatus, ServerState};
 use crate::index::{ServerIndex, SidecarIndex};
-use crate::scenario::{Fault, FaultKind, Micros, from_ms, from_s};
+use crate::scenario::{Fault, FaultKind, from_ms, from_s};
 use crate::simulator::faults::{rolling_restart, targets};
 
 /// Plays the faults of the scenario to their ends.
@@ -55,7 +55,9 @@
         let all = SidecarIndex::all(scenario.sidecars.count);
         all.map(|sidecar| (sidecar, 0)).collect()
     };
-    let (at, down, kill) = (from_s(fault.at_s), from_s(fault.down_s), fault.kill);
+    let at = from_s(fault.at_s);
+    let down = from_s(fault.down_s);
+    let kill = fault.kill;
     for (sidecar, delay) in restarts {
         let sidecars = Arc::clone(&emulation.sidecars);
         let clock = emulation.shared.clock;
@@ -74,7 +76,8 @@
 ) -> impl Future<Output = ()> + Send + 'static {
     let discovery = Arc::clone(&emulation.discovery);
     let clock = emulation.shared.clock;
-    let (at, length) = (from_s(fault.at_s), from_s(fault.for_s));
+    let at = from_s(fault.at_s);
+    let length = from_s(fault.for_s);
     async move {
         clock.sleep_until(at).await;
         discovery.set_mode(mode);
@@ -122,7 +125,8 @@
 
 impl ServerFault {
     async fn play(self) {
-        let (at, length) = (from_s(self.fault.at_s), from_s(self.fault.for_s));
+        let at = from_s(self.fault.at_s);
+        let length = from_s(self.fault.for_s);
         self.shared.clock.sleep_until(at).await;
         let number = self.server.number();
         self.start(number).await;
@@ -131,7 +135,8 @@
     }
 
     async fn start(&self, number: ServerIndex) {
-        let (server, share) = (&self.server, self.fault.share);
+        let server = &self.server;
+        let share = self.fault.share;
         let discovery = &self.shared.scenario.discovery;
         match self.fault.kind {
             FaultKind::Pause => server.set_paused(true),
@@ -200,7 +205,8 @@
     /// Has discovery list a status once it has noticed.
     fn update_list_later(&self, number: ServerIndex, status: ListedStatus, delay_ms: f64) {
         let discovery = Arc::clone(&self.discovery);
-        let (index, started_at): (usize, Micros) = (self.index, self.server.started_at());
+        let index = self.index;
+        let started_at = self.server.started_at();
         let delay = Duration::from_micros(from_ms(delay_ms));
         tokio::spawn(async move {
             tokio::time::sleep(delay).await;
--- a/crates/testbed/src/emulator/ports.rs
+++ b/crates/testbed/src/emulator/ports.rs
@@ -56,9 +56,9 @@
         .next()
 }
 
-/// Tries an address without listening there. Guards against a sidecar that is started in that very
-/// moment: up to its exec it holds a copy of every socket, and a copy that listens would keep the
-/// address from its user.
+/// Tries an address without listening there: a sidecar that is started in that very moment holds a
+/// copy of every socket up to its exec, and a copy that listens would keep the address from its
+/// user.
 fn is_free(address: SocketAddr) -> bool {
     let bound = TcpSocket::new_v4().and_then(|socket| {
         socket
@@ -85,8 +85,8 @@
     }
 }
 
-/// A free loopback address. Guards against another emulator on this machine that is given the same
-/// one before somebody listens there: it is of a block that no other process takes from.
+/// A free loopback address, from a block that no other process takes from: another emulator on this
+/// machine cannot be given the same one before somebody listens there.
 ///
 /// # Errors
 /// Where all ports are used.
--- a/crates/testbed/src/emulator/sidecars/mod.rs
+++ b/crates/testbed/src/emulator/sidecars/mod.rs
@@ -89,8 +89,8 @@
         let sidecars = SidecarIndex::all(scenario.sidecars.count)
             .map(sidecar)
             .collect::<Result<_, EmulatorError>>()?;
-        // Written once: guards against a sidecar that reads it, as it starts, while it is written
-        // for the next.
+        // Written once for all: a sidecar that starts could otherwise read the file while it is
+        // being written for the next one.
         let machine_types = settings::machine_types(scenario).to_string();
         let machine_types = write(folder.join("machines.json"), &machine_types)?;
         Ok(Arc::new(Self {
@@ -133,7 +133,8 @@
     /// The log of a sidecar's present process.
     fn log(&self, index: SidecarIndex) -> PathBuf {
         let sidecar = &self.sidecars[index.index()];
-        let (name, incarnation) = (&sidecar.name, sidecar.incarnation());
+        let name = &sidecar.name;
+        let incarnation = sidecar.incarnation();
         self.folder.join(format!("{name}-{incarnation}.log"))
     }
 
--- a/crates/testbed/src/server_model/load_report.rs
+++ b/crates/testbed/src/server_model/load_report.rs
@@ -103,7 +103,8 @@
             return None;
         }
         self.side_work += self.machine_type.health_check_ms * 1_000.0;
-        let (in_flight, queued) = (self.in_flight(), self.queue.len());
+        let in_flight = self.in_flight();
+        let queued = self.queue.len();
         Some(
             self.load_reports
                 .health_check_report(now, in_flight, queued),
--- a/crates/testbed/src/server_model/tests.rs
+++ b/crates/testbed/src/server_model/tests.rs
@@ -1,3 +1,6 @@
+//! A server's queue, speed, slow start, contention and cancellation, each against figures worked
+//! out by hand.
+
 use super::load_report::LoadReporter;
 use super::slow_start::OverloadRule;
 use super::{Event, Job, ServerModel, State};
@@ -31,7 +34,8 @@
 }
 
 fn ends(server: &mut ServerModel, until: Micros) -> Vec<(u64, Micros)> {
-    let (mut all, mut events) = (Vec::new(), Vec::new());
+    let mut all = Vec::new();
+    let mut events = Vec::new();
     while let Some(at) = server.next_event_at().filter(|&at| at <= until) {
         server.advance(at, &mut events);
         for event in events.drain(..) {
@@ -45,7 +49,8 @@
 
 #[test]
 fn jobs_wait_in_order_for_a_free_core_and_are_rejected_beyond_the_queue() {
-    let (mut server, mut events) = (server_of(two_cores()), Vec::new());
+    let mut server = server_of(two_cores());
+    let mut events = Vec::new();
     let accepted: Vec<bool> = (0..6)
         .map(|id| server.try_accept(0, job(id, 10_000.0), &mut events))
         .collect();
@@ -63,7 +68,8 @@
 
 #[test]
 fn a_slowed_and_paused_server_ends_its_job_later_by_what_it_lost() {
-    let (mut server, mut events) = (server_of(two_cores()), Vec::new());
+    let mut server = server_of(two_cores());
+    let mut events = Vec::new();
     server.try_accept(0, job(1, 10_000.0), &mut events);
     server.set_slowdown(5_000, 2.0, &mut events);
     server.set_state(10_000, State::Paused, &mut events);
@@ -90,7 +96,8 @@
         contention: Some(contention),
         ..two_cores()
     };
-    let (mut server, mut events) = (server_of(machine_type), Vec::new());
+    let mut server = server_of(machine_type);
+    let mut events = Vec::new();
     assert!((0..20).all(|id| server.try_accept(0, job(id, 20_000.0), &mut events)));
     let crowd = ends(&mut server, 60_000_000);
     let last = crowd.last().map_or(0, |e| e.1);
@@ -115,7 +122,8 @@
         ..two_cores()
     };
     let ends = |machine_type: MachineType, count: u64| {
-        let (mut server, mut events) = (server_of(machine_type), Vec::new());
+        let mut server = server_of(machine_type);
+        let mut events = Vec::new();
         (0..count).for_each(|id| assert!(server.try_accept(0, job(id, 10_000.0), &mut events)));
         let mut at = 0;
         while server.in_flight() > 0 {
@@ -165,7 +173,8 @@
         queue: 10_000,
         ..two_cores()
     };
-    let (mut server, mut events) = (server_of(machine_type), Vec::new());
+    let mut server = server_of(machine_type);
+    let mut events = Vec::new();
     server.set_state(0, State::Down, &mut events);
     server.set_state(0, State::Up, &mut events);
     server.try_accept(0, job(1, 10_000.0), &mut events);
@@ -189,7 +198,8 @@
         queue: 10,
         ..two_cores()
     };
-    let (mut server, mut events) = (server_of(machine_type), Vec::new());
+    let mut server = server_of(machine_type);
+    let mut events = Vec::new();
     server.try_accept(0, job(1, 10_000.0), &mut events);
     server.try_accept(0, job(2, 10_000.0), &mut events);
     server.try_accept(
--- a/crates/testbed/src/statistics/mod.rs
+++ b/crates/testbed/src/statistics/mod.rs
@@ -145,7 +145,8 @@
 
     /// What the sidecars cost others, at the scenario's prices.
     fn costs(&self) -> f64 {
-        let (prices, traffic) = (&self.scenario.prices, &self.traffic);
+        let prices = &self.scenario.prices;
+        let traffic = &self.traffic;
         let arrivals = traffic.arrivals.max(1) as f64;
         let offered_work = arrivals * self.scenario.mean_work() * 1e6;
         prices.cross_zone * traffic.cross_zone_attempts as f64 / arrivals
--- a/crates/testbed/src/statistics/service.rs
+++ b/crates/testbed/src/statistics/service.rs
@@ -144,7 +144,8 @@
 
     /// Seconds from the last restart until the service was what it had been before the first.
     pub(super) fn recovery_s(&self, restarts: &[Micros]) -> Option<f64> {
-        let (&first, &last) = (restarts.first()?, restarts.last()?);
+        let first = *restarts.first()?;
+        let last = *restarts.last()?;
         let share = |from: usize, to: usize| {
             share_of_sum(self.by_second.get(from..to.min(self.by_second.len()))?)
         };
--- a/crates/testbed/tests/cli.rs
+++ b/crates/testbed/tests/cli.rs
@@ -167,7 +167,8 @@
     assert_eq!(old.read(), new.read());
 
     let help = |arguments: &[&str]| text(&testbed(arguments).stdout);
-    let (verbs, flags) = (help(&["--help"]), help(&["simulate", "--help"]));
+    let verbs = help(&["--help"]);
+    let flags = help(&["simulate", "--help"]);
     assert!(
         verbs.contains("simulate") && verbs.contains("emulate"),
         "{verbs}"
--- a/crates/testbed/tests/emulator.rs
+++ b/crates/testbed/tests/emulator.rs
@@ -77,7 +77,8 @@
 
 #[test]
 fn without_faults_every_request_is_served_and_two_runs_count_alike() {
-    let (first, second) = (emulate("quiet", ""), emulate("quiet-again", ""));
+    let first = emulate("quiet", "");
+    let second = emulate("quiet-again", "");
     assert_eq!(first.arrivals, second.arrivals);
     assert_eq!(first.count(RequestOutcome::Served), first.accepted);
     assert_eq!(first.responses, second.responses);
@@ -177,7 +178,7 @@
     );
 }
 
-/// Guards against a file that one sidecar reads at its start while it is written for the next.
+/// No sidecar reads a file at its start that is being written for the next one.
 #[test]
 fn sixty_sidecars_that_start_at_once_become_ready() {
     let text = SMALL
