--- a/crates/testbed/src/audit/cold_server.rs
+++ b/crates/testbed/src/audit/cold_server.rs
@@ -4,6 +4,7 @@
 
 use rustc_hash::FxHashMap;
 
+use crate::conversion::MICROS_PER_MS;
 use crate::event_log::ServerState;
 use crate::index::ServerIndex;
 use crate::scenario::Micros;
@@ -129,8 +130,8 @@
         server.reported = true;
         Some(format!(
             "{:.0} ms of work in its window, of {:.0} ms",
-            all / 1e3,
-            limit / 1e3
+            all / MICROS_PER_MS,
+            limit / MICROS_PER_MS
         ))
     }
 }
--- a/crates/testbed/src/audit/drain.rs
+++ b/crates/testbed/src/audit/drain.rs
@@ -1,5 +1,6 @@
 //! The rule that a server gets no new attempt once its drain, or its end, was notified.
 
+use crate::conversion::s_from_micros;
 use crate::scenario::Micros;
 
 /// The rule, with its time limit.
@@ -16,7 +17,7 @@
     /// What an attempt that starts at `at` violates, by when its sidecar was notified, if it was.
     pub(super) fn violation(&self, at: Micros, notified_at: Option<Micros>) -> Option<String> {
         let notified_at = notified_at.filter(|notified_at| at > notified_at + self.grace)?;
-        let seconds = (at - notified_at) as f64 / 1e6;
+        let seconds = s_from_micros(at - notified_at);
         Some(format!("drain notified {seconds:.3} s before"))
     }
 }
--- a/crates/testbed/src/audit/violation.rs
+++ b/crates/testbed/src/audit/violation.rs
@@ -4,6 +4,7 @@
 
 use serde::Serialize;
 
+use crate::conversion::s_from_micros;
 use crate::index::{RequestNumber, ServerIndex};
 use crate::scenario::Micros;
 
@@ -55,7 +56,7 @@
 
 impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "at {:.3} s, ", self.at as f64 / 1e6)?;
+        write!(f, "at {:.3} s, ", s_from_micros(self.at))?;
         if let Some(request) = self.request {
             write!(f, "request {request}, ")?;
         }
--- a/crates/testbed/src/conversion/tests.rs
+++ b/crates/testbed/src/conversion/tests.rs
@@ -1,22 +1,51 @@
 //! Numbers that fit are kept; what does not fit saturates.
 
-use super::{f64_from_count, f64_from_micros, micros_from_f64};
-use crate::scenario::Micros;
+use super::*;
 
 #[test]
 fn integers_up_to_2_53_are_kept() {
     assert_eq!(f64_from_count(1 << 53), 9_007_199_254_740_992.0);
-    assert_eq!(f64_from_micros(1 << 53), 9_007_199_254_740_992.0);
+    assert_eq!(f64_from_u64(1 << 53), 9_007_199_254_740_992.0);
+    assert_eq!(f64_from_i64(-(1 << 53)), -9_007_199_254_740_992.0);
 }
 
 #[test]
-fn a_fraction_of_a_microsecond_is_cut_off() {
+fn a_fraction_is_cut_off() {
     assert_eq!(micros_from_f64(1.999), 1);
+    assert_eq!(count_from_f64(1.999), 1);
 }
 
 #[test]
-fn what_is_no_time_becomes_the_nearest_one() {
+fn a_number_that_does_not_fit_becomes_the_nearest_one_that_does() {
     assert_eq!(micros_from_f64(-1.0), 0);
     assert_eq!(micros_from_f64(f64::NAN), 0);
     assert_eq!(micros_from_f64(1e30), Micros::MAX);
+    assert_eq!(count_from_f64(-1.0), 0);
+    assert_eq!(count_from_f64(f64::INFINITY), usize::MAX);
+    assert_eq!(u32_from_count(usize::MAX), u32::MAX);
+}
+
+#[test]
+fn integers_of_other_widths_are_kept() {
+    assert_eq!(count_from_u32(u32::MAX), 4_294_967_295);
+    assert_eq!(u32_from_count(4_294_967_295), u32::MAX);
+    assert_eq!(u64_from_count(7), 7);
+}
+
+#[test]
+fn times_are_converted_to_the_units_of_people() {
+    assert_eq!(ms_from_micros(1_500), 1.5);
+    assert_eq!(s_from_micros(1_500_000), 1.5);
+}
+
+#[test]
+fn a_moment_lies_in_the_second_that_has_begun() {
+    assert_eq!(
+        (second_of(0), second_of(999_999), second_of(1_000_000)),
+        (0, 0, 1)
+    );
+    assert_eq!(
+        (second_from(0), second_from(1), second_from(1_000_000)),
+        (0, 1, 1)
+    );
 }
--- a/crates/testbed/src/emulator/client/arrival.rs
+++ b/crates/testbed/src/emulator/client/arrival.rs
@@ -6,6 +6,7 @@
 
 use super::Clients;
 use super::request::{OutgoingRequest, Response};
+use crate::conversion::{f64_from_u64, micros_from_f64};
 use crate::event_log::{LogEvent, RequestOutcome};
 use crate::index::{ArrivalNumber, RequestNumber};
 use crate::random::{RandomStream, StreamId};
@@ -94,10 +95,11 @@
         let clients = &self.shared.scenario.clients;
         let time_limit = deadline - arrival.at;
         let [least, most] = clients.timeout_share;
-        let timeout = (time_limit as f64 * random.between(least, most)) as Micros;
+        let timeout = micros_from_f64(f64_from_u64(time_limit) * random.between(least, most));
         let due = (from + timeout).min(deadline);
         let disconnects = random.chance(clients.disconnect_share);
-        let disconnects_at = from + (random.unit() * due.saturating_sub(from) as f64) as Micros;
+        let disconnects_at =
+            from + micros_from_f64(random.unit() * f64_from_u64(due.saturating_sub(from)));
         OutgoingRequest {
             number: self.shared.next_request_number(),
             arrival: number,
--- a/crates/testbed/src/emulator/client/request.rs
+++ b/crates/testbed/src/emulator/client/request.rs
@@ -3,6 +3,7 @@
 #[cfg(test)]
 mod tests;
 
+use crate::conversion::{MICROS_PER_S, micros_from_f64};
 use crate::emulator::http::Message;
 use crate::event_log::RequestOutcome;
 use crate::index::{ArrivalNumber, RequestNumber};
@@ -94,7 +95,8 @@
         let seconds = message
             .header("retry-after")
             .and_then(|s| s.parse::<f64>().ok());
-        let micros = |seconds: f64| (seconds.clamp(0.0, MAX_RETRY_AFTER_S) * 1e6) as Micros;
+        let micros =
+            |seconds: f64| micros_from_f64(seconds.clamp(0.0, MAX_RETRY_AFTER_S) * MICROS_PER_S);
         Self {
             outcome,
             retry_after: seconds.map(micros),
--- a/crates/testbed/src/emulator/clock.rs
+++ b/crates/testbed/src/emulator/clock.rs
@@ -2,12 +2,13 @@
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use crate::conversion::{f64_from_micros, micros_from_f64};
+use crate::conversion::{MICROS_PER_MS, micros_from_f64, ms_from_micros};
 use crate::scenario::Micros;
 
-/// Microseconds in a millisecond.
-const MICROS_PER_MS: f64 = 1_000.0;
-/// Spans below the timer's grain, which are not waited for.
+/// Milliseconds in a second.
+const MS_PER_S: f64 = 1_000.0;
+/// Spans below this are not waited for, in microseconds: half the millisecond that the runtime's
+/// timer rounds up to.
 const TIMER_GRAIN: Micros = 500;
 
 /// When the run begins, on the monotonic clock and in Unix time.
@@ -26,13 +27,13 @@
             + ahead;
         Self {
             start: Instant::now() + ahead,
-            start_unix_ms: unix.as_secs_f64() * 1_000.0,
+            start_unix_ms: unix.as_secs_f64() * MS_PER_S,
         }
     }
 
     /// Time since the run began; 0 before.
     pub(super) fn now(&self) -> Micros {
-        self.start.elapsed().as_micros() as Micros
+        Micros::try_from(self.start.elapsed().as_micros()).unwrap_or(Micros::MAX)
     }
 
     pub(super) async fn sleep_until(&self, at: Micros) {
@@ -46,7 +47,7 @@
     /// Unix time of a server's start in microseconds; `None` for one before the run.
     pub(super) fn unix_time(&self, started_at: Micros) -> Option<Micros> {
         (started_at > 0).then(|| {
-            let unix_ms = self.start_unix_ms + f64_from_micros(started_at) / MICROS_PER_MS;
+            let unix_ms = self.start_unix_ms + ms_from_micros(started_at);
             micros_from_f64(unix_ms * MICROS_PER_MS)
         })
     }
--- a/crates/testbed/src/emulator/counter_check.rs
+++ b/crates/testbed/src/emulator/counter_check.rs
@@ -10,6 +10,7 @@
 
 use super::shared::Shared;
 use super::sidecars::FleetCounters;
+use crate::conversion::u64_from_count;
 use crate::event_log::{LogEvent, LogRecord, RequestOutcome};
 
 /// What the comparison found.
@@ -105,7 +106,7 @@
     let observed = Observed::of(records);
     compare_requests(&mut found, counters, &observed);
     compare_attempts(&mut found, counters, &observed);
-    let sidecars = shared.scenario.sidecars.count as u64;
+    let sidecars = u64_from_count(shared.scenario.sidecars.count);
     compare_health_checks(&mut found, counters, &observed, sidecars);
     found.remarks.push(format!(
         "counters compared: {} requests, {} of {} attempts received ({} in silence), \
--- a/crates/testbed/src/emulator/discovery/mod.rs
+++ b/crates/testbed/src/emulator/discovery/mod.rs
@@ -20,6 +20,7 @@
 use super::lock::lock;
 use super::ports::free_address;
 use super::shared::Shared;
+use crate::conversion::{MICROS_PER_S, count_from_u32, micros_from_f64};
 use crate::event_log::{ListedStatus, LogEvent};
 use crate::index::{ServerIndex, SidecarIndex};
 use crate::random::{RandomStream, StreamId};
@@ -174,7 +175,7 @@
         entry: &ListEntry,
     ) -> ListedEndpoint {
         let zones = &self.shared.scenario.network.zones;
-        let zone = zones.get(server.zone() as usize);
+        let zone = zones.get(count_from_u32(server.zone()));
         ListedEndpoint {
             id: number.to_string(),
             address: server.address(sidecar),
@@ -219,7 +220,7 @@
                 rejected: true,
             };
         }
-        *busy_until = start + (1e6 / discovery.capacity) as Micros;
+        *busy_until = start + micros_from_f64(MICROS_PER_S / discovery.capacity);
         Turn {
             at: *busy_until,
             rejected: false,
--- a/crates/testbed/src/emulator/emulated_server/attempt.rs
+++ b/crates/testbed/src/emulator/emulated_server/attempt.rs
@@ -9,7 +9,7 @@
 use super::EmulatedServer;
 use super::admission::{AcceptedAttempt, Admission, AdmissionRequest, ResponseDraw};
 use super::connection::{Incoming, Reply};
-use crate::conversion::f64_from_count;
+use crate::conversion::{f64_from_count, f64_from_u64, micros_from_f64};
 use crate::emulator::clock::sleep_for;
 use crate::emulator::http::{HttpConnection, Message, response};
 use crate::emulator::lock::lock;
@@ -119,7 +119,7 @@
             return 0;
         }
         let round_trips = lock(&self.process).machine_type().handshake_rtts;
-        (round_trips * 2.0 * incoming.delay as f64) as Micros
+        micros_from_f64(round_trips * 2.0 * f64_from_u64(incoming.delay))
     }
 
     /// Asks the process to accept an attempt; nothing where it is rejected.
--- a/crates/testbed/src/emulator/emulated_server/mod.rs
+++ b/crates/testbed/src/emulator/emulated_server/mod.rs
@@ -35,6 +35,8 @@
 
 /// Numbers of the servers' random streams begin here, apart from those of the server models.
 const STREAM_OFFSET: usize = 1 << 20;
+/// Between two gauges, in microseconds, as in the simulator.
+const GAUGE_INTERVAL: Micros = 1_000_000;
 
 /// How the network responds for a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -225,8 +227,8 @@
 /// Records what each server has in flight, once a second, for ever.
 pub(super) async fn record_gauges(emulation: &Emulation) {
     let shared = &emulation.shared;
-    for second in 1.. {
-        shared.clock.sleep_until(second * 1_000_000).await;
+    for gauge in 1.. {
+        shared.clock.sleep_until(gauge * GAUGE_INTERVAL).await;
         for server in &emulation.servers {
             let (in_flight, connections) = lock(&server.process).gauge();
             shared.record(LogEvent::ServerGauge {
--- a/crates/testbed/src/emulator/emulated_server/process.rs
+++ b/crates/testbed/src/emulator/emulated_server/process.rs
@@ -5,6 +5,7 @@
 use tokio::sync::oneshot;
 
 use super::admission::{AcceptedAttempt, Admission, AdmissionRequest, ResponseDraw};
+use crate::conversion::u32_from_count;
 use crate::index::RequestNumber;
 use crate::random::RandomStream;
 use crate::scenario::{MachineType, Micros};
@@ -63,8 +64,8 @@
     /// Attempts in flight, and open connections.
     pub(super) fn gauge(&self) -> (u32, u32) {
         (
-            self.model.in_flight() as u32,
-            self.model.connections() as u32,
+            u32_from_count(self.model.in_flight()),
+            u32_from_count(self.model.connections()),
         )
     }
 
--- a/crates/testbed/src/emulator/fault_schedule.rs
+++ b/crates/testbed/src/emulator/fault_schedule.rs
@@ -19,8 +19,8 @@
 
 /// Plays the faults of the scenario to their ends.
 pub(super) async fn play(emulation: &Emulation) {
-    let first_replacement = emulation.servers.len() as u32;
-    let next_number = Arc::new(AtomicU32::new(first_replacement));
+    let first_replacement = ServerIndex::from_position(emulation.servers.len());
+    let next_number = Arc::new(AtomicU32::new(first_replacement.value()));
     let mut tasks = JoinSet::new();
     for (index, fault) in emulation.shared.scenario.fault.iter().enumerate() {
         match fault.kind {
--- a/crates/testbed/src/emulator/mod.rs
+++ b/crates/testbed/src/emulator/mod.rs
@@ -25,6 +25,7 @@
 use std::time::Duration;
 
 use crate::audit::Auditor;
+use crate::conversion::u64_from_count;
 use crate::event_log::{EventLog, LogRecord, Tee};
 use crate::index::ServerIndex;
 use crate::report::{EMULATOR, Report};
@@ -89,8 +90,8 @@
         }
         let clock = Clock::starting_in(Duration::from_millis(
             SETUP_TIME_MS
-                + SETUP_TIME_PER_SIDECAR_MS * sidecars as u64
-                + SETUP_TIME_PER_PAIR_MS * pairs as u64,
+                + SETUP_TIME_PER_SIDECAR_MS * u64_from_count(sidecars)
+                + SETUP_TIME_PER_PAIR_MS * u64_from_count(pairs),
         ));
         let shared = Arc::new(Shared::new(scenario, clock));
         let mut servers = Vec::new();
--- a/crates/testbed/src/emulator/ports.rs
+++ b/crates/testbed/src/emulator/ports.rs
@@ -19,7 +19,7 @@
 /// Number of blocks, up to the system's own range.
 const BLOCKS: u16 = 20;
 /// Ports of a block that are given out.
-const PORTS_PER_BLOCK: usize = BLOCK_SIZE as usize - 1;
+const PORTS_PER_BLOCK: u16 = BLOCK_SIZE - 1;
 
 /// A block that is this process's.
 struct Block {
@@ -72,14 +72,15 @@
     /// The next address in turn, from a new block once the present ones are used up, and from the
     /// first block again once there are no more; nothing if there is no block at all.
     fn next_address(&mut self) -> Option<SocketAddr> {
-        if self.next / PORTS_PER_BLOCK >= self.blocks.len() {
+        let ports_per_block = usize::from(PORTS_PER_BLOCK);
+        if self.next / ports_per_block >= self.blocks.len() {
             match take_block() {
                 Some(block) => self.blocks.push(block),
                 None => self.next = 0,
             }
         }
-        let block = self.blocks.get(self.next / PORTS_PER_BLOCK)?;
-        let offset = 1 + (self.next % PORTS_PER_BLOCK) as u16;
+        let block = self.blocks.get(self.next / ports_per_block)?;
+        let offset = 1 + u16::try_from(self.next % ports_per_block).ok()?;
         self.next += 1;
         Some(loopback(block.first_port + offset))
     }
@@ -92,7 +93,7 @@
 /// Where all ports are used.
 pub(super) fn free_address() -> Result<SocketAddr, EmulatorError> {
     let mut ports = lock(&PORTS);
-    for _ in 0..PORTS_PER_BLOCK * usize::from(BLOCKS) {
+    for _ in 0..usize::from(PORTS_PER_BLOCK) * usize::from(BLOCKS) {
         match ports.next_address() {
             Some(address) if is_free(address) => return Ok(address),
             Some(_) => {}
--- a/crates/testbed/src/emulator/sidecars/process.rs
+++ b/crates/testbed/src/emulator/sidecars/process.rs
@@ -100,8 +100,8 @@
     /// Signals the process, if there is one.
     pub(super) fn signal(&self, signal: Signal) {
         let id = lock(&self.child).as_ref().and_then(Child::id);
-        if let Some(id) = id {
-            let _ = kill(Pid::from_raw(id as i32), signal);
+        if let Some(id) = id.and_then(|id| i32::try_from(id).ok()) {
+            let _ = kill(Pid::from_raw(id), signal);
         }
     }
 
--- a/crates/testbed/src/emulator/timeliness.rs
+++ b/crates/testbed/src/emulator/timeliness.rs
@@ -8,6 +8,7 @@
 use hdrhistogram::Histogram;
 
 use super::lock::lock;
+use crate::conversion::{f64_from_u64, ms_from_micros};
 use crate::scenario::Micros;
 
 /// An arrival that began this long after its time, or a timer that fired so late, was played late.
@@ -45,8 +46,8 @@
     pub(super) fn unreliable(&self) -> Option<String> {
         let delays = lock(&self.delays);
         let late = delays.count_between(LATE, delays.high());
-        (late as f64 > LATE_SHARE * delays.len() as f64).then(|| {
-            let worst = delays.value_at_quantile(1.0 - LATE_SHARE) as f64 / 1_000.0;
+        (f64_from_u64(late) > LATE_SHARE * f64_from_u64(delays.len())).then(|| {
+            let worst = ms_from_micros(delays.value_at_quantile(1.0 - LATE_SHARE));
             format!("the machine ran late: 1 % of what was due was done {worst:.0} ms late or more")
         })
     }
--- a/crates/testbed/src/experiment/plan.rs
+++ b/crates/testbed/src/experiment/plan.rs
@@ -4,6 +4,7 @@
 
 use serde::Deserialize;
 
+use crate::conversion::u64_from_count;
 use crate::report::{FIGURES, figure_name};
 use crate::scenario::{ScenarioError, ScenarioErrors, ScenarioFile};
 
@@ -99,7 +100,7 @@
             return Err(error(path, "axis", why, None));
         }
         let cells: usize = self.axis.iter().map(|axis| axis.values.len()).product();
-        let runs = cells as u64 * self.seeds;
+        let runs = u64_from_count(cells) * self.seeds;
         if runs > MAX_RUNS {
             let why = format!("{runs} runs are more than {MAX_RUNS}");
             return Err(error(path, "axis", why, None));
@@ -135,7 +136,8 @@
     ) -> Result<ScenarioFile, ScenarioErrors> {
         let owned = |(key, value): (&String, &toml::Value)| (key.clone(), value.clone());
         let axes = self.axis.iter().map(|axis| &axis.key).zip(values);
-        let seed = [("seed".to_owned(), toml::Value::Integer(seed as i64))];
+        let seed = toml::Value::Integer(i64::try_from(seed).unwrap_or(i64::MAX));
+        let seed = [("seed".to_owned(), seed)];
         let changes: Vec<(String, toml::Value)> = self
             .set
             .iter()
--- a/crates/testbed/src/experiment/results.rs
+++ b/crates/testbed/src/experiment/results.rs
@@ -6,6 +6,7 @@
 use statrs::distribution::{ContinuousCDF as _, StudentsT};
 
 use super::plan::Plan;
+use crate::conversion::{f64_from_count, f64_from_i64};
 use crate::plot::{self, PlotError, Series};
 use crate::report::Report;
 
@@ -43,8 +44,8 @@
         let value = &self.values[0];
         value
             .as_float()
-            .or(value.as_integer().map(|integer| integer as f64))
-            .unwrap_or(number as f64)
+            .or(value.as_integer().map(f64_from_i64))
+            .unwrap_or(f64_from_count(number))
     }
 }
 
@@ -59,7 +60,7 @@
 /// Mean and half the width of its 95 % confidence interval, which is 0 for a single value; nothing
 /// without values.
 pub fn mean(values: &[f64]) -> Option<(f64, f64)> {
-    let n = values.len() as f64;
+    let n = f64_from_count(values.len());
     let mean = values.iter().sum::<f64>() / n;
     if values.is_empty() || !mean.is_finite() {
         return None;
--- a/crates/testbed/src/experiment/runner.rs
+++ b/crates/testbed/src/experiment/runner.rs
@@ -5,6 +5,7 @@
 
 use super::plan::Plan;
 use super::results::{Cell, Results};
+use crate::conversion::u64_from_count;
 use crate::report::Report;
 use crate::scenario::{ScenarioErrors, ScenarioFile};
 use crate::simulator;
@@ -73,7 +74,7 @@
     if quiet {
         return ProgressBar::hidden();
     }
-    let bar = ProgressBar::new(runs as u64);
+    let bar = ProgressBar::new(u64_from_count(runs));
     if let Ok(style) = ProgressStyle::with_template(PROGRESS) {
         bar.set_style(style);
     }
--- a/crates/testbed/src/plot/experiment.rs
+++ b/crates/testbed/src/plot/experiment.rs
@@ -7,6 +7,7 @@
 use plotters::prelude::*;
 
 use super::{Canvas, MARGIN, PlotError, SIZE, SvgError, THICK_LINE, colour, legend_line, titled};
+use crate::conversion::u32_from_count;
 
 /// Height of the title and of each chart, in pixels.
 const TITLE_HEIGHT: u32 = 60;
@@ -92,7 +93,7 @@
     path: &Path,
 ) -> Result<(), SvgError> {
     let charts = figures.len().max(1);
-    let height = TITLE_HEIGHT + CHART_HEIGHT * charts as u32;
+    let height = TITLE_HEIGHT + CHART_HEIGHT * u32_from_count(charts);
     let root = titled(path, (SIZE.0, height), title)?;
     let axis = Axis::over(axis, figures);
     for (area, (figure, series)) in root.split_evenly((charts, 1)).iter().zip(figures) {
--- a/crates/testbed/src/plot/report.rs
+++ b/crates/testbed/src/plot/report.rs
@@ -5,6 +5,7 @@
 use plotters::prelude::*;
 
 use super::{Canvas, MARGIN, PlotError, SIZE, SvgError, THICK_LINE, colour, legend_line, titled};
+use crate::conversion::f64_from_count;
 use crate::report::Report;
 
 /// Height of the upper chart, in pixels.
@@ -35,7 +36,7 @@
     );
     let root = titled(path, SIZE, &title)?;
     let (upper, lower) = root.split_vertically(UPPER_HEIGHT);
-    let end = report.timeline.len().max(1) as f64;
+    let end = f64_from_count(report.timeline.len().max(1));
     draw_service(report, &upper, end)?;
     draw_outcomes(report, &lower, end)?;
     root.present()
@@ -43,7 +44,7 @@
 
 /// The middle of a second on the time axis.
 fn middle(second: usize) -> f64 {
-    second as f64 + 0.5
+    f64_from_count(second) + 0.5
 }
 
 fn draw_service(report: &Report, area: &Canvas<'_>, end: f64) -> Result<(), SvgError> {
--- a/crates/testbed/src/random.rs
+++ b/crates/testbed/src/random.rs
@@ -6,6 +6,8 @@
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution as _, Exp1, LogNormal, StandardNormal};
 
+use crate::conversion::u64_from_count;
+
 /// What a stream is drawn for. The numbers are part of what a seed means: they stay.
 #[derive(Clone, Copy, Debug)]
 pub enum StreamId {
@@ -45,7 +47,7 @@
     /// scenario's.
     pub fn new(seed: u64, cause: StreamId, number: usize) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        rng.set_stream((cause as u64) << NUMBER_BITS | number as u64);
+        rng.set_stream((cause as u64) << NUMBER_BITS | u64_from_count(number));
         Self(rng)
     }
 
--- a/crates/testbed/src/report/figures.rs
+++ b/crates/testbed/src/report/figures.rs
@@ -1,6 +1,7 @@
 //! The figures of a report by name, for experiments, tables and comparisons.
 
 use super::{Report, ServerFigures};
+use crate::conversion::{f64_from_count, f64_from_u64};
 use crate::event_log::RequestOutcome;
 
 /// A figure: its name, that of earlier versions where it differs, and how a report gives it.
@@ -45,7 +46,7 @@
     figure("failed", |r| Some(r.share(RequestOutcome::Failed))),
     renamed("wasted_work", "wasted", |r| Some(r.wasted_work)),
     figure("goodput", |r| {
-        Some(r.overall * r.arrivals as f64 / r.seconds)
+        Some(r.overall * f64_from_u64(r.arrivals) / r.seconds)
     }),
     renamed("health_checks_per_server", "probes_per_server", |r| {
         Some(per_server(r, r.health_checks))
@@ -69,21 +70,23 @@
         Some(mean_of_gauges(r, |s| s.in_flight_sum))
     }),
     renamed("discovery_polls_per_s", "list_calls", |r| {
-        Some(r.discovery_polls as f64 / r.seconds)
+        Some(f64_from_u64(r.discovery_polls) / r.seconds)
     }),
     renamed("discovery_polls_peak", "list_calls_peak", |r| {
         Some(f64::from(r.discovery_polls_peak))
     }),
     renamed("cross_zone_share", "crossing", |r| {
-        Some(r.cross_zone_attempts as f64 / r.attempts.max(1) as f64)
+        Some(ratio(r.cross_zone_attempts, r.attempts))
     }),
     renamed("attempts_per_arrival", "routed", |r| {
-        Some(r.attempts as f64 / r.arrivals.max(1) as f64)
+        Some(ratio(r.attempts, r.arrivals))
     }),
     figure("p50_ms", |r| Some(r.latency_ms[0])),
     figure("p99_ms", |r| Some(r.latency_ms[2])),
     figure("recovered_s", |r| r.recovered_s),
-    renamed("violations", "broken", |r| Some(r.violation_count as f64)),
+    renamed("violations", "broken", |r| {
+        Some(f64_from_u64(r.violation_count))
+    }),
 ];
 
 /// The names that [`Report::figure`] knows, beside those of earlier versions.
@@ -120,9 +123,14 @@
     }
 }
 
+/// A part of a whole; of nothing it is the part itself.
+fn ratio(part: u64, whole: u64) -> f64 {
+    f64_from_u64(part) / f64_from_u64(whole.max(1))
+}
+
 /// A count per second and server.
 fn per_server(report: &Report, count: u64) -> f64 {
-    count as f64 / report.seconds / report.servers.max(1) as f64
+    f64_from_u64(count) / report.seconds / f64_from_count(report.servers.max(1))
 }
 
 /// The mean over all servers of their means over all gauges.
@@ -131,11 +139,11 @@
         .servers_by_number
         .iter()
         .filter(|server| server.gauges > 0)
-        .map(|server| sum_of(server) as f64 / server.gauges as f64);
-    means.sum::<f64>() / report.servers.max(1) as f64
+        .map(|server| f64_from_u64(sum_of(server)) / f64_from_u64(server.gauges));
+    means.sum::<f64>() / f64_from_count(report.servers.max(1))
 }
 
 fn highest(report: &Report, count_of: fn(&ServerFigures) -> u64) -> f64 {
     let counts = report.servers_by_number.iter().map(count_of);
-    counts.max().unwrap_or(0) as f64
+    f64_from_u64(counts.max().unwrap_or(0))
 }
--- a/crates/testbed/src/report/mod.rs
+++ b/crates/testbed/src/report/mod.rs
@@ -15,6 +15,7 @@
 use serde::{Deserialize, Deserializer, Serialize};
 
 use crate::audit::Auditor;
+use crate::conversion::f64_from_u64;
 use crate::event_log::RequestOutcome;
 use crate::scenario::Expect;
 
@@ -160,7 +161,7 @@
 
     /// Share of the accepted requests with this outcome.
     fn share(&self, outcome: RequestOutcome) -> f64 {
-        self.count(outcome) as f64 / self.accepted.max(1) as f64
+        f64_from_u64(self.count(outcome)) / f64_from_u64(self.accepted.max(1))
     }
 
     /// Compares the figures with the scenario's expectations, and lists those that are missed.
--- a/crates/testbed/src/report/text.rs
+++ b/crates/testbed/src/report/text.rs
@@ -3,6 +3,7 @@
 use std::fmt::{self, Display, Formatter};
 
 use super::Report;
+use crate::conversion::u64_from_count;
 use crate::event_log::RequestOutcome;
 
 impl Display for Report {
@@ -146,7 +147,7 @@
     write_lines(f, "COUNTERS DIFFER: ", &report.counter_differences)?;
     write_lines(f, "MISSED: ", &report.missed_expectations)?;
     write_lines(f, "VIOLATED: ", &report.violations)?;
-    let listed = report.violations.len() as u64;
+    let listed = u64_from_count(report.violations.len());
     match report.violation_count.saturating_sub(listed) {
         0 => Ok(()),
         further => writeln!(f, "VIOLATED: {further} more"),
--- a/crates/testbed/src/server_model/contention.rs
+++ b/crates/testbed/src/server_model/contention.rs
@@ -1,6 +1,7 @@
 //! Lasting overload, which slows a server until it has had a rest.
 
 use super::ServerModel;
+use crate::conversion::f64_from_count;
 use crate::scenario::{Contention, Micros, from_s};
 
 /// Whether a server is overloaded, or slowed by it.
@@ -69,7 +70,7 @@
 
 impl ServerModel {
     pub(super) fn update_contention(&mut self) {
-        let in_flight = self.in_flight() as f64;
+        let in_flight = f64_from_count(self.in_flight());
         let cores = f64::from(self.machine_type.cores);
         if let Some(contention) = &self.machine_type.contention {
             self.contention
--- a/crates/testbed/src/server_model/health_check_limiter.rs
+++ b/crates/testbed/src/server_model/health_check_limiter.rs
@@ -1,5 +1,6 @@
 //! The rate limit on the health checks that a server answers.
 
+use crate::conversion::s_from_micros;
 use crate::scenario::Micros;
 
 /// A token bucket, one token for each health check: it holds those of a second, and one at least.
@@ -23,7 +24,7 @@
         if rate <= 0.0 {
             return true;
         }
-        let passed_s = now.saturating_sub(self.refilled_at) as f64 / 1e6;
+        let passed_s = s_from_micros(now.saturating_sub(self.refilled_at));
         self.tokens = (self.tokens + passed_s * rate).min(rate.max(1.0));
         self.refilled_at = now;
         if self.tokens < 1.0 {
--- a/crates/testbed/src/server_model/load_report.rs
+++ b/crates/testbed/src/server_model/load_report.rs
@@ -3,6 +3,7 @@
 use std::collections::VecDeque;
 
 use super::{Event, ServerModel};
+use crate::conversion::{MICROS_PER_MS, f64_from_count};
 use crate::scenario::{LoadReportSource, LoadReports, Micros, from_ms};
 
 /// The load report for health checks is refreshed this often, as the site's are, in microseconds.
@@ -68,7 +69,7 @@
             self.report = LoadReport {
                 in_flight,
                 queued,
-                errors_per_s: self.errors.len() as f64,
+                errors_per_s: f64_from_count(self.errors.len()),
             };
         }
         self.report
@@ -102,7 +103,7 @@
         if !self.health_checks.try_acquire(rate, now) {
             return None;
         }
-        self.side_work += self.machine_type.health_check_ms * 1_000.0;
+        self.side_work += self.machine_type.health_check_ms * MICROS_PER_MS;
         let in_flight = self.in_flight();
         let queued = self.queue.len();
         Some(
--- a/crates/testbed/src/server_model/service.rs
+++ b/crates/testbed/src/server_model/service.rs
@@ -1,6 +1,7 @@
 //! How a server works through its jobs as time passes.
 
 use super::{Event, ServerModel, State};
+use crate::conversion::{f64_from_u64, micros_from_f64};
 use crate::scenario::Micros;
 
 /// How finely a speed that changes by itself is followed, in microseconds.
@@ -31,7 +32,7 @@
         let cores = f64::from(self.machine_type.cores);
         let side_work = self.side_work / cores / self.core_speed(self.now).max(MIN_SPEED);
         let span = work / self.job_speed(self.now).max(MIN_SPEED) + side_work;
-        Some(self.now + (span.ceil() as Micros).max(1))
+        Some(self.now + micros_from_f64(span.ceil()).max(1))
     }
 
     /// Lets time pass up to `now`, and adds what happened.
@@ -54,14 +55,14 @@
     /// Works until a moment, or until the first job ends.
     fn work_until(&mut self, step_end: Micros, events: &mut Vec<Event>) {
         let speed = self.job_speed(self.now);
-        let span = self.do_side_work((step_end - self.now) as f64);
+        let span = self.do_side_work(f64_from_u64(step_end - self.now));
         let progress = self.running.progress();
         let reach = progress + span * speed;
         let first_end = self.running.first_end();
         match first_end.filter(|&end| end <= reach + END_TOLERANCE) {
             Some(end) => {
                 let used = ((end - progress) / speed).max(0.0);
-                let idle = (span - used).max(0.0) as Micros;
+                let idle = micros_from_f64((span - used).max(0.0));
                 let ended_at = step_end - idle.min(step_end - self.now);
                 self.now = ended_at.max(self.now);
                 self.running.on_progress(end);
--- a/crates/testbed/src/server_model/slow_start.rs
+++ b/crates/testbed/src/server_model/slow_start.rs
@@ -3,6 +3,7 @@
 use std::collections::VecDeque;
 
 use super::ServerModel;
+use crate::conversion::f64_from_u64;
 use crate::scenario::{MachineType, Micros, from_s};
 
 /// How much work a cold server bears.
@@ -43,10 +44,10 @@
             return 1.0;
         };
         let slow_start = from_s(machine_type.slow_start_s).max(1);
-        let by_time = now.saturating_sub(since) as f64 / slow_start as f64;
+        let by_time = f64_from_u64(now.saturating_sub(since)) / f64_from_u64(slow_start);
         let by_work = match machine_type.warm_requests {
             0 => 0.0,
-            most => self.served as f64 / most as f64,
+            most => f64_from_u64(self.served) / f64_from_u64(most),
         };
         let cold = machine_type.cold_capacity_share;
         (cold + (1.0 - cold) * by_time.max(by_work)).min(1.0)
@@ -99,5 +100,5 @@
 /// standard core. The slack stands for chance: two requests as large as the largest, as the rule is
 /// about load and not about one request's luck.
 pub fn cold_work_limit(factor: f64, capacity: f64, window: Micros, largest: f64) -> f64 {
-    factor * capacity * window as f64 + 2.0 * largest
+    factor * capacity * f64_from_u64(window) + 2.0 * largest
 }
--- a/crates/testbed/src/server_model/speed.rs
+++ b/crates/testbed/src/server_model/speed.rs
@@ -1,6 +1,7 @@
 //! How fast a server works at a moment.
 
 use super::{ServerModel, State};
+use crate::conversion::{count_from_u32, f64_from_count};
 use crate::scenario::Micros;
 
 impl ServerModel {
@@ -8,16 +9,16 @@
     pub(super) fn slots(&self) -> usize {
         let machine_type = &self.machine_type;
         if machine_type.slots == 0 {
-            machine_type.cores as usize
+            count_from_u32(machine_type.cores)
         } else {
-            machine_type.slots as usize
+            count_from_u32(machine_type.slots)
         }
     }
 
     /// Growth of the jobs' progress in a microsecond: jobs beyond the cores share them.
     pub(super) fn job_speed(&self, now: Micros) -> f64 {
         let cores = f64::from(self.machine_type.cores);
-        let sharing = cores / (self.running.len().max(1) as f64);
+        let sharing = cores / f64_from_count(self.running.len().max(1));
         self.core_speed(now) * sharing.min(1.0)
     }
 
@@ -37,14 +38,15 @@
     /// Share of its capacity that its connections leave.
     fn connection_factor(&self) -> f64 {
         let machine_type = &self.machine_type;
-        let table_use = self.connections as f64 / machine_type.connections.max(1) as f64;
+        let table_use =
+            f64_from_count(self.connections) / f64_from_count(machine_type.connections.max(1));
         1.0 - machine_type.connection_overhead * table_use.min(1.0)
     }
 
     /// How many times slower the jobs in flight make each other.
     fn thrashing_factor(&self) -> f64 {
         let machine_type = &self.machine_type;
-        let in_flight_per_core = self.in_flight() as f64 / f64::from(machine_type.cores);
+        let in_flight_per_core = f64_from_count(self.in_flight()) / f64::from(machine_type.cores);
         let excess = (in_flight_per_core - machine_type.thrashing_threshold).max(0.0);
         1.0 + machine_type.thrashing * excess
     }
--- a/crates/testbed/src/server_model/state_change.rs
+++ b/crates/testbed/src/server_model/state_change.rs
@@ -1,6 +1,7 @@
 //! What is done to a server beside handing it jobs.
 
 use super::{Event, ServerModel, State};
+use crate::conversion::MICROS_PER_MS;
 use crate::scenario::{CancellationScope, Micros};
 
 /// Least slowdown, so that a speed stays finite.
@@ -30,7 +31,7 @@
     /// A new connection costs work beside the jobs.
     pub fn handshake(&mut self, now: Micros, events: &mut Vec<Event>) {
         self.advance(now, events);
-        self.side_work += self.machine_type.handshake_ms * 1_000.0;
+        self.side_work += self.machine_type.handshake_ms * MICROS_PER_MS;
     }
 
     /// A connection is opened; false where the connection table is full.
--- a/crates/testbed/src/server_model/tests.rs
+++ b/crates/testbed/src/server_model/tests.rs
@@ -4,6 +4,7 @@
 use super::load_report::LoadReporter;
 use super::slow_start::OverloadRule;
 use super::{Event, Job, ServerModel, State};
+use crate::conversion::f64_from_count;
 use crate::random::{RandomStream, StreamId};
 use crate::scenario::{Contention, LoadReportSource, LoadReports, MachineType, Micros};
 
@@ -185,7 +186,7 @@
     // 2.5 x (2 cores x 0.25) x 1.5 s are 1.875 s of work, and some for chance.
     let accepted =
         (0..400).take_while(|id| server.try_accept(50_000, job(10 + id, 10_000.0), &mut events));
-    let accepted = accepted.count() as f64 * 0.01;
+    let accepted = f64_from_count(accepted.count()) * 0.01;
     assert!((1.8..2.0).contains(&accepted), "{accepted} s of work");
     assert!(events.contains(&Event::OverloadShutdown));
     assert_eq!(server.state(), State::Down);
--- a/crates/testbed/src/statistics/mod.rs
+++ b/crates/testbed/src/statistics/mod.rs
@@ -10,6 +10,7 @@
 
 use rustc_hash::FxHashMap;
 
+use crate::conversion::{MICROS_PER_MS, MICROS_PER_S, count_from_f64, f64_from_u64, second_of};
 use crate::event_log::{EventLog, LogEvent, LogRecord, ProcessState, RequestOutcome};
 use crate::index::{ArrivalNumber, ClassIndex, TenantIndex};
 use crate::report::{ClassFigures, Report, TenantFigures, engine_name};
@@ -20,12 +21,6 @@
 use service::Service;
 use traffic::Traffic;
 
-const MICROS_PER_SECOND: Micros = 1_000_000;
-
-fn second_of(at: Micros) -> usize {
-    (at / MICROS_PER_SECOND) as usize
-}
-
 /// Reads the event log; [`Statistics::report`] sums it up.
 pub struct Statistics {
     scenario: Scenario,
@@ -40,7 +35,7 @@
 impl Statistics {
     /// For a run of `scenario`.
     pub fn new(scenario: &Scenario) -> Self {
-        let seconds = scenario.seconds.ceil() as usize + 1;
+        let seconds = count_from_f64(scenario.seconds.ceil()) + 1;
         let classes = scenario.class.len();
         Self {
             scenario: scenario.clone(),
@@ -62,7 +57,7 @@
     fn value(&self, class: ClassIndex, work: f64, within_quota: bool) -> f64 {
         let relative_work = |mean_ms: f64| {
             if self.scenario.load.weight_by_work {
-                work / mean_ms / 1_000.0
+                work / mean_ms / MICROS_PER_MS
             } else {
                 1.0
             }
@@ -105,7 +100,7 @@
     /// Sums up. `engine` names what played the scenario, `seed` the seed that it played with.
     pub fn report(&self, engine: &str, seed: u64) -> Report {
         let scenario = &self.scenario;
-        let whole_seconds = scenario.seconds.floor() as usize;
+        let whole_seconds = count_from_f64(scenario.seconds.floor());
         let parts = self.service.parts(whole_seconds);
         let weighted = parts.weighted_mean();
         let traffic = &self.traffic;
@@ -147,11 +142,11 @@
     fn costs(&self) -> f64 {
         let prices = &self.scenario.prices;
         let traffic = &self.traffic;
-        let arrivals = traffic.arrivals.max(1) as f64;
-        let offered_work = arrivals * self.scenario.mean_work() * 1e6;
-        prices.cross_zone * traffic.cross_zone_attempts as f64 / arrivals
-            + prices.health_check * traffic.health_checks as f64 / arrivals
-            + prices.handshake * traffic.handshakes as f64 / arrivals
+        let arrivals = f64_from_u64(traffic.arrivals.max(1));
+        let offered_work = arrivals * self.scenario.mean_work() * MICROS_PER_S;
+        prices.cross_zone * f64_from_u64(traffic.cross_zone_attempts) / arrivals
+            + prices.health_check * f64_from_u64(traffic.health_checks) / arrivals
+            + prices.handshake * f64_from_u64(traffic.handshakes) / arrivals
             + prices.waste * traffic.wasted_work() / offered_work.max(1.0)
             + self.service.late_cost(prices.late_fail)
     }
--- a/crates/testbed/src/statistics/outcomes.rs
+++ b/crates/testbed/src/statistics/outcomes.rs
@@ -4,6 +4,7 @@
 use rustc_hash::FxHashMap;
 
 use super::arrival::Gain;
+use crate::conversion::ms_from_micros;
 use crate::event_log::RequestOutcome;
 use crate::index::ClassIndex;
 use crate::report::Second;
@@ -32,7 +33,7 @@
 }
 
 fn quantiles_ms(latency: &Histogram<u64>) -> [f64; 5] {
-    QUANTILES.map(|quantile| latency.value_at_quantile(quantile) as f64 / 1_000.0)
+    QUANTILES.map(|quantile| ms_from_micros(latency.value_at_quantile(quantile)))
 }
 
 fn sorted(counts: &Counts) -> Vec<(RequestOutcome, u64)> {
--- a/crates/testbed/src/statistics/service.rs
+++ b/crates/testbed/src/statistics/service.rs
@@ -1,7 +1,7 @@
 //! The value that was served in time, as a share of the value that arrived.
 
 use super::arrival::{Gain, OpenArrival};
-use super::{MICROS_PER_SECOND, second_of};
+use crate::conversion::{f64_from_count, s_from_micros, second_from, second_of};
 use crate::index::{ClassIndex, TenantIndex};
 use crate::scenario::Micros;
 
@@ -150,12 +150,12 @@
             share_of_sum(self.by_second.get(from..to.min(self.by_second.len()))?)
         };
         let before = share(0, second_of(first).max(1))?;
-        let from = last.div_ceil(MICROS_PER_SECOND) as usize;
+        let from = second_from(last);
         let recovered = |second: usize| {
             let now = share(second, second + RECOVERY_WINDOW_S);
             now.is_some_and(|now| now >= RECOVERED_SHARE * before)
         };
         let recovered_at = (from..self.by_second.len()).find(|&second| recovered(second))?;
-        Some(recovered_at as f64 - last as f64 / 1e6)
+        Some(f64_from_count(recovered_at) - s_from_micros(last))
     }
 }
--- a/crates/testbed/src/statistics/traffic.rs
+++ b/crates/testbed/src/statistics/traffic.rs
@@ -3,6 +3,7 @@
 
 use rustc_hash::FxHashMap;
 
+use crate::conversion::MICROS_PER_S;
 use crate::event_log::{LogEvent, RequestOutcome, ServerState};
 use crate::index::{RequestNumber, ServerIndex};
 use crate::report::ServerFigures;
@@ -135,7 +136,7 @@
 
     fn on_work_done(&mut self, request: RequestNumber, server: ServerIndex, work: f64) {
         self.work_done += work;
-        self.server(server).work_s += work / 1e6;
+        self.server(server).work_s += work / MICROS_PER_S;
         self.work_by_request.insert(request, work);
     }
 
--- a/crates/testbed/src/workload.rs
+++ b/crates/testbed/src/workload.rs
@@ -2,12 +2,13 @@
 //!
 //! What clients do about slow and failed requests is the engines'.
 
+use crate::conversion::{
+    MICROS_PER_MS, MICROS_PER_S, count_from_f64, micros_from_f64, s_from_micros, second_of,
+};
 use crate::index::{ClassIndex, SidecarIndex, TenantIndex};
 use crate::random::{RandomStream, StreamId};
 use crate::scenario::{Class, FaultKind, Micros, Scenario, WorkDistribution, from_s};
 
-/// Microseconds of a second.
-const SECOND: f64 = 1e6;
 /// Largest step of the load's drift in a second, as a share of its range.
 const DRIFT_STEP: f64 = 0.12;
 /// Middle of the load's drift, from which it starts.
@@ -58,7 +59,7 @@
 fn load_drift(scenario: &Scenario) -> Vec<f64> {
     let mut random = RandomStream::new(scenario.seed, StreamId::LoadDrift, 0);
     let mut level: f64 = DRIFT_MIDDLE;
-    let seconds = scenario.seconds.ceil() as usize + 1;
+    let seconds = count_from_f64(scenario.seconds.ceil()) + 1;
     let levels = (0..seconds).map(|_| {
         let step = random.between(-DRIFT_STEP, DRIFT_STEP);
         level = (level + step + DRIFT_RETURN * (DRIFT_MIDDLE - level)).clamp(0.0, 1.0);
@@ -84,7 +85,7 @@
 
 /// Work of a request of a class, in microseconds of a standard core.
 fn draw_work(random: &mut RandomStream, class: &Class) -> f64 {
-    let mean = class.work_ms * 1_000.0;
+    let mean = class.work_ms * MICROS_PER_MS;
     match class.dist {
         WorkDistribution::Fixed => mean,
         WorkDistribution::Exponential => mean * random.exponential(),
@@ -151,13 +152,12 @@
     fn draw_hint(&mut self, work: f64) -> Option<Micros> {
         let spread = self.scenario.load.work_hints?;
         let factor = (spread * self.hint_random.normal()).exp();
-        Some((work * factor).max(1.0) as Micros)
+        Some(micros_from_f64((work * factor).max(1.0)))
     }
 
     /// Arrivals a second now.
     fn rate(&self) -> f64 {
-        let second = (self.now / SECOND as Micros) as usize;
-        let load_drift = self.load_drift.get(second).copied();
+        let load_drift = self.load_drift.get(second_of(self.now)).copied();
         let all = self
             .scenario
             .rate_at(self.now, load_drift.unwrap_or(DRIFT_MIDDLE));
@@ -174,11 +174,11 @@
             let rate = self.rate();
             // A load that is nothing now may rise: it is looked at again in a second.
             let interval = if rate > 0.0 {
-                self.arrival_random.exponential() / rate * SECOND
+                self.arrival_random.exponential() / rate * MICROS_PER_S
             } else {
-                SECOND
+                MICROS_PER_S
             };
-            let interval = interval.min(MAX_INTERVAL) as Micros;
+            let interval = micros_from_f64(interval.min(MAX_INTERVAL));
             self.now = self.now.saturating_add(interval);
             if self.now >= end {
                 return None;
@@ -212,7 +212,7 @@
 
     /// Takes a token; false for what lies beyond the quota.
     pub fn try_take(&mut self, now: Micros) -> bool {
-        let passed_s = now.saturating_sub(self.refilled_at) as f64 / SECOND;
+        let passed_s = s_from_micros(now.saturating_sub(self.refilled_at));
         self.tokens = (self.tokens + passed_s * self.rate).min(self.rate.max(1.0));
         self.refilled_at = now;
         let within_quota = self.tokens >= 1.0;
