--- a/crates/testbed/src/audit/dispatch.rs
+++ b/crates/testbed/src/audit/dispatch.rs
@@ -3,7 +3,7 @@
 use super::Auditor;
 use super::cold_server::ReceivedWork;
 use super::requests::AcceptedRequest;
-use crate::event_log::{EventLog, ListedStatus, LogEvent, LogRecord};
+use crate::event_log::{EventLog, LogEvent, LogRecord};
 use crate::scenario::Micros;
 
 impl EventLog for Auditor {
@@ -68,11 +68,9 @@
                 server,
                 status,
                 incarnation,
-            } => {
-                let ready = status == ListedStatus::Ready;
-                self.endpoint_views
-                    .on_notified(at, sidecar, server, ready, incarnation);
-            }
+            } => self
+                .endpoint_views
+                .on_notified(at, sidecar, server, status, incarnation),
             LogEvent::SidecarStateChanged { sidecar, state } => {
                 self.endpoint_views.on_sidecar_state(sidecar, state);
                 self.requests.on_sidecar_state(at, sidecar, state);
--- a/crates/testbed/src/audit/endpoint_view.rs
+++ b/crates/testbed/src/audit/endpoint_view.rs
@@ -2,7 +2,7 @@
 
 use rustc_hash::FxHashMap;
 
-use crate::event_log::ProcessState;
+use crate::event_log::{ListedStatus, ProcessState};
 use crate::index::{ServerIndex, SidecarIndex};
 use crate::scenario::Micros;
 
@@ -50,13 +50,13 @@
         at: Micros,
         sidecar: SidecarIndex,
         server: ServerIndex,
-        ready: bool,
+        status: ListedStatus,
         started_at: Micros,
     ) {
         let views = self.by_sidecar.entry(sidecar).or_default();
         let view = views.entry(server).or_default();
         view.started_at = view.started_at.max(started_at);
-        view.unavailable_since = if ready {
+        view.unavailable_since = if status == ListedStatus::Ready {
             None
         } else {
             view.unavailable_since.or(Some(at))
--- a/crates/testbed/src/audit/mod.rs
+++ b/crates/testbed/src/audit/mod.rs
@@ -21,6 +21,7 @@
 use drain::DrainRule;
 use endpoint_view::EndpointViews;
 use requests::{AcceptedRequest, Requests};
+use response::RequestEnd;
 use violation::Findings;
 
 pub use violation::{Rule, Violation};
@@ -164,10 +165,14 @@
             return;
         };
         let second = open.on_response(outcome);
-        let late = at > open.due() + response_grace;
+        let end = RequestEnd {
+            outcome,
+            excused,
+            late: at > open.due() + response_grace,
+        };
         let class = self.classes.get(open.class().index());
         let duplicate = second.then_some("a second final response");
-        let fault = response::violation(outcome, excused, late);
+        let fault = response::violation(&end);
         let dishonest = rejection::violation_on_response(class, open, outcome);
         for (rule, why) in [
             (Rule::SingleResponse, duplicate),
--- a/crates/testbed/src/cli/mod.rs
+++ b/crates/testbed/src/cli/mod.rs
@@ -12,7 +12,7 @@
 use clap::Parser as _;
 
 use crate::event_log::EventLog;
-use crate::experiment::Plan;
+use crate::experiment::{Plan, ProgressDisplay};
 use crate::report::{Report, compare};
 use crate::scenario::{ScenarioErrors, ScenarioFile};
 use crate::{emulator, simulator};
@@ -23,13 +23,26 @@
 /// The scenario of `try`: two servers, one sidecar, a little load.
 const TRY_SCENARIO: &str = include_str!("../../scenarios/try.toml");
 
+/// Whether everything that a command played passes.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Verdict {
+    Passed,
+    Failed,
+}
+
+impl Verdict {
+    fn of(passes: bool) -> Self {
+        if passes { Self::Passed } else { Self::Failed }
+    }
+}
+
 /// Runs the program.
 pub fn main() -> ExitCode {
     let arguments = Arguments::parse();
     start_logging(arguments.log);
     match execute(arguments.command) {
-        Ok(true) => ExitCode::SUCCESS,
-        Ok(false) => ExitCode::FAILURE,
+        Ok(Verdict::Passed) => ExitCode::SUCCESS,
+        Ok(Verdict::Failed) => ExitCode::FAILURE,
         Err(error) => {
             error.print();
             error.exit_code()
@@ -48,8 +61,8 @@
     }
 }
 
-/// Executes a command; true where everything it played passes.
-fn execute(command: Command) -> Result<bool, CliError> {
+/// Executes a command.
+fn execute(command: Command) -> Result<Verdict, CliError> {
     match command {
         Command::Simulate(arguments) => play(&arguments, simulate),
         Command::Emulate {
@@ -66,7 +79,7 @@
             let a = input::read_report(&a)?;
             let b = input::read_report(&b)?;
             print!("{}", compare(&a, &b));
-            Ok(true)
+            Ok(Verdict::Passed)
         }
         Command::Check { scenarios } => check(&scenarios),
         Command::Serve { scenario, program } => serve(&scenario, &program.options()?),
@@ -89,7 +102,7 @@
 fn play(
     arguments: &PlayArguments,
     engine: impl FnOnce(&ScenarioFile, Option<&mut dyn EventLog>) -> Result<Report, CliError>,
-) -> Result<bool, CliError> {
+) -> Result<Verdict, CliError> {
     let scenario = input::scenario(arguments)?;
     let report = match &arguments.event_log {
         Some(path) => output::with_event_log(path, |event_log| engine(&scenario, Some(event_log)))?,
@@ -97,13 +110,18 @@
     };
     output::write_report(&report, arguments)?;
     print!("{report}");
-    Ok(report.passes())
+    Ok(Verdict::of(report.passes()))
 }
 
-fn experiment(arguments: &ExperimentArguments) -> Result<bool, CliError> {
+fn experiment(arguments: &ExperimentArguments) -> Result<Verdict, CliError> {
     let (mut plan, scenario) = Plan::open(&arguments.plan)?;
     plan.seeds = arguments.seeds.unwrap_or(plan.seeds);
-    let results = plan.play(&scenario, arguments.quiet)?;
+    let display = if arguments.quiet {
+        ProgressDisplay::Hidden
+    } else {
+        ProgressDisplay::Bar
+    };
+    let results = plan.play(&scenario, display)?;
     let table = results.csv();
     print!("{table}");
     if let Some(path) = &arguments.csv {
@@ -112,34 +130,34 @@
     if let Some(path) = &arguments.svg {
         results.draw(path)?;
     }
-    Ok(results.violation_count() == 0)
+    Ok(Verdict::of(results.violation_count() == 0))
 }
 
-fn check(scenarios: &[impl AsRef<Path>]) -> Result<bool, CliError> {
+fn check(scenarios: &[impl AsRef<Path>]) -> Result<Verdict, CliError> {
     let errors: Vec<ScenarioErrors> = scenarios
         .iter()
         .filter_map(|path| ScenarioFile::open(path.as_ref()).err())
         .collect();
     if errors.is_empty() {
-        Ok(true)
+        Ok(Verdict::Passed)
     } else {
         Err(CliError::Scenarios(errors))
     }
 }
 
-fn serve(scenario: &Path, options: &emulator::Options) -> Result<bool, CliError> {
+fn serve(scenario: &Path, options: &emulator::Options) -> Result<Verdict, CliError> {
     let scenario = ScenarioFile::open(scenario)?;
     emulator::serve(&scenario.scenario, options, |commands| {
         println!("The emulated servers are up until Ctrl-C. To start a sidecar:\n{commands}");
     })?;
-    Ok(true)
+    Ok(Verdict::Passed)
 }
 
-fn try_out(options: &emulator::Options) -> Result<bool, CliError> {
+fn try_out(options: &emulator::Options) -> Result<Verdict, CliError> {
     let scenario = ScenarioFile::read("try", TRY_SCENARIO)?;
     let seconds = scenario.scenario.seconds;
     println!("Two emulated servers, one sidecar, {seconds} s of load ...");
     let report = emulator::run(&scenario.scenario, options, None)?;
     print!("{report}");
-    Ok(report.passes())
+    Ok(Verdict::of(report.passes()))
 }
--- a/crates/testbed/src/emulator/emulated_server/admission.rs
+++ b/crates/testbed/src/emulator/emulated_server/admission.rs
@@ -21,7 +21,21 @@
 /// An attempt that was accepted: its number in the model, and its end.
 pub(super) struct AcceptedAttempt {
     pub(super) job: u64,
-    pub(super) end: oneshot::Receiver<bool>,
+    pub(super) end: oneshot::Receiver<ExecutionResult>,
+}
+
+/// How the execution of an attempt ended at the process.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum ExecutionResult {
+    Success,
+    Error,
+}
+
+impl ExecutionResult {
+    /// The result of a job of the model that ended in an error, or did not.
+    pub(super) fn of(error: bool) -> Self {
+        if error { Self::Error } else { Self::Success }
+    }
 }
 
 /// Whether the process accepts an attempt, and its state at that moment.
--- a/crates/testbed/src/emulator/emulated_server/attempt.rs
+++ b/crates/testbed/src/emulator/emulated_server/attempt.rs
@@ -7,7 +7,9 @@
 use tokio::sync::oneshot;
 
 use super::EmulatedServer;
-use super::admission::{AcceptedAttempt, Admission, AdmissionRequest, ResponseDraw};
+use super::admission::{
+    AcceptedAttempt, Admission, AdmissionRequest, ExecutionResult, ResponseDraw,
+};
 use super::connection::{Incoming, Reply};
 use crate::conversion::{f64_from_count, f64_from_u64, micros_from_f64};
 use crate::emulator::clock::sleep_for;
@@ -53,8 +55,8 @@
 
 /// How the execution of an attempt ended.
 enum Execution {
-    /// With a response, which is an error or not.
-    Ended { error: bool },
+    /// With a response.
+    Ended(ExecutionResult),
     /// Dropped without being executed, or gone with the process.
     Lost,
     /// Its sidecar closed the connection.
@@ -91,7 +93,7 @@
         };
         let job = accepted.job;
         match executed(connection, accepted.end).await {
-            Execution::Ended { error } => self.respond(&attempt, error, incoming).await,
+            Execution::Ended(result) => self.respond(&attempt, result, incoming).await,
             Execution::Lost => Ok(Reply::StaySilent),
             Execution::ConnectionClosed => {
                 sleep_for(incoming.delay).await;
@@ -168,7 +170,7 @@
     async fn respond(
         &self,
         attempt: &Attempt,
-        error: bool,
+        result: ExecutionResult,
         incoming: &Incoming,
     ) -> io::Result<Reply> {
         let draw = self.update(|process, now| process.draw_response(now));
@@ -182,7 +184,7 @@
         Ok(Reply::Send(final_response(
             attempt.request,
             incoming.server,
-            error,
+            result,
             &draw,
         )))
     }
@@ -192,7 +194,7 @@
 fn final_response(
     request: RequestNumber,
     server: ServerIndex,
-    error: bool,
+    result: ExecutionResult,
     draw: &ResponseDraw,
 ) -> String {
     if draw.malformed {
@@ -206,7 +208,7 @@
         };
         format!("X-Server-Load: {load}\r\n")
     });
-    if error {
+    if result == ExecutionResult::Error {
         return response("500 Internal Server Error", &load, "");
     }
     let headers = format!("Content-Type: text/plain\r\n{load}");
@@ -215,10 +217,13 @@
 }
 
 /// Waits for the end of an execution, or of its connection.
-async fn executed(connection: &mut HttpConnection, end: oneshot::Receiver<bool>) -> Execution {
+async fn executed(
+    connection: &mut HttpConnection,
+    end: oneshot::Receiver<ExecutionResult>,
+) -> Execution {
     tokio::select! {
         ended = end => match ended {
-            Ok(error) => Execution::Ended { error },
+            Ok(result) => Execution::Ended(result),
             Err(_) => Execution::Lost,
         },
         () = connection.closed() => Execution::ConnectionClosed,
--- a/crates/testbed/src/emulator/emulated_server/faults.rs
+++ b/crates/testbed/src/emulator/emulated_server/faults.rs
@@ -69,13 +69,16 @@
         }
     }
 
-    pub(in crate::emulator) fn set_paused(&self, paused: bool) {
-        self.update(|process, now| process.set_paused(now, paused));
-        self.record_state(if paused {
-            ServerState::Paused
-        } else {
-            ServerState::Up
-        });
+    /// The process stands still, as in a long garbage collection.
+    pub(in crate::emulator) fn pause(&self) {
+        self.update(|process, now| process.pause(now));
+        self.record_state(ServerState::Paused);
+    }
+
+    /// The process goes on after a pause.
+    pub(in crate::emulator) fn resume(&self) {
+        self.update(|process, now| process.resume(now));
+        self.record_state(ServerState::Up);
     }
 
     /// Serves slower by a factor; 1 for as usual.
@@ -88,11 +91,13 @@
         });
     }
 
+    /// Rejects new attempts from now on, and finishes those that it has.
     pub(in crate::emulator) fn set_draining(&self) {
         self.update(|process, _| process.set_draining());
         self.record_state(ServerState::Draining);
     }
 
+    /// Sets what goes wrong with the responses from now on.
     pub(in crate::emulator) fn set_response_fault(&self, fault: ResponseFault) {
         self.update(|process, _| match fault {
             ResponseFault::Errors(share) => process.set_error_share(share),
--- a/crates/testbed/src/emulator/emulated_server/process.rs
+++ b/crates/testbed/src/emulator/emulated_server/process.rs
@@ -4,7 +4,9 @@
 
 use tokio::sync::oneshot;
 
-use super::admission::{AcceptedAttempt, Admission, AdmissionRequest, ResponseDraw};
+use super::admission::{
+    AcceptedAttempt, Admission, AdmissionRequest, ExecutionResult, ResponseDraw,
+};
 use crate::conversion::u32_from_count;
 use crate::index::RequestNumber;
 use crate::random::RandomStream;
@@ -15,8 +17,8 @@
 struct Execution {
     request: RequestNumber,
     work: f64,
-    /// Gets whether it ended in an error; dropped if it never ends.
-    end: oneshot::Sender<bool>,
+    /// Gets its result; dropped if it never ends.
+    end: oneshot::Sender<ExecutionResult>,
 }
 
 /// The process.
@@ -95,7 +97,7 @@
                 Event::Completed { id, error } => {
                     if let Some(execution) = self.executions.remove(&id) {
                         on_work_done(execution.request, execution.work);
-                        let _ = execution.end.send(error);
+                        let _ = execution.end.send(ExecutionResult::of(error));
                     }
                 }
                 Event::Expired(id) => drop(self.executions.remove(&id)),
@@ -191,8 +193,15 @@
         self.started_at = now;
     }
 
-    pub(super) fn set_paused(&mut self, now: Micros, paused: bool) {
-        let state = if paused { State::Paused } else { State::Up };
+    pub(super) fn pause(&mut self, now: Micros) {
+        self.set_state_unless_down(now, State::Paused);
+    }
+
+    pub(super) fn resume(&mut self, now: Micros) {
+        self.set_state_unless_down(now, State::Up);
+    }
+
+    fn set_state_unless_down(&mut self, now: Micros, state: State) {
         if self.model.state() != State::Down {
             self.model.set_state(now, state, &mut self.events);
         }
--- a/crates/testbed/src/emulator/fault_schedule.rs
+++ b/crates/testbed/src/emulator/fault_schedule.rs
@@ -12,6 +12,7 @@
 use super::discovery::{Discovery, Mode};
 use super::emulated_server::{EmulatedServer, NetworkMode, ResponseFault};
 use super::shared::Shared;
+use super::sidecars::Termination;
 use crate::event_log::{ListedStatus, ServerState};
 use crate::index::{ServerIndex, SidecarIndex};
 use crate::scenario::{Fault, FaultKind, from_ms, from_s};
@@ -57,13 +58,17 @@
     };
     let at = from_s(fault.at_s);
     let down = from_s(fault.down_s);
-    let kill = fault.kill;
+    let termination = if fault.kill {
+        Termination::Kill
+    } else {
+        Termination::Graceful
+    };
     for (sidecar, delay) in restarts {
         let sidecars = Arc::clone(&emulation.sidecars);
         let clock = emulation.shared.clock;
         tasks.spawn(async move {
             clock.sleep_until(at + delay).await;
-            sidecars.restart(sidecar, down, kill).await;
+            sidecars.restart(sidecar, down, termination).await;
         });
     }
 }
@@ -139,7 +144,7 @@
         let share = self.fault.share;
         let discovery = &self.shared.scenario.discovery;
         match self.fault.kind {
-            FaultKind::Pause => server.set_paused(true),
+            FaultKind::Pause => server.pause(),
             FaultKind::Slow => server.set_slowdown(self.fault.factor),
             FaultKind::ErrorResponses => {
                 server.set_response_fault(ResponseFault::Errors(Some(share)))
@@ -170,7 +175,7 @@
         let server = &self.server;
         let add_ms = self.shared.scenario.discovery.add_ms;
         match self.fault.kind {
-            FaultKind::Pause => server.set_paused(false),
+            FaultKind::Pause => server.resume(),
             FaultKind::Slow => server.set_slowdown(1.0),
             FaultKind::ErrorResponses => server.set_response_fault(ResponseFault::Errors(None)),
             FaultKind::MalformedResponses => {
--- a/crates/testbed/src/emulator/sidecars/mod.rs
+++ b/crates/testbed/src/emulator/sidecars/mod.rs
@@ -31,6 +31,7 @@
 #[cfg(test)]
 pub(super) use counters::Counters;
 pub(super) use counters::FleetCounters;
+pub(super) use restart::Termination;
 
 /// How long a sidecar may take to end with the run.
 const SHUTDOWN_LIMIT: Duration = Duration::from_secs(10);
--- a/crates/testbed/src/emulator/sidecars/restart.rs
+++ b/crates/testbed/src/emulator/sidecars/restart.rs
@@ -15,14 +15,27 @@
 const MIN_DEADLINE_MS: f64 = 3_000.0;
 const SHUTDOWN_MARGIN: Micros = 900_000;
 
+/// How a sidecar's process is ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(in crate::emulator) enum Termination {
+    /// Outright, with all that it has in flight.
+    Kill,
+    /// It is notified, responds to what it has accepted, and exits.
+    Graceful,
+}
+
 impl Sidecars {
     /// Restarts a sidecar so that it is back after `down`, or later where its end takes longer.
-    pub(in crate::emulator) async fn restart(&self, index: SidecarIndex, down: Micros, kill: bool) {
+    pub(in crate::emulator) async fn restart(
+        &self,
+        index: SidecarIndex,
+        down: Micros,
+        termination: Termination,
+    ) {
         let back_at = Instant::now() + Duration::from_micros(down);
-        if kill {
-            self.kill(index).await;
-        } else {
-            self.shut_down(index).await;
+        match termination {
+            Termination::Kill => self.kill(index).await,
+            Termination::Graceful => self.shut_down(index).await,
         }
         tokio::time::sleep_until(back_at).await;
         if let Err(error) = self.start(index) {
--- a/crates/testbed/src/experiment/mod.rs
+++ b/crates/testbed/src/experiment/mod.rs
@@ -13,4 +13,4 @@
 
 pub use plan::{Axis, Plan};
 pub use results::{Cell, Results, mean};
-pub use runner::ExperimentError;
+pub use runner::{ExperimentError, ProgressDisplay};
--- a/crates/testbed/src/experiment/runner.rs
+++ b/crates/testbed/src/experiment/runner.rs
@@ -10,6 +10,7 @@
 use crate::scenario::{ScenarioErrors, ScenarioFile};
 use crate::simulator;
 
+/// Form of the progress bar: runs played, runs in all, and the time that is left.
 const PROGRESS: &str = "{bar:40} {pos}/{len} {eta}";
 
 /// Why an experiment could not be played to its end.
@@ -26,20 +27,33 @@
     },
 }
 
+/// Whether an experiment shows on standard error how far it has come.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ProgressDisplay {
+    /// As a bar.
+    Bar,
+    /// Not at all.
+    Hidden,
+}
+
 /// One run: the index of its cell, and its seed.
 type Run = (usize, u64);
 
 impl Plan {
-    /// Plays the grid on all cores; `quiet` shows no progress.
+    /// Plays the grid on all cores.
     ///
     /// # Errors
     /// What the scenario or the decision module rejects.
-    pub fn play(self, scenario: &ScenarioFile, quiet: bool) -> Result<Results, ExperimentError> {
+    pub fn play(
+        self,
+        scenario: &ScenarioFile,
+        display: ProgressDisplay,
+    ) -> Result<Results, ExperimentError> {
         let grid = self.grid();
         let runs: Vec<Run> = (0..grid.len())
             .flat_map(|cell| (1..=self.seeds).map(move |seed| (cell, seed)))
             .collect();
-        let progress = progress(runs.len(), quiet);
+        let progress = progress(runs.len(), display);
         let play = |&(cell, seed): &Run| {
             let report = self.play_one(scenario, &grid[cell], seed)?;
             progress.inc(1);
@@ -70,8 +84,8 @@
     }
 }
 
-fn progress(runs: usize, quiet: bool) -> ProgressBar {
-    if quiet {
+fn progress(runs: usize, display: ProgressDisplay) -> ProgressBar {
+    if display == ProgressDisplay::Hidden {
         return ProgressBar::hidden();
     }
     let bar = ProgressBar::new(u64_from_count(runs));
--- a/crates/testbed/src/experiment/tests.rs
+++ b/crates/testbed/src/experiment/tests.rs
@@ -2,7 +2,7 @@
 
 use std::path::PathBuf;
 
-use super::{Plan, mean};
+use super::{Plan, ProgressDisplay, mean};
 
 fn plan_file(name: &str, figures: &str) -> PathBuf {
     let scenario = format!("{}/scenarios/try.toml", env!("CARGO_MANIFEST_DIR"));
@@ -22,7 +22,8 @@
         let path = plan_file(name, figures);
         let (plan, scenario) = Plan::open(&path).expect("good");
         std::fs::remove_file(&path).expect("removed");
-        plan.play(&scenario, true).expect("played").csv()
+        let results = plan.play(&scenario, ProgressDisplay::Hidden);
+        results.expect("played").csv()
     };
     let old = table("old", "[\"whole\", \"list_calls_peak\", \"broken\"]");
     let new = table(
--- a/crates/testbed/tests/auditor/cold_server.rs
+++ b/crates/testbed/tests/auditor/cold_server.rs
@@ -8,10 +8,24 @@
 
 use super::{Finding, S, audit, listed};
 
+/// Whether the sidecar that sends was notified of the server's start.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Sidecar {
+    Informed,
+    Uninformed,
+}
+
+/// Whether the server is still warming up.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Server {
+    Cold,
+    Warm,
+}
+
 /// Work of 100 ms each, so many times within a span, at a cold server that can do 0.4 s of work a
 /// second.
 #[expect(clippy::too_many_lines, reason = "one table of log records")]
-fn pressed(count: u64, informed: bool, cold: bool) -> Vec<Finding> {
+fn pressed(count: u64, sidecar: Sidecar, server: Server) -> Vec<Finding> {
     let mut events = vec![(
         S,
         LogEvent::ServerStateChanged {
@@ -20,7 +34,7 @@
             state: ServerState::Cold,
         },
     )];
-    if informed {
+    if sidecar == Sidecar::Informed {
         events.push(listed(S, ListedStatus::Ready, S));
     }
     for n in 0..count {
@@ -42,7 +56,7 @@
                 server: ServerIndex::new(0),
                 work: 100_000.0,
                 capacity: 0.4,
-                cold,
+                cold: server == Server::Cold,
             },
         ));
         events.push((
@@ -59,11 +73,11 @@
 #[test]
 fn informed_sidecars_do_not_send_a_cold_server_more_than_its_multiple() {
     // 2.5 x 0.4 x 1.5 s are 1.5 s of work, and two requests of tolerance: 17 pass, 18 do not.
-    assert_eq!(pressed(17, true, true), []);
+    assert_eq!(pressed(17, Sidecar::Informed, Server::Cold), []);
     assert_eq!(
-        pressed(18, true, true),
+        pressed(18, Sidecar::Informed, Server::Cold),
         [(Rule::ColdServerNotOverloaded, Some(17), Some(0), S + 27)]
     );
-    assert_eq!(pressed(18, false, true), []);
-    assert_eq!(pressed(18, true, false), []);
+    assert_eq!(pressed(18, Sidecar::Uninformed, Server::Cold), []);
+    assert_eq!(pressed(18, Sidecar::Informed, Server::Warm), []);
 }
