--- a/crates/testbed/src/audit/cold_server.rs
+++ b/crates/testbed/src/audit/cold_server.rs
@@ -45,6 +45,25 @@
         self.reported = false;
     }
 
+    /// Adds work to the window, which ends with it.
+    fn add_to_window(
+        &mut self,
+        received: &ReceivedWork,
+        window: Micros,
+        notified_start: Option<Micros>,
+    ) {
+        let at = received.at;
+        let started_at = self.started_at.unwrap_or(0);
+        self.window.push_back(WindowEntry {
+            at,
+            work: received.work,
+            informed: notified_start.is_some_and(|notified| notified >= started_at),
+        });
+        while self.window.front().is_some_and(|e| e.at + window <= at) {
+            self.window.pop_front();
+        }
+    }
+
     fn work_in_window(&self) -> f64 {
         self.window.iter().map(|entry| entry.work).sum()
     }
@@ -109,21 +128,10 @@
             server.reset();
             return None;
         }
-        let started_at = server.started_at.unwrap_or(0);
-        let ReceivedWork {
-            at, work, capacity, ..
-        } = received;
-        server.window.push_back(WindowEntry {
-            at,
-            work,
-            informed: notified_start.is_some_and(|notified| notified >= started_at),
-        });
-        while server.window.front().is_some_and(|e| e.at + window <= at) {
-            server.window.pop_front();
-        }
+        server.add_to_window(&received, window, notified_start);
         let all = server.work_in_window();
         let informed = server.informed_work_in_window();
-        let limit = cold_work_limit(factor, capacity, window, work);
+        let limit = cold_work_limit(factor, received.capacity, window, received.work);
         if all <= limit || informed < INFORMED_SHARE * all || server.reported {
             return None;
         }
--- a/crates/testbed/src/emulator/counter_check.rs
+++ b/crates/testbed/src/emulator/counter_check.rs
@@ -88,27 +88,41 @@
     records: &[LogRecord],
     counters: &FleetCounters,
 ) -> Comparison {
+    if let Some(incomparable) = incomparable(counters) {
+        return incomparable;
+    }
+    let mut found = Comparison::default();
+    let observed = Observed::of(records);
+    compare_requests(&mut found, counters, &observed);
+    compare_attempts(&mut found, counters, &observed);
+    let sidecars = u64_from_count(shared.scenario.sidecars.count);
+    compare_health_checks(&mut found, counters, &observed, sidecars);
+    found.remarks.push(summary(shared, counters, &observed));
+    found
+}
+
+/// What is said in place of a comparison, where counters are missing.
+fn incomparable(counters: &FleetCounters) -> Option<Comparison> {
     let mut found = Comparison::default();
     if counters.missing > 0 {
         found.differences.push(format!(
             "{} sidecars printed no counters at their end",
             counters.missing
         ));
-        return found;
+        return Some(found);
     }
     if counters.killed > 0 {
         found.remarks.push(format!(
             "counters not compared: {} sidecars were killed, and their counters lost",
             counters.killed
         ));
-        return found;
+        return Some(found);
     }
-    let observed = Observed::of(records);
-    compare_requests(&mut found, counters, &observed);
-    compare_attempts(&mut found, counters, &observed);
-    let sidecars = u64_from_count(shared.scenario.sidecars.count);
-    compare_health_checks(&mut found, counters, &observed, sidecars);
-    found.remarks.push(format!(
+    None
+}
+
+fn summary(shared: &Shared, counters: &FleetCounters, observed: &Observed) -> String {
+    format!(
         "counters compared: {} requests, {} of {} attempts received ({} in silence), \
          {} health checks ({} in silence)",
         observed.accepted,
@@ -117,8 +131,7 @@
         shared.blackholed_attempts(),
         observed.health_checks,
         shared.blackholed_health_checks()
-    ));
-    found
+    )
 }
 
 fn compare_requests(found: &mut Comparison, counters: &FleetCounters, observed: &Observed) {
--- a/crates/testbed/src/emulator/discovery/mod.rs
+++ b/crates/testbed/src/emulator/discovery/mod.rs
@@ -62,6 +62,12 @@
     mode: watch::Sender<Mode>,
 }
 
+async fn listen(address: SocketAddr) -> Result<TcpListener, EmulatorError> {
+    TcpListener::bind(address)
+        .await
+        .map_err(|source| EmulatorError::Listen { address, source })
+}
+
 impl Discovery {
     /// Starts the service with all servers listed as ready.
     ///
@@ -75,10 +81,7 @@
         let mut listeners = Vec::new();
         for _ in 0..shared.scenario.sidecars.count {
             let address = free_address()?;
-            let listener = TcpListener::bind(address)
-                .await
-                .map_err(|source| EmulatorError::Listen { address, source })?;
-            listeners.push(listener);
+            listeners.push(listen(address).await?);
             addresses.push(address);
         }
         let list = EndpointList::of_ready(servers.iter().map(|server| server.started_at()));
--- a/crates/testbed/src/emulator/emulated_server/attempt.rs
+++ b/crates/testbed/src/emulator/emulated_server/attempt.rs
@@ -85,24 +85,24 @@
         }
         let Some(accepted) = self.try_accept(&attempt, incoming) else {
             sleep_for(incoming.delay).await;
-            return Ok(Reply::Send(response(
-                "503 Service Unavailable",
-                NOT_PROCESSED,
-                "",
-            )));
+            let rejection = response("503 Service Unavailable", NOT_PROCESSED, "");
+            return Ok(Reply::Send(rejection));
         };
         let job = accepted.job;
         match executed(connection, accepted.end).await {
             Execution::Ended(result) => self.respond(&attempt, result, incoming).await,
             Execution::Lost => Ok(Reply::StaySilent),
-            Execution::ConnectionClosed => {
-                sleep_for(incoming.delay).await;
-                self.update(|process, now| process.cancel(now, job));
-                Err(io::ErrorKind::ConnectionAborted.into())
-            }
+            Execution::ConnectionClosed => Err(self.cancel(job, incoming).await),
         }
     }
 
+    /// Cancels an attempt whose connection was closed; the error that ends the connection here too.
+    async fn cancel(&self, job: u64, incoming: &Incoming) -> io::Error {
+        sleep_for(incoming.delay).await;
+        self.update(|process, now| process.cancel(now, job));
+        io::ErrorKind::ConnectionAborted.into()
+    }
+
     fn record_attempt_started(&self, attempt: &Attempt, incoming: &Incoming) {
         self.shared.record_at(
             incoming.first_byte_at,
--- a/crates/testbed/src/emulator/emulated_server/connection.rs
+++ b/crates/testbed/src/emulator/emulated_server/connection.rs
@@ -7,7 +7,7 @@
 use tokio::net::TcpStream;
 
 use super::EmulatedServer;
-use crate::emulator::http::HttpConnection;
+use crate::emulator::http::{HttpConnection, Message};
 use crate::emulator::lock::lock;
 use crate::event_log::LogEvent;
 use crate::index::{ServerIndex, SidecarIndex};
@@ -92,12 +92,7 @@
                 delay: self.shared.network_delay(same_zone, unit),
                 new_connection,
             };
-            let reply = if message.target == HEALTH_CHECK_TARGET {
-                self.on_health_check(&incoming).await
-            } else {
-                self.on_attempt(connection, &message, &incoming).await?
-            };
-            match reply {
+            match self.reply(connection, &message, &incoming).await? {
                 Reply::Send(response) => connection.write(&response).await?,
                 Reply::StaySilent => pending().await,
             }
@@ -105,4 +100,17 @@
         }
         Ok(())
     }
+
+    async fn reply(
+        &self,
+        connection: &mut HttpConnection,
+        message: &Message,
+        incoming: &Incoming,
+    ) -> io::Result<Reply> {
+        if message.target == HEALTH_CHECK_TARGET {
+            Ok(self.on_health_check(incoming).await)
+        } else {
+            self.on_attempt(connection, message, incoming).await
+        }
+    }
 }
--- a/crates/testbed/src/emulator/emulated_server/mod.rs
+++ b/crates/testbed/src/emulator/emulated_server/mod.rs
@@ -81,6 +81,24 @@
         machine_type: &MachineType,
         group: &Servers,
     ) -> Result<Arc<Self>, EmulatorError> {
+        let server = Arc::new(Self::new(shared, index, machine_type, group)?);
+        server.listen().await?;
+        server.record_state(if group.cold {
+            ServerState::Cold
+        } else {
+            ServerState::Up
+        });
+        tokio::spawn(Arc::clone(&server).drive());
+        Ok(server)
+    }
+
+    /// A server that does not listen yet.
+    fn new(
+        shared: &Arc<Shared>,
+        index: ServerIndex,
+        machine_type: &MachineType,
+        group: &Servers,
+    ) -> Result<Self, EmulatorError> {
         let scenario = &shared.scenario;
         let stream = STREAM_OFFSET + index.index();
         let random = RandomStream::new(scenario.seed, StreamId::Machines, stream);
@@ -92,7 +110,7 @@
             mode: NetworkMode::Open,
             epoch: 0,
         };
-        let server = Arc::new(Self {
+        Ok(Self {
             shared: Arc::clone(shared),
             number: AtomicU32::new(index.value()),
             zone: scenario.server_zone(group, index),
@@ -101,15 +119,7 @@
             listeners: Listeners::default(),
             changed: Notify::new(),
             network: watch::channel(network).0,
-        });
-        server.listen().await?;
-        server.record_state(if group.cold {
-            ServerState::Cold
-        } else {
-            ServerState::Up
-        });
-        tokio::spawn(Arc::clone(&server).drive());
-        Ok(server)
+        })
     }
 
     /// Its number in the event log.
--- a/crates/testbed/src/emulator/emulated_server/process.rs
+++ b/crates/testbed/src/emulator/emulated_server/process.rs
@@ -128,32 +128,41 @@
         if request.new_connection {
             self.model.handshake(now, &mut self.events);
         }
-        let id = self.next_job;
-        self.next_job += 1;
-        let (sender, end) = oneshot::channel();
-        let execution = Execution {
-            request: request.request,
-            work,
-            end: sender,
-        };
-        self.executions.insert(id, execution);
         let job = Job {
-            id,
+            id: self.next_job,
             work,
             deadline: request.deadline,
         };
-        let accepted = !self.draining && self.model.try_accept(now, job, &mut self.events);
-        if !accepted {
-            self.executions.remove(&id);
-        }
+        self.next_job += 1;
         Admission {
             work,
             capacity,
             cold,
-            accepted: accepted.then_some(AcceptedAttempt { job: id, end }),
+            accepted: self.try_start(now, job, request.request),
         }
     }
 
+    /// Hands a job to the model; nothing where it is rejected.
+    fn try_start(
+        &mut self,
+        now: Micros,
+        job: Job,
+        request: RequestNumber,
+    ) -> Option<AcceptedAttempt> {
+        let accepted = !self.draining && self.model.try_accept(now, job, &mut self.events);
+        if !accepted {
+            return None;
+        }
+        let (sender, end) = oneshot::channel();
+        let execution = Execution {
+            request,
+            work: job.work,
+            end: sender,
+        };
+        self.executions.insert(job.id, execution);
+        Some(AcceptedAttempt { job: job.id, end })
+    }
+
     /// The draw is made also without noise, so that noise moves no other draw.
     fn draw_work(&mut self, expected: f64, noise: f64) -> f64 {
         let factor = noise * self.random.normal() - noise * noise / 2.0;
--- a/crates/testbed/src/emulator/http.rs
+++ b/crates/testbed/src/emulator/http.rs
@@ -1,5 +1,10 @@
 //! The part of HTTP/1.1 that emulated clients, servers and discovery need, byte by byte, since they
 //! also have to misbehave.
+//!
+//! Owns connections, messages and their bodies; `head` parses heads. What a message means is for
+//! its sender and receiver to know.
+
+mod head;
 
 #[cfg(test)]
 mod tests;
@@ -13,10 +18,10 @@
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use tokio::net::TcpStream;
 
+use head::{parse_request_head, parse_response_head};
+
 /// Bytes of a head or body beyond which reading fails: far more than any message of an emulation.
 const MAX_MESSAGE_BYTES: usize = 256 * 1024;
-/// Header fields of a message beyond which reading fails.
-const MAX_HEADERS: usize = 64;
 
 /// A message, read to its last byte.
 #[derive(Debug, Default)]
@@ -176,50 +181,6 @@
     }
 }
 
-/// The head of a request and its length in bytes; nothing while it is not complete.
-fn parse_request_head(buffer: &[u8]) -> io::Result<Option<(usize, Message)>> {
-    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
-    let mut request = httparse::Request::new(&mut headers);
-    let status = request
-        .parse(buffer)
-        .map_err(|_| invalid("not a request"))?;
-    let httparse::Status::Complete(length) = status else {
-        return Ok(None);
-    };
-    let message = Message {
-        target: request.path.unwrap_or_default().to_owned(),
-        headers: owned(request.headers),
-        ..Message::default()
-    };
-    Ok(Some((length, message)))
-}
-
-/// As [`parse_request_head`], of a response.
-fn parse_response_head(buffer: &[u8]) -> io::Result<Option<(usize, Message)>> {
-    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
-    let mut response = httparse::Response::new(&mut headers);
-    let status = response
-        .parse(buffer)
-        .map_err(|_| invalid("not a response"))?;
-    let httparse::Status::Complete(length) = status else {
-        return Ok(None);
-    };
-    let message = Message {
-        status: response.code.unwrap_or_default(),
-        headers: owned(response.headers),
-        ..Message::default()
-    };
-    Ok(Some((length, message)))
-}
-
-fn owned(headers: &[httparse::Header<'_>]) -> Vec<(String, String)> {
-    let text = |value: &[u8]| String::from_utf8_lossy(value).into_owned();
-    headers
-        .iter()
-        .map(|header| (header.name.to_owned(), text(header.value)))
-        .collect()
-}
-
 /// A complete response as text; each line of `headers` ends in CRLF.
 pub(super) fn response(status: &str, headers: &str, body: &str) -> String {
     format!(
--- a/crates/testbed/src/plot/experiment.rs
+++ b/crates/testbed/src/plot/experiment.rs
@@ -3,6 +3,7 @@
 use std::ops::Range;
 use std::path::Path;
 
+use plotters::coord::types::RangedCoordf64;
 use plotters::element::ErrorBarOrientV;
 use plotters::prelude::*;
 
@@ -22,6 +23,9 @@
 /// Width of an error bar's ends, in pixels.
 const ERROR_BAR_WIDTH: u32 = 6;
 
+/// A chart whose axes are both numbers.
+type Chart<'a, 'b> = ChartContext<'a, SVGBackend<'b>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
+
 /// One line of a chart.
 pub struct Series {
     /// Its name in the legend; empty for the only one.
@@ -133,14 +137,8 @@
         .x_label_formatter(&|place| axis.label(*place))
         .max_light_lines(2)
         .draw()?;
-    for (number, line) in series.iter().enumerate() {
-        let points = line.points.iter().map(|p| (axis.place(p.0), p.1));
-        let style = colour(number).stroke_width(THICK_LINE);
-        let drawn = chart.draw_series(LineSeries::new(points, style))?;
-        if !line.name.is_empty() {
-            drawn.label(line.name.clone()).legend(legend_line(number));
-        }
-        chart.draw_series(error_bars(axis, line, colour(number)))?;
+    for (position, line) in series.iter().enumerate() {
+        draw_line(&mut chart, axis, line, position)?;
     }
     if series.iter().all(|line| line.name.is_empty()) {
         return Ok(());
@@ -152,6 +150,23 @@
         .draw()
 }
 
+/// Draws the line of a series; `position` is its place among the others of the chart.
+fn draw_line(
+    chart: &mut Chart<'_, '_>,
+    axis: &Axis<'_>,
+    line: &Series,
+    position: usize,
+) -> Result<(), SvgError> {
+    let points = line.points.iter().map(|p| (axis.place(p.0), p.1));
+    let style = colour(position).stroke_width(THICK_LINE);
+    let drawn = chart.draw_series(LineSeries::new(points, style))?;
+    if !line.name.is_empty() {
+        drawn.label(line.name.clone()).legend(legend_line(position));
+    }
+    chart.draw_series(error_bars(axis, line, colour(position)))?;
+    Ok(())
+}
+
 fn error_bars(
     axis: &Axis<'_>,
     line: &Series,
--- a/crates/testbed/src/statistics/mod.rs
+++ b/crates/testbed/src/statistics/mod.rs
@@ -190,15 +190,14 @@
                 work,
                 ..
             } => {
-                let value = self.value(class, work, within_quota);
-                let started = OpenArrival {
+                let open = OpenArrival {
                     at,
                     class,
                     tenant,
-                    value,
+                    value: self.value(class, work, within_quota),
                     within_quota,
                 };
-                self.on_arrival_started(arrival, started);
+                self.on_arrival_started(arrival, open);
             }
             LogEvent::ArrivalEnded {
                 arrival,
--- a/crates/testbed/src/workload.rs
+++ b/crates/testbed/src/workload.rs
@@ -1,14 +1,17 @@
 //! What clients ask for, and when: drawn alike for both engines, one sidecar's clients at a time.
 //!
+//! Owns the arrivals, their work and the sidecars' shares of them; `quota` has the tenants' quotas.
 //! What clients do about slow and failed requests is the engines'.
 
-use crate::conversion::{
-    MICROS_PER_MS, MICROS_PER_S, count_from_f64, micros_from_f64, s_from_micros, second_of,
-};
+mod quota;
+
+use crate::conversion::{MICROS_PER_MS, MICROS_PER_S, count_from_f64, micros_from_f64, second_of};
 use crate::index::{ClassIndex, SidecarIndex, TenantIndex};
 use crate::random::{RandomStream, StreamId};
 use crate::scenario::{Class, FaultKind, Micros, Scenario, WorkDistribution, from_s};
 
+pub use quota::{TenantQuota, quotas};
+
 /// Largest step of the load's drift in a second, as a share of its range.
 const DRIFT_STEP: f64 = 0.12;
 /// Middle of the load's drift, from which it starts.
@@ -189,43 +192,3 @@
         }
     }
 }
-
-/// A tenant's quota: a token bucket, filled at the tenant's share of what all tenants are entitled
-/// to.
-#[derive(Clone, Copy, Debug)]
-pub struct TenantQuota {
-    /// Tokens a second.
-    rate: f64,
-    tokens: f64,
-    refilled_at: Micros,
-}
-
-impl TenantQuota {
-    /// A full bucket; `rate` in requests a second.
-    fn new(rate: f64) -> Self {
-        Self {
-            rate,
-            tokens: rate.max(1.0),
-            refilled_at: 0,
-        }
-    }
-
-    /// Takes a token; false for what lies beyond the quota.
-    pub fn try_take(&mut self, now: Micros) -> bool {
-        let passed_s = s_from_micros(now.saturating_sub(self.refilled_at));
-        self.tokens = (self.tokens + passed_s * self.rate).min(self.rate.max(1.0));
-        self.refilled_at = now;
-        let within_quota = self.tokens >= 1.0;
-        self.tokens -= if within_quota { 1.0 } else { 0.0 };
-        within_quota
-    }
-}
-
-/// One quota for each tenant, full at the start.
-pub fn quotas(scenario: &Scenario) -> Vec<TenantQuota> {
-    let all = scenario.full_rate() * scenario.rules.quota_of_capacity;
-    let tenants = scenario.tenant.iter();
-    tenants
-        .map(|tenant| TenantQuota::new(tenant.share * all))
-        .collect()
-}
