--- a/crates/testbed/src/emulator/client/arrival.rs
+++ b/crates/testbed/src/emulator/client/arrival.rs
@@ -19,8 +19,8 @@
 const STREAM_BITS: usize = 22;
 
 impl Clients {
-    /// Plays an arrival with all its requests; `index` is its number at this sidecar.
-    pub(super) async fn play_arrival(self: Arc<Self>, arrival: Arrival, index: usize) {
+    /// Plays an arrival with all its requests; `position` is its place among those at this sidecar.
+    pub(super) async fn play_arrival(self: Arc<Self>, arrival: Arrival, position: usize) {
         let number = self.shared.next_arrival_number();
         let within_quota = self.within_quota(arrival.tenant);
         self.shared.record_at(
@@ -39,7 +39,7 @@
             self.record_arrival_ended(number, RequestOutcome::NotPlayed, 0);
             return;
         }
-        let (outcome, requests) = self.send_requests(&arrival, number, index).await;
+        let (outcome, requests) = self.send_requests(&arrival, number, position).await;
         self.record_arrival_ended(number, outcome, requests);
         self.load.on_ended();
     }
@@ -57,10 +57,10 @@
         &self,
         arrival: &Arrival,
         number: ArrivalNumber,
-        index: usize,
+        position: usize,
     ) -> (RequestOutcome, u32) {
         let scenario = &self.shared.scenario;
-        let stream = STREAM_OFFSET + ((self.sidecar.index()) << STREAM_BITS) + index;
+        let stream = STREAM_OFFSET + ((self.sidecar.index()) << STREAM_BITS) + position;
         let mut random = RandomStream::new(scenario.seed, StreamId::Clients, stream);
         let time_limit = from_ms(scenario.class[arrival.class.index()].deadline_ms);
         let deadline = arrival.at + time_limit;
--- a/crates/testbed/src/emulator/discovery/endpoint_list.rs
+++ b/crates/testbed/src/emulator/discovery/endpoint_list.rs
@@ -16,8 +16,8 @@
 /// One server as it is listed.
 #[derive(Clone, Copy)]
 pub(super) struct ListEntry {
-    /// Index of the emulated server.
-    pub(super) index: usize,
+    /// Place among the emulated servers.
+    pub(super) position: usize,
     pub(super) status: ListedStatus,
     /// When it last started; 0 for before the run.
     pub(super) started_at: Micros,
@@ -25,7 +25,7 @@
     version: u64,
 }
 
-/// All servers by their numbers.
+/// All servers by their indexes.
 pub(super) struct EndpointList {
     version: u64,
     entries: BTreeMap<ServerIndex, ListEntry>,
@@ -34,14 +34,14 @@
 impl EndpointList {
     /// A list of servers that are ready, from when they started.
     pub(super) fn of_ready(started_at: impl Iterator<Item = Micros>) -> Self {
-        let entry = |(index, started_at)| {
+        let entry = |(position, started_at)| {
             let entry = ListEntry {
-                index,
+                position,
                 status: ListedStatus::Ready,
                 started_at,
                 version: FIRST_VERSION,
             };
-            (ServerIndex::from_position(index), entry)
+            (ServerIndex::from_position(position), entry)
         };
         Self {
             version: FIRST_VERSION,
@@ -57,7 +57,7 @@
     pub(super) fn set(
         &mut self,
         server: ServerIndex,
-        index: usize,
+        position: usize,
         status: ListedStatus,
         started_at: Micros,
     ) -> bool {
@@ -67,7 +67,7 @@
         }
         self.version += 1;
         let entry = ListEntry {
-            index,
+            position,
             status,
             started_at,
             version: self.version,
--- a/crates/testbed/src/emulator/discovery/mod.rs
+++ b/crates/testbed/src/emulator/discovery/mod.rs
@@ -39,7 +39,7 @@
     Silent,
 }
 
-/// What a response says of one server: its number, its status, and when it last started.
+/// What a response says of one server: which it is, its status, and when it last started.
 pub(super) type Notification = (ServerIndex, ListedStatus, Micros);
 
 /// When a poll is responded to, and whether with the list or with an overload rejection.
@@ -118,17 +118,17 @@
         self.mode.send_replace(mode);
     }
 
-    /// Lists a server's new status, unless a later start of it is listed already. `index` is that
-    /// of the emulated server, `server` its number in the event log.
+    /// Lists a server's new status, unless a later start of it is listed already. `position`
+    /// is its place among the emulated servers, where a replacement has that of its predecessor.
     pub(super) fn set(
         &self,
         server: ServerIndex,
-        index: usize,
+        position: usize,
         status: ListedStatus,
         started_at: Micros,
     ) {
         let mut list = lock(&self.list);
-        if list.set(server, index, status, started_at) {
+        if list.set(server, position, status, started_at) {
             self.version.send_replace(list.version());
         }
     }
@@ -148,12 +148,12 @@
         let list = lock(&self.list);
         let mut endpoints = Vec::new();
         let mut notifications = Vec::new();
-        for (number, entry) in list.since(since) {
-            let Some(server) = self.servers.get(entry.index) else {
+        for (server_index, entry) in list.since(since) {
+            let Some(server) = self.servers.get(entry.position) else {
                 continue;
             };
-            endpoints.push(self.listed_endpoint(sidecar, number, server, entry));
-            notifications.push((number, entry.status, entry.started_at));
+            endpoints.push(self.listed_endpoint(sidecar, server_index, server, entry));
+            notifications.push((server_index, entry.status, entry.started_at));
         }
         let version = list.version();
         let message = platform::EndpointList {
@@ -173,14 +173,14 @@
     fn listed_endpoint(
         &self,
         sidecar: SidecarIndex,
-        number: ServerIndex,
+        server_index: ServerIndex,
         server: &EmulatedServer,
         entry: &ListEntry,
     ) -> ListedEndpoint {
         let zones = &self.shared.scenario.network.zones;
         let zone = zones.get(count_from_u32(server.zone()));
         ListedEndpoint {
-            id: number.to_string(),
+            id: server_index.to_string(),
             address: server.address(sidecar),
             zone: zone.cloned().unwrap_or_default(),
             cell: server.zone(),
--- a/crates/testbed/src/emulator/emulated_server/connection.rs
+++ b/crates/testbed/src/emulator/emulated_server/connection.rs
@@ -26,7 +26,7 @@
 
 /// A request as it comes in.
 pub(super) struct Incoming {
-    /// Number of the server that receives it.
+    /// The server that receives it.
     pub(super) server: ServerIndex,
     /// The sidecar that sends it.
     pub(super) sidecar: SidecarIndex,
@@ -51,7 +51,7 @@
             return;
         }
         self.shared.record(LogEvent::ConnectionOpened {
-            server: self.number(),
+            server: self.index(),
         });
         let mut connection = HttpConnection::new(stream);
         let reset = async {
@@ -66,7 +66,7 @@
             () = reset => Ok(()),
         };
         if let Err(error) = ended {
-            tracing::debug!("server {}: {error}", self.number());
+            tracing::debug!("server {}: {error}", self.index());
         }
         if self.network.borrow().epoch == epoch {
             lock(&self.process).disconnect();
@@ -85,7 +85,7 @@
             let message = connection.read_request().await?;
             let unit = lock(&self.process).random_unit();
             let incoming = Incoming {
-                server: self.number(),
+                server: self.index(),
                 sidecar,
                 same_zone,
                 first_byte_at,
--- a/crates/testbed/src/emulator/emulated_server/faults.rs
+++ b/crates/testbed/src/emulator/emulated_server/faults.rs
@@ -42,10 +42,10 @@
         }
     }
 
-    /// Starts it again, cold; under another number where it replaces the one before.
-    pub(in crate::emulator) async fn restart(self: &Arc<Self>, number: Option<ServerIndex>) {
-        if let Some(number) = number {
-            self.number.store(number.value(), Ordering::Relaxed);
+    /// Starts it again, cold; under another index where it replaces the one before.
+    pub(in crate::emulator) async fn restart(self: &Arc<Self>, replacement: Option<ServerIndex>) {
+        if let Some(index) = replacement {
+            self.index.store(index.value(), Ordering::Relaxed);
         }
         self.listeners.close().await;
         let now = self.shared.clock.now();
--- a/crates/testbed/src/emulator/emulated_server/mod.rs
+++ b/crates/testbed/src/emulator/emulated_server/mod.rs
@@ -59,8 +59,8 @@
 /// One server. Each sidecar has an address of its own at it, which identifies the sidecar.
 pub(super) struct EmulatedServer {
     shared: Arc<Shared>,
-    /// Its number in the event log; a replacement at the same addresses has another.
-    number: AtomicU32,
+    /// Its index in the event log; a replacement at the same addresses has another.
+    index: AtomicU32,
     zone: u32,
     addresses: Vec<SocketAddr>,
     process: Mutex<ServerProcess>,
@@ -112,7 +112,7 @@
         };
         Ok(Self {
             shared: Arc::clone(shared),
-            number: AtomicU32::new(index.value()),
+            index: AtomicU32::new(index.value()),
             zone: scenario.server_zone(group, index),
             addresses,
             process: Mutex::new(ServerProcess::new(model, group.cold, random)),
@@ -122,9 +122,9 @@
         })
     }
 
-    /// Its number in the event log.
-    pub(super) fn number(&self) -> ServerIndex {
-        ServerIndex::new(self.number.load(Ordering::Relaxed))
+    /// Its index in the event log.
+    pub(super) fn index(&self) -> ServerIndex {
+        ServerIndex::new(self.index.load(Ordering::Relaxed))
     }
 
     /// Index of its zone.
@@ -160,7 +160,7 @@
         self.shared.record_at(
             at,
             LogEvent::ServerStateChanged {
-                server: self.number(),
+                server: self.index(),
                 zone: self.zone,
                 state,
             },
@@ -193,7 +193,7 @@
             at,
             LogEvent::WorkDone {
                 request,
-                server: self.number(),
+                server: self.index(),
                 work,
             },
         );
@@ -242,7 +242,7 @@
         for server in &emulation.servers {
             let (in_flight, connections) = lock(&server.process).gauge();
             shared.record(LogEvent::ServerGauge {
-                server: server.number(),
+                server: server.index(),
                 in_flight,
                 connections,
             });
--- a/crates/testbed/src/emulator/fault_schedule.rs
+++ b/crates/testbed/src/emulator/fault_schedule.rs
@@ -21,14 +21,14 @@
 /// Plays the faults of the scenario to their ends.
 pub(super) async fn play(emulation: &Emulation) {
     let first_replacement = ServerIndex::from_position(emulation.servers.len());
-    let next_number = Arc::new(AtomicU32::new(first_replacement.value()));
+    let next_server_index = Arc::new(AtomicU32::new(first_replacement.value()));
     let mut tasks = JoinSet::new();
-    for (index, fault) in emulation.shared.scenario.fault.iter().enumerate() {
+    for (fault_index, fault) in emulation.shared.scenario.fault.iter().enumerate() {
         match fault.kind {
             // These change the load, as it is drawn.
             FaultKind::Burst | FaultKind::ExpensiveRequests => {}
             FaultKind::RollingRestart | FaultKind::RestartAll => {
-                restart_sidecars(emulation, index, fault, &mut tasks);
+                restart_sidecars(emulation, fault_index, fault, &mut tasks);
             }
             FaultKind::DiscoveryDown => {
                 tasks.spawn(play_discovery_fault(emulation, fault, Mode::Down));
@@ -36,7 +36,13 @@
             FaultKind::DiscoverySilent => {
                 tasks.spawn(play_discovery_fault(emulation, fault, Mode::Silent));
             }
-            _ => schedule_server_faults(emulation, index, fault, &next_number, &mut tasks),
+            _ => schedule_server_faults(
+                emulation,
+                fault_index,
+                fault,
+                &next_server_index,
+                &mut tasks,
+            ),
         }
     }
     while tasks.join_next().await.is_some() {}
@@ -48,10 +54,15 @@
     pending().await
 }
 
-fn restart_sidecars(emulation: &Emulation, index: usize, fault: &Fault, tasks: &mut JoinSet<()>) {
+fn restart_sidecars(
+    emulation: &Emulation,
+    fault_index: usize,
+    fault: &Fault,
+    tasks: &mut JoinSet<()>,
+) {
     let scenario = &emulation.shared.scenario;
     let restarts = if fault.kind == FaultKind::RollingRestart {
-        rolling_restart(scenario, index)
+        rolling_restart(scenario, fault_index)
     } else {
         let all = SidecarIndex::all(scenario.sidecars.count);
         all.map(|sidecar| (sidecar, 0)).collect()
@@ -93,24 +104,24 @@
 
 fn schedule_server_faults(
     emulation: &Emulation,
-    index: usize,
+    fault_index: usize,
     fault: &Fault,
-    next_number: &Arc<AtomicU32>,
+    next_server_index: &Arc<AtomicU32>,
     tasks: &mut JoinSet<()>,
 ) {
     let zones: Vec<u32> = emulation.servers.iter().map(|s| s.zone()).collect();
-    for target in targets(&emulation.shared.scenario, index, &zones) {
-        let index = target.index();
-        let Some(server) = emulation.servers.get(index) else {
+    for target in targets(&emulation.shared.scenario, fault_index, &zones) {
+        let position = target.index();
+        let Some(server) = emulation.servers.get(position) else {
             continue;
         };
         let server_fault = ServerFault {
             shared: Arc::clone(&emulation.shared),
             discovery: Arc::clone(&emulation.discovery),
             server: Arc::clone(server),
-            index,
+            position,
             fault: fault.clone(),
-            next_number: Arc::clone(next_number),
+            next_server_index: Arc::clone(next_server_index),
         };
         tasks.spawn(server_fault.play());
     }
@@ -121,11 +132,11 @@
     shared: Arc<Shared>,
     discovery: Arc<Discovery>,
     server: Arc<EmulatedServer>,
-    /// Index of the server.
-    index: usize,
+    /// Place of the server among the emulated ones.
+    position: usize,
     fault: Fault,
-    /// Number of the next server that replaces another.
-    next_number: Arc<AtomicU32>,
+    /// Index of the next server that replaces another.
+    next_server_index: Arc<AtomicU32>,
 }
 
 impl ServerFault {
@@ -133,13 +144,13 @@
         let at = from_s(self.fault.at_s);
         let length = from_s(self.fault.for_s);
         self.shared.clock.sleep_until(at).await;
-        let number = self.server.number();
-        self.start(number).await;
+        let server_index = self.server.index();
+        self.start(server_index).await;
         self.shared.clock.sleep_until(at + length).await;
-        self.end(number).await;
+        self.end(server_index).await;
     }
 
-    async fn start(&self, number: ServerIndex) {
+    async fn start(&self, server_index: ServerIndex) {
         let server = &self.server;
         let share = self.fault.share;
         let discovery = &self.shared.scenario.discovery;
@@ -156,22 +167,26 @@
             FaultKind::Crash => {
                 server.record_state(ServerState::Down);
                 server.stop(NetworkMode::Refusing).await;
-                self.update_list_later(number, ListedStatus::Gone, discovery.notice_ms);
+                self.update_list_later(server_index, ListedStatus::Gone, discovery.notice_ms);
             }
             FaultKind::Silence => {
                 server.record_state(ServerState::Silent);
                 server.stop(NetworkMode::Silent).await;
-                self.update_list_later(number, ListedStatus::Gone, discovery.silent_notice_ms);
+                self.update_list_later(
+                    server_index,
+                    ListedStatus::Gone,
+                    discovery.silent_notice_ms,
+                );
             }
             FaultKind::Drain | FaultKind::Replace => {
                 server.set_draining();
-                self.update_list_later(number, ListedStatus::Draining, discovery.notice_ms);
+                self.update_list_later(server_index, ListedStatus::Draining, discovery.notice_ms);
             }
             _ => {}
         }
     }
 
-    async fn end(&self, number: ServerIndex) {
+    async fn end(&self, server_index: ServerIndex) {
         let server = &self.server;
         let add_ms = self.shared.scenario.discovery.add_ms;
         match self.fault.kind {
@@ -184,38 +199,38 @@
             FaultKind::ConnectionResets => server.set_response_fault(ResponseFault::Reset(0.0)),
             FaultKind::Crash | FaultKind::Silence => {
                 server.restart(None).await;
-                self.update_list_later(number, ListedStatus::Ready, add_ms);
+                self.update_list_later(server_index, ListedStatus::Ready, add_ms);
             }
             FaultKind::Drain => {
                 server.stop(NetworkMode::Refusing).await;
                 server.restart(None).await;
-                self.update_list_later(number, ListedStatus::Ready, add_ms);
+                self.update_list_later(server_index, ListedStatus::Ready, add_ms);
             }
-            FaultKind::Replace => self.replace(number).await,
+            FaultKind::Replace => self.replace(server_index).await,
             _ => {}
         }
     }
 
     /// Stops the server, and starts another one at its addresses.
-    async fn replace(&self, number: ServerIndex) {
+    async fn replace(&self, server_index: ServerIndex) {
         let discovery = &self.shared.scenario.discovery;
         self.server.stop(NetworkMode::Refusing).await;
         self.server.record_state(ServerState::Down);
-        self.update_list_later(number, ListedStatus::Gone, discovery.notice_ms);
-        let replacement = ServerIndex::new(self.next_number.fetch_add(1, Ordering::Relaxed));
+        self.update_list_later(server_index, ListedStatus::Gone, discovery.notice_ms);
+        let replacement = ServerIndex::new(self.next_server_index.fetch_add(1, Ordering::Relaxed));
         self.server.restart(Some(replacement)).await;
         self.update_list_later(replacement, ListedStatus::Ready, discovery.add_ms);
     }
 
     /// Has discovery list a status once it has noticed.
-    fn update_list_later(&self, number: ServerIndex, status: ListedStatus, delay_ms: f64) {
+    fn update_list_later(&self, server_index: ServerIndex, status: ListedStatus, delay_ms: f64) {
         let discovery = Arc::clone(&self.discovery);
-        let index = self.index;
+        let position = self.position;
         let started_at = self.server.started_at();
         let delay = Duration::from_micros(from_ms(delay_ms));
         tokio::spawn(async move {
             tokio::time::sleep(delay).await;
-            discovery.set(number, index, status, started_at);
+            discovery.set(server_index, position, status, started_at);
         });
     }
 }
--- a/crates/testbed/src/experiment/results.rs
+++ b/crates/testbed/src/experiment/results.rs
@@ -39,13 +39,14 @@
         self.reports.iter().map(|r| r.violation_count).sum()
     }
 
-    /// Its place on the plot's axis: the first value, or the cell's number where that is no number.
-    fn place(&self, number: usize) -> f64 {
+    /// Its place on the plot's axis: the first value, or the cell's position where that is
+    /// no number.
+    fn place(&self, position: usize) -> f64 {
         let value = &self.values[0];
         value
             .as_float()
             .or(value.as_integer().map(f64_from_i64))
-            .unwrap_or(f64_from_count(number))
+            .unwrap_or(f64_from_count(position))
     }
 }
 
@@ -142,9 +143,9 @@
 
     fn series(&self, figure: &str, line: &str) -> Series {
         let cells = self.cells.iter().filter(|c| self.line_name(c) == line);
-        let point = |(number, cell): (usize, &Cell)| {
+        let point = |(position, cell): (usize, &Cell)| {
             let (mean, half) = cell.figure(figure)?;
-            Some((cell.place(number), mean, half))
+            Some((cell.place(position), mean, half))
         };
         Series {
             name: line.to_owned(),
--- a/crates/testbed/src/plot/mod.rs
+++ b/crates/testbed/src/plot/mod.rs
@@ -55,8 +55,9 @@
     }
 }
 
-fn colour(number: usize) -> RGBColor {
-    COLOURS[number % COLOURS.len()]
+/// The colour of a series, by its place among the others.
+fn colour(position: usize) -> RGBColor {
+    COLOURS[position % COLOURS.len()]
 }
 
 /// An empty sheet with its title.
@@ -67,11 +68,11 @@
 }
 
 /// The line that stands for a series in a legend.
-fn legend_line(number: usize) -> impl Fn((i32, i32)) -> PathElement<(i32, i32)> + Copy + 'static {
+fn legend_line(position: usize) -> impl Fn((i32, i32)) -> PathElement<(i32, i32)> + Copy + 'static {
     move |(x, y)| {
         PathElement::new(
             [(x, y), (x + LEGEND_LINE, y)],
-            colour(number).stroke_width(THICK_LINE),
+            colour(position).stroke_width(THICK_LINE),
         )
     }
 }
--- a/crates/testbed/src/plot/report.rs
+++ b/crates/testbed/src/plot/report.rs
@@ -58,18 +58,18 @@
         .y_desc("served in time, by class")
         .max_light_lines(2)
         .draw()?;
-    for (number, class) in report.classes.iter().enumerate() {
+    for (position, class) in report.classes.iter().enumerate() {
         let seconds = report.timeline.iter().enumerate();
         let points = seconds.filter_map(|(second, row)| {
-            let counts = row.0.get(number)?;
+            let counts = row.0.get(position)?;
             let share = f64::from(counts[1]) / f64::from(counts[0]);
             (counts[0] > 0).then(|| (middle(second), share))
         });
-        let line = LineSeries::new(points, colour(number).stroke_width(THICK_LINE));
+        let line = LineSeries::new(points, colour(position).stroke_width(THICK_LINE));
         chart
             .draw_series(line)?
             .label(class.name.clone())
-            .legend(legend_line(number));
+            .legend(legend_line(position));
     }
     chart
         .configure_series_labels()
--- a/crates/testbed/src/random.rs
+++ b/crates/testbed/src/random.rs
@@ -35,19 +35,19 @@
     WorkHints = 11,
 }
 
-/// Bits of a stream's number: the cause stands above them.
-const NUMBER_BITS: u32 = 40;
+/// Bits of a stream's index within its cause, which stands above them.
+const INDEX_BITS: u32 = 40;
 
 /// One random stream.
 #[derive(Clone, Debug)]
 pub struct RandomStream(ChaCha8Rng);
 
 impl RandomStream {
-    /// The stream of a cause and a number within it, such as a sidecar's; the seed is the
+    /// The stream of a cause and an index within it, such as a sidecar's; the seed is the
     /// scenario's.
-    pub fn new(seed: u64, cause: StreamId, number: usize) -> Self {
+    pub fn new(seed: u64, cause: StreamId, index: usize) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        rng.set_stream((cause as u64) << NUMBER_BITS | u64_from_count(number));
+        rng.set_stream((cause as u64) << INDEX_BITS | u64_from_count(index));
         Self(rng)
     }
 
