--- a/crates/testbed/src/audit/cold_server.rs
+++ b/crates/testbed/src/audit/cold_server.rs
@@ -1,4 +1,6 @@
 //! The rule that no cold server is overloaded by sidecars that know of its start.
+//!
+//! Owns the work of each cold server within the window of the rule. Each start is reported once.
 
 use std::collections::VecDeque;
 
--- a/crates/testbed/src/audit/dispatch.rs
+++ b/crates/testbed/src/audit/dispatch.rs
@@ -1,4 +1,6 @@
 //! Passes each event of the log to what it concerns.
+//!
+//! Owns the table of events and no state.
 
 use super::Auditor;
 use super::cold_server::ReceivedWork;
--- a/crates/testbed/src/audit/drain.rs
+++ b/crates/testbed/src/audit/drain.rs
@@ -1,4 +1,6 @@
 //! The rule that a server gets no new attempt once its drain, or its end, was notified.
+//!
+//! Owns the grace after the notification; the notifications are those of `endpoint_view`.
 
 use crate::conversion::s_from_micros;
 use crate::scenario::Micros;
--- a/crates/testbed/src/audit/endpoint_view.rs
+++ b/crates/testbed/src/audit/endpoint_view.rs
@@ -1,4 +1,7 @@
 //! What each sidecar was notified of about each server.
+//!
+//! Owns the views, from the notifications in the log; a sidecar's own table may differ and does not
+//! count.
 
 use rustc_hash::FxHashMap;
 
--- a/crates/testbed/src/audit/execution.rs
+++ b/crates/testbed/src/audit/execution.rs
@@ -1,5 +1,7 @@
 //! The rule that nothing that may have executed is executed again, unless its class is idempotent
 //! there.
+//!
+//! Owns no state: it judges an attempt by the first one that was not rejected.
 
 use super::requests::ReceivedAttempt;
 use crate::scenario::{Class, DeduplicationScope, Idempotency, Micros, from_ms};
--- a/crates/testbed/src/audit/rejection.rs
+++ b/crates/testbed/src/audit/rejection.rs
@@ -1,4 +1,6 @@
 //! The rule that nothing is rejected that may have executed, where a retry is not harmless.
+//!
+//! Owns no state: it judges an outcome by the attempts of its request.
 
 use super::requests::AcceptedRequest;
 use crate::event_log::RequestOutcome;
--- a/crates/testbed/src/audit/requests.rs
+++ b/crates/testbed/src/audit/requests.rs
@@ -1,4 +1,6 @@
 //! The accepted requests that are still of interest, with the attempts that servers received.
+//!
+//! Owns what is remembered of a request and for how long. Rules read it and decide.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -9,7 +11,8 @@
 use crate::index::{ClassIndex, RequestNumber, ServerIndex, SidecarIndex};
 use crate::scenario::Micros;
 
-/// How long a request is remembered beyond its deadline, to catch what comes after it.
+/// How long a request is remembered beyond its deadline, in microseconds, to catch what comes after
+/// it. What comes later still is not judged.
 const RETENTION_AFTER_DEADLINE: Micros = 12_000_000;
 
 /// An attempt that a server received.
--- a/crates/testbed/src/audit/response.rs
+++ b/crates/testbed/src/audit/response.rs
@@ -1,4 +1,6 @@
 //! The rule that each accepted request has one complete final response, in time.
+//!
+//! Owns no state: whether a response is late or not required is found by the auditor.
 
 use crate::event_log::RequestOutcome;
 
--- a/crates/testbed/src/audit/violation.rs
+++ b/crates/testbed/src/audit/violation.rs
@@ -1,4 +1,6 @@
 //! The rules, and what was found against them.
+//!
+//! Owns the names of the rules and the list of findings; each rule's file knows what violates it.
 
 use std::fmt;
 
@@ -8,7 +10,7 @@
 use crate::index::{RequestNumber, ServerIndex};
 use crate::scenario::Micros;
 
-/// Violations that are listed; further ones are only counted.
+/// Violations that are listed, for a report that a person can read; further ones are only counted.
 const MAX_LISTED: usize = 50;
 
 /// What every run must keep.
--- a/crates/testbed/src/cli/error.rs
+++ b/crates/testbed/src/cli/error.rs
@@ -1,4 +1,6 @@
 //! Why a command fails, how it is printed, and the exit code that follows.
+//!
+//! Owns which errors count as bad input.
 
 use std::io;
 use std::path::{Path, PathBuf};
--- a/crates/testbed/src/cli/input.rs
+++ b/crates/testbed/src/cli/input.rs
@@ -1,4 +1,6 @@
 //! Reads what the arguments name: scenarios with their changes, and reports.
+//!
+//! Owns the form of `--set` and `--seed`; what a key takes is decided by `scenario`.
 
 use std::path::Path;
 
--- a/crates/testbed/src/cli/output.rs
+++ b/crates/testbed/src/cli/output.rs
@@ -1,4 +1,6 @@
 //! Writes what the arguments ask for: the event log, and the report as JSON and as a plot.
+//!
+//! Owns the files; the forms are those of `event_log`, `report` and `plot`.
 
 use std::fs::File;
 use std::io::{BufWriter, Write as _};
--- a/crates/testbed/src/emulator/client/arrival.rs
+++ b/crates/testbed/src/emulator/client/arrival.rs
@@ -1,5 +1,8 @@
 //! The life of an arrival: its requests, one after the other, until a response ends it or its time
 //! is up.
+//!
+//! Owns retries, backoff and the draws of timeout and disconnection, made as the simulator makes
+//! them from streams of its own.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,9 +16,9 @@
 use crate::scenario::{Idempotency, Micros, from_ms};
 use crate::workload::Arrival;
 
-/// Numbers of the arrivals' random streams begin here, apart from those of the sidecars' clients.
+/// Indexes of the arrivals' random streams begin here, apart from those of the sidecars' clients.
 const STREAM_OFFSET: usize = 1 << 38;
-/// Arrivals of one sidecar that have streams of their own.
+/// Bits of an arrival's place within its sidecar: 2^22 arrivals have streams of their own.
 const STREAM_BITS: usize = 22;
 
 impl Clients {
--- a/crates/testbed/src/emulator/client/exchange.rs
+++ b/crates/testbed/src/emulator/client/exchange.rs
@@ -1,4 +1,7 @@
 //! The exchange of one request and its response, on an idle connection or a new one.
+//!
+//! Owns the idle connections and the one repetition of a request that crossed the close of its
+//! connection. Retries of a request that had an outcome belong to `arrival`.
 
 use std::io;
 use std::sync::Mutex;
--- a/crates/testbed/src/emulator/client/request.rs
+++ b/crates/testbed/src/emulator/client/request.rs
@@ -1,4 +1,6 @@
 //! A request and its response: their form on the wire, and what they mean.
+//!
+//! Owns the header fields of a request and the reading of a response. Connections are unknown here.
 
 #[cfg(test)]
 mod tests;
--- a/crates/testbed/src/emulator/clock.rs
+++ b/crates/testbed/src/emulator/clock.rs
@@ -1,4 +1,7 @@
 //! The emulator's clock: microseconds since the run began.
+//!
+//! Owns the run's zero on the monotonic clock and in Unix time. No part of the emulator reads
+//! another clock for what it records.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
--- a/crates/testbed/src/emulator/discovery/connection.rs
+++ b/crates/testbed/src/emulator/discovery/connection.rs
@@ -1,4 +1,7 @@
 //! The connections of discovery: polls and watches.
+//!
+//! Owns the exchange on a connection: modes of the service, heartbeats and the order of list and
+//! record. What the list says is the service's.
 
 use std::io;
 use std::sync::Arc;
--- a/crates/testbed/src/emulator/discovery/endpoint_list.rs
+++ b/crates/testbed/src/emulator/discovery/endpoint_list.rs
@@ -11,6 +11,7 @@
 use crate::index::ServerIndex;
 use crate::scenario::Micros;
 
+/// Version of the list with which a run begins; 0 stands on the wire for a watch that knows none.
 const FIRST_VERSION: u64 = 1;
 
 /// One server as it is listed.
--- a/crates/testbed/src/emulator/emulated_server/admission.rs
+++ b/crates/testbed/src/emulator/emulated_server/admission.rs
@@ -1,4 +1,6 @@
 //! The admission of an attempt to an emulated server's process, and what is drawn for its response.
+//!
+//! Owns the types that `attempt` and `process` exchange, and no behaviour.
 
 use tokio::sync::oneshot;
 
--- a/crates/testbed/src/emulator/emulated_server/attempt.rs
+++ b/crates/testbed/src/emulator/emulated_server/attempt.rs
@@ -1,5 +1,8 @@
 //! The life of an attempt at an emulated server: received, executed or rejected, responded to or
 //! lost.
+//!
+//! Owns the order of these steps and the bytes of each response. Whether an attempt is accepted,
+//! and how long it takes, is decided by the process and its model.
 
 use std::io;
 
@@ -19,7 +22,7 @@
 use crate::index::{ClassIndex, RequestNumber, ServerIndex};
 use crate::scenario::Micros;
 
-/// How long an attempt without a timeout may wait: ten minutes, beyond the length of any run.
+/// How long an attempt without a timeout may wait, in microseconds: ten minutes, beyond the length of any run.
 const MAX_WAIT: Micros = 600_000_000;
 /// A response whose head cannot be parsed; its connection is of no further use.
 const MALFORMED_RESPONSE: &str = "HTTP/1.1 2oo OK\r\nContent-Length: -7\r\n\r\n";
--- a/crates/testbed/src/emulator/emulated_server/connection.rs
+++ b/crates/testbed/src/emulator/emulated_server/connection.rs
@@ -1,4 +1,7 @@
 //! The connections of an emulated server, and the requests that come on them.
+//!
+//! Owns reading and writing on a connection and its reset with the process. What is responded is
+//! decided by `attempt` and `health_check`.
 
 use std::future::pending;
 use std::io;
--- a/crates/testbed/src/emulator/emulated_server/faults.rs
+++ b/crates/testbed/src/emulator/emulated_server/faults.rs
@@ -1,4 +1,7 @@
 //! The faults that an emulated server suffers, and its recovery from them.
+//!
+//! Owns what each fault does to process, listeners and network. When it begins and ends is known by
+//! `fault_schedule`.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -9,9 +12,10 @@
 use crate::event_log::ServerState;
 use crate::index::ServerIndex;
 
-/// How often a start tries to listen on the server's addresses, and the pause between: a closed
-/// listener's socket may linger in a process that was being started.
+/// How often a start tries to listen on the server's addresses: a closed listener's socket may
+/// linger in a process that was being started. After these the server stays unreachable.
 const LISTEN_ATTEMPTS: usize = 50;
+/// Pause between two of these attempts.
 const LISTEN_PAUSE: Duration = Duration::from_millis(20);
 
 /// What goes wrong with a server's responses.
--- a/crates/testbed/src/emulator/emulated_server/health_check.rs
+++ b/crates/testbed/src/emulator/emulated_server/health_check.rs
@@ -1,4 +1,6 @@
 //! The response to a health check: a load report.
+//!
+//! Owns when and whether it is sent; its figures are the model's, its form the platform's.
 
 use std::time::Duration;
 
--- a/crates/testbed/src/emulator/emulated_server/listeners.rs
+++ b/crates/testbed/src/emulator/emulated_server/listeners.rs
@@ -1,4 +1,7 @@
 //! The listeners of an emulated server: one for each sidecar, or none that ever accepts.
+//!
+//! Owns the tasks that accept; a connection that was accepted is served by `connection` and
+//! outlives its listener.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -12,8 +15,9 @@
 use crate::emulator::lock::lock;
 use crate::index::SidecarIndex;
 
-/// How often, and how long at most, the end of the listeners' tasks is waited for.
+/// Time between two looks at whether the listeners' tasks have ended.
 const CLOSE_POLL: Duration = Duration::from_millis(1);
+/// Looks after which their end is no longer waited for: 200 ms.
 const MAX_CLOSE_POLLS: usize = 200;
 /// Backlog of a listener that holds one connection and accepts none.
 const FULL_BACKLOG: u32 = 0;
--- a/crates/testbed/src/emulator/emulated_server/mod.rs
+++ b/crates/testbed/src/emulator/emulated_server/mod.rs
@@ -33,7 +33,7 @@
 
 pub(super) use faults::ResponseFault;
 
-/// Numbers of the servers' random streams begin here, apart from those of the server models.
+/// Indexes of the servers' random streams begin here, apart from those of the server models.
 const STREAM_OFFSET: usize = 1 << 20;
 /// Between two gauges, in microseconds, as in the simulator.
 const GAUGE_INTERVAL: Micros = 1_000_000;
--- a/crates/testbed/src/emulator/emulated_server/process.rs
+++ b/crates/testbed/src/emulator/emulated_server/process.rs
@@ -1,4 +1,7 @@
 //! The process of an emulated server: its model, and the attempts that execute in it.
+//!
+//! Owns the attempts in execution and the shares of responses that faults spoil. It knows no
+//! sockets and no clock: callers hand the time in and send what follows.
 
 use std::collections::HashMap;
 
--- a/crates/testbed/src/emulator/fault_schedule.rs
+++ b/crates/testbed/src/emulator/fault_schedule.rs
@@ -1,5 +1,8 @@
 //! The faults of a scenario, played on time: does to emulated servers, discovery and sidecars what
 //! the simulator does to its own.
+//!
+//! Owns when each fault begins, ends and is listed. Which servers it hits is drawn by the
+//! simulator's rules, so that both engines hit the same.
 
 use std::future::pending;
 use std::sync::Arc;
--- a/crates/testbed/src/emulator/mod.rs
+++ b/crates/testbed/src/emulator/mod.rs
@@ -43,10 +43,12 @@
 
 /// Servers times sidecars that one emulation may have: sockets and descriptors are the bound.
 const MAX_CONNECTION_PAIRS: usize = 20_000;
-/// Time to set everything up before the run begins: in all, and for each sidecar's process and each
-/// pair's sockets.
+/// Milliseconds from the start of the setup to the begin of the run, however small the fleet; an
+/// arrival that is due before the setup has ended is played late.
 const SETUP_TIME_MS: u64 = 1_500;
+/// Milliseconds on top of it for the start of each sidecar's process.
 const SETUP_TIME_PER_SIDECAR_MS: u64 = 30;
+/// Milliseconds on top of it for the sockets of each pair of server and sidecar.
 const SETUP_TIME_PER_PAIR_MS: u64 = 1;
 /// How long after the last arrival's end what is in flight may still come in.
 const SETTLING_TIME: Duration = Duration::from_millis(400);
--- a/crates/testbed/src/emulator/ports.rs
+++ b/crates/testbed/src/emulator/ports.rs
@@ -1,4 +1,7 @@
 //! Free loopback addresses, from blocks of ports that no other emulator on this machine takes from.
+//!
+//! Owns the blocks of this process, which it keeps until it ends. Who listens on an address is not
+//! known here.
 
 #[cfg(test)]
 mod tests;
--- a/crates/testbed/src/emulator/recorder.rs
+++ b/crates/testbed/src/emulator/recorder.rs
@@ -1,4 +1,7 @@
 //! Records the events of an emulation, which several threads see out of order.
+//!
+//! Owns the records until the run has ended. What they add up to is for the auditor and the
+//! statistics.
 
 use std::collections::HashSet;
 use std::sync::Mutex;
--- a/crates/testbed/src/emulator/sidecars/counters.rs
+++ b/crates/testbed/src/emulator/sidecars/counters.rs
@@ -1,4 +1,6 @@
 //! The counters that sidecars print as they end.
+//!
+//! Owns their form in a sidecar's log. What they must be is known by `counter_check`.
 
 #[cfg(test)]
 mod tests;
--- a/crates/testbed/src/emulator/sidecars/mod.rs
+++ b/crates/testbed/src/emulator/sidecars/mod.rs
@@ -33,7 +33,7 @@
 pub(super) use counters::FleetCounters;
 pub(super) use restart::Termination;
 
-/// How long a sidecar may take to end with the run.
+/// How long a sidecar may take to end with the run; it is killed after that.
 const SHUTDOWN_LIMIT: Duration = Duration::from_secs(10);
 
 /// All sidecars.
--- a/crates/testbed/src/emulator/sidecars/process.rs
+++ b/crates/testbed/src/emulator/sidecars/process.rs
@@ -1,5 +1,8 @@
 //! One sidecar's process: its address, its starts and ends, and the counters of the processes that
 //! ended.
+//!
+//! Owns the handle of the process and what must survive it. What is recorded of its states is the
+//! fleet's.
 
 use std::net::SocketAddr;
 use std::process::ExitStatus;
@@ -16,7 +19,7 @@
 use crate::index::SidecarIndex;
 use crate::random::RandomStream;
 
-/// How often the end of a kill is waited for.
+/// Time between two looks at whether a killed process is gone.
 const KILL_POLL: Duration = Duration::from_millis(1);
 
 /// A sidecar, whose process is started again and again.
--- a/crates/testbed/src/emulator/sidecars/restart.rs
+++ b/crates/testbed/src/emulator/sidecars/restart.rs
@@ -1,4 +1,6 @@
 //! The restart of a sidecar: killed outright, or notified and waited for.
+//!
+//! Owns the steps of a restart and their records; when it is due is known by `fault_schedule`.
 
 use std::time::Duration;
 
@@ -11,8 +13,10 @@
 use crate::index::SidecarIndex;
 use crate::scenario::{Micros, from_ms};
 
-/// A sidecar that shuts down is given the longest deadline, this at least, and what follows.
+/// Milliseconds that a sidecar has at least to respond to what it has accepted as it shuts down; a
+/// scenario's longest deadline counts where it is longer.
 const MIN_DEADLINE_MS: f64 = 3_000.0;
+/// Microseconds beyond that deadline after which a sidecar that has not exited is killed.
 const SHUTDOWN_MARGIN: Micros = 900_000;
 
 /// How a sidecar's process is ended.
--- a/crates/testbed/src/emulator/sidecars/settings.rs
+++ b/crates/testbed/src/emulator/sidecars/settings.rs
@@ -19,7 +19,7 @@
 use crate::scenario::{LoadReportSource, Scenario, from_s};
 use crate::simulator::sidecar::settings::balancer_settings;
 
-/// Cores of a sidecar's container.
+/// Cores of a sidecar's container; a scenario has no key for them.
 const CORES: f64 = 1.0;
 /// Of what only the simulator's channels offer, the emulator has none; its discovery is polled.
 const POLLED_DISCOVERY: SimulatorFeatures = SimulatorFeatures {
--- a/crates/testbed/src/emulator/sidecars/start.rs
+++ b/crates/testbed/src/emulator/sidecars/start.rs
@@ -1,4 +1,7 @@
 //! The start of the sidecars, and their configurations.
+//!
+//! Owns the environment of a process and the wait until it is ready; what a configuration says is
+//! known by `settings`.
 
 use std::fs::File;
 use std::net::SocketAddr;
@@ -19,10 +22,11 @@
 
 /// How long a sidecar may take until it is ready.
 pub(super) const READY_LIMIT: Duration = Duration::from_secs(20);
-/// How often it is asked whether it is.
+/// Time between two questions whether it is.
 const READY_POLL: Duration = Duration::from_millis(10);
-/// Target and status that say so.
+/// Target of the question.
 const READY_TARGET: &str = "/ready";
+/// Status of the response that says so.
 const READY_STATUS: u16 = 200;
 
 impl Sidecars {
--- a/crates/testbed/src/emulator/timeliness.rs
+++ b/crates/testbed/src/emulator/timeliness.rs
@@ -1,4 +1,7 @@
 //! Whether the machine kept up with the run: how long after its time each thing was done.
+//!
+//! Owns the measured delays and the limit between late and on time. The figures themselves are not
+//! touched: a late run is reported as unreliable and fails.
 
 #[cfg(test)]
 mod tests;
@@ -11,11 +14,12 @@
 use crate::conversion::{f64_from_u64, ms_from_micros};
 use crate::scenario::Micros;
 
-/// An arrival that began this long after its time, or a timer that fired so late, was played late.
+/// An arrival that began this long after its time, or a timer that fired so late, was played late;
+/// in microseconds. Half of what the auditor allows the emulator on each time limit by default.
 const LATE: Micros = 25_000;
 /// Share of them that makes the figures unreliable.
 const LATE_SHARE: f64 = 0.01;
-/// Longest delay that is measured: ten minutes, beyond the length of any run.
+/// Longest delay that is measured, in microseconds: ten minutes, beyond the length of any run.
 const MAX_MEASURED_DELAY: Micros = 600_000_000;
 /// Significant digits of a delay.
 const DELAY_DIGITS: u8 = 3;
--- a/crates/testbed/src/event_log/reader.rs
+++ b/crates/testbed/src/event_log/reader.rs
@@ -1,4 +1,7 @@
 //! Reads a stored event log.
+//!
+//! Owns the splitting into lines and the error that names one; the form of a record is that of
+//! `event`.
 
 use super::LogRecord;
 
--- a/crates/testbed/src/event_log/writer.rs
+++ b/crates/testbed/src/event_log/writer.rs
@@ -1,4 +1,6 @@
 //! Receivers of events: the trait, a splitter, and a writer of JSON lines.
+//!
+//! Owns the order in which readers receive a record; where a log is stored is its creator's matter.
 
 use std::io::{self, Write};
 
--- a/crates/testbed/src/experiment/plan.rs
+++ b/crates/testbed/src/experiment/plan.rs
@@ -1,4 +1,6 @@
 //! An experiment's plan: its file, its checks, and the grid that it spans.
+//!
+//! Owns the form of the file. Whether a scenario takes a value is decided by `scenario`.
 
 use std::path::{Path, PathBuf};
 
--- a/crates/testbed/src/experiment/results.rs
+++ b/crates/testbed/src/experiment/results.rs
@@ -1,4 +1,6 @@
 //! The results of an experiment: means with their confidence intervals, as a table and a plot.
+//!
+//! Owns the means and the form of the table; the charts are drawn by `plot`.
 
 use std::fmt::Write as _;
 use std::path::Path;
--- a/crates/testbed/src/experiment/runner.rs
+++ b/crates/testbed/src/experiment/runner.rs
@@ -1,4 +1,7 @@
 //! Plays an experiment's grid on all cores.
+//!
+//! Owns the order of runs and the progress shown. Reports come back in the order of the grid,
+//! whatever core played them first.
 
 use indicatif::{ProgressBar, ProgressStyle};
 use rayon::prelude::*;
--- a/crates/testbed/src/plot/experiment.rs
+++ b/crates/testbed/src/plot/experiment.rs
@@ -1,4 +1,6 @@
 //! The plot of an experiment: one chart a figure, along the first axis.
+//!
+//! Owns the axes and their scale; means and intervals come from `experiment`.
 
 use std::ops::Range;
 use std::path::Path;
@@ -10,13 +12,15 @@
 use super::{Canvas, MARGIN, PlotError, SIZE, SvgError, THICK_LINE, colour, legend_line, titled};
 use crate::conversion::u32_from_count;
 
-/// Height of the title and of each chart, in pixels.
+/// Height of the title, in pixels.
 const TITLE_HEIGHT: u32 = 60;
+/// Height of each chart, in pixels.
 const CHART_HEIGHT: u32 = 280;
-/// An axis that spans this factor is logarithmic.
+/// An axis of positive values whose largest is this many times the least is logarithmic.
 const LOGARITHMIC_FROM: f64 = 50.0;
-/// Room beside the outermost points, as a share of the axis, and its least.
+/// Room beside the outermost points, as a share of the axis.
 const SIDE_MARGIN: f64 = 0.03;
+/// Least room beside them, in units of the axis, where all points lie at one place.
 const MIN_SIDE_MARGIN: f64 = 1e-3;
 /// Room above the highest point, as a share of the height.
 const HEADROOM: f64 = 0.08;
--- a/crates/testbed/src/plot/mod.rs
+++ b/crates/testbed/src/plot/mod.rs
@@ -24,6 +24,7 @@
 const LEGEND_LINE: i32 = 16;
 /// Width of the lines that stand for a class or a value, in pixels.
 const THICK_LINE: u32 = 2;
+/// Colours of the series, in their order; a seventh series has that of the first.
 const COLOURS: [RGBColor; 6] = [
     RGBColor(31, 119, 180),
     RGBColor(214, 39, 40),
--- a/crates/testbed/src/plot/report.rs
+++ b/crates/testbed/src/plot/report.rs
@@ -1,4 +1,6 @@
 //! The plot of a report: service by class above, outcomes of all arrivals below, second by second.
+//!
+//! Owns the choice of lines; their values come from the report.
 
 use std::path::Path;
 
--- a/crates/testbed/src/report/compare.rs
+++ b/crates/testbed/src/report/compare.rs
@@ -1,4 +1,6 @@
 //! Two reports side by side.
+//!
+//! Owns the form of the table; its rows are those of `figures`.
 
 use std::fmt::Write as _;
 
--- a/crates/testbed/src/report/figures.rs
+++ b/crates/testbed/src/report/figures.rs
@@ -1,4 +1,6 @@
 //! The figures of a report by name, for experiments, tables and comparisons.
+//!
+//! Owns the table of names, with those of earlier versions; the values stand in the report.
 
 use super::{Report, ServerFigures};
 use crate::conversion::{f64_from_count, f64_from_u64};
--- a/crates/testbed/src/report/parts.rs
+++ b/crates/testbed/src/report/parts.rs
@@ -1,4 +1,6 @@
 //! The parts of a report: figures by second, class, tenant and server.
+//!
+//! Owns their stored form; `statistics` fills them in.
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/testbed/src/report/text.rs
+++ b/crates/testbed/src/report/text.rs
@@ -1,4 +1,6 @@
 //! A report as text, for a person to read.
+//!
+//! Owns the wording and the order of the lines.
 
 use std::fmt::{self, Display, Formatter};
 
--- a/crates/testbed/src/server_model/contention.rs
+++ b/crates/testbed/src/server_model/contention.rs
@@ -1,4 +1,6 @@
 //! Lasting overload, which slows a server until it has had a rest.
+//!
+//! Owns how long overload and rest have lasted; thresholds are the machine type's.
 
 use super::ServerModel;
 use crate::conversion::f64_from_count;
--- a/crates/testbed/src/server_model/health_check_limiter.rs
+++ b/crates/testbed/src/server_model/health_check_limiter.rs
@@ -1,4 +1,6 @@
 //! The rate limit on the health checks that a server answers.
+//!
+//! Owns the token bucket; the rate is the machine type's.
 
 use crate::conversion::s_from_micros;
 use crate::scenario::Micros;
--- a/crates/testbed/src/server_model/load_report.rs
+++ b/crates/testbed/src/server_model/load_report.rs
@@ -1,4 +1,7 @@
 //! What a server reports of its load, in responses to health checks and in others.
+//!
+//! Owns samples and errors, and how old they are when they are reported. The wire form is not known
+//! here.
 
 use std::collections::VecDeque;
 
@@ -6,9 +9,11 @@
 use crate::conversion::{MICROS_PER_MS, f64_from_count};
 use crate::scenario::{LoadReportSource, LoadReports, Micros, from_ms};
 
-/// The load report for health checks is refreshed this often, as the site's are, in microseconds.
+/// Microseconds for which a load report for health checks stays as it is, like those of the
+/// operators' servers.
 const REFRESH_INTERVAL: Micros = 3_000;
-/// Span in which errors count for the error rate, in microseconds.
+/// Span in which errors count for the error rate, in microseconds: a second, as the rate is one per
+/// second.
 const ERROR_WINDOW: Micros = 1_000_000;
 
 /// A load report in the response to a health check.
--- a/crates/testbed/src/server_model/service.rs
+++ b/crates/testbed/src/server_model/service.rs
@@ -1,15 +1,18 @@
 //! How a server works through its jobs as time passes.
+//!
+//! Owns the steps in which time passes; the speed within a step is that of `speed`.
 
 use super::{Event, ServerModel, State};
 use crate::conversion::{f64_from_u64, micros_from_f64};
 use crate::scenario::Micros;
 
-/// How finely a speed that changes by itself is followed, in microseconds.
+/// Step in which a speed that changes by itself is followed, in microseconds; it is taken as constant
+/// within a step.
 const STEP: Micros = 50_000;
 /// Progress by which a job may end early, as progress is rounded: in microseconds of a standard
 /// core.
 const END_TOLERANCE: f64 = 1e-6;
-/// Least speed to divide by.
+/// Least speed to divide by, so that a job that stands still ends at a far but finite moment.
 const MIN_SPEED: f64 = 1e-9;
 /// Least work of a job, in microseconds of a standard core.
 const MIN_WORK: f64 = 1.0;
--- a/crates/testbed/src/server_model/slow_start.rs
+++ b/crates/testbed/src/server_model/slow_start.rs
@@ -1,4 +1,7 @@
 //! Slow start: what a cold server can do, and how much work overloads it.
+//!
+//! Owns since when a server is cold and what it was sent since. That it shuts down is done by its
+//! owner.
 
 use std::collections::VecDeque;
 
--- a/crates/testbed/src/server_model/speed.rs
+++ b/crates/testbed/src/server_model/speed.rs
@@ -1,4 +1,6 @@
 //! How fast a server works at a moment.
+//!
+//! Owns the formulas and no state: each factor's state is that of its own file.
 
 use super::{ServerModel, State};
 use crate::conversion::{count_from_u32, f64_from_count};
--- a/crates/testbed/src/server_model/state_change.rs
+++ b/crates/testbed/src/server_model/state_change.rs
@@ -1,10 +1,12 @@
 //! What is done to a server beside handing it jobs.
+//!
+//! Owns what faults, connections and cancellations change. Time passes in `service`.
 
 use super::{Event, ServerModel, State};
 use crate::conversion::MICROS_PER_MS;
 use crate::scenario::{CancellationScope, Micros};
 
-/// Least slowdown, so that a speed stays finite.
+/// Least factor of a slowdown, so that a speed stays finite; 1 is the usual speed.
 const MIN_SLOWDOWN: f64 = 1e-3;
 
 impl ServerModel {
--- a/crates/testbed/src/statistics/arrival.rs
+++ b/crates/testbed/src/statistics/arrival.rs
@@ -1,4 +1,7 @@
 //! An arrival, and what its end gains.
+//!
+//! Owns the rule by which a response in time, a late one and none gain; the sums are those of
+//! `service`.
 
 use crate::event_log::RequestOutcome;
 use crate::index::{ClassIndex, TenantIndex};
--- a/crates/testbed/src/statistics/outcomes.rs
+++ b/crates/testbed/src/statistics/outcomes.rs
@@ -1,4 +1,6 @@
 //! How arrivals and requests ended, and how long the served ones took.
+//!
+//! Owns counts and histograms; which gain an outcome has is known by `arrival`.
 
 use hdrhistogram::Histogram;
 use rustc_hash::FxHashMap;
--- a/crates/testbed/src/statistics/service.rs
+++ b/crates/testbed/src/statistics/service.rs
@@ -1,4 +1,6 @@
 //! The value that was served in time, as a share of the value that arrived.
+//!
+//! Owns the sums of value and their weighting into one figure.
 
 use super::arrival::{Gain, OpenArrival};
 use crate::conversion::{f64_from_count, s_from_micros, second_from, second_of};
--- a/crates/testbed/src/statistics/traffic.rs
+++ b/crates/testbed/src/statistics/traffic.rs
@@ -1,5 +1,7 @@
 //! What clients sent, and what the sidecars caused by it: attempts, work, health checks,
 //! connections, polls.
+//!
+//! Owns counts by event; prices are put on them by the parent.
 
 use rustc_hash::FxHashMap;
 
--- a/crates/testbed/src/workload.rs
+++ b/crates/testbed/src/workload.rs
@@ -18,7 +18,7 @@
 const DRIFT_MIDDLE: f64 = 0.5;
 /// Part of its distance to the middle that it goes back in a second.
 const DRIFT_RETURN: f64 = 0.05;
-/// Number of the stream for the sidecars' shares of the traffic.
+/// Index of the stream for the sidecars' shares of the traffic.
 const TRAFFIC_SHARES_STREAM: usize = 1 << 20;
 /// Longest time between two arrivals, in microseconds: beyond any scenario's length.
 const MAX_INTERVAL: f64 = 1e13;
