--- a/crates/testbed/src/emulator/discovery/connection.rs
+++ b/crates/testbed/src/emulator/discovery/connection.rs
@@ -51,7 +51,7 @@
             () = goes_down => Ok(()),
         };
         if let Err(error) = ended {
-            tracing::debug!("discovery: {error}");
+            tracing::debug!(%sidecar, %error, "emulated discovery's connection failed");
         }
     }
 
--- a/crates/testbed/src/emulator/emulated_server/attempt.rs
+++ b/crates/testbed/src/emulator/emulated_server/attempt.rs
@@ -22,7 +22,8 @@
 use crate::index::{ClassIndex, RequestNumber, ServerIndex};
 use crate::scenario::Micros;
 
-/// How long an attempt without a timeout may wait, in microseconds: ten minutes, beyond the length of any run.
+/// How long an attempt without a timeout may wait, in microseconds: ten minutes, beyond the length
+/// of any run.
 const MAX_WAIT: Micros = 600_000_000;
 /// A response whose head cannot be parsed; its connection is of no further use.
 const MALFORMED_RESPONSE: &str = "HTTP/1.1 2oo OK\r\nContent-Length: -7\r\n\r\n";
--- a/crates/testbed/src/emulator/emulated_server/connection.rs
+++ b/crates/testbed/src/emulator/emulated_server/connection.rs
@@ -69,7 +69,8 @@
             () = reset => Ok(()),
         };
         if let Err(error) = ended {
-            tracing::debug!("server {}: {error}", self.index());
+            let server = self.index();
+            tracing::debug!(%server, %sidecar, %error, "emulated server's connection failed");
         }
         if self.network.borrow().epoch == epoch {
             lock(&self.process).disconnect();
--- a/crates/testbed/src/emulator/emulated_server/faults.rs
+++ b/crates/testbed/src/emulator/emulated_server/faults.rs
@@ -68,7 +68,7 @@
             let Err(error) = self.listen().await else {
                 return;
             };
-            tracing::warn!("an emulated server's address is not free yet: {error}");
+            tracing::warn!(server = %self.index(), %error, "emulated server cannot listen yet");
             tokio::time::sleep(LISTEN_PAUSE).await;
         }
     }
--- a/crates/testbed/src/emulator/sidecars/process.rs
+++ b/crates/testbed/src/emulator/sidecars/process.rs
@@ -113,7 +113,7 @@
         let child = lock(&self.child).take();
         let Some(mut child) = child else { return };
         if tokio::time::timeout(limit, child.wait()).await.is_err() {
-            tracing::warn!("{} did not end in {limit:?}", self.name);
+            tracing::warn!(sidecar = %self.name, ?limit, "sidecar did not end in time");
             let _ = child.kill().await;
         }
     }
--- a/crates/testbed/src/emulator/sidecars/restart.rs
+++ b/crates/testbed/src/emulator/sidecars/restart.rs
@@ -43,8 +43,7 @@
         }
         tokio::time::sleep_until(back_at).await;
         if let Err(error) = self.start(index) {
-            let name = &self.sidecars[index.index()].name;
-            tracing::error!("{name} did not start again: {error}");
+            tracing::error!(sidecar = %index, %error, "sidecar did not start again");
         }
     }
 
