--- a/crates/testbed/src/emulator/emulated_server/mod.rs
+++ b/crates/testbed/src/emulator/emulated_server/mod.rs
@@ -7,6 +7,7 @@
 mod attempt;
 mod connection;
 mod faults;
+mod gauges;
 mod health_check;
 mod listeners;
 mod process;
@@ -17,7 +18,6 @@
 
 use tokio::sync::{Notify, watch};
 
-use super::Emulation;
 use super::error::EmulatorError;
 use super::lock::lock;
 use super::ports::free_address;
@@ -32,11 +32,10 @@
 use process::ServerProcess;
 
 pub(super) use faults::ResponseFault;
+pub(super) use gauges::record_gauges;
 
 /// Indexes of the servers' random streams begin here, apart from those of the server models.
 const STREAM_OFFSET: usize = 1 << 20;
-/// Between two gauges, in microseconds, as in the simulator.
-const GAUGE_INTERVAL: Micros = 1_000_000;
 
 /// How the network responds for a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -233,19 +232,3 @@
         process.next_event_at()
     }
 }
-
-/// Records what each server has in flight, once a second, for ever.
-pub(super) async fn record_gauges(emulation: &Emulation) {
-    let shared = &emulation.shared;
-    for gauge in 1.. {
-        shared.clock.sleep_until(gauge * GAUGE_INTERVAL).await;
-        for server in &emulation.servers {
-            let (in_flight, connections) = lock(&server.process).gauge();
-            shared.record(LogEvent::ServerGauge {
-                server: server.index(),
-                in_flight,
-                connections,
-            });
-        }
-    }
-}
