--- a/crates/testbed/src/audit/cold_server.rs
+++ b/crates/testbed/src/audit/cold_server.rs
@@ -1,9 +1,12 @@
 //! The rule that no cold server is overloaded by sidecars that know of its start.
+//!
+//! Owns the work of each cold server within the window of the rule. Each start is reported once.
 
 use std::collections::VecDeque;
 
 use rustc_hash::FxHashMap;
 
+use crate::conversion::MICROS_PER_MS;
 use crate::event_log::ServerState;
 use crate::index::ServerIndex;
 use crate::scenario::Micros;
@@ -44,12 +47,33 @@
         self.reported = false;
     }
 
-    fn work_in_window(&self, informed_only: bool) -> f64 {
-        self.window
-            .iter()
-            .filter(|entry| entry.informed || !informed_only)
-            .map(|entry| entry.work)
-            .sum::<f64>()
+    /// Adds work to the window, which ends with it.
+    fn add_to_window(
+        &mut self,
+        received: &ReceivedWork,
+        window: Micros,
+        notified_start: Option<Micros>,
+    ) {
+        let at = received.at;
+        let started_at = self.started_at.unwrap_or(0);
+        self.window.push_back(WindowEntry {
+            at,
+            work: received.work,
+            informed: notified_start.is_some_and(|notified| notified >= started_at),
+        });
+        while self.window.front().is_some_and(|e| e.at + window <= at) {
+            self.window.pop_front();
+        }
+    }
+
+    fn work_in_window(&self) -> f64 {
+        self.window.iter().map(|entry| entry.work).sum()
+    }
+
+    /// Work from sidecars that knew of the server's start.
+    fn informed_work_in_window(&self) -> f64 {
+        let informed = self.window.iter().filter(|entry| entry.informed);
+        informed.map(|entry| entry.work).sum()
     }
 }
 
@@ -99,34 +123,25 @@
         received: ReceivedWork,
         notified_start: Option<Micros>,
     ) -> Option<String> {
-        let (factor, window) = (self.overload_factor, self.window);
+        let factor = self.overload_factor;
+        let window = self.window;
         let server = self.servers.entry(server).or_default();
         if !received.cold {
             server.reset();
             return None;
         }
-        let started_at = server.started_at.unwrap_or(0);
-        let ReceivedWork {
-            at, work, capacity, ..
-        } = received;
-        server.window.push_back(WindowEntry {
-            at,
-            work,
-            informed: notified_start.is_some_and(|notified| notified >= started_at),
-        });
-        while server.window.front().is_some_and(|e| e.at + window <= at) {
-            server.window.pop_front();
-        }
-        let (all, informed) = (server.work_in_window(false), server.work_in_window(true));
-        let limit = cold_work_limit(factor, capacity, window, work);
+        server.add_to_window(&received, window, notified_start);
+        let all = server.work_in_window();
+        let informed = server.informed_work_in_window();
+        let limit = cold_work_limit(factor, received.capacity, window, received.work);
         if all <= limit || informed < INFORMED_SHARE * all || server.reported {
             return None;
         }
         server.reported = true;
         Some(format!(
             "{:.0} ms of work in its window, of {:.0} ms",
-            all / 1e3,
-            limit / 1e3
+            all / MICROS_PER_MS,
+            limit / MICROS_PER_MS
         ))
     }
 }
--- a/crates/testbed/src/audit/violation.rs
+++ b/crates/testbed/src/audit/violation.rs
@@ -1,13 +1,16 @@
 //! The rules, and what was found against them.
+//!
+//! Owns the names of the rules and the list of findings; each rule's file knows what violates it.
 
 use std::fmt;
 
 use serde::Serialize;
 
+use crate::conversion::s_from_micros;
 use crate::index::{RequestNumber, ServerIndex};
 use crate::scenario::Micros;
 
-/// Violations that are listed; further ones are only counted.
+/// Violations that are listed, for a report that a person can read; further ones are only counted.
 const MAX_LISTED: usize = 50;
 
 /// What every run must keep.
@@ -55,7 +58,7 @@
 
 impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "at {:.3} s, ", self.at as f64 / 1e6)?;
+        write!(f, "at {:.3} s, ", s_from_micros(self.at))?;
         if let Some(request) = self.request {
             write!(f, "request {request}, ")?;
         }
--- a/crates/testbed/src/emulator/client/arrival.rs
+++ b/crates/testbed/src/emulator/client/arrival.rs
@@ -1,25 +1,29 @@
 //! The life of an arrival: its requests, one after the other, until a response ends it or its time
 //! is up.
+//!
+//! Owns retries, backoff and the draws of timeout and disconnection, made as the simulator makes
+//! them from streams of its own.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use super::Clients;
 use super::request::{OutgoingRequest, Response};
+use crate::conversion::{f64_from_u64, micros_from_f64};
 use crate::event_log::{LogEvent, RequestOutcome};
 use crate::index::{ArrivalNumber, RequestNumber};
 use crate::random::{RandomStream, StreamId};
 use crate::scenario::{Idempotency, Micros, from_ms};
 use crate::workload::Arrival;
 
-/// Numbers of the arrivals' random streams begin here, apart from those of the sidecars' clients.
+/// Indexes of the arrivals' random streams begin here, apart from those of the sidecars' clients.
 const STREAM_OFFSET: usize = 1 << 38;
-/// Arrivals of one sidecar that have streams of their own.
+/// Bits of an arrival's place within its sidecar: 2^22 arrivals have streams of their own.
 const STREAM_BITS: usize = 22;
 
 impl Clients {
-    /// Plays an arrival with all its requests; `index` is its number at this sidecar.
-    pub(super) async fn play_arrival(self: Arc<Self>, arrival: Arrival, index: usize) {
+    /// Plays an arrival with all its requests; `position` is its place among those at this sidecar.
+    pub(super) async fn play_arrival(self: Arc<Self>, arrival: Arrival, position: usize) {
         let number = self.shared.next_arrival_number();
         let within_quota = self.within_quota(arrival.tenant);
         self.shared.record_at(
@@ -38,7 +42,7 @@
             self.record_arrival_ended(number, RequestOutcome::NotPlayed, 0);
             return;
         }
-        let (outcome, requests) = self.send_requests(&arrival, number, index).await;
+        let (outcome, requests) = self.send_requests(&arrival, number, position).await;
         self.record_arrival_ended(number, outcome, requests);
         self.load.on_ended();
     }
@@ -56,10 +60,10 @@
         &self,
         arrival: &Arrival,
         number: ArrivalNumber,
-        index: usize,
+        position: usize,
     ) -> (RequestOutcome, u32) {
         let scenario = &self.shared.scenario;
-        let stream = STREAM_OFFSET + ((self.sidecar.index()) << STREAM_BITS) + index;
+        let stream = STREAM_OFFSET + ((self.sidecar.index()) << STREAM_BITS) + position;
         let mut random = RandomStream::new(scenario.seed, StreamId::Clients, stream);
         let time_limit = from_ms(scenario.class[arrival.class.index()].deadline_ms);
         let deadline = arrival.at + time_limit;
@@ -94,10 +98,11 @@
         let clients = &self.shared.scenario.clients;
         let time_limit = deadline - arrival.at;
         let [least, most] = clients.timeout_share;
-        let timeout = (time_limit as f64 * random.between(least, most)) as Micros;
+        let timeout = micros_from_f64(f64_from_u64(time_limit) * random.between(least, most));
         let due = (from + timeout).min(deadline);
         let disconnects = random.chance(clients.disconnect_share);
-        let disconnects_at = from + (random.unit() * due.saturating_sub(from) as f64) as Micros;
+        let disconnects_at =
+            from + micros_from_f64(random.unit() * f64_from_u64(due.saturating_sub(from)));
         OutgoingRequest {
             number: self.shared.next_request_number(),
             arrival: number,
--- a/crates/testbed/src/emulator/client/request.rs
+++ b/crates/testbed/src/emulator/client/request.rs
@@ -1,8 +1,11 @@
 //! A request and its response: their form on the wire, and what they mean.
+//!
+//! Owns the header fields of a request and the reading of a response. Connections are unknown here.
 
 #[cfg(test)]
 mod tests;
 
+use crate::conversion::{MICROS_PER_S, micros_from_f64};
 use crate::emulator::http::Message;
 use crate::event_log::RequestOutcome;
 use crate::index::{ArrivalNumber, RequestNumber};
@@ -35,7 +38,8 @@
     /// The request on the wire, as it is sent at `now`.
     pub(super) fn text(&self, scenario: &Scenario, arrival: &Arrival, now: Micros) -> String {
         let class = &scenario.class[arrival.class.index()];
-        let (id, class_name) = (self.number, &class.name);
+        let id = self.number;
+        let class_name = &class.name;
         let timeout = self.due.saturating_sub(now).max(1);
         let (method, key, body) = match class.idempotency {
             Idempotency::Idempotent => ("GET", String::new(), ""),
@@ -93,7 +97,8 @@
         let seconds = message
             .header("retry-after")
             .and_then(|s| s.parse::<f64>().ok());
-        let micros = |seconds: f64| (seconds.clamp(0.0, MAX_RETRY_AFTER_S) * 1e6) as Micros;
+        let micros =
+            |seconds: f64| micros_from_f64(seconds.clamp(0.0, MAX_RETRY_AFTER_S) * MICROS_PER_S);
         Self {
             outcome,
             retry_after: seconds.map(micros),
--- a/crates/testbed/src/emulator/clock.rs
+++ b/crates/testbed/src/emulator/clock.rs
@@ -1,10 +1,17 @@
 //! The emulator's clock: microseconds since the run began.
+//!
+//! Owns the run's zero on the monotonic clock and in Unix time. No part of the emulator reads
+//! another clock for what it records.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
+use crate::conversion::{MICROS_PER_MS, micros_from_f64, ms_from_micros};
 use crate::scenario::Micros;
 
-/// Spans below the timer's grain, which are not waited for.
+/// Milliseconds in a second.
+const MS_PER_S: f64 = 1_000.0;
+/// Spans below this are not waited for, in microseconds: half the millisecond that the runtime's
+/// timer rounds up to.
 const TIMER_GRAIN: Micros = 500;
 
 /// When the run begins, on the monotonic clock and in Unix time.
@@ -23,13 +30,13 @@
             + ahead;
         Self {
             start: Instant::now() + ahead,
-            start_unix_ms: unix.as_secs_f64() * 1_000.0,
+            start_unix_ms: unix.as_secs_f64() * MS_PER_S,
         }
     }
 
     /// Time since the run began; 0 before.
     pub(super) fn now(&self) -> Micros {
-        self.start.elapsed().as_micros() as Micros
+        Micros::try_from(self.start.elapsed().as_micros()).unwrap_or(Micros::MAX)
     }
 
     pub(super) async fn sleep_until(&self, at: Micros) {
@@ -40,13 +47,12 @@
         tokio::time::Instant::from_std(self.start + Duration::from_micros(at))
     }
 
-    /// Unix milliseconds of a server's start; 0 for one before the run.
-    pub(super) fn unix_ms(&self, started_at: Micros) -> f64 {
-        if started_at == 0 {
-            0.0
-        } else {
-            self.start_unix_ms + started_at as f64 / 1_000.0
-        }
+    /// Unix time of a server's start in microseconds; `None` for one before the run.
+    pub(super) fn unix_time(&self, started_at: Micros) -> Option<Micros> {
+        (started_at > 0).then(|| {
+            let unix_ms = self.start_unix_ms + ms_from_micros(started_at);
+            micros_from_f64(unix_ms * MICROS_PER_MS)
+        })
     }
 }
 
--- a/crates/testbed/src/emulator/discovery/endpoint_list.rs
+++ b/crates/testbed/src/emulator/discovery/endpoint_list.rs
@@ -1,24 +1,24 @@
-//! What discovery lists, by version, and its form on the wire.
+//! What discovery lists, by version.
+//!
+//! Owns the versions and which of them an entry is new in; the form on the wire is the platform's.
 
 #[cfg(test)]
 mod tests;
 
 use std::collections::BTreeMap;
 
-use serde_json::{Value, json};
-
-use crate::emulator::emulated_server::EmulatedServer;
 use crate::event_log::ListedStatus;
-use crate::index::{ServerIndex, SidecarIndex};
+use crate::index::ServerIndex;
 use crate::scenario::Micros;
 
+/// Version of the list with which a run begins; 0 stands on the wire for a watch that knows none.
 const FIRST_VERSION: u64 = 1;
 
 /// One server as it is listed.
 #[derive(Clone, Copy)]
 pub(super) struct ListEntry {
-    /// Index of the emulated server.
-    pub(super) index: usize,
+    /// Place among the emulated servers.
+    pub(super) position: usize,
     pub(super) status: ListedStatus,
     /// When it last started; 0 for before the run.
     pub(super) started_at: Micros,
@@ -26,7 +26,7 @@
     version: u64,
 }
 
-/// All servers by their numbers.
+/// All servers by their indexes.
 pub(super) struct EndpointList {
     version: u64,
     entries: BTreeMap<ServerIndex, ListEntry>,
@@ -35,14 +35,14 @@
 impl EndpointList {
     /// A list of servers that are ready, from when they started.
     pub(super) fn of_ready(started_at: impl Iterator<Item = Micros>) -> Self {
-        let entry = |(index, started_at)| {
+        let entry = |(position, started_at)| {
             let entry = ListEntry {
-                index,
+                position,
                 status: ListedStatus::Ready,
                 started_at,
                 version: FIRST_VERSION,
             };
-            (ServerIndex::from_position(index), entry)
+            (ServerIndex::from_position(position), entry)
         };
         Self {
             version: FIRST_VERSION,
@@ -58,7 +58,7 @@
     pub(super) fn set(
         &mut self,
         server: ServerIndex,
-        index: usize,
+        position: usize,
         status: ListedStatus,
         started_at: Micros,
     ) -> bool {
@@ -68,7 +68,7 @@
         }
         self.version += 1;
         let entry = ListEntry {
-            index,
+            position,
             status,
             started_at,
             version: self.version,
@@ -92,33 +92,3 @@
             .map(|(&server, entry)| (server, entry))
     }
 }
-
-/// The list, or its changes, on the wire.
-pub(super) fn message(version: u64, whole: bool, targets: Vec<Value>) -> Value {
-    json!({"rev": version, "all": whole, "targets": targets})
-}
-
-/// A server on the wire, with its address for a sidecar.
-pub(super) fn target(
-    number: ServerIndex,
-    server: &EmulatedServer,
-    sidecar: SidecarIndex,
-    zone: Option<&String>,
-    status: ListedStatus,
-    boot_ms: f64,
-) -> Value {
-    json!({
-        "uid": number.to_string(),
-        "endpoint": server.address(sidecar).map(|address| address.to_string()),
-        "az": zone,
-        "model": server.listed_machine_type(),
-        "pod_group": server.zone(),
-        "state": match status {
-            ListedStatus::Ready => "ready",
-            ListedStatus::Draining => "draining",
-            ListedStatus::Gone => "gone",
-        },
-        "capacity_hint": 1.0,
-        "boot_ms": boot_ms,
-    })
-}
--- a/crates/testbed/src/emulator/discovery/mod.rs
+++ b/crates/testbed/src/emulator/discovery/mod.rs
@@ -9,6 +9,8 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 
+use arrowstand_balancer::EndpointStatus;
+use arrowstand_platform::{self as platform, ListKind, ListedEndpoint};
 use serde_json::Value;
 use tokio::net::TcpListener;
 use tokio::sync::watch;
@@ -18,6 +20,7 @@
 use super::lock::lock;
 use super::ports::free_address;
 use super::shared::Shared;
+use crate::conversion::{MICROS_PER_S, count_from_u32, micros_from_f64};
 use crate::event_log::{ListedStatus, LogEvent};
 use crate::index::{ServerIndex, SidecarIndex};
 use crate::random::{RandomStream, StreamId};
@@ -36,7 +39,7 @@
     Silent,
 }
 
-/// What a response says of one server: its number, its status, and when it last started.
+/// What a response says of one server: which it is, its status, and when it last started.
 pub(super) type Notification = (ServerIndex, ListedStatus, Micros);
 
 /// When a poll is responded to, and whether with the list or with an overload rejection.
@@ -59,6 +62,12 @@
     mode: watch::Sender<Mode>,
 }
 
+async fn listen(address: SocketAddr) -> Result<TcpListener, EmulatorError> {
+    TcpListener::bind(address)
+        .await
+        .map_err(|source| EmulatorError::Listen { address, source })
+}
+
 impl Discovery {
     /// Starts the service with all servers listed as ready.
     ///
@@ -72,10 +81,7 @@
         let mut listeners = Vec::new();
         for _ in 0..shared.scenario.sidecars.count {
             let address = free_address()?;
-            let listener = TcpListener::bind(address)
-                .await
-                .map_err(|source| EmulatorError::Listen { address, source })?;
-            listeners.push(listener);
+            listeners.push(listen(address).await?);
             addresses.push(address);
         }
         let list = EndpointList::of_ready(servers.iter().map(|server| server.started_at()));
@@ -112,17 +118,17 @@
         self.mode.send_replace(mode);
     }
 
-    /// Lists a server's new status, unless a later start of it is listed already. `index` is that
-    /// of the emulated server, `server` its number in the event log.
+    /// Lists a server's new status, unless a later start of it is listed already. `position`
+    /// is its place among the emulated servers, where a replacement has that of its predecessor.
     pub(super) fn set(
         &self,
         server: ServerIndex,
-        index: usize,
+        position: usize,
         status: ListedStatus,
         started_at: Micros,
     ) {
         let mut list = lock(&self.list);
-        if list.set(server, index, status, started_at) {
+        if list.set(server, position, status, started_at) {
             self.version.send_replace(list.version());
         }
     }
@@ -140,36 +146,52 @@
         since: Option<u64>,
     ) -> (Value, u64, Vec<Notification>) {
         let list = lock(&self.list);
-        let mut targets = Vec::new();
+        let mut endpoints = Vec::new();
         let mut notifications = Vec::new();
-        for (number, entry) in list.since(since) {
-            let Some(server) = self.servers.get(entry.index) else {
+        for (server_index, entry) in list.since(since) {
+            let Some(server) = self.servers.get(entry.position) else {
                 continue;
             };
-            targets.push(self.target(sidecar, number, server, entry));
-            notifications.push((number, entry.status, entry.started_at));
+            endpoints.push(self.listed_endpoint(sidecar, server_index, server, entry));
+            notifications.push((server_index, entry.status, entry.started_at));
         }
         let version = list.version();
-        let value = endpoint_list::message(version, since.is_none(), targets);
-        (value, version, notifications)
+        let message = platform::EndpointList {
+            revision: version,
+            kind: if since.is_none() {
+                ListKind::Full
+            } else {
+                ListKind::Delta
+            },
+            endpoints,
+            skipped: Vec::new(),
+        };
+        (message.to_json(), version, notifications)
     }
 
-    fn target(
+    /// A server as the list names it, with its address for a sidecar.
+    fn listed_endpoint(
         &self,
         sidecar: SidecarIndex,
-        number: ServerIndex,
+        server_index: ServerIndex,
         server: &EmulatedServer,
         entry: &ListEntry,
-    ) -> Value {
+    ) -> ListedEndpoint {
         let zones = &self.shared.scenario.network.zones;
-        endpoint_list::target(
-            number,
-            server,
-            sidecar,
-            zones.get(server.zone() as usize),
-            entry.status,
-            self.shared.clock.unix_ms(entry.started_at),
-        )
+        let zone = zones.get(count_from_u32(server.zone()));
+        ListedEndpoint {
+            id: server_index.to_string(),
+            address: server.address(sidecar),
+            zone: zone.cloned().unwrap_or_default(),
+            cell: server.zone(),
+            machine_type: server.listed_machine_type(),
+            status: match entry.status {
+                ListedStatus::Ready => EndpointStatus::Ready,
+                ListedStatus::Draining => EndpointStatus::Draining,
+                ListedStatus::Gone => EndpointStatus::Removed,
+            },
+            started_at: self.shared.clock.unix_time(entry.started_at),
+        }
     }
 
     /// Records what a sidecar was notified of.
@@ -201,7 +223,7 @@
                 rejected: true,
             };
         }
-        *busy_until = start + (1e6 / discovery.capacity) as Micros;
+        *busy_until = start + micros_from_f64(MICROS_PER_S / discovery.capacity);
         Turn {
             at: *busy_until,
             rejected: false,
--- a/crates/testbed/src/emulator/emulated_server/admission.rs
+++ b/crates/testbed/src/emulator/emulated_server/admission.rs
@@ -1,4 +1,6 @@
 //! The admission of an attempt to an emulated server's process, and what is drawn for its response.
+//!
+//! Owns the types that `attempt` and `process` exchange, and no behaviour.
 
 use tokio::sync::oneshot;
 
@@ -21,7 +23,21 @@
 /// An attempt that was accepted: its number in the model, and its end.
 pub(super) struct AcceptedAttempt {
     pub(super) job: u64,
-    pub(super) end: oneshot::Receiver<bool>,
+    pub(super) end: oneshot::Receiver<ExecutionResult>,
+}
+
+/// How the execution of an attempt ended at the process.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum ExecutionResult {
+    Success,
+    Error,
+}
+
+impl ExecutionResult {
+    /// The result of a job of the model that ended in an error, or did not.
+    pub(super) fn of(error: bool) -> Self {
+        if error { Self::Error } else { Self::Success }
+    }
 }
 
 /// Whether the process accepts an attempt, and its state at that moment.
--- a/crates/testbed/src/emulator/emulated_server/attempt.rs
+++ b/crates/testbed/src/emulator/emulated_server/attempt.rs
@@ -1,13 +1,20 @@
 //! The life of an attempt at an emulated server: received, executed or rejected, responded to or
 //! lost.
+//!
+//! Owns the order of these steps and the bytes of each response. Whether an attempt is accepted,
+//! and how long it takes, is decided by the process and its model.
 
 use std::io;
 
+use arrowstand_platform::ServerLoad;
 use tokio::sync::oneshot;
 
 use super::EmulatedServer;
-use super::admission::{AcceptedAttempt, Admission, AdmissionRequest, ResponseDraw};
+use super::admission::{
+    AcceptedAttempt, Admission, AdmissionRequest, ExecutionResult, ResponseDraw,
+};
 use super::connection::{Incoming, Reply};
+use crate::conversion::{f64_from_count, f64_from_u64, micros_from_f64};
 use crate::emulator::clock::sleep_for;
 use crate::emulator::http::{HttpConnection, Message, response};
 use crate::emulator::lock::lock;
@@ -15,7 +22,8 @@
 use crate::index::{ClassIndex, RequestNumber, ServerIndex};
 use crate::scenario::Micros;
 
-/// How long an attempt without a timeout may wait: ten minutes, beyond the length of any run.
+/// How long an attempt without a timeout may wait, in microseconds: ten minutes, beyond the length
+/// of any run.
 const MAX_WAIT: Micros = 600_000_000;
 /// A response whose head cannot be parsed; its connection is of no further use.
 const MALFORMED_RESPONSE: &str = "HTTP/1.1 2oo OK\r\nContent-Length: -7\r\n\r\n";
@@ -51,8 +59,8 @@
 
 /// How the execution of an attempt ended.
 enum Execution {
-    /// With a response, which is an error or not.
-    Ended { error: bool },
+    /// With a response.
+    Ended(ExecutionResult),
     /// Dropped without being executed, or gone with the process.
     Lost,
     /// Its sidecar closed the connection.
@@ -81,24 +89,24 @@
         }
         let Some(accepted) = self.try_accept(&attempt, incoming) else {
             sleep_for(incoming.delay).await;
-            return Ok(Reply::Send(response(
-                "503 Service Unavailable",
-                NOT_PROCESSED,
-                "",
-            )));
+            let rejection = response("503 Service Unavailable", NOT_PROCESSED, "");
+            return Ok(Reply::Send(rejection));
         };
         let job = accepted.job;
         match executed(connection, accepted.end).await {
-            Execution::Ended { error } => self.respond(&attempt, error, incoming).await,
+            Execution::Ended(result) => self.respond(&attempt, result, incoming).await,
             Execution::Lost => Ok(Reply::StaySilent),
-            Execution::ConnectionClosed => {
-                sleep_for(incoming.delay).await;
-                self.update(|process, now| process.cancel(now, job));
-                Err(io::ErrorKind::ConnectionAborted.into())
-            }
+            Execution::ConnectionClosed => Err(self.cancel(job, incoming).await),
         }
     }
 
+    /// Cancels an attempt whose connection was closed; the error that ends the connection here too.
+    async fn cancel(&self, job: u64, incoming: &Incoming) -> io::Error {
+        sleep_for(incoming.delay).await;
+        self.update(|process, now| process.cancel(now, job));
+        io::ErrorKind::ConnectionAborted.into()
+    }
+
     fn record_attempt_started(&self, attempt: &Attempt, incoming: &Incoming) {
         self.shared.record_at(
             incoming.first_byte_at,
@@ -117,7 +125,7 @@
             return 0;
         }
         let round_trips = lock(&self.process).machine_type().handshake_rtts;
-        (round_trips * 2.0 * incoming.delay as f64) as Micros
+        micros_from_f64(round_trips * 2.0 * f64_from_u64(incoming.delay))
     }
 
     /// Asks the process to accept an attempt; nothing where it is rejected.
@@ -166,7 +174,7 @@
     async fn respond(
         &self,
         attempt: &Attempt,
-        error: bool,
+        result: ExecutionResult,
         incoming: &Incoming,
     ) -> io::Result<Reply> {
         let draw = self.update(|process, now| process.draw_response(now));
@@ -180,7 +188,7 @@
         Ok(Reply::Send(final_response(
             attempt.request,
             incoming.server,
-            error,
+            result,
             &draw,
         )))
     }
@@ -190,16 +198,21 @@
 fn final_response(
     request: RequestNumber,
     server: ServerIndex,
-    error: bool,
+    result: ExecutionResult,
     draw: &ResponseDraw,
 ) -> String {
     if draw.malformed {
         return MALFORMED_RESPONSE.to_owned();
     }
     let load = draw.reported_in_flight.map_or(String::new(), |in_flight| {
-        format!("X-Server-Load: inflight={in_flight}\r\n")
+        let load = ServerLoad {
+            in_flight: f64_from_count(in_flight),
+            error_rate: None,
+            queued: None,
+        };
+        format!("X-Server-Load: {load}\r\n")
     });
-    if error {
+    if result == ExecutionResult::Error {
         return response("500 Internal Server Error", &load, "");
     }
     let headers = format!("Content-Type: text/plain\r\n{load}");
@@ -208,10 +221,13 @@
 }
 
 /// Waits for the end of an execution, or of its connection.
-async fn executed(connection: &mut HttpConnection, end: oneshot::Receiver<bool>) -> Execution {
+async fn executed(
+    connection: &mut HttpConnection,
+    end: oneshot::Receiver<ExecutionResult>,
+) -> Execution {
     tokio::select! {
         ended = end => match ended {
-            Ok(error) => Execution::Ended { error },
+            Ok(result) => Execution::Ended(result),
             Err(_) => Execution::Lost,
         },
         () = connection.closed() => Execution::ConnectionClosed,
--- a/crates/testbed/src/emulator/emulated_server/connection.rs
+++ b/crates/testbed/src/emulator/emulated_server/connection.rs
@@ -1,4 +1,7 @@
 //! The connections of an emulated server, and the requests that come on them.
+//!
+//! Owns reading and writing on a connection and its reset with the process. What is responded is
+//! decided by `attempt` and `health_check`.
 
 use std::future::pending;
 use std::io;
@@ -7,7 +10,7 @@
 use tokio::net::TcpStream;
 
 use super::EmulatedServer;
-use crate::emulator::http::HttpConnection;
+use crate::emulator::http::{HttpConnection, Message};
 use crate::emulator::lock::lock;
 use crate::event_log::LogEvent;
 use crate::index::{ServerIndex, SidecarIndex};
@@ -26,7 +29,7 @@
 
 /// A request as it comes in.
 pub(super) struct Incoming {
-    /// Number of the server that receives it.
+    /// The server that receives it.
     pub(super) server: ServerIndex,
     /// The sidecar that sends it.
     pub(super) sidecar: SidecarIndex,
@@ -51,7 +54,7 @@
             return;
         }
         self.shared.record(LogEvent::ConnectionOpened {
-            server: self.number(),
+            server: self.index(),
         });
         let mut connection = HttpConnection::new(stream);
         let reset = async {
@@ -66,7 +69,8 @@
             () = reset => Ok(()),
         };
         if let Err(error) = ended {
-            tracing::debug!("server {}: {error}", self.number());
+            let server = self.index();
+            tracing::debug!(%server, %sidecar, %error, "emulated server's connection failed");
         }
         if self.network.borrow().epoch == epoch {
             lock(&self.process).disconnect();
@@ -85,19 +89,14 @@
             let message = connection.read_request().await?;
             let unit = lock(&self.process).random_unit();
             let incoming = Incoming {
-                server: self.number(),
+                server: self.index(),
                 sidecar,
                 same_zone,
                 first_byte_at,
                 delay: self.shared.network_delay(same_zone, unit),
                 new_connection,
             };
-            let reply = if message.target == HEALTH_CHECK_TARGET {
-                self.on_health_check(&incoming).await
-            } else {
-                self.on_attempt(connection, &message, &incoming).await?
-            };
-            match reply {
+            match self.reply(connection, &message, &incoming).await? {
                 Reply::Send(response) => connection.write(&response).await?,
                 Reply::StaySilent => pending().await,
             }
@@ -105,4 +104,17 @@
         }
         Ok(())
     }
+
+    async fn reply(
+        &self,
+        connection: &mut HttpConnection,
+        message: &Message,
+        incoming: &Incoming,
+    ) -> io::Result<Reply> {
+        if message.target == HEALTH_CHECK_TARGET {
+            Ok(self.on_health_check(incoming).await)
+        } else {
+            self.on_attempt(connection, message, incoming).await
+        }
+    }
 }
--- a/crates/testbed/src/emulator/emulated_server/faults.rs
+++ b/crates/testbed/src/emulator/emulated_server/faults.rs
@@ -1,4 +1,7 @@
 //! The faults that an emulated server suffers, and its recovery from them.
+//!
+//! Owns what each fault does to process, listeners and network. When it begins and ends is known by
+//! `fault_schedule`.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -9,9 +12,10 @@
 use crate::event_log::ServerState;
 use crate::index::ServerIndex;
 
-/// How often a start tries to listen on the server's addresses, and the pause between: a closed
-/// listener's socket may linger in a process that was being started.
+/// How often a start tries to listen on the server's addresses: a closed listener's socket may
+/// linger in a process that was being started. After these the server stays unreachable.
 const LISTEN_ATTEMPTS: usize = 50;
+/// Pause between two of these attempts.
 const LISTEN_PAUSE: Duration = Duration::from_millis(20);
 
 /// What goes wrong with a server's responses.
@@ -42,10 +46,10 @@
         }
     }
 
-    /// Starts it again, cold; under another number where it replaces the one before.
-    pub(in crate::emulator) async fn restart(self: &Arc<Self>, number: Option<ServerIndex>) {
-        if let Some(number) = number {
-            self.number.store(number.value(), Ordering::Relaxed);
+    /// Starts it again, cold; under another index where it replaces the one before.
+    pub(in crate::emulator) async fn restart(self: &Arc<Self>, replacement: Option<ServerIndex>) {
+        if let Some(index) = replacement {
+            self.index.store(index.value(), Ordering::Relaxed);
         }
         self.listeners.close().await;
         let now = self.shared.clock.now();
@@ -64,18 +68,21 @@
             let Err(error) = self.listen().await else {
                 return;
             };
-            tracing::warn!("an emulated server's address is not free yet: {error}");
+            tracing::warn!(server = %self.index(), %error, "emulated server cannot listen yet");
             tokio::time::sleep(LISTEN_PAUSE).await;
         }
     }
 
-    pub(in crate::emulator) fn set_paused(&self, paused: bool) {
-        self.update(|process, now| process.set_paused(now, paused));
-        self.record_state(if paused {
-            ServerState::Paused
-        } else {
-            ServerState::Up
-        });
+    /// The process stands still, as in a long garbage collection.
+    pub(in crate::emulator) fn pause(&self) {
+        self.update(|process, now| process.pause(now));
+        self.record_state(ServerState::Paused);
+    }
+
+    /// The process goes on after a pause.
+    pub(in crate::emulator) fn resume(&self) {
+        self.update(|process, now| process.resume(now));
+        self.record_state(ServerState::Up);
     }
 
     /// Serves slower by a factor; 1 for as usual.
@@ -88,11 +95,13 @@
         });
     }
 
+    /// Rejects new attempts from now on, and finishes those that it has.
     pub(in crate::emulator) fn set_draining(&self) {
         self.update(|process, _| process.set_draining());
         self.record_state(ServerState::Draining);
     }
 
+    /// Sets what goes wrong with the responses from now on.
     pub(in crate::emulator) fn set_response_fault(&self, fault: ResponseFault) {
         self.update(|process, _| match fault {
             ResponseFault::Errors(share) => process.set_error_share(share),
--- a/crates/testbed/src/emulator/emulated_server/mod.rs
+++ b/crates/testbed/src/emulator/emulated_server/mod.rs
@@ -7,6 +7,7 @@
 mod attempt;
 mod connection;
 mod faults;
+mod gauges;
 mod health_check;
 mod listeners;
 mod process;
@@ -17,7 +18,6 @@
 
 use tokio::sync::{Notify, watch};
 
-use super::Emulation;
 use super::error::EmulatorError;
 use super::lock::lock;
 use super::ports::free_address;
@@ -32,8 +32,9 @@
 use process::ServerProcess;
 
 pub(super) use faults::ResponseFault;
+pub(super) use gauges::record_gauges;
 
-/// Numbers of the servers' random streams begin here, apart from those of the server models.
+/// Indexes of the servers' random streams begin here, apart from those of the server models.
 const STREAM_OFFSET: usize = 1 << 20;
 
 /// How the network responds for a server.
@@ -57,8 +58,8 @@
 /// One server. Each sidecar has an address of its own at it, which identifies the sidecar.
 pub(super) struct EmulatedServer {
     shared: Arc<Shared>,
-    /// Its number in the event log; a replacement at the same addresses has another.
-    number: AtomicU32,
+    /// Its index in the event log; a replacement at the same addresses has another.
+    index: AtomicU32,
     zone: u32,
     addresses: Vec<SocketAddr>,
     process: Mutex<ServerProcess>,
@@ -79,6 +80,24 @@
         machine_type: &MachineType,
         group: &Servers,
     ) -> Result<Arc<Self>, EmulatorError> {
+        let server = Arc::new(Self::new(shared, index, machine_type, group)?);
+        server.listen().await?;
+        server.record_state(if group.cold {
+            ServerState::Cold
+        } else {
+            ServerState::Up
+        });
+        tokio::spawn(Arc::clone(&server).drive());
+        Ok(server)
+    }
+
+    /// A server that does not listen yet.
+    fn new(
+        shared: &Arc<Shared>,
+        index: ServerIndex,
+        machine_type: &MachineType,
+        group: &Servers,
+    ) -> Result<Self, EmulatorError> {
         let scenario = &shared.scenario;
         let stream = STREAM_OFFSET + index.index();
         let random = RandomStream::new(scenario.seed, StreamId::Machines, stream);
@@ -90,29 +109,21 @@
             mode: NetworkMode::Open,
             epoch: 0,
         };
-        let server = Arc::new(Self {
+        Ok(Self {
             shared: Arc::clone(shared),
-            number: AtomicU32::new(index.value()),
+            index: AtomicU32::new(index.value()),
             zone: scenario.server_zone(group, index),
             addresses,
             process: Mutex::new(ServerProcess::new(model, group.cold, random)),
             listeners: Listeners::default(),
             changed: Notify::new(),
             network: watch::channel(network).0,
-        });
-        server.listen().await?;
-        server.record_state(if group.cold {
-            ServerState::Cold
-        } else {
-            ServerState::Up
-        });
-        tokio::spawn(Arc::clone(&server).drive());
-        Ok(server)
+        })
     }
 
-    /// Its number in the event log.
-    pub(super) fn number(&self) -> ServerIndex {
-        ServerIndex::new(self.number.load(Ordering::Relaxed))
+    /// Its index in the event log.
+    pub(super) fn index(&self) -> ServerIndex {
+        ServerIndex::new(self.index.load(Ordering::Relaxed))
     }
 
     /// Index of its zone.
@@ -121,8 +132,8 @@
     }
 
     /// Its address for a sidecar.
-    pub(super) fn address(&self, sidecar: SidecarIndex) -> Option<SocketAddr> {
-        self.addresses.get(sidecar.index()).copied()
+    pub(super) fn address(&self, sidecar: SidecarIndex) -> SocketAddr {
+        self.addresses[sidecar.index()]
     }
 
     /// When it last started; 0 for before the run.
@@ -148,7 +159,7 @@
         self.shared.record_at(
             at,
             LogEvent::ServerStateChanged {
-                server: self.number(),
+                server: self.index(),
                 zone: self.zone,
                 state,
             },
@@ -181,7 +192,7 @@
             at,
             LogEvent::WorkDone {
                 request,
-                server: self.number(),
+                server: self.index(),
                 work,
             },
         );
@@ -221,19 +232,3 @@
         process.next_event_at()
     }
 }
-
-/// Records what each server has in flight, once a second, for ever.
-pub(super) async fn record_gauges(emulation: &Emulation) {
-    let shared = &emulation.shared;
-    for second in 1.. {
-        shared.clock.sleep_until(second * 1_000_000).await;
-        for server in &emulation.servers {
-            let (in_flight, connections) = lock(&server.process).gauge();
-            shared.record(LogEvent::ServerGauge {
-                server: server.number(),
-                in_flight,
-                connections,
-            });
-        }
-    }
-}
--- a/crates/testbed/src/emulator/emulated_server/process.rs
+++ b/crates/testbed/src/emulator/emulated_server/process.rs
@@ -1,10 +1,16 @@
 //! The process of an emulated server: its model, and the attempts that execute in it.
+//!
+//! Owns the attempts in execution and the shares of responses that faults spoil. It knows no
+//! sockets and no clock: callers hand the time in and send what follows.
 
 use std::collections::HashMap;
 
 use tokio::sync::oneshot;
 
-use super::admission::{AcceptedAttempt, Admission, AdmissionRequest, ResponseDraw};
+use super::admission::{
+    AcceptedAttempt, Admission, AdmissionRequest, ExecutionResult, ResponseDraw,
+};
+use crate::conversion::u32_from_count;
 use crate::index::RequestNumber;
 use crate::random::RandomStream;
 use crate::scenario::{MachineType, Micros};
@@ -14,8 +20,8 @@
 struct Execution {
     request: RequestNumber,
     work: f64,
-    /// Gets whether it ended in an error; dropped if it never ends.
-    end: oneshot::Sender<bool>,
+    /// Gets its result; dropped if it never ends.
+    end: oneshot::Sender<ExecutionResult>,
 }
 
 /// The process.
@@ -63,8 +69,8 @@
     /// Attempts in flight, and open connections.
     pub(super) fn gauge(&self) -> (u32, u32) {
         (
-            self.model.in_flight() as u32,
-            self.model.connections() as u32,
+            u32_from_count(self.model.in_flight()),
+            u32_from_count(self.model.connections()),
         )
     }
 
@@ -94,7 +100,7 @@
                 Event::Completed { id, error } => {
                     if let Some(execution) = self.executions.remove(&id) {
                         on_work_done(execution.request, execution.work);
-                        let _ = execution.end.send(error);
+                        let _ = execution.end.send(ExecutionResult::of(error));
                     }
                 }
                 Event::Expired(id) => drop(self.executions.remove(&id)),
@@ -120,34 +126,44 @@
 
     pub(super) fn try_accept(&mut self, now: Micros, request: AdmissionRequest) -> Admission {
         let work = self.draw_work(request.work, request.noise);
-        let (capacity, cold) = (self.model.capacity(now), self.model.is_cold(now));
+        let capacity = self.model.capacity(now);
+        let cold = self.model.is_cold(now);
         if request.new_connection {
             self.model.handshake(now, &mut self.events);
         }
-        let id = self.next_job;
-        self.next_job += 1;
-        let (sender, end) = oneshot::channel();
-        let execution = Execution {
-            request: request.request,
-            work,
-            end: sender,
-        };
-        self.executions.insert(id, execution);
         let job = Job {
-            id,
+            id: self.next_job,
             work,
             deadline: request.deadline,
         };
-        let accepted = !self.draining && self.model.try_accept(now, job, &mut self.events);
-        if !accepted {
-            self.executions.remove(&id);
-        }
+        self.next_job += 1;
         Admission {
             work,
             capacity,
             cold,
-            accepted: accepted.then_some(AcceptedAttempt { job: id, end }),
+            accepted: self.try_start(now, job, request.request),
+        }
+    }
+
+    /// Hands a job to the model; nothing where it is rejected.
+    fn try_start(
+        &mut self,
+        now: Micros,
+        job: Job,
+        request: RequestNumber,
+    ) -> Option<AcceptedAttempt> {
+        let accepted = !self.draining && self.model.try_accept(now, job, &mut self.events);
+        if !accepted {
+            return None;
         }
+        let (sender, end) = oneshot::channel();
+        let execution = Execution {
+            request,
+            work: job.work,
+            end: sender,
+        };
+        self.executions.insert(job.id, execution);
+        Some(AcceptedAttempt { job: job.id, end })
     }
 
     /// The draw is made also without noise, so that noise moves no other draw.
@@ -189,8 +205,15 @@
         self.started_at = now;
     }
 
-    pub(super) fn set_paused(&mut self, now: Micros, paused: bool) {
-        let state = if paused { State::Paused } else { State::Up };
+    pub(super) fn pause(&mut self, now: Micros) {
+        self.set_state_unless_down(now, State::Paused);
+    }
+
+    pub(super) fn resume(&mut self, now: Micros) {
+        self.set_state_unless_down(now, State::Up);
+    }
+
+    fn set_state_unless_down(&mut self, now: Micros, state: State) {
         if self.model.state() != State::Down {
             self.model.set_state(now, state, &mut self.events);
         }
--- a/crates/testbed/src/emulator/mod.rs
+++ b/crates/testbed/src/emulator/mod.rs
@@ -25,6 +25,7 @@
 use std::time::Duration;
 
 use crate::audit::Auditor;
+use crate::conversion::u64_from_count;
 use crate::event_log::{EventLog, LogRecord, Tee};
 use crate::index::ServerIndex;
 use crate::report::{EMULATOR, Report};
@@ -42,10 +43,12 @@
 
 /// Servers times sidecars that one emulation may have: sockets and descriptors are the bound.
 const MAX_CONNECTION_PAIRS: usize = 20_000;
-/// Time to set everything up before the run begins: in all, and for each sidecar's process and each
-/// pair's sockets.
+/// Milliseconds from the start of the setup to the begin of the run, however small the fleet; an
+/// arrival that is due before the setup has ended is played late.
 const SETUP_TIME_MS: u64 = 1_500;
+/// Milliseconds on top of it for the start of each sidecar's process.
 const SETUP_TIME_PER_SIDECAR_MS: u64 = 30;
+/// Milliseconds on top of it for the sockets of each pair of server and sidecar.
 const SETUP_TIME_PER_PAIR_MS: u64 = 1;
 /// How long after the last arrival's end what is in flight may still come in.
 const SETTLING_TIME: Duration = Duration::from_millis(400);
@@ -89,8 +92,8 @@
         }
         let clock = Clock::starting_in(Duration::from_millis(
             SETUP_TIME_MS
-                + SETUP_TIME_PER_SIDECAR_MS * sidecars as u64
-                + SETUP_TIME_PER_PAIR_MS * pairs as u64,
+                + SETUP_TIME_PER_SIDECAR_MS * u64_from_count(sidecars)
+                + SETUP_TIME_PER_PAIR_MS * u64_from_count(pairs),
         ));
         let shared = Arc::new(Shared::new(scenario, clock));
         let mut servers = Vec::new();
--- a/crates/testbed/src/emulator/sidecars/mod.rs
+++ b/crates/testbed/src/emulator/sidecars/mod.rs
@@ -31,8 +31,9 @@
 #[cfg(test)]
 pub(super) use counters::Counters;
 pub(super) use counters::FleetCounters;
+pub(super) use restart::Termination;
 
-/// How long a sidecar may take to end with the run.
+/// How long a sidecar may take to end with the run; it is killed after that.
 const SHUTDOWN_LIMIT: Duration = Duration::from_secs(10);
 
 /// All sidecars.
@@ -89,8 +90,8 @@
         let sidecars = SidecarIndex::all(scenario.sidecars.count)
             .map(sidecar)
             .collect::<Result<_, EmulatorError>>()?;
-        // Written once: guards against a sidecar that reads it, as it starts, while it is written
-        // for the next.
+        // Written once for all: a sidecar that starts could otherwise read the file while it is
+        // being written for the next one.
         let machine_types = settings::machine_types(scenario).to_string();
         let machine_types = write(folder.join("machines.json"), &machine_types)?;
         Ok(Arc::new(Self {
@@ -133,7 +134,8 @@
     /// The log of a sidecar's present process.
     fn log(&self, index: SidecarIndex) -> PathBuf {
         let sidecar = &self.sidecars[index.index()];
-        let (name, incarnation) = (&sidecar.name, sidecar.incarnation());
+        let name = &sidecar.name;
+        let incarnation = sidecar.incarnation();
         self.folder.join(format!("{name}-{incarnation}.log"))
     }
 
--- a/crates/testbed/src/emulator/sidecars/process.rs
+++ b/crates/testbed/src/emulator/sidecars/process.rs
@@ -1,5 +1,8 @@
 //! One sidecar's process: its address, its starts and ends, and the counters of the processes that
 //! ended.
+//!
+//! Owns the handle of the process and what must survive it. What is recorded of its states is the
+//! fleet's.
 
 use std::net::SocketAddr;
 use std::process::ExitStatus;
@@ -16,7 +19,7 @@
 use crate::index::SidecarIndex;
 use crate::random::RandomStream;
 
-/// How often the end of a kill is waited for.
+/// Time between two looks at whether a killed process is gone.
 const KILL_POLL: Duration = Duration::from_millis(1);
 
 /// A sidecar, whose process is started again and again.
@@ -100,8 +103,8 @@
     /// Signals the process, if there is one.
     pub(super) fn signal(&self, signal: Signal) {
         let id = lock(&self.child).as_ref().and_then(Child::id);
-        if let Some(id) = id {
-            let _ = kill(Pid::from_raw(id as i32), signal);
+        if let Some(id) = id.and_then(|id| i32::try_from(id).ok()) {
+            let _ = kill(Pid::from_raw(id), signal);
         }
     }
 
@@ -110,7 +113,7 @@
         let child = lock(&self.child).take();
         let Some(mut child) = child else { return };
         if tokio::time::timeout(limit, child.wait()).await.is_err() {
-            tracing::warn!("{} did not end in {limit:?}", self.name);
+            tracing::warn!(sidecar = %self.name, ?limit, "sidecar did not end in time");
             let _ = child.kill().await;
         }
     }
--- a/crates/testbed/src/emulator/sidecars/restart.rs
+++ b/crates/testbed/src/emulator/sidecars/restart.rs
@@ -1,4 +1,6 @@
 //! The restart of a sidecar: killed outright, or notified and waited for.
+//!
+//! Owns the steps of a restart and their records; when it is due is known by `fault_schedule`.
 
 use std::time::Duration;
 
@@ -11,23 +13,37 @@
 use crate::index::SidecarIndex;
 use crate::scenario::{Micros, from_ms};
 
-/// A sidecar that shuts down is given the longest deadline, this at least, and what follows.
+/// Milliseconds that a sidecar has at least to respond to what it has accepted as it shuts down; a
+/// scenario's longest deadline counts where it is longer.
 const MIN_DEADLINE_MS: f64 = 3_000.0;
+/// Microseconds beyond that deadline after which a sidecar that has not exited is killed.
 const SHUTDOWN_MARGIN: Micros = 900_000;
 
+/// How a sidecar's process is ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(in crate::emulator) enum Termination {
+    /// Outright, with all that it has in flight.
+    Kill,
+    /// It is notified, responds to what it has accepted, and exits.
+    Graceful,
+}
+
 impl Sidecars {
     /// Restarts a sidecar so that it is back after `down`, or later where its end takes longer.
-    pub(in crate::emulator) async fn restart(&self, index: SidecarIndex, down: Micros, kill: bool) {
+    pub(in crate::emulator) async fn restart(
+        &self,
+        index: SidecarIndex,
+        down: Micros,
+        termination: Termination,
+    ) {
         let back_at = Instant::now() + Duration::from_micros(down);
-        if kill {
-            self.kill(index).await;
-        } else {
-            self.shut_down(index).await;
+        match termination {
+            Termination::Kill => self.kill(index).await,
+            Termination::Graceful => self.shut_down(index).await,
         }
         tokio::time::sleep_until(back_at).await;
         if let Err(error) = self.start(index) {
-            let name = &self.sidecars[index.index()].name;
-            tracing::error!("{name} did not start again: {error}");
+            tracing::error!(sidecar = %index, %error, "sidecar did not start again");
         }
     }
 
--- a/crates/testbed/src/experiment/results.rs
+++ b/crates/testbed/src/experiment/results.rs
@@ -1,4 +1,6 @@
 //! The results of an experiment: means with their confidence intervals, as a table and a plot.
+//!
+//! Owns the means and the form of the table; the charts are drawn by `plot`.
 
 use std::fmt::Write as _;
 use std::path::Path;
@@ -6,6 +8,7 @@
 use statrs::distribution::{ContinuousCDF as _, StudentsT};
 
 use super::plan::Plan;
+use crate::conversion::{f64_from_count, f64_from_i64};
 use crate::plot::{self, PlotError, Series};
 use crate::report::Report;
 
@@ -38,13 +41,14 @@
         self.reports.iter().map(|r| r.violation_count).sum()
     }
 
-    /// Its place on the plot's axis: the first value, or the cell's number where that is no number.
-    fn place(&self, number: usize) -> f64 {
+    /// Its place on the plot's axis: the first value, or the cell's position where that is
+    /// no number.
+    fn place(&self, position: usize) -> f64 {
         let value = &self.values[0];
         value
             .as_float()
-            .or(value.as_integer().map(|integer| integer as f64))
-            .unwrap_or(number as f64)
+            .or(value.as_integer().map(f64_from_i64))
+            .unwrap_or(f64_from_count(position))
     }
 }
 
@@ -59,7 +63,7 @@
 /// Mean and half the width of its 95 % confidence interval, which is 0 for a single value; nothing
 /// without values.
 pub fn mean(values: &[f64]) -> Option<(f64, f64)> {
-    let n = values.len() as f64;
+    let n = f64_from_count(values.len());
     let mean = values.iter().sum::<f64>() / n;
     if values.is_empty() || !mean.is_finite() {
         return None;
@@ -141,9 +145,9 @@
 
     fn series(&self, figure: &str, line: &str) -> Series {
         let cells = self.cells.iter().filter(|c| self.line_name(c) == line);
-        let point = |(number, cell): (usize, &Cell)| {
+        let point = |(position, cell): (usize, &Cell)| {
             let (mean, half) = cell.figure(figure)?;
-            Some((cell.place(number), mean, half))
+            Some((cell.place(position), mean, half))
         };
         Series {
             name: line.to_owned(),
--- a/crates/testbed/src/plot/experiment.rs
+++ b/crates/testbed/src/plot/experiment.rs
@@ -1,26 +1,35 @@
 //! The plot of an experiment: one chart a figure, along the first axis.
+//!
+//! Owns the axes and their scale; means and intervals come from `experiment`.
 
 use std::ops::Range;
 use std::path::Path;
 
+use plotters::coord::types::RangedCoordf64;
 use plotters::element::ErrorBarOrientV;
 use plotters::prelude::*;
 
 use super::{Canvas, MARGIN, PlotError, SIZE, SvgError, THICK_LINE, colour, legend_line, titled};
+use crate::conversion::u32_from_count;
 
-/// Height of the title and of each chart, in pixels.
+/// Height of the title, in pixels.
 const TITLE_HEIGHT: u32 = 60;
+/// Height of each chart, in pixels.
 const CHART_HEIGHT: u32 = 280;
-/// An axis that spans this factor is logarithmic.
+/// An axis of positive values whose largest is this many times the least is logarithmic.
 const LOGARITHMIC_FROM: f64 = 50.0;
-/// Room beside the outermost points, as a share of the axis, and its least.
+/// Room beside the outermost points, as a share of the axis.
 const SIDE_MARGIN: f64 = 0.03;
+/// Least room beside them, in units of the axis, where all points lie at one place.
 const MIN_SIDE_MARGIN: f64 = 1e-3;
 /// Room above the highest point, as a share of the height.
 const HEADROOM: f64 = 0.08;
 /// Width of an error bar's ends, in pixels.
 const ERROR_BAR_WIDTH: u32 = 6;
 
+/// A chart whose axes are both numbers.
+type Chart<'a, 'b> = ChartContext<'a, SVGBackend<'b>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
+
 /// One line of a chart.
 pub struct Series {
     /// Its name in the legend; empty for the only one.
@@ -92,7 +101,7 @@
     path: &Path,
 ) -> Result<(), SvgError> {
     let charts = figures.len().max(1);
-    let height = TITLE_HEIGHT + CHART_HEIGHT * charts as u32;
+    let height = TITLE_HEIGHT + CHART_HEIGHT * u32_from_count(charts);
     let root = titled(path, (SIZE.0, height), title)?;
     let axis = Axis::over(axis, figures);
     for (area, (figure, series)) in root.split_evenly((charts, 1)).iter().zip(figures) {
@@ -132,14 +141,8 @@
         .x_label_formatter(&|place| axis.label(*place))
         .max_light_lines(2)
         .draw()?;
-    for (number, line) in series.iter().enumerate() {
-        let points = line.points.iter().map(|p| (axis.place(p.0), p.1));
-        let style = colour(number).stroke_width(THICK_LINE);
-        let drawn = chart.draw_series(LineSeries::new(points, style))?;
-        if !line.name.is_empty() {
-            drawn.label(line.name.clone()).legend(legend_line(number));
-        }
-        chart.draw_series(error_bars(axis, line, colour(number)))?;
+    for (position, line) in series.iter().enumerate() {
+        draw_line(&mut chart, axis, line, position)?;
     }
     if series.iter().all(|line| line.name.is_empty()) {
         return Ok(());
@@ -151,6 +154,23 @@
         .draw()
 }
 
+/// Draws the line of a series; `position` is its place among the others of the chart.
+fn draw_line(
+    chart: &mut Chart<'_, '_>,
+    axis: &Axis<'_>,
+    line: &Series,
+    position: usize,
+) -> Result<(), SvgError> {
+    let points = line.points.iter().map(|p| (axis.place(p.0), p.1));
+    let style = colour(position).stroke_width(THICK_LINE);
+    let drawn = chart.draw_series(LineSeries::new(points, style))?;
+    if !line.name.is_empty() {
+        drawn.label(line.name.clone()).legend(legend_line(position));
+    }
+    chart.draw_series(error_bars(axis, line, colour(position)))?;
+    Ok(())
+}
+
 fn error_bars(
     axis: &Axis<'_>,
     line: &Series,
--- a/crates/testbed/src/plot/mod.rs
+++ b/crates/testbed/src/plot/mod.rs
@@ -24,6 +24,7 @@
 const LEGEND_LINE: i32 = 16;
 /// Width of the lines that stand for a class or a value, in pixels.
 const THICK_LINE: u32 = 2;
+/// Colours of the series, in their order; a seventh series has that of the first.
 const COLOURS: [RGBColor; 6] = [
     RGBColor(31, 119, 180),
     RGBColor(214, 39, 40),
@@ -55,8 +56,9 @@
     }
 }
 
-fn colour(number: usize) -> RGBColor {
-    COLOURS[number % COLOURS.len()]
+/// The colour of a series, by its place among the others.
+fn colour(position: usize) -> RGBColor {
+    COLOURS[position % COLOURS.len()]
 }
 
 /// An empty sheet with its title.
@@ -67,11 +69,11 @@
 }
 
 /// The line that stands for a series in a legend.
-fn legend_line(number: usize) -> impl Fn((i32, i32)) -> PathElement<(i32, i32)> + Copy + 'static {
+fn legend_line(position: usize) -> impl Fn((i32, i32)) -> PathElement<(i32, i32)> + Copy + 'static {
     move |(x, y)| {
         PathElement::new(
             [(x, y), (x + LEGEND_LINE, y)],
-            colour(number).stroke_width(THICK_LINE),
+            colour(position).stroke_width(THICK_LINE),
         )
     }
 }
--- a/crates/testbed/src/plot/report.rs
+++ b/crates/testbed/src/plot/report.rs
@@ -1,10 +1,13 @@
 //! The plot of a report: service by class above, outcomes of all arrivals below, second by second.
+//!
+//! Owns the choice of lines; their values come from the report.
 
 use std::path::Path;
 
 use plotters::prelude::*;
 
 use super::{Canvas, MARGIN, PlotError, SIZE, SvgError, THICK_LINE, colour, legend_line, titled};
+use crate::conversion::f64_from_count;
 use crate::report::Report;
 
 /// Height of the upper chart, in pixels.
@@ -35,7 +38,7 @@
     );
     let root = titled(path, SIZE, &title)?;
     let (upper, lower) = root.split_vertically(UPPER_HEIGHT);
-    let end = report.timeline.len().max(1) as f64;
+    let end = f64_from_count(report.timeline.len().max(1));
     draw_service(report, &upper, end)?;
     draw_outcomes(report, &lower, end)?;
     root.present()
@@ -43,7 +46,7 @@
 
 /// The middle of a second on the time axis.
 fn middle(second: usize) -> f64 {
-    second as f64 + 0.5
+    f64_from_count(second) + 0.5
 }
 
 fn draw_service(report: &Report, area: &Canvas<'_>, end: f64) -> Result<(), SvgError> {
@@ -57,18 +60,18 @@
         .y_desc("served in time, by class")
         .max_light_lines(2)
         .draw()?;
-    for (number, class) in report.classes.iter().enumerate() {
+    for (position, class) in report.classes.iter().enumerate() {
         let seconds = report.timeline.iter().enumerate();
         let points = seconds.filter_map(|(second, row)| {
-            let counts = row.0.get(number)?;
+            let counts = row.0.get(position)?;
             let share = f64::from(counts[1]) / f64::from(counts[0]);
             (counts[0] > 0).then(|| (middle(second), share))
         });
-        let line = LineSeries::new(points, colour(number).stroke_width(THICK_LINE));
+        let line = LineSeries::new(points, colour(position).stroke_width(THICK_LINE));
         chart
             .draw_series(line)?
             .label(class.name.clone())
-            .legend(legend_line(number));
+            .legend(legend_line(position));
     }
     chart
         .configure_series_labels()
--- a/crates/testbed/src/random.rs
+++ b/crates/testbed/src/random.rs
@@ -6,6 +6,8 @@
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution as _, Exp1, LogNormal, StandardNormal};
 
+use crate::conversion::u64_from_count;
+
 /// What a stream is drawn for. The numbers are part of what a seed means: they stay.
 #[derive(Clone, Copy, Debug)]
 pub enum StreamId {
@@ -33,19 +35,19 @@
     WorkHints = 11,
 }
 
-/// Bits of a stream's number: the cause stands above them.
-const NUMBER_BITS: u32 = 40;
+/// Bits of a stream's index within its cause, which stands above them.
+const INDEX_BITS: u32 = 40;
 
 /// One random stream.
 #[derive(Clone, Debug)]
 pub struct RandomStream(ChaCha8Rng);
 
 impl RandomStream {
-    /// The stream of a cause and a number within it, such as a sidecar's; the seed is the
+    /// The stream of a cause and an index within it, such as a sidecar's; the seed is the
     /// scenario's.
-    pub fn new(seed: u64, cause: StreamId, number: usize) -> Self {
+    pub fn new(seed: u64, cause: StreamId, index: usize) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        rng.set_stream((cause as u64) << NUMBER_BITS | number as u64);
+        rng.set_stream((cause as u64) << INDEX_BITS | u64_from_count(index));
         Self(rng)
     }
 
--- a/crates/testbed/src/server_model/load_report.rs
+++ b/crates/testbed/src/server_model/load_report.rs
@@ -1,13 +1,19 @@
 //! What a server reports of its load, in responses to health checks and in others.
+//!
+//! Owns samples and errors, and how old they are when they are reported. The wire form is not known
+//! here.
 
 use std::collections::VecDeque;
 
 use super::{Event, ServerModel};
+use crate::conversion::{MICROS_PER_MS, f64_from_count};
 use crate::scenario::{LoadReportSource, LoadReports, Micros, from_ms};
 
-/// The load report for health checks is refreshed this often, as the site's are, in microseconds.
+/// Microseconds for which a load report for health checks stays as it is, like those of the
+/// operators' servers.
 const REFRESH_INTERVAL: Micros = 3_000;
-/// Span in which errors count for the error rate, in microseconds.
+/// Span in which errors count for the error rate, in microseconds: a second, as the rate is one per
+/// second.
 const ERROR_WINDOW: Micros = 1_000_000;
 
 /// A load report in the response to a health check.
@@ -68,7 +74,7 @@
             self.report = LoadReport {
                 in_flight,
                 queued,
-                errors_per_s: self.errors.len() as f64,
+                errors_per_s: f64_from_count(self.errors.len()),
             };
         }
         self.report
@@ -102,8 +108,9 @@
         if !self.health_checks.try_acquire(rate, now) {
             return None;
         }
-        self.side_work += self.machine_type.health_check_ms * 1_000.0;
-        let (in_flight, queued) = (self.in_flight(), self.queue.len());
+        self.side_work += self.machine_type.health_check_ms * MICROS_PER_MS;
+        let in_flight = self.in_flight();
+        let queued = self.queue.len();
         Some(
             self.load_reports
                 .health_check_report(now, in_flight, queued),
--- a/crates/testbed/src/server_model/service.rs
+++ b/crates/testbed/src/server_model/service.rs
@@ -1,14 +1,18 @@
 //! How a server works through its jobs as time passes.
+//!
+//! Owns the steps in which time passes; the speed within a step is that of `speed`.
 
 use super::{Event, ServerModel, State};
+use crate::conversion::{f64_from_u64, micros_from_f64};
 use crate::scenario::Micros;
 
-/// How finely a speed that changes by itself is followed, in microseconds.
+/// Step in which a speed that changes by itself is followed, in microseconds; it is taken as constant
+/// within a step.
 const STEP: Micros = 50_000;
 /// Progress by which a job may end early, as progress is rounded: in microseconds of a standard
 /// core.
 const END_TOLERANCE: f64 = 1e-6;
-/// Least speed to divide by.
+/// Least speed to divide by, so that a job that stands still ends at a far but finite moment.
 const MIN_SPEED: f64 = 1e-9;
 /// Least work of a job, in microseconds of a standard core.
 const MIN_WORK: f64 = 1.0;
@@ -31,7 +35,7 @@
         let cores = f64::from(self.machine_type.cores);
         let side_work = self.side_work / cores / self.core_speed(self.now).max(MIN_SPEED);
         let span = work / self.job_speed(self.now).max(MIN_SPEED) + side_work;
-        Some(self.now + (span.ceil() as Micros).max(1))
+        Some(self.now + micros_from_f64(span.ceil()).max(1))
     }
 
     /// Lets time pass up to `now`, and adds what happened.
@@ -54,14 +58,14 @@
     /// Works until a moment, or until the first job ends.
     fn work_until(&mut self, step_end: Micros, events: &mut Vec<Event>) {
         let speed = self.job_speed(self.now);
-        let span = self.do_side_work((step_end - self.now) as f64);
+        let span = self.do_side_work(f64_from_u64(step_end - self.now));
         let progress = self.running.progress();
         let reach = progress + span * speed;
         let first_end = self.running.first_end();
         match first_end.filter(|&end| end <= reach + END_TOLERANCE) {
             Some(end) => {
                 let used = ((end - progress) / speed).max(0.0);
-                let idle = (span - used).max(0.0) as Micros;
+                let idle = micros_from_f64((span - used).max(0.0));
                 let ended_at = step_end - idle.min(step_end - self.now);
                 self.now = ended_at.max(self.now);
                 self.running.on_progress(end);
--- a/crates/testbed/src/server_model/state_change.rs
+++ b/crates/testbed/src/server_model/state_change.rs
@@ -1,9 +1,12 @@
 //! What is done to a server beside handing it jobs.
+//!
+//! Owns what faults, connections and cancellations change. Time passes in `service`.
 
 use super::{Event, ServerModel, State};
+use crate::conversion::MICROS_PER_MS;
 use crate::scenario::{CancellationScope, Micros};
 
-/// Least slowdown, so that a speed stays finite.
+/// Least factor of a slowdown, so that a speed stays finite; 1 is the usual speed.
 const MIN_SLOWDOWN: f64 = 1e-3;
 
 impl ServerModel {
@@ -30,7 +33,7 @@
     /// A new connection costs work beside the jobs.
     pub fn handshake(&mut self, now: Micros, events: &mut Vec<Event>) {
         self.advance(now, events);
-        self.side_work += self.machine_type.handshake_ms * 1_000.0;
+        self.side_work += self.machine_type.handshake_ms * MICROS_PER_MS;
     }
 
     /// A connection is opened; false where the connection table is full.
--- a/crates/testbed/src/simulator/mod.rs
+++ b/crates/testbed/src/simulator/mod.rs
@@ -25,7 +25,7 @@
 mod process;
 mod request;
 mod run;
-mod sidecars;
+pub(crate) mod sidecars;
 mod timeline;
 
 use crate::event_log::EventLog;
--- a/crates/testbed/src/simulator/sidecars/mod.rs
+++ b/crates/testbed/src/simulator/sidecars/mod.rs
@@ -14,7 +14,7 @@
 mod health_checks;
 mod host;
 mod requests;
-mod settings;
+pub(crate) mod settings;
 mod sidecar;
 
 use super::SimulatorError;
