--- a/crates/balancer/src/balancer/requests.rs
+++ b/crates/balancer/src/balancer/requests.rs
@@ -212,7 +212,7 @@
     }
 
     /// Gives a request its final response at once: a rejection where a retry is harmless, else a
-    /// failure.
+    /// failure. Why it is given up is the caller's decision, which is not passed on.
     fn give_up(&mut self, id: RequestId, actions: &mut Actions) {
         let Some(request) = self.requests.get(id) else {
             return;
--- a/crates/balancer/src/fleet.rs
+++ b/crates/balancer/src/fleet.rs
@@ -65,7 +65,8 @@
         self.servers.retain(|server| !server.is_gone(settings));
     }
 
-    /// True where a server may be sent requests as far as the endpoint list tells.
+    /// True where a server may be sent requests as far as the endpoint list tells. One that was
+    /// listed as draining may not until it restarts or is removed, whatever later lists say.
     pub(crate) fn is_ready(&self, server: &ServerState) -> bool {
         let is_listed = server.endpoint().status == EndpointStatus::Ready;
         (is_listed || self.settings.only_draining_binds) && !server.is_drain_listed()
--- a/crates/balancer/src/policy/final_response.rs
+++ b/crates/balancer/src/policy/final_response.rs
@@ -1,5 +1,7 @@
 //! The final response to a request that is given up: a rejection, or a failure.
 //!
+//! Why it is given up was decided before: by `LoadShedder`, `ServerSelector` or `RetryPolicy`.
+//!
 //! A rejection tells the client that it may retry, and so is given only where a retry is known to
 //! be harmless: the class is idempotent, or its idempotency keys are known to all servers, or no
 //! attempt can have executed. Every other request fails. Nothing else decides that. The Retry-After
--- a/crates/balancer/src/policy/retry_budget.rs
+++ b/crates/balancer/src/policy/retry_budget.rs
@@ -3,6 +3,8 @@
 //! Each request earns a twentieth of a retry, and up to ten retries are saved up; a retry of a
 //! request that cannot have executed costs a quarter. So a fleet that fails or rejects everything
 //! gets each request at most 1.05 or 1.2 times over, as with the retry budgets of Finagle and gRPC.
+//! Every request that arrives earns, also one that is shed at once; hedged requests are paid for
+//! like retries. `Balancer::retry` alone spends, once a server has been found.
 
 #[cfg(test)]
 mod tests;
--- a/crates/balancer/src/policy/retry_policy.rs
+++ b/crates/balancer/src/policy/retry_policy.rs
@@ -90,7 +90,8 @@
         self.budget.on_request_arrived();
     }
 
-    /// A request is sent again.
+    /// A request is sent again: the only spending from the budget. It is not paid back where the
+    /// host then does not send the attempt.
     pub(crate) fn on_retry(&mut self, prior: PriorExecution) {
         self.budget.on_retry(prior);
     }
--- a/crates/balancer/src/state_change.rs
+++ b/crates/balancer/src/state_change.rs
@@ -5,7 +5,8 @@
 /// What changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StateChange {
-    /// The endpoint list is no longer current: its subscription ended or a poll failed.
+    /// The endpoint list may be stale from now on: its subscription ended. Polls that fail until
+    /// there is another subscription are no further change.
     EndpointListLost,
     /// The state of a server changed.
     Server {
--- a/crates/sidecar/src/upstream/send_conditions.rs
+++ b/crates/sidecar/src/upstream/send_conditions.rs
@@ -1,7 +1,8 @@
 //! The check before an attempt's first byte: whether the attempt may still begin.
 //!
 //! The balancer decides earlier; a slow connect or a busy event loop may lie between its decision
-//! and the first write. Pure: times and flags are handed in (`send_guard` collects them). An attempt that is blocked here counts as not sent.
+//! and the first write. Pure: times and flags are handed in (`send_guard` collects them). An attempt
+//! that is blocked here counts as not sent.
 
 use std::time::Duration;
 
