--- a/crates/testbed/src/conversion.rs
+++ b/crates/testbed/src/conversion.rs
@@ -34,6 +34,11 @@
     micros as Micros
 }
 
+/// A span times a factor, in whole microseconds: the fraction is cut off.
+pub(crate) fn scaled_micros(span: Micros, factor: f64) -> Micros {
+    micros_from_f64(f64_from_u64(span) * factor)
+}
+
 /// A count without its fraction. NaN and negative numbers become 0, numbers above the range the
 /// largest.
 pub(crate) fn count_from_f64(count: f64) -> usize {
--- a/crates/testbed/src/simulator/clients/mod.rs
+++ b/crates/testbed/src/simulator/clients/mod.rs
@@ -9,10 +9,10 @@
 use slotmap::SlotMap;
 
 use super::context::Context;
-use super::convert::scaled;
 use super::event::SimulatorEvent;
 use super::process::SidecarProcess;
 use super::request::{ArrivalKey, Request, RequestKey};
+use crate::conversion::scaled_micros;
 use crate::event_log::{LogEvent, RequestOutcome};
 use crate::index::{ArrivalNumber, ClassIndex, RequestNumber, SidecarIndex, TenantIndex};
 use crate::random::{RandomStream, StreamId};
@@ -228,10 +228,10 @@
     let class = &scenario.class[arrival.class.index()];
     let [shortest, longest] = scenario.clients.timeout_share;
     let deadline = from_ms(class.deadline_ms);
-    let timeout = scaled(deadline, random.between(shortest, longest));
+    let timeout = scaled_micros(deadline, random.between(shortest, longest));
     // The moment is drawn whether or not it counts, so that the share moves no other draw.
     let disconnects = random.chance(scenario.clients.disconnect_share);
-    let disconnects_at = now + scaled(timeout, random.unit());
+    let disconnects_at = now + scaled_micros(timeout, random.unit());
     Patience {
         due: (now + timeout).min(arrival.deadline),
         disconnects_at: disconnects.then_some(disconnects_at),
--- a/crates/testbed/src/simulator/discovery/mod.rs
+++ b/crates/testbed/src/simulator/discovery/mod.rs
@@ -7,9 +7,9 @@
 mod endpoint_list;
 
 use super::context::Context;
-use super::convert::whole_micros;
 use super::event::{EndpointPoll, PollResult, SimulatorEvent};
 use super::process::SidecarProcess;
+use crate::conversion::micros_from_f64;
 use crate::index::ServerIndex;
 use crate::random::{RandomStream, StreamId};
 use crate::scenario::{self, Micros, Scenario, from_ms};
@@ -133,7 +133,7 @@
         if start > now + timeout {
             return (now + timeout, true);
         }
-        self.busy_until = start + whole_micros(MICROS_PER_S / settings.capacity);
+        self.busy_until = start + micros_from_f64(MICROS_PER_S / settings.capacity);
         (self.busy_until, false)
     }
 
--- a/crates/testbed/src/simulator/fleet/mod.rs
+++ b/crates/testbed/src/simulator/fleet/mod.rs
@@ -12,9 +12,9 @@
 
 use super::attempts::Attempts;
 use super::context::Context;
-use super::convert::saturating_u32;
 use super::discovery::ListedEndpoint;
 use super::event::SimulatorEvent;
+use crate::conversion::u32_from_count;
 use crate::event_log::{ListedStatus, LogEvent, ServerState};
 use crate::index::ServerIndex;
 use crate::random::{RandomStream, StreamId};
@@ -119,8 +119,8 @@
             let model = &self.server(server).model;
             context.record(LogEvent::ServerGauge {
                 server,
-                in_flight: saturating_u32(model.in_flight()),
-                connections: saturating_u32(model.connections()),
+                in_flight: u32_from_count(model.in_flight()),
+                connections: u32_from_count(model.connections()),
             });
         }
     }
--- a/crates/testbed/src/simulator/mod.rs
+++ b/crates/testbed/src/simulator/mod.rs
@@ -13,7 +13,6 @@
 mod attempts;
 mod clients;
 mod context;
-mod convert;
 mod discovery;
 mod error;
 mod event;
--- a/crates/testbed/src/simulator/sidecars/attempts.rs
+++ b/crates/testbed/src/simulator/sidecars/attempts.rs
@@ -12,11 +12,11 @@
 use super::environment::Environment;
 use super::requests::OpenRequest;
 use super::sidecar::Sidecar;
+use crate::conversion::u32_from_count;
 use crate::event_log::RequestOutcome;
 use crate::index::{RequestNumber, ServerIndex};
 use crate::scenario::Micros;
 use crate::simulator::attempts::{Attempt, AttemptDetails, AttemptKey};
-use crate::simulator::convert::saturating_u32;
 
 impl Sidecar {
     /// Sends an attempt of an open request; `timeout` is cut to the time that the request has left.
@@ -166,7 +166,7 @@
     let time_left = request.due.saturating_sub(now);
     AttemptDetails {
         request: request.number,
-        index: saturating_u32(open.attempts.len()),
+        index: u32_from_count(open.attempts.len()),
         sidecar: request.process.sidecar,
         server,
         sent_at: now,
--- a/crates/testbed/src/simulator/sidecars/connecting.rs
+++ b/crates/testbed/src/simulator/sidecars/connecting.rs
@@ -2,10 +2,10 @@
 
 use super::environment::Environment;
 use super::sidecar::Sidecar;
+use crate::conversion::scaled_micros;
 use crate::event_log::LogEvent;
 use crate::scenario::from_ms;
 use crate::simulator::attempts::AttemptKey;
-use crate::simulator::convert::scaled;
 use crate::simulator::event::{Cancellation, SimulatorEvent};
 
 impl Sidecar {
@@ -26,7 +26,7 @@
         let delay = attempt.details.delay;
         let machine_type = environment.fleet.machine_type(attempt.details.server);
         let further_round_trips = (machine_type.handshake_rtts - 1.0).max(0.0);
-        let handshake = scaled(delay, further_round_trips * 2.0);
+        let handshake = scaled_micros(delay, further_round_trips * 2.0);
         write(key, environment);
         let timeout = SimulatorEvent::AttemptTimeout(self.index, key);
         environment.context.at(due, timeout);
--- a/crates/testbed/src/simulator/sidecars/connections.rs
+++ b/crates/testbed/src/simulator/sidecars/connections.rs
@@ -6,10 +6,10 @@
 
 use super::environment::Environment;
 use super::sidecar::Sidecar;
+use crate::conversion::scaled_micros;
 use crate::index::ServerIndex;
 use crate::scenario::{Micros, from_s};
 use crate::simulator::context::Context;
-use crate::simulator::convert::scaled;
 use crate::simulator::fleet::Fleet;
 
 /// Share of the servers' idle timeout after which a sidecar no longer uses a connection.
@@ -119,5 +119,5 @@
 /// How long a sidecar uses an idle connection, in microseconds.
 fn reuse_time(context: &Context<'_>) -> Micros {
     let idle_timeout = from_s(context.scenario().permissions.idle_timeout_s);
-    scaled(idle_timeout, REUSE_SHARE)
+    scaled_micros(idle_timeout, REUSE_SHARE)
 }
--- a/crates/testbed/src/simulator/sidecars/settings.rs
+++ b/crates/testbed/src/simulator/sidecars/settings.rs
@@ -5,12 +5,12 @@
     RetrySettings, Settings, SlowStartSettings,
 };
 
+use crate::conversion::u32_from_count;
 use crate::index::SidecarIndex;
 use crate::scenario::{
     Class, DeduplicationScope, Idempotency, LoadReportSource, MachineType, Micros, Prices,
     Scenario, from_ms, from_s,
 };
-use crate::simulator::convert::saturating_u32;
 
 /// A sidecar responds this long before the client gives up, in microseconds: the real program's
 /// `step-ms`.
@@ -45,7 +45,7 @@
         identity: BalancerIdentity {
             zone: scenario.sidecar_zone(sidecar_index),
             index: sidecar_index.value(),
-            count: saturating_u32(scenario.sidecars.count),
+            count: u32_from_count(scenario.sidecars.count),
         },
         step: RESPONSE_MARGIN,
         host: host_capabilities(scenario),
