--- a/crates/adapter/src/host/settings.rs
+++ b/crates/adapter/src/host/settings.rs
@@ -27,7 +27,7 @@
     Ok(platform)
 }
 
-/// The form that `arrowstand-platform` reads. A line is parsed as a whole by serde_json; the
+/// The form that `arrowstand-platform` reads. A line is parsed as a whole by `serde_json`; the
 /// settings are converted and not parsed a second time, as the two parsers may round the last digit
 /// of a number differently.
 fn to_tinyjson(value: &Value) -> JsonValue {
--- a/crates/balancer/src/state/endpoint_table/tests.rs
+++ b/crates/balancer/src/state/endpoint_table/tests.rs
@@ -49,7 +49,10 @@
 fn full_list_marks_servers_it_omits_as_removed() {
     let mut table = table(3);
     table.on_full_list(&[Endpoint::ready(ServerId(1), 1)]);
-    let removed: Vec<bool> = table.iter().map(|server| server.is_removed()).collect();
+    let removed: Vec<bool> = table
+        .iter()
+        .map(super::super::server_state::ServerState::is_removed)
+        .collect();
     assert_eq!(removed, [true, false, true]);
 }
 
--- a/crates/balancer/src/state/request_state.rs
+++ b/crates/balancer/src/state/request_state.rs
@@ -212,7 +212,7 @@
 
     /// The load of these servers was requested for it.
     pub(crate) fn on_load_checks_started(&mut self, servers: Vec<ServerId>) {
-        self.load_checked = servers.clone();
+        self.load_checked.clone_from(&servers);
         self.awaited_load_checks = servers;
     }
 
--- a/crates/balancer/src/state/request_state/tests.rs
+++ b/crates/balancer/src/state/request_state/tests.rs
@@ -57,7 +57,7 @@
     assert_eq!(
         request
             .first_possible_execution()
-            .map(|attempt| attempt.sent_at()),
+            .map(super::Attempt::sent_at),
         Some(1_020)
     );
     assert_eq!(
--- a/crates/balancer/tests/balancer/health_check.rs
+++ b/crates/balancer/tests/balancer/health_check.rs
@@ -142,9 +142,9 @@
             Outcome::Served
         };
         let retried_on = sent_to(&driver.end_attempt(id, 0, server, outcome));
-        retried_on
-            .into_iter()
-            .for_each(|to| drop(driver.end_attempt(id, 1, to, Outcome::Served)));
+        if let Some(to) = retried_on {
+            driver.end_attempt(id, 1, to, Outcome::Served);
+        }
     }
     assert!(!driver.servers_in_use().contains(&3));
 }
--- a/crates/balancer/tests/balancer/load_from_responses/emulated_fleet.rs
+++ b/crates/balancer/tests/balancer/load_from_responses/emulated_fleet.rs
@@ -54,7 +54,7 @@
         Self {
             driver,
             servers,
-            started: Default::default(),
+            started: BTreeMap::default(),
             sends: Vec::new(),
             in_time: 0,
             late: 0,
@@ -104,9 +104,9 @@
                 assert_eq!(n as u32, server.0);
                 self.driver.handle(Event::AttemptEnded(end));
                 if elapsed <= 250 * MS {
-                    self.in_time += 1
+                    self.in_time += 1;
                 } else {
-                    self.late += 1
+                    self.late += 1;
                 }
             }
         }
--- a/crates/balancer/tests/balancer/pick.rs
+++ b/crates/balancer/tests/balancer/pick.rs
@@ -76,7 +76,7 @@
         drop(driver.handle(endpoint_changed(Endpoint {
             machine_type: machine_type(n),
             ..endpoint(n)
-        })))
+        })));
     });
     let mut served = |count: u32, of: std::ops::Range<u32>| {
         let mut seen = 0;
--- a/crates/balancer/tests/balancer/retry.rs
+++ b/crates/balancer/tests/balancer/retry.rs
@@ -15,7 +15,7 @@
     Failed,
 }
 
-/// What follows a first attempt of this class that ended so end_of_attempt this time.
+/// What follows a first attempt of this class that ended so `end_of_attempt` this time.
 fn next_step(class: RequestClass, outcome: Outcome, wait: Micros) -> Next {
     let mut settings = settings();
     settings.classes = vec![class];
--- a/crates/balancer/tests/balancer/subset.rs
+++ b/crates/balancer/tests/balancer/subset.rs
@@ -27,7 +27,9 @@
         let mut cells: Vec<u32> = first.iter().map(|n| n / 2).collect();
         cells.dedup();
         assert_eq!(cells.len(), first.len(), "one of each cell");
-        first.iter().for_each(|&n| all[n as usize] += 1);
+        for &n in &first {
+            all[n as usize] += 1;
+        }
         driver.handle(endpoint_changed(endpoint(64)));
         let kept = driver
             .servers_in_use_slowly()
@@ -102,9 +104,9 @@
 fn hundred_quiet_balancers_spread_their_subsets_over_all_servers() {
     let mut users = [0; 60];
     for seed in 0..100 {
-        subset_of_sixty(0.08, 80 * MS, seed)
-            .into_iter()
-            .for_each(|n| users[n as usize] += 1);
+        for n in subset_of_sixty(0.08, 80 * MS, seed) {
+            users[n as usize] += 1;
+        }
     }
     let (least, most) = (
         users.iter().min().expect("60"),
--- a/crates/platform/src/load_report/tests.rs
+++ b/crates/platform/src/load_report/tests.rs
@@ -4,8 +4,8 @@
 use super::{LoadReportLayout, ServerLoad, read_report};
 use crate::json::{Node, parse};
 
-const fn report(in_flight: f64, queued: f64) -> Option<LoadReport> {
-    Some(LoadReport { in_flight, queued })
+const fn report(in_flight: f64, queued: f64) -> LoadReport {
+    LoadReport { in_flight, queued }
 }
 
 /// Texts of which one part is malformed, or that name no requests in flight.
@@ -20,9 +20,15 @@
 
 #[test]
 fn a_header_is_read_unless_a_part_is_malformed() {
-    assert_eq!(read_report("inflight=7,queue=2,eps=0.5"), report(7.0, 2.0));
-    assert_eq!(read_report(" active = 3 , waiting=1 \n"), report(3.0, 1.0));
-    assert_eq!(read_report("inflight=7"), report(7.0, 0.0));
+    assert_eq!(
+        read_report("inflight=7,queue=2,eps=0.5"),
+        Some(report(7.0, 2.0))
+    );
+    assert_eq!(
+        read_report(" active = 3 , waiting=1 \n"),
+        Some(report(3.0, 1.0))
+    );
+    assert_eq!(read_report("inflight=7"), Some(report(7.0, 0.0)));
     for text in MALFORMED_REPORTS {
         assert_eq!(read_report(text), None, "{text:?}");
     }
@@ -37,8 +43,8 @@
     let without_queue = layout.extract(&[None, None, Some(7.0)]);
     let without_in_flight = layout.extract(&[None, Some(2.0)]);
 
-    assert_eq!(with_both, report(7.0, 2.0));
-    assert_eq!(without_queue, report(7.0, 0.0));
+    assert_eq!(with_both, Some(report(7.0, 2.0)));
+    assert_eq!(without_queue, Some(report(7.0, 0.0)));
     assert_eq!(without_in_flight, None);
     assert_eq!(LoadReportLayout::default().extract(&[Some(1.0)]), None);
 }
--- a/crates/sidecar/src/discovery/watcher.rs
+++ b/crates/sidecar/src/discovery/watcher.rs
@@ -184,6 +184,6 @@
 /// Waits until discovery is at another address; forever once no configuration can come.
 async fn relocated(discovery: &mut Receiver<SocketAddr>) {
     if discovery.changed().await.is_err() {
-        std::future::pending().await
+        std::future::pending::<()>().await;
     }
 }
--- a/crates/sidecar/src/host/balancer_host.rs
+++ b/crates/sidecar/src/host/balancer_host.rs
@@ -179,7 +179,7 @@
             } => to_request(request, RequestAction::Reject { retry_after }),
             Action::Fail { request } => to_request(request, RequestAction::Fail),
             Action::SetTimer { token, after } => {
-                self.timers.schedule(self.clock.now() + after, token)
+                self.timers.schedule(self.clock.now() + after, token);
             }
             Action::HealthCheck { server } => {
                 return (!self.actions.enqueue_health_check(server)).then_some(server);
--- a/crates/sidecar/tests/support/steps/process.rs
+++ b/crates/sidecar/tests/support/steps/process.rs
@@ -78,7 +78,8 @@
             let longest = parse_milliseconds(text);
             let elapsed = self.stopped_at.map(|stopped_at| stopped_at.elapsed());
             let is_within = elapsed.is_some_and(|elapsed| elapsed <= longest);
-            line += &format!(", within {longest:?} of SIGTERM: {is_within}");
+            let verdict = format!(", within {longest:?} of SIGTERM: {is_within}");
+            line.push_str(&verdict);
         }
         self.record(&line);
     }
--- a/crates/testbed/benches/simulator.rs
+++ b/crates/testbed/benches/simulator.rs
@@ -25,7 +25,7 @@
     group.sample_size(10);
     let site = scenario("calm", &[("seconds", 10.0), ("load.rate", 300.0)]);
     group.bench_function("site, 10 s, 300 requests a second", |bencher| {
-        bencher.iter(|| simulator::run(&site.scenario, None))
+        bencher.iter(|| simulator::run(&site.scenario, None));
     });
     let thousand = scenario("thousand", &[("seconds", 1.0)]);
     group.bench_function("1,000 sidecars, 1 s, 30,000 requests a second", |bencher| {
--- a/crates/testbed/src/emulator/fault_schedule.rs
+++ b/crates/testbed/src/emulator/fault_schedule.rs
@@ -54,7 +54,7 @@
 /// Plays the faults, and then waits for ever.
 pub(super) async fn play_for_ever(emulation: &Emulation) {
     play(emulation).await;
-    pending().await
+    pending::<()>().await;
 }
 
 fn restart_sidecars(
@@ -161,10 +161,10 @@
             FaultKind::Pause => server.pause(),
             FaultKind::Slow => server.set_slowdown(self.fault.factor),
             FaultKind::ErrorResponses => {
-                server.set_response_fault(ResponseFault::Errors(Some(share)))
+                server.set_response_fault(ResponseFault::Errors(Some(share)));
             }
             FaultKind::MalformedResponses => {
-                server.set_response_fault(ResponseFault::Malformed(share))
+                server.set_response_fault(ResponseFault::Malformed(share));
             }
             FaultKind::ConnectionResets => server.set_response_fault(ResponseFault::Reset(share)),
             FaultKind::Crash => {
@@ -197,7 +197,7 @@
             FaultKind::Slow => server.set_slowdown(1.0),
             FaultKind::ErrorResponses => server.set_response_fault(ResponseFault::Errors(None)),
             FaultKind::MalformedResponses => {
-                server.set_response_fault(ResponseFault::Malformed(0.0))
+                server.set_response_fault(ResponseFault::Malformed(0.0));
             }
             FaultKind::ConnectionResets => server.set_response_fault(ResponseFault::Reset(0.0)),
             FaultKind::Crash | FaultKind::Silence => {
--- a/crates/testbed/src/emulator/ports.rs
+++ b/crates/testbed/src/emulator/ports.rs
@@ -47,16 +47,14 @@
 }
 
 fn take_block() -> Option<Block> {
-    let first_ports = (0..BLOCKS).map(|block| FIRST_PORT + block * BLOCK_SIZE);
-    first_ports
-        .filter_map(|first_port| {
-            let mark = TcpListener::bind(loopback(first_port)).ok()?;
-            Some(Block {
-                _mark: mark,
-                first_port,
-            })
+    let mut first_ports = (0..BLOCKS).map(|block| FIRST_PORT + block * BLOCK_SIZE);
+    first_ports.find_map(|first_port| {
+        let mark = TcpListener::bind(loopback(first_port)).ok()?;
+        Some(Block {
+            _mark: mark,
+            first_port,
         })
-        .next()
+    })
 }
 
 /// Tries an address without listening there: a sidecar that is started in that very moment holds a
--- a/crates/testbed/src/event_log/tests.rs
+++ b/crates/testbed/src/event_log/tests.rs
@@ -25,7 +25,9 @@
 fn written(records: &[LogRecord]) -> String {
     let mut bytes = Vec::new();
     let mut writer = Writer::new(&mut bytes);
-    records.iter().for_each(|record| writer.record(record));
+    for record in records {
+        writer.record(record);
+    }
     writer.finish().expect("written");
     String::from_utf8(bytes).expect("text")
 }
@@ -34,7 +36,7 @@
 fn an_old_log_is_read_whole_with_the_present_names() {
     let records = read(OLD_LOG).expect("read");
     let mut counts = BTreeMap::new();
-    for record in &records {
+    for record in records {
         *counts.entry(kind(&record.event)).or_insert(0) += 1;
     }
     let expected = [
--- a/crates/testbed/src/report/tests.rs
+++ b/crates/testbed/src/report/tests.rs
@@ -47,7 +47,7 @@
     serde_json::from_str(OLD_REPORT).expect("read")
 }
 
-/// Equal but for the last digit: serde_json reads some numbers one unit in the last place off.
+/// Equal but for the last digit: `serde_json` reads some numbers one unit in the last place off.
 fn assert_close(actual: f64, expected: f64) {
     let tolerance = 2.0 * f64::EPSILON * expected.abs();
     assert!(
--- a/crates/testbed/tests/emulator.rs
+++ b/crates/testbed/tests/emulator.rs
@@ -238,11 +238,11 @@
         .stdout(Stdio::piped())
         .spawn()
         .expect("starts");
-    let pid = nix::unistd::Pid::from_raw(child.id() as i32);
+    let pid = nix::unistd::Pid::from_raw(i32::try_from(child.id()).expect("a process id"));
     // The run begins within two seconds and lasts four.
-    std::thread::sleep(Duration::from_millis(3_000));
+    std::thread::sleep(Duration::from_secs(3));
     kill(pid, Signal::SIGSTOP).expect("stopped");
-    std::thread::sleep(Duration::from_millis(1_000));
+    std::thread::sleep(Duration::from_secs(1));
     kill(pid, Signal::SIGCONT).expect("goes on");
     let output = child.wait_with_output().expect("ends");
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
