--- a/crates/balancer/src/estimators/decaying_rate.rs
+++ b/crates/balancer/src/estimators/decaying_rate.rs
@@ -6,7 +6,7 @@
 
 /// Weight left of something learnt at `since`, where half of it is lost in each `half_life`
 /// (microseconds).
-pub(crate) fn decay(now: Micros, since: Micros, half_life: f64) -> f64 {
+pub(crate) fn decay_factor(now: Micros, since: Micros, half_life: f64) -> f64 {
     0.5_f64.powf(now.saturating_sub(since) as f64 / half_life)
 }
 
@@ -29,16 +29,16 @@
 
     /// Adds an amount that came at this moment.
     pub(crate) fn add(&mut self, amount: f64, now: Micros) {
-        self.amount = amount + self.remaining(now);
+        self.amount = amount + self.decayed_amount(now);
         self.updated_at = now;
     }
 
     /// The rate, per microsecond.
     pub(crate) fn per_microsecond(&self, now: Micros) -> f64 {
-        self.remaining(now) * LN_2 / self.half_life
+        self.decayed_amount(now) * LN_2 / self.half_life
     }
 
-    fn remaining(&self, now: Micros) -> f64 {
-        self.amount * decay(now, self.updated_at, self.half_life)
+    fn decayed_amount(&self, now: Micros) -> f64 {
+        self.amount * decay_factor(now, self.updated_at, self.half_life)
     }
 }
--- a/crates/balancer/src/estimators/estimates.rs
+++ b/crates/balancer/src/estimators/estimates.rs
@@ -1,6 +1,6 @@
 //! Load, service time and value as estimated at one moment, from all estimators together.
 
-use crate::estimators::decaying_rate::decay;
+use crate::estimators::decaying_rate::decay_factor;
 use crate::estimators::latency::LatencyEstimator;
 use crate::policy::load_source::LoadSource;
 use crate::state::{InFlightAttempt, ServerState};
@@ -9,14 +9,14 @@
 /// Half-life of what others have at a server where responses tell of it, in microseconds. Shorter,
 /// and a server without new reports soon looks idle; longer, and a crowded one is avoided for
 /// longer than it is crowded. Chosen by experiment on the testbed's deployments.
-const ELSEWHERE_HALF_LIFE: f64 = 4_000_000.0;
+const OTHERS_IN_FLIGHT_HALF_LIFE: f64 = 4_000_000.0;
 /// Least divisor of a latency where responses tell of load, in usual requests: a small request that
 /// waited for something else would make its server look enormously slow. Chosen by experiment on
 /// the testbed's deployments.
-const MIN_MEAN_DEPTH: f64 = 0.05;
+const MIN_LOAD_DIVISOR_WITH_RESPONSE_REPORTS: f64 = 0.05;
 /// The same where they do not. Inherited with the first version of the module; its source was not
 /// recorded.
-const MIN_REPORTED_DEPTH: f64 = 0.2;
+const MIN_LOAD_DIVISOR: f64 = 0.2;
 
 /// Estimates of load and service time at one moment.
 pub(crate) struct Estimates<'a> {
@@ -35,8 +35,11 @@
     pub(crate) fn queue_depth(&self, server: &ServerState) -> f64 {
         let load = &server.load;
         if self.settings.load_source() == LoadSource::Responses {
-            let elsewhere =
-                load.in_flight_elsewhere(decay(self.now, load.updated_at(), ELSEWHERE_HALF_LIFE));
+            let elsewhere = load.in_flight_from_others(decay_factor(
+                self.now,
+                load.updated_at(),
+                OTHERS_IN_FLIGHT_HALF_LIFE,
+            ));
             return server.in_flight().len() as f64 + elsewhere + 1.0;
         }
         let age = self.now.saturating_sub(load.updated_at()) as f64;
@@ -46,7 +49,7 @@
             .iter()
             .map(|attempt| attempt.relative_work)
             .sum();
-        own + load.in_flight_elsewhere(freshness) + 1.0
+        own + load.in_flight_from_others(freshness) + 1.0
     }
 
     /// Requests in flight, in the time that this server takes.
@@ -96,8 +99,8 @@
             // server slow.
             let mean_depth = (attempt.queue_depth + self.queue_depth(server)) / 2.0;
             return latency * server.slow_start.factor(self.now, self.settings)
-                / (mean_depth * attempt.relative_work).max(MIN_MEAN_DEPTH);
+                / (mean_depth * attempt.relative_work).max(MIN_LOAD_DIVISOR_WITH_RESPONSE_REPORTS);
         }
-        latency / (attempt.queue_depth - 1.0 + attempt.relative_work).max(MIN_REPORTED_DEPTH)
+        latency / (attempt.queue_depth - 1.0 + attempt.relative_work).max(MIN_LOAD_DIVISOR)
     }
 }
--- a/crates/balancer/src/estimators/failure_rate.rs
+++ b/crates/balancer/src/estimators/failure_rate.rs
@@ -1,7 +1,7 @@
 //! How many of a server's attempts fail.
 
 use crate::Micros;
-use crate::estimators::weights::SERVER_WEIGHT;
+use crate::estimators::smoothing::SERVER_SMOOTHING_FACTOR;
 
 /// Most that a server's failure rate can come to, a share: the server counts as slower by one over
 /// the rest, at most five times. Higher, and a server that has recovered is hardly ever drawn to
@@ -31,13 +31,13 @@
     pub(crate) fn on_served(&mut self, now: Micros) {
         self.last_served_at = now;
         self.consecutive_failures = 0;
-        self.failure_rate -= SERVER_WEIGHT * self.failure_rate;
+        self.failure_rate -= SERVER_SMOOTHING_FACTOR * self.failure_rate;
     }
 
     /// An attempt failed; returns how many failed since one was served.
     pub(crate) fn on_failed(&mut self) -> u32 {
         self.consecutive_failures += 1;
-        self.failure_rate += SERVER_WEIGHT * (MAX_FAILURE_RATE - self.failure_rate);
+        self.failure_rate += SERVER_SMOOTHING_FACTOR * (MAX_FAILURE_RATE - self.failure_rate);
         self.consecutive_failures
     }
 
--- a/crates/balancer/src/estimators/latency.rs
+++ b/crates/balancer/src/estimators/latency.rs
@@ -5,8 +5,8 @@
 
 use std::collections::BTreeMap;
 
-use crate::estimators::decaying_rate::decay;
-use crate::estimators::weights::{FLEET_WEIGHT, SERVER_WEIGHT};
+use crate::estimators::decaying_rate::decay_factor;
+use crate::estimators::smoothing::{FLEET_SMOOTHING_FACTOR, SERVER_SMOOTHING_FACTOR};
 use crate::{MachineType, Micros};
 
 /// Half-life of a server's latency factor, in microseconds, after which half of its distance to
@@ -42,7 +42,7 @@
 /// Service times of the fleet and of each machine type.
 pub(crate) struct LatencyEstimator {
     mean_service_time: f64,
-    latency_by_machine_type: BTreeMap<u32, f64>,
+    factor_by_machine_type: BTreeMap<u32, f64>,
 }
 
 impl LatencyEstimator {
@@ -51,7 +51,7 @@
         let mean_service_time = shortest_objective * INITIAL_SERVICE_TIME_SHARE;
         Self {
             mean_service_time,
-            latency_by_machine_type: BTreeMap::new(),
+            factor_by_machine_type: BTreeMap::new(),
         }
     }
 
@@ -69,13 +69,13 @@
     ) -> f64 {
         machine_factor
             + (server.factor - machine_factor)
-                * decay(now, server.updated_at, LATENCY_FACTOR_HALF_LIFE)
+                * decay_factor(now, server.updated_at, LATENCY_FACTOR_HALF_LIFE)
     }
 
     /// The latency factor of a machine type. What one server shows tells of all machines like it: a
     /// balancer that sends each server next to nothing would learn too late from the server itself.
     pub(crate) fn machine_latency_factor(&self, machine: MachineType) -> f64 {
-        self.latency_by_machine_type
+        self.factor_by_machine_type
             .get(&machine.id)
             .copied()
             .unwrap_or(1.0 / machine.speed)
@@ -94,13 +94,13 @@
         let factor = (service_time / self.mean_service_time)
             .clamp(1.0 / MAX_LATENCY_FACTOR, MAX_LATENCY_FACTOR);
         let before = self.latency_factor(server, machine_factor, now);
-        server.factor = before + SERVER_WEIGHT * (factor - before);
+        server.factor = before + SERVER_SMOOTHING_FACTOR * (factor - before);
         server.updated_at = now;
-        self.latency_by_machine_type.insert(
+        self.factor_by_machine_type.insert(
             machine.id,
-            machine_factor + FLEET_WEIGHT * (factor - machine_factor),
+            machine_factor + FLEET_SMOOTHING_FACTOR * (factor - machine_factor),
         );
         let bounded = service_time.min(MAX_LATENCY_FACTOR * self.mean_service_time);
-        self.mean_service_time += FLEET_WEIGHT * (bounded - self.mean_service_time);
+        self.mean_service_time += FLEET_SMOOTHING_FACTOR * (bounded - self.mean_service_time);
     }
 }
--- a/crates/balancer/src/estimators/latency_distribution.rs
+++ b/crates/balancer/src/estimators/latency_distribution.rs
@@ -4,7 +4,7 @@
 mod tests;
 
 use crate::Micros;
-use crate::estimators::weights::FLEET_WEIGHT;
+use crate::estimators::smoothing::FLEET_SMOOTHING_FACTOR;
 use crate::state::{InFlightAttempt, ServerState};
 
 /// Typical latency before any response, as a share of the shortest latency objective. Only the
@@ -34,33 +34,33 @@
     /// A server responded after so many microseconds.
     pub(crate) fn on_response(&mut self, latency: f64) {
         let deviation = latency.max(1.0).ln() - self.log_mean;
-        self.log_mean += FLEET_WEIGHT * deviation;
+        self.log_mean += FLEET_SMOOTHING_FACTOR * deviation;
         self.log_variance = (self.log_variance
-            + FLEET_WEIGHT * (deviation * deviation - self.log_variance))
+            + FLEET_SMOOTHING_FACTOR * (deviation * deviation - self.log_variance))
             .max(MIN_LOG_VARIANCE);
     }
 
     /// Negative logarithm of the chance that a sound server leaves all attempts at it without a
     /// response for so long, counted from their send or from its last response.
-    pub(crate) fn silence_improbability(&self, server: &ServerState, now: Micros) -> f64 {
+    pub(crate) fn silence_surprisal(&self, server: &ServerState, now: Micros) -> f64 {
         let silent_since =
             |attempt: &InFlightAttempt| attempt.sent_at.max(server.failures.last_served_at());
         let silence = |attempt| now.saturating_sub(silent_since(attempt)).max(1) as f64;
         server
             .in_flight()
             .iter()
-            .map(|attempt| self.tail_improbability(silence(attempt)))
+            .map(|attempt| self.tail_surprisal(silence(attempt)))
             .sum()
     }
 
     /// Negative logarithm of the chance that a response takes longer than this, in microseconds.
-    fn tail_improbability(&self, latency: f64) -> f64 {
-        normal_tail_improbability((latency.ln() - self.log_mean) / self.log_variance.sqrt())
+    fn tail_surprisal(&self, latency: f64) -> f64 {
+        normal_tail_surprisal((latency.ln() - self.log_mean) / self.log_variance.sqrt())
     }
 }
 
 /// Negative logarithm of the chance that a normal variable exceeds z, to within a few per cent.
-fn normal_tail_improbability(z: f64) -> f64 {
+fn normal_tail_surprisal(z: f64) -> f64 {
     if z < 0.0 {
         0.69 * (1.3 * z).exp()
     } else {
--- a/crates/balancer/src/estimators/latency_distribution/tests.rs
+++ b/crates/balancer/src/estimators/latency_distribution/tests.rs
@@ -1,4 +1,4 @@
-use super::{LatencyDistribution, normal_tail_improbability};
+use super::{LatencyDistribution, normal_tail_surprisal};
 
 #[test]
 fn tail_improbability_rises_and_is_near_the_normal_distribution() {
@@ -10,7 +10,7 @@
         (3.0, 6.607),
         (5.0, 15.065),
     ] {
-        let improbability = normal_tail_improbability(z);
+        let improbability = normal_tail_surprisal(z);
         assert!(
             (improbability / expected - 1.0).abs() < 0.06,
             "{z}: {improbability}"
@@ -22,7 +22,7 @@
 fn latency_is_less_improbable_once_the_fleet_is_slow() {
     let mut latencies = LatencyDistribution::new(200_000.0);
     (0..200).for_each(|_| latencies.on_response(50_000.0));
-    let before = latencies.tail_improbability(400_000.0);
+    let before = latencies.tail_surprisal(400_000.0);
     (0..200).for_each(|_| latencies.on_response(400_000.0));
-    assert!(before > 14.0 && latencies.tail_improbability(400_000.0) < 1.0);
+    assert!(before > 14.0 && latencies.tail_surprisal(400_000.0) < 1.0);
 }
--- a/crates/balancer/src/estimators/missed_objective.rs
+++ b/crates/balancer/src/estimators/missed_objective.rs
@@ -1,6 +1,6 @@
 //! How many requests the fleet has no time for.
 
-use crate::estimators::weights::FLEET_WEIGHT;
+use crate::estimators::smoothing::FLEET_SMOOTHING_FACTOR;
 
 /// Share of the requests for which the server picked would respond late.
 #[derive(Default)]
@@ -16,11 +16,11 @@
 
     /// The server picked for a request would respond late.
     pub(crate) fn on_missed(&mut self) {
-        self.rate += FLEET_WEIGHT * (1.0 - self.rate);
+        self.rate += FLEET_SMOOTHING_FACTOR * (1.0 - self.rate);
     }
 
     /// The server picked for a request would respond in time, or none was found.
     pub(crate) fn on_met(&mut self) {
-        self.rate += FLEET_WEIGHT * (0.0 - self.rate);
+        self.rate += FLEET_SMOOTHING_FACTOR * (0.0 - self.rate);
     }
 }
--- a/crates/balancer/src/estimators/mod.rs
+++ b/crates/balancer/src/estimators/mod.rs
@@ -14,8 +14,8 @@
 pub(crate) mod missed_objective;
 pub(crate) mod saturation;
 pub(crate) mod slow_start;
+mod smoothing;
 pub(crate) mod utilization;
-mod weights;
 pub(crate) mod workload;
 
 pub(crate) use estimates::Estimates;
--- a/crates/balancer/src/estimators/workload.rs
+++ b/crates/balancer/src/estimators/workload.rs
@@ -4,7 +4,7 @@
 mod tests;
 
 use crate::estimators::decaying_rate::DecayingRate;
-use crate::estimators::weights::FLEET_WEIGHT;
+use crate::estimators::smoothing::FLEET_SMOOTHING_FACTOR;
 use crate::{Micros, RequestClass};
 
 /// Half-life of the request rate, in microseconds. Shorter, and the subset of a quiet balancer
@@ -48,7 +48,8 @@
             } else {
                 work_hint
             };
-            self.mean_work = mean + FLEET_WEIGHT * (work_hint.min(MAX_RELATIVE_HINT * mean) - mean);
+            self.mean_work =
+                mean + FLEET_SMOOTHING_FACTOR * (work_hint.min(MAX_RELATIVE_HINT * mean) - mean);
         }
         let weight = class.priority_weight;
         let mean = if self.mean_priority_weight > 0.0 {
@@ -56,7 +57,7 @@
         } else {
             weight
         };
-        self.mean_priority_weight = mean + FLEET_WEIGHT * (weight - mean);
+        self.mean_priority_weight = mean + FLEET_SMOOTHING_FACTOR * (weight - mean);
         self.request_rate.add(1.0, now);
         if work_hint > 0.0 {
             work_hint / self.mean_work
--- a/crates/balancer/src/policy/failure_detector.rs
+++ b/crates/balancer/src/policy/failure_detector.rs
@@ -116,7 +116,7 @@
         if failures == 1 {
             self.fleet_error_rate.on_first_failure();
         }
-        let improbability = self.fleet_error_rate.run_improbability(failures);
+        let improbability = self.fleet_error_rate.failure_run_surprisal(failures);
         if improbability >= FAILURE_RUN_THRESHOLD_NATS {
             eject(EjectionCause::Attempts, Audience::Local)
         } else {
@@ -135,7 +135,7 @@
         }
         let silence = self
             .latency_distribution
-            .silence_improbability(server, fleet.now);
+            .silence_surprisal(server, fleet.now);
         if silence > SILENCE_THRESHOLD_NATS {
             eject(EjectionCause::Attempts, Audience::Local)
         } else {
