--- a/crates/balancer/src/fleet.rs
+++ b/crates/balancer/src/fleet.rs
@@ -62,14 +62,14 @@
     /// Forgets the servers of which nothing is left to be known.
     pub(crate) fn forget_gone_servers(&mut self) {
         let settings = &self.settings;
-        self.servers.retain(|server| !server.is_gone(settings));
+        self.servers.retain(|server| !server.is_prunable(settings));
     }
 
     /// True where a server may be sent requests as far as the endpoint list tells. One that was
     /// listed as draining may not until it restarts or is removed, whatever later lists say.
     pub(crate) fn is_ready(&self, server: &ServerState) -> bool {
         let is_listed = server.endpoint().status == EndpointStatus::Ready;
-        (is_listed || self.settings.only_draining_binds) && !server.is_drain_listed()
+        (is_listed || self.settings.only_draining_binds) && !server.is_listed_as_draining()
     }
 
     /// Estimates of load and service time as of now.
--- a/crates/balancer/src/policy/failure_detector.rs
+++ b/crates/balancer/src/policy/failure_detector.rs
@@ -193,7 +193,7 @@
 }
 
 fn ends_with_good_check(now: Micros, suspicion: Suspicion) -> bool {
-    suspicion.cause != EjectionCause::Attempts || suspicion.has_aged(now)
+    suspicion.cause != EjectionCause::Attempts || suspicion.ejection_time_elapsed(now)
 }
 
 /// The confirmation of a failed health check is due: other balancers have been asked, or else this
@@ -217,7 +217,8 @@
         return Verdict::DeclareDead;
     }
     // Where nothing checks its health, only attempts can show that a server has recovered.
-    let is_tried_again = !fleet.settings.host.health_checks && suspicion.has_aged(fleet.now);
+    let is_tried_again =
+        !fleet.settings.host.health_checks && suspicion.ejection_time_elapsed(fleet.now);
     if is_tried_again || !is_believed(fleet, suspicion.cause) {
         Verdict::Readmit
     } else {
--- a/crates/balancer/src/state/endpoint_table.rs
+++ b/crates/balancer/src/state/endpoint_table.rs
@@ -12,7 +12,7 @@
 use crate::{Endpoint, Micros, Outcome, ServerId};
 
 /// Where an entry of a list went.
-pub(crate) struct MergedEndpoint {
+pub(crate) struct MergeResult {
     /// Index of the server.
     pub(crate) server_index: ServerIndex,
     /// The server was known and has restarted since.
@@ -91,10 +91,10 @@
         endpoint: Endpoint,
         now: Micros,
         slow_start_time: Micros,
-    ) -> MergedEndpoint {
+    ) -> MergeResult {
         if let Some(server_index) = self.find(endpoint.server) {
             let restarted = self.servers[server_index.0].on_listed(endpoint);
-            return MergedEndpoint {
+            return MergeResult {
                 server_index,
                 restarted,
             };
@@ -103,7 +103,7 @@
         self.index_by_id.insert(endpoint.server, server_index);
         self.servers
             .push(ServerState::new(endpoint, now, slow_start_time));
-        MergedEndpoint {
+        MergeResult {
             server_index,
             restarted: false,
         }
--- a/crates/balancer/src/state/endpoint_table/tests.rs
+++ b/crates/balancer/src/state/endpoint_table/tests.rs
@@ -78,7 +78,7 @@
     let mut table = table(1);
     table[ServerIndex(0)].on_status_listed(EndpointStatus::Draining);
     table[ServerIndex(0)].on_status_listed(EndpointStatus::Ready);
-    assert!(table[ServerIndex(0)].is_drain_listed());
+    assert!(table[ServerIndex(0)].is_listed_as_draining());
     table[ServerIndex(0)].on_restarted(1_000, SLOW_START_TIME);
-    assert!(!table[ServerIndex(0)].is_drain_listed());
+    assert!(!table[ServerIndex(0)].is_listed_as_draining());
 }
--- a/crates/balancer/src/state/server_state.rs
+++ b/crates/balancer/src/state/server_state.rs
@@ -28,7 +28,7 @@
 /// record for each policy or estimator that watches it.
 pub(crate) struct ServerState {
     endpoint: Endpoint,
-    drain_listed: bool,
+    listed_as_draining: bool,
     possibly_draining: bool,
     in_flight: Vec<InFlightAttempt>,
     /// Whether it is suspected.
@@ -54,7 +54,7 @@
         }
         Self {
             endpoint,
-            drain_listed: endpoint.status == EndpointStatus::Draining,
+            listed_as_draining: endpoint.status == EndpointStatus::Draining,
             possibly_draining: false,
             in_flight: Vec::new(),
             suspicion: SuspicionRecord::default(),
@@ -91,8 +91,8 @@
     }
 
     /// Listed as draining since its last start.
-    pub(crate) fn is_drain_listed(&self) -> bool {
-        self.drain_listed
+    pub(crate) fn is_listed_as_draining(&self) -> bool {
+        self.listed_as_draining
     }
 
     /// It is suspected, or may be draining.
@@ -112,9 +112,9 @@
 
     /// True where nothing is left to be known of it: the endpoint list no longer names it and its
     /// attempts have ended. Where only draining binds it is kept until it is dead or drains.
-    pub(crate) fn is_gone(&self, settings: &Settings) -> bool {
+    pub(crate) fn is_prunable(&self, settings: &Settings) -> bool {
         let may_be_tried =
-            settings.only_draining_binds && !self.suspicion.is_dead() && !self.drain_listed;
+            settings.only_draining_binds && !self.suspicion.is_dead() && !self.listed_as_draining;
         self.is_removed() && self.in_flight.is_empty() && !may_be_tried
     }
 
@@ -135,7 +135,7 @@
 
     /// Keeps a listed drain until the next restart.
     pub(crate) fn on_status_listed(&mut self, status: EndpointStatus) {
-        self.drain_listed |= status == EndpointStatus::Draining;
+        self.listed_as_draining |= status == EndpointStatus::Draining;
     }
 
     /// A full endpoint list does not name it.
@@ -150,7 +150,7 @@
 
     /// It has restarted, as the endpoint list says.
     pub(crate) fn on_restarted(&mut self, now: Micros, slow_start_time: Micros) {
-        self.drain_listed = false;
+        self.listed_as_draining = false;
         self.load.on_restarted();
         self.slow_start
             .on_started(self.incarnation(), now, slow_start_time);
--- a/crates/balancer/src/state/suspicion.rs
+++ b/crates/balancer/src/state/suspicion.rs
@@ -18,7 +18,7 @@
 
 impl Suspicion {
     /// True once its ejection time is over.
-    pub(crate) fn has_aged(&self, now: Micros) -> bool {
+    pub(crate) fn ejection_time_elapsed(&self, now: Micros) -> bool {
         now >= self.since + self.ejection_time
     }
 }
--- a/crates/balancer/src/state/suspicion/tests.rs
+++ b/crates/balancer/src/state/suspicion/tests.rs
@@ -47,5 +47,5 @@
         since: 10,
         ejection_time: 5,
     };
-    assert!(!suspicion.has_aged(14) && suspicion.has_aged(15));
+    assert!(!suspicion.ejection_time_elapsed(14) && suspicion.ejection_time_elapsed(15));
 }
