--- a/crates/balancer/src/policy/health_checker.rs
+++ b/crates/balancer/src/policy/health_checker.rs
@@ -15,7 +15,7 @@
 mod tests;
 
 use crate::fleet::Fleet;
-use crate::state::{CheckTurn, HealthCheckSchedule, ServerIndex, ServerState};
+use crate::state::{CheckSource, HealthCheckSchedule, ServerIndex, ServerState};
 use crate::{Micros, ServerId, Settings};
 
 /// Shortest interval of random checks, in microseconds, and the span over which balancers that
@@ -65,20 +65,24 @@
 
     /// Takes the next server in turn, and schedules the check after it.
     pub(crate) fn next_target(&mut self, fleet: &Fleet) -> CheckTarget {
-        self.schedule.on_check_due(fleet.now, interval(fleet));
+        self.schedule
+            .on_scheduled_check_started(fleet.now, interval(fleet));
         let suspect = longest_waiting_suspect(fleet);
-        let turn = self.schedule.take_turn();
-        if let Some(suspect) = suspect.filter(|_| turn == CheckTurn::Suspect) {
+        let turn = self.schedule.next_source();
+        if let Some(suspect) = suspect.filter(|_| turn == CheckSource::Suspected) {
             return CheckTarget::Server(suspect);
         }
-        let queued = self.schedule.pop().and_then(|id| fleet.servers.find(id));
+        let queued = self
+            .schedule
+            .pop_expedited()
+            .and_then(|id| fleet.servers.find(id));
         queued.map_or(CheckTarget::RandomCandidate, CheckTarget::Server)
     }
 
     /// Makes a server whose attempt or load check failed the next to be checked, and soon.
     pub(crate) fn check_soon(&mut self, id: ServerId, now: Micros) {
         self.schedule
-            .push(id, MIN_INTERVAL / SPEEDUP_WHILE_SUSPECTED, now);
+            .expedite(id, MIN_INTERVAL / SPEEDUP_WHILE_SUSPECTED, now);
     }
 
     /// True where a health check of the server can start: one at a time.
--- a/crates/balancer/src/state/health_check_schedule.rs
+++ b/crates/balancer/src/state/health_check_schedule.rs
@@ -7,22 +7,22 @@
 
 /// Which servers come first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) enum CheckTurn {
+pub(crate) enum CheckSource {
     /// Suspected ones.
-    Suspect,
+    Suspected,
     /// Those that were made the next one.
     #[default]
-    Queue,
+    Expedited,
 }
 
 /// The schedule. How long intervals are is decided by
 /// [`HealthChecker`](crate::policy::HealthChecker).
 #[derive(Default)]
 pub(crate) struct HealthCheckSchedule {
-    queue: Vec<ServerId>,
+    expedited: Vec<ServerId>,
     next_at: Micros,
     last_at: Micros,
-    last_turn: CheckTurn,
+    last_source: CheckSource,
 }
 
 impl HealthCheckSchedule {
@@ -37,31 +37,31 @@
     }
 
     /// A scheduled health check starts; the next one follows after the interval.
-    pub(crate) fn on_check_due(&mut self, now: Micros, interval: Micros) {
+    pub(crate) fn on_scheduled_check_started(&mut self, now: Micros, interval: Micros) {
         self.next_at = now + interval;
         self.last_at = now;
     }
 
     /// Makes a server the next one, at the latest this long after the last health check.
-    pub(crate) fn push(&mut self, id: ServerId, interval: Micros, now: Micros) {
-        if !self.queue.contains(&id) {
-            self.queue.push(id);
+    pub(crate) fn expedite(&mut self, id: ServerId, interval: Micros, now: Micros) {
+        if !self.expedited.contains(&id) {
+            self.expedited.push(id);
             let soon = self.last_at + interval;
             self.next_at = self.next_at.min(soon.max(now));
         }
     }
 
     /// Takes the server that was made the next one last.
-    pub(crate) fn pop(&mut self) -> Option<ServerId> {
-        self.queue.pop()
+    pub(crate) fn pop_expedited(&mut self) -> Option<ServerId> {
+        self.expedited.pop()
     }
 
     /// Whose turn the next check is: the two alternate.
-    pub(crate) fn take_turn(&mut self) -> CheckTurn {
-        self.last_turn = match self.last_turn {
-            CheckTurn::Suspect => CheckTurn::Queue,
-            CheckTurn::Queue => CheckTurn::Suspect,
+    pub(crate) fn next_source(&mut self) -> CheckSource {
+        self.last_source = match self.last_source {
+            CheckSource::Suspected => CheckSource::Expedited,
+            CheckSource::Expedited => CheckSource::Suspected,
         };
-        self.last_turn
+        self.last_source
     }
 }
--- a/crates/balancer/src/state/mod.rs
+++ b/crates/balancer/src/state/mod.rs
@@ -19,7 +19,7 @@
 pub(crate) use gossip_message::{GossipKind, GossipMessage};
 pub(crate) use gossip_queue::GossipQueue;
 pub(crate) use health_check_record::HealthCheckKind;
-pub(crate) use health_check_schedule::{CheckTurn, HealthCheckSchedule};
+pub(crate) use health_check_schedule::{CheckSource, HealthCheckSchedule};
 pub(crate) use request_state::{Attempt, RequestState, RetryScope};
 pub(crate) use request_table::RequestTable;
 pub(crate) use server_index::ServerIndex;
