--- a/crates/balancer/src/state/gossip_queue.rs
+++ b/crates/balancer/src/state/gossip_queue.rs
@@ -8,7 +8,7 @@
 /// A record with the number of datagrams it still goes out in.
 struct QueuedRecord {
     bytes: Vec<u8>,
-    remaining: u32,
+    remaining_datagrams: u32,
 }
 
 /// The queue; records take turns.
@@ -22,7 +22,7 @@
     pub(crate) fn push(&mut self, message: &GossipMessage, datagrams: u32) {
         self.records.push(QueuedRecord {
             bytes: message.encode(),
-            remaining: datagrams,
+            remaining_datagrams: datagrams,
         });
     }
 
@@ -40,9 +40,9 @@
             .collect();
         self.records[..taken]
             .iter_mut()
-            .for_each(|record| record.remaining -= 1);
+            .for_each(|record| record.remaining_datagrams -= 1);
         self.records.rotate_left(taken);
-        self.records.retain(|record| record.remaining > 0);
+        self.records.retain(|record| record.remaining_datagrams > 0);
         datagram
     }
 }
--- a/crates/balancer/src/state/request_state.rs
+++ b/crates/balancer/src/state/request_state.rs
@@ -74,9 +74,9 @@
     relative_work: f64,
     attempts: Vec<Attempt>,
     load_checked: Vec<ServerId>,
-    awaited_load_checks: Vec<ServerId>,
+    pending_load_checks: Vec<ServerId>,
     streaming: bool,
-    wake_at: Micros,
+    timer_at: Micros,
 }
 
 impl RequestState {
@@ -97,9 +97,9 @@
             relative_work,
             attempts: Vec::new(),
             load_checked: Vec::new(),
-            awaited_load_checks: Vec::new(),
+            pending_load_checks: Vec::new(),
             streaming: false,
-            wake_at: 0,
+            timer_at: 0,
         }
     }
 
@@ -139,8 +139,8 @@
     }
 
     /// When its timer is due; a timer that fires at another time is void.
-    pub(crate) fn wake_at(&self) -> Micros {
-        self.wake_at
+    pub(crate) fn timer_at(&self) -> Micros {
+        self.timer_at
     }
 
     /// Servers whose load was requested for it.
@@ -213,23 +213,23 @@
     /// The load of these servers was requested for it.
     pub(crate) fn on_load_checks_started(&mut self, servers: Vec<ServerId>) {
         self.load_checked.clone_from(&servers);
-        self.awaited_load_checks = servers;
+        self.pending_load_checks = servers;
     }
 
     /// A load check ended; true where it was the last one awaited.
     pub(crate) fn on_load_check_ended(&mut self, server: ServerId) -> bool {
-        let awaited = self.awaited_load_checks.len();
-        self.awaited_load_checks.retain(|&other| other != server);
-        awaited > 0 && self.awaited_load_checks.is_empty()
+        let awaited = self.pending_load_checks.len();
+        self.pending_load_checks.retain(|&other| other != server);
+        awaited > 0 && self.pending_load_checks.is_empty()
     }
 
     /// Its timer was set.
     pub(crate) fn on_timer_set(&mut self, at: Micros) {
-        self.wake_at = at;
+        self.timer_at = at;
     }
 
     /// Its timer fired before the load checks ended.
     pub(crate) fn on_timer_fired(&mut self) {
-        self.awaited_load_checks.clear();
+        self.pending_load_checks.clear();
     }
 }
--- a/crates/balancer/src/state/request_table.rs
+++ b/crates/balancer/src/state/request_table.rs
@@ -50,7 +50,7 @@
         while let Some(&(at, id)) = self.timers.first().filter(|timer| timer.0 <= now) {
             self.timers.remove(&(at, id));
             let valid = |request: &&mut RequestState| {
-                request.wake_at() == at && request.attempt_count() == 0
+                request.timer_at() == at && request.attempt_count() == 0
             };
             if let Some(request) = self.requests.get_mut(&id).filter(valid) {
                 request.on_timer_fired();
