--- a/crates/balancer/src/estimators/decaying_rate.rs
+++ b/crates/balancer/src/estimators/decaying_rate.rs
@@ -1,10 +1,10 @@
-//! Rates and weights that decay exponentially with time.
+//! Exponential decay with time, and rates averaged by it.
 
 use std::f64::consts::LN_2;
 
 use crate::Micros;
 
-/// Weight left of something learnt at `since`, where half of it is lost in each `half_life`
+/// Fraction of a value recorded at `since` that remains at `now`; it halves every `half_life`
 /// (microseconds).
 pub(crate) fn decay_factor(now: Micros, since: Micros, half_life: f64) -> f64 {
     0.5_f64.powf(now.saturating_sub(since) as f64 / half_life)
@@ -18,7 +18,7 @@
 }
 
 impl DecayingRate {
-    /// A rate of zero that forgets half of what it saw in each `half_life` (microseconds).
+    /// Creates a rate of zero whose past amounts halve every `half_life` (microseconds).
     pub(crate) fn new(half_life: f64) -> Self {
         Self {
             half_life,
@@ -27,13 +27,13 @@
         }
     }
 
-    /// Adds an amount that came at this moment.
+    /// Adds an amount at time `now`.
     pub(crate) fn add(&mut self, amount: f64, now: Micros) {
         self.amount = amount + self.decayed_amount(now);
         self.updated_at = now;
     }
 
-    /// The rate, per microsecond.
+    /// Returns the rate per microsecond.
     pub(crate) fn per_microsecond(&self, now: Micros) -> f64 {
         self.decayed_amount(now) * LN_2 / self.half_life
     }
--- a/crates/balancer/src/estimators/estimates.rs
+++ b/crates/balancer/src/estimators/estimates.rs
@@ -1,4 +1,4 @@
-//! Load, service time and value as estimated at one moment, from all estimators together.
+//! Load and service time of servers at one moment, from all estimators together.
 
 use crate::estimators::decaying_rate::decay_factor;
 use crate::estimators::latency::LatencyEstimator;
@@ -6,41 +6,41 @@
 use crate::state::{InFlightAttempt, ServerState};
 use crate::{Micros, Settings};
 
-/// Half-life of what others have at a server where responses tell of it, in microseconds. Shorter,
-/// and a server without new reports soon looks idle; longer, and a crowded one is avoided for
-/// longer than it is crowded. Chosen by experiment on the testbed's deployments.
+/// Half-life of the requests in flight from other balancers when responses report load, in
+/// microseconds. Shorter, and a server without new reports soon looks idle; longer, and a server is
+/// avoided after its load has fallen.
 const OTHERS_IN_FLIGHT_HALF_LIFE: f64 = 4_000_000.0;
-/// Least divisor of a latency where responses tell of load, in usual requests: a small request that
-/// waited for something else would make its server look enormously slow. Chosen by experiment on
-/// the testbed's deployments.
+/// Lower bound of the divisor that converts a latency into a service time when responses report
+/// load, in average requests. Without it, a small request that waited for another reason would make
+/// its server look extremely slow.
 const MIN_LOAD_DIVISOR_WITH_RESPONSE_REPORTS: f64 = 0.05;
-/// The same where they do not. Inherited with the first version of the module; its source was not
-/// recorded.
+/// The same lower bound when responses do not report load.
 const MIN_LOAD_DIVISOR: f64 = 0.2;
 
 /// Estimates of load and service time at one moment.
 pub(crate) struct Estimates<'a> {
     /// The settings.
     pub(crate) settings: &'a Settings,
-    /// The moment.
+    /// Time of the estimates, in microseconds.
     pub(crate) now: Micros,
-    /// Service times so far.
+    /// Service times observed so far.
     pub(crate) latency: &'a LatencyEstimator,
-    /// Something tells how many requests servers hold.
+    /// True if trusted load reports show how many requests servers hold.
     pub(crate) is_load_known: bool,
 }
 
 impl Estimates<'_> {
-    /// Requests at a server with one more: this balancer's and what was last seen of others'.
+    /// Returns the queue depth of a server including one more request: this balancer's attempts in
+    /// flight, and the last known requests of other balancers, discounted by their age.
     pub(crate) fn queue_depth(&self, server: &ServerState) -> f64 {
         let load = &server.load;
         if self.settings.load_source() == LoadSource::Responses {
-            let elsewhere = load.in_flight_from_others(decay_factor(
+            let from_others = load.in_flight_from_others(decay_factor(
                 self.now,
                 load.updated_at(),
                 OTHERS_IN_FLIGHT_HALF_LIFE,
             ));
-            return server.in_flight().len() as f64 + elsewhere + 1.0;
+            return server.in_flight().len() as f64 + from_others + 1.0;
         }
         let age = self.now.saturating_sub(load.updated_at()) as f64;
         let freshness = (1.0 - age / (2.0 * self.latency.mean_service_time())).max(0.0);
@@ -52,13 +52,14 @@
         own + load.in_flight_from_others(freshness) + 1.0
     }
 
-    /// Requests in flight, in the time that this server takes.
+    /// Returns the queue depth of a server, scaled by its relative service time.
     pub(crate) fn load(&self, server: &ServerState) -> f64 {
         self.queue_depth(server) * self.relative_service_time(server)
     }
 
-    /// How much longer than the fleet a server takes for the same load. Where nothing tells the
-    /// queue of a server in slow start, it is spared by how seldom it is drawn, and not twice over.
+    /// Returns the service time of a server relative to the fleet's for the same load. The slow
+    /// start factor applies only if the load is known: otherwise a server in slow start is already
+    /// drawn less often, and would be penalized twice.
     pub(crate) fn relative_service_time(&self, server: &ServerState) -> f64 {
         let slow_start = if self.is_load_known {
             server.slow_start.factor(self.now, self.settings)
@@ -68,7 +69,7 @@
         self.latency_factor(server) / slow_start / (1.0 - server.failures.failure_rate())
     }
 
-    /// The latency factor of a server.
+    /// Returns the latency factor of a server.
     pub(crate) fn latency_factor(&self, server: &ServerState) -> f64 {
         self.latency.latency_factor(
             &server.latency,
@@ -77,8 +78,8 @@
         )
     }
 
-    /// The latency factor of a server's machine type; 1 where servers are asked for their load
-    /// before a send, and so speak for themselves.
+    /// Returns the latency factor of a server's machine type; 1 if load checks precede each
+    /// attempt, because the reported load then reflects the machine's speed.
     pub(crate) fn machine_latency_factor(&self, server: &ServerState) -> f64 {
         if self.settings.load_source() == LoadSource::LoadChecks {
             return 1.0;
@@ -87,7 +88,8 @@
             .machine_latency_factor(server.endpoint().machine_type)
     }
 
-    /// The service time on an otherwise idle server that a response shows, in microseconds.
+    /// Returns the service time that a response implies for an otherwise idle server, in
+    /// microseconds.
     pub(crate) fn observed_service_time(
         &self,
         server: &ServerState,
@@ -95,8 +97,8 @@
         latency: f64,
     ) -> f64 {
         if self.settings.load_source() == LoadSource::Responses {
-            // The queue on the way lies between that at both ends, and slow start does not make a
-            // server slow.
+            // The queue depth during the attempt is taken as the mean of its start and its end.
+            // Latency due to slow start is not attributed to the server.
             let mean_depth = (attempt.queue_depth + self.queue_depth(server)) / 2.0;
             return latency * server.slow_start.factor(self.now, self.settings)
                 / (mean_depth * attempt.relative_work).max(MIN_LOAD_DIVISOR_WITH_RESPONSE_REPORTS);
--- a/crates/balancer/src/estimators/failure_rate.rs
+++ b/crates/balancer/src/estimators/failure_rate.rs
@@ -1,11 +1,11 @@
-//! How many of a server's attempts fail.
+//! Failure rate of one server's attempts.
 
 use crate::Micros;
 use crate::estimators::smoothing::SERVER_SMOOTHING_FACTOR;
 
-/// Most that a server's failure rate can come to, a share: the server counts as slower by one over
-/// the rest, at most five times. Higher, and a server that has recovered is hardly ever drawn to
-/// show it. Chosen by experiment on the testbed.
+/// Upper bound of a server's failure rate. A server counts as slower by the inverse of its success
+/// rate, so by at most a factor of 5. With a higher bound, a server that has recovered is selected
+/// too rarely to show it.
 const MAX_FAILURE_RATE: f64 = 0.8;
 
 /// Results of one server's attempts.
@@ -17,31 +17,31 @@
 }
 
 impl FailureRecord {
-    /// Share of its attempts that fail, from 0 to [`MAX_FAILURE_RATE`].
+    /// Returns the fraction of attempts that fail, from 0 to [`MAX_FAILURE_RATE`].
     pub(crate) fn failure_rate(&self) -> f64 {
         self.failure_rate
     }
 
-    /// When an attempt was last served, 0 for never.
+    /// Returns when an attempt was last served, 0 if never.
     pub(crate) fn last_served_at(&self) -> Micros {
         self.last_served_at
     }
 
-    /// An attempt was served.
+    /// Records a served attempt.
     pub(crate) fn on_served(&mut self, now: Micros) {
         self.last_served_at = now;
         self.consecutive_failures = 0;
         self.failure_rate -= SERVER_SMOOTHING_FACTOR * self.failure_rate;
     }
 
-    /// An attempt failed; returns how many failed since one was served.
+    /// Records a failed attempt; returns the number of consecutive failures.
     pub(crate) fn on_failed(&mut self) -> u32 {
         self.consecutive_failures += 1;
         self.failure_rate += SERVER_SMOOTHING_FACTOR * (MAX_FAILURE_RATE - self.failure_rate);
         self.consecutive_failures
     }
 
-    /// The server is trusted again.
+    /// Resets the consecutive failures when the server is readmitted.
     pub(crate) fn on_readmitted(&mut self) {
         self.consecutive_failures = 0;
     }
--- a/crates/balancer/src/estimators/fleet.rs
+++ b/crates/balancer/src/estimators/fleet.rs
@@ -1,4 +1,4 @@
-//! The estimators of the fleet together.
+//! The estimators of the whole fleet, and their update by responses.
 
 use crate::estimators::estimates::Estimates;
 use crate::estimators::latency::LatencyEstimator;
@@ -8,18 +8,18 @@
 use crate::state::{InFlightAttempt, ServerState};
 use crate::{Micros, Settings};
 
-/// The estimators of the fleet; those of each server are in [`ServerState`].
+/// The estimators of the whole fleet; those of each server are in [`ServerState`].
 pub(crate) struct Estimators {
-    /// The requests of this balancer.
+    /// Rate, work and priority weight of this balancer's requests.
     pub(crate) workload: WorkloadEstimator,
-    /// Service times.
+    /// Service times of the fleet and of each machine type.
     pub(crate) latency: LatencyEstimator,
-    /// How full the fleet is, from load reports.
+    /// Utilization of the fleet, from load reports.
     pub(crate) utilization: UtilizationEstimator,
 }
 
 impl Estimators {
-    /// Estimators that have seen nothing; `shortest_objective` is in microseconds.
+    /// Creates estimators without observations; `shortest_objective` is in microseconds.
     pub(crate) fn new(shortest_objective: f64) -> Self {
         Self {
             workload: WorkloadEstimator::new(),
@@ -28,7 +28,7 @@
         }
     }
 
-    /// A server responded to an attempt after so many microseconds.
+    /// Updates the service times with a response that took `latency` microseconds.
     pub(crate) fn on_response(
         &mut self,
         server: &mut ServerState,
--- a/crates/balancer/src/estimators/fleet_error_rate.rs
+++ b/crates/balancer/src/estimators/fleet_error_rate.rs
@@ -1,36 +1,36 @@
-//! How many attempts fail over the whole fleet.
+//! Failure rate of attempts over the whole fleet.
 
 #[cfg(test)]
 mod tests;
 
-/// Weight of a new sample, a share: about the last 50 attempts count. Higher, and one failing
-/// server raises what counts as usual; lower, and errors of the whole fleet look like those of its
-/// servers. Chosen by experiment on the testbed.
+/// Smoothing factor of the error rate: about the last 50 attempts count. Higher, and one failing
+/// server raises the fleet's baseline; lower, and errors of the whole fleet are attributed to
+/// single servers.
 const ERROR_RATE_SMOOTHING_FACTOR: f64 = 0.02;
-/// Failures are never taken to be rarer than this, a share: without a bound, the first failure in a
-/// fleet that never fails would eject its server. Inherited with the first version of the module;
-/// its source was not recorded.
+/// Lower bound of the error rate: without it, the first failure in a fleet that has never failed
+/// would eject its server.
 const MIN_ERROR_RATE: f64 = 0.01;
 
-/// Share of attempts that fail, where a run of failures at one server counts once. Failures that
-/// are spread over the servers are bad requests, or the network's.
+/// Fraction of attempts that fail, where consecutive failures at one server count once. Failures
+/// that are spread over the servers come from bad requests or from the network.
 #[derive(Default)]
 pub(crate) struct FleetErrorRate {
     rate: f64,
 }
 
 impl FleetErrorRate {
-    /// An attempt was served.
+    /// Records a served attempt.
     pub(crate) fn on_served(&mut self) {
         self.rate -= ERROR_RATE_SMOOTHING_FACTOR * self.rate;
     }
 
-    /// A server failed for the first time since it served.
+    /// Records the first failure of a server since it last served an attempt.
     pub(crate) fn on_first_failure(&mut self) {
         self.rate += ERROR_RATE_SMOOTHING_FACTOR * (1.0 - self.rate);
     }
 
-    /// Negative logarithm of the chance that a sound server fails so often in a row.
+    /// Returns the surprisal of this many consecutive failures at a healthy server, in nats: the
+    /// negative natural logarithm of their probability.
     pub(crate) fn failure_run_surprisal(&self, failures: u32) -> f64 {
         f64::from(failures) * -self.rate.max(MIN_ERROR_RATE).ln()
     }
--- a/crates/balancer/src/estimators/latency.rs
+++ b/crates/balancer/src/estimators/latency.rs
@@ -1,4 +1,4 @@
-//! How long servers take, against each other and by machine type.
+//! Service times of the fleet, and the latency factors of servers and machine types.
 
 #[cfg(test)]
 mod tests;
@@ -9,28 +9,26 @@
 use crate::estimators::smoothing::{FLEET_SMOOTHING_FACTOR, SERVER_SMOOTHING_FACTOR};
 use crate::{MachineType, Micros};
 
-/// Half-life of a server's latency factor, in microseconds, after which half of its distance to
-/// that of its machine type is forgotten: neighbours on its machine come and go in seconds.
-/// Inherited with the first version of the module; its source was not recorded.
+/// Half-life of the difference between a server's latency factor and that of its machine type, in
+/// microseconds. It is short because other workloads on the machine come and go within seconds.
 const LATENCY_FACTOR_HALF_LIFE: f64 = 3_000_000.0;
-/// A server counts as at most this many times faster or slower than the fleet. Wider, and one
-/// response moves a server far; narrower, and a slow machine gets more than it can do. Other bounds
-/// changed the testbed's results by less than 0.003. Inherited with the first version of the
-/// module; its source was not recorded.
+/// Upper bound of a latency factor, and inverse of its lower bound. Wider, and one response moves a
+/// server's factor too far; narrower, and a slow machine gets more than it can handle. Other bounds
+/// changed the testbed's results by less than 0.003.
 const MAX_LATENCY_FACTOR: f64 = 4.0;
-/// Mean service time before any response, as a share of the shortest latency objective. Only the
-/// first responses depend on it. Inherited with the first version of the module; its source was not
-/// recorded.
+/// Mean service time before any response, as a fraction of the shortest latency objective. Only the
+/// first responses depend on it.
 const INITIAL_SERVICE_TIME_SHARE: f64 = 1.0 / 8.0;
 
-/// The latency of one server against the fleet's: 2 where it takes twice as long for the same load.
+/// Latency of one server relative to the fleet's: a factor of 2 means twice as long for the same
+/// load.
 pub(crate) struct ServerLatency {
     factor: f64,
     updated_at: Micros,
 }
 
 impl ServerLatency {
-    /// A server of which only its machine type is known.
+    /// Creates the factor of a server without responses, from its machine type.
     pub(crate) fn new(machine: MachineType) -> Self {
         Self {
             factor: 1.0 / machine.speed,
@@ -39,14 +37,14 @@
     }
 }
 
-/// Service times of the fleet and of each machine type.
+/// Service times of the fleet, and latency factors of the machine types.
 pub(crate) struct LatencyEstimator {
     mean_service_time: f64,
     factor_by_machine_type: BTreeMap<u32, f64>,
 }
 
 impl LatencyEstimator {
-    /// An estimator that has seen no response; `shortest_objective` is in microseconds.
+    /// Creates an estimator without responses; `shortest_objective` is in microseconds.
     pub(crate) fn new(shortest_objective: f64) -> Self {
         let mean_service_time = shortest_objective * INITIAL_SERVICE_TIME_SHARE;
         Self {
@@ -55,12 +53,13 @@
         }
     }
 
-    /// Mean service time of a usual request on an otherwise idle server, in microseconds.
+    /// Returns the mean service time of an average request on an otherwise idle server, in
+    /// microseconds.
     pub(crate) fn mean_service_time(&self) -> f64 {
         self.mean_service_time
     }
 
-    /// The latency factor of a server, which decays to that of its machine type.
+    /// Returns the latency factor of a server, which decays to that of its machine type.
     pub(crate) fn latency_factor(
         &self,
         server: &ServerLatency,
@@ -72,8 +71,9 @@
                 * decay_factor(now, server.updated_at, LATENCY_FACTOR_HALF_LIFE)
     }
 
-    /// The latency factor of a machine type. What one server shows tells of all machines like it: a
-    /// balancer that sends each server next to nothing would learn too late from the server itself.
+    /// Returns the latency factor of a machine type. It is learned from all servers of the type,
+    /// because a balancer that rarely sends to a given server would learn too late from that server
+    /// alone.
     pub(crate) fn machine_latency_factor(&self, machine: MachineType) -> f64 {
         self.factor_by_machine_type
             .get(&machine.id)
@@ -81,8 +81,8 @@
             .unwrap_or(1.0 / machine.speed)
     }
 
-    /// A server responded; `machine_factor` is the latency factor of its machine type,
-    /// `service_time` in microseconds.
+    /// Updates the estimates with a response; `machine_factor` is the latency factor of the
+    /// server's machine type, `service_time` is in microseconds.
     pub(crate) fn on_response(
         &mut self,
         server: &mut ServerLatency,
@@ -93,8 +93,8 @@
     ) {
         let factor = (service_time / self.mean_service_time)
             .clamp(1.0 / MAX_LATENCY_FACTOR, MAX_LATENCY_FACTOR);
-        let before = self.latency_factor(server, machine_factor, now);
-        server.factor = before + SERVER_SMOOTHING_FACTOR * (factor - before);
+        let previous = self.latency_factor(server, machine_factor, now);
+        server.factor = previous + SERVER_SMOOTHING_FACTOR * (factor - previous);
         server.updated_at = now;
         self.factor_by_machine_type.insert(
             machine.id,
--- a/crates/balancer/src/estimators/latency/tests.rs
+++ b/crates/balancer/src/estimators/latency/tests.rs
@@ -8,7 +8,7 @@
 };
 
 #[test]
-fn unknown_machine_type_counts_by_its_stated_speed() {
+fn machine_type_without_responses_uses_its_configured_speed() {
     assert_eq!(
         LatencyEstimator::new(80_000.0).machine_latency_factor(MACHINE),
         2.0
@@ -19,12 +19,12 @@
 fn slow_response_raises_the_factors_of_server_and_machine_type() {
     let mut estimator = LatencyEstimator::new(80_000.0);
     let (mut server, other) = (ServerLatency::new(MACHINE), ServerLatency::new(MACHINE));
-    let usual = estimator.machine_latency_factor(MACHINE);
+    let initial = estimator.machine_latency_factor(MACHINE);
     // A service time of 30 ms against a mean of 10 ms.
-    estimator.on_response(&mut server, MACHINE, usual, 30_000.0, 1_000);
+    estimator.on_response(&mut server, MACHINE, initial, 30_000.0, 1_000);
     let raised = estimator.machine_latency_factor(MACHINE);
-    assert!(raised > usual && estimator.latency_factor(&server, raised, 1_000) > raised);
-    assert!(estimator.latency_factor(&other, raised, 20_000_000) > usual);
+    assert!(raised > initial && estimator.latency_factor(&server, raised, 1_000) > raised);
+    assert!(estimator.latency_factor(&other, raised, 20_000_000) > initial);
     assert!(estimator.mean_service_time() > 10_000.0);
 }
 
--- a/crates/balancer/src/estimators/load/tests.rs
+++ b/crates/balancer/src/estimators/load/tests.rs
@@ -1,7 +1,7 @@
 use super::ServerLoad;
 
 #[test]
-fn health_check_report_counts_what_others_have() {
+fn health_check_report_counts_requests_of_other_balancers() {
     let mut load = ServerLoad::default();
     load.on_health_check_report(5.0, 2.0, 1_000);
     assert_eq!(
--- a/crates/balancer/src/estimators/missed_objective.rs
+++ b/crates/balancer/src/estimators/missed_objective.rs
@@ -1,25 +1,26 @@
-//! How many requests the fleet has no time for.
+//! Fraction of requests that are expected to miss their latency objective.
 
 use crate::estimators::smoothing::FLEET_SMOOTHING_FACTOR;
 
-/// Share of the requests for which the server picked would respond late.
+/// Fraction of requests whose selected server is expected to respond after the objective.
 #[derive(Default)]
 pub(crate) struct MissedObjectiveRate {
     rate: f64,
 }
 
 impl MissedObjectiveRate {
-    /// The share, from 0 to 1.
+    /// Returns the fraction, from 0 to 1.
     pub(crate) fn rate(&self) -> f64 {
         self.rate
     }
 
-    /// The server picked for a request would respond late.
+    /// Records a request whose selected server is expected to miss the objective.
     pub(crate) fn on_missed(&mut self) {
         self.rate += FLEET_SMOOTHING_FACTOR * (1.0 - self.rate);
     }
 
-    /// The server picked for a request would respond in time, or none was found.
+    /// Records a request whose selected server is expected to meet the objective, or for which no
+    /// server was found.
     pub(crate) fn on_met(&mut self) {
         self.rate += FLEET_SMOOTHING_FACTOR * (0.0 - self.rate);
     }
--- a/crates/balancer/src/estimators/mod.rs
+++ b/crates/balancer/src/estimators/mod.rs
@@ -1,7 +1,6 @@
-//! What responses, load reports and arrivals tell of the fleet and of each server.
+//! Estimates of the fleet and of each server, from responses, load reports and arrivals.
 //!
-//! Each estimator owns its figures and is updated by what happened. Nothing here decides: decisions
-//! are in `policy/`.
+//! Each estimator owns its state and is updated by events. Decisions are in `policy/`.
 
 mod decaying_rate;
 mod estimates;
--- a/crates/balancer/src/estimators/saturation.rs
+++ b/crates/balancer/src/estimators/saturation.rs
@@ -1,4 +1,4 @@
-//! How full the fleet is, from the time that responses take, where nothing else tells.
+//! Saturation of the fleet, from response times, for deployments without load reports.
 
 #[cfg(test)]
 mod tests;
@@ -6,15 +6,14 @@
 use crate::Micros;
 use crate::estimators::decaying_rate::decay_factor;
 
-/// Weight of a new sample, a share: about the last 10 responses count. Inherited with the first
-/// version of the module; its source was not recorded.
+/// Smoothing factor of the saturation: about the last 10 responses count.
 const SATURATION_SMOOTHING_FACTOR: f64 = 0.1;
-/// Half-life of the saturation, in microseconds: where all requests are shed no response comes, and
-/// only its decay lets some find out that the fleet has recovered. Longer keeps shedding after a
-/// burst. Inherited with the first version of the module; its source was not recorded.
+/// Half-life of the saturation, in microseconds. If all requests are shed, no response arrives, and
+/// only this decay admits requests that show whether the fleet has recovered. With a longer one,
+/// shedding goes on after a burst.
 const SATURATION_HALF_LIFE: f64 = 3_000_000.0;
 
-/// Mean share of the latency objective that responses take; a rejection counts as all of it.
+/// Mean fraction of the latency objective that responses take; a rejection counts as 1.
 #[derive(Default)]
 pub(crate) struct SaturationEstimator {
     saturation: f64,
@@ -22,19 +21,19 @@
 }
 
 impl SaturationEstimator {
-    /// The share, from 0 to 1.
+    /// Returns the fraction, from 0 to 1.
     pub(crate) fn saturation(&self, now: Micros) -> f64 {
         self.saturation * decay_factor(now, self.updated_at, SATURATION_HALF_LIFE)
     }
 
-    /// A response took this share of the latency objective.
+    /// Records a response that took this fraction of the latency objective.
     pub(crate) fn on_response(&mut self, objective_share: f64, now: Micros) {
-        let before = self.saturation(now);
-        self.saturation = before + SATURATION_SMOOTHING_FACTOR * (objective_share - before);
+        let previous = self.saturation(now);
+        self.saturation = previous + SATURATION_SMOOTHING_FACTOR * (objective_share - previous);
         self.updated_at = now;
     }
 
-    /// A server rejected an attempt.
+    /// Records an attempt that a server rejected.
     pub(crate) fn on_rejected(&mut self, now: Micros) {
         self.on_response(1.0, now);
     }
--- a/crates/balancer/src/estimators/slow_start/tests.rs
+++ b/crates/balancer/src/estimators/slow_start/tests.rs
@@ -19,14 +19,14 @@
 }
 
 #[test]
-fn factor_rises_from_the_cold_share_to_one() {
+fn factor_rises_from_the_initial_capacity_to_one() {
     let record = started_at(10_000);
     let factors = [10_000, 10_500, 11_000, 20_000].map(|now| record.factor(now, &settings()));
     assert_eq!(factors, [0.5, 0.75, 1.0, 1.0]);
 }
 
 #[test]
-fn start_that_is_long_ago_is_no_slow_start() {
+fn start_long_ago_does_not_begin_slow_start() {
     let mut record = SlowStartRecord::default();
     record.on_started(10_000, 11_000, settings().slow_start.duration);
     assert!(!record.is_active());
--- a/crates/balancer/src/estimators/workload.rs
+++ b/crates/balancer/src/estimators/workload.rs
@@ -1,4 +1,4 @@
-//! The requests that this balancer gets: their rate, work and priority weight.
+//! Rate, work and priority weight of the requests that this balancer receives.
 
 #[cfg(test)]
 mod tests;
@@ -7,16 +7,14 @@
 use crate::estimators::smoothing::FLEET_SMOOTHING_FACTOR;
 use crate::{Micros, RequestClass};
 
-/// Half-life of the request rate, in microseconds. Shorter, and the subset of a quiet balancer
-/// changes with each request; longer, and it follows a burst late. Inherited with the first version
-/// of the module; its source was not recorded.
+/// Half-life of the request rate, in microseconds. Shorter, and the subset of a balancer with
+/// little traffic changes with each request; longer, and the rate follows a burst late.
 const REQUEST_RATE_HALF_LIFE: f64 = 5_000_000.0;
-/// A work hint counts as at most this many times the mean, so that one enormous hint does not make
-/// every other request look small. Inherited with the first version of the module; its source was
-/// not recorded.
+/// Upper bound of a work hint relative to the mean, so that one very large hint does not make all
+/// other requests look small.
 const MAX_RELATIVE_HINT: f64 = 4.0;
 
-/// Moving means over the requests of this balancer.
+/// Moving averages over the requests of this balancer.
 pub(crate) struct WorkloadEstimator {
     request_rate: DecayingRate,
     mean_work: f64,
@@ -24,7 +22,7 @@
 }
 
 impl WorkloadEstimator {
-    /// An estimator that has seen no request.
+    /// Creates an estimator without requests.
     pub(crate) fn new() -> Self {
         let request_rate = DecayingRate::new(REQUEST_RATE_HALF_LIFE);
         Self {
@@ -34,8 +32,8 @@
         }
     }
 
-    /// A request arrived, with a hint of its work or 0; returns its work against that of a usual
-    /// request.
+    /// Records a request with its work hint, 0 if it has none; returns its work relative to an
+    /// average request.
     pub(crate) fn on_request_arrived(
         &mut self,
         class: &RequestClass,
@@ -66,16 +64,16 @@
         }
     }
 
-    /// Requests per microsecond, above zero.
+    /// Returns the requests per microsecond, above zero.
     pub(crate) fn request_rate(&self, now: Micros) -> f64 {
         self.request_rate
             .per_microsecond(now)
             .max(f64::MIN_POSITIVE)
     }
 
-    /// Priority weight of a request for its work, against that of a usual one: in a full fleet what
-    /// earns little for its work must not fill the queues that what earns more would still have
-    /// passed in time.
+    /// Returns the priority weight of a request per unit of work, relative to an average request.
+    /// In a full fleet, requests with a low density must not fill queues in which requests with a
+    /// higher one could still be served in time.
     pub(crate) fn value_density(&self, priority_weight: f64, relative_work: f64) -> f64 {
         if self.mean_work == 0.0 {
             return 1.0;
--- a/crates/balancer/src/estimators/workload/tests.rs
+++ b/crates/balancer/src/estimators/workload/tests.rs
@@ -9,17 +9,17 @@
 }
 
 #[test]
-fn request_without_a_hint_counts_as_usual() {
+fn request_without_a_hint_counts_as_average() {
     let mut workload = WorkloadEstimator::new();
     assert_eq!(workload.on_request_arrived(&class(1.0), 0.0, 0), 1.0);
     assert_eq!(workload.value_density(7.0, 3.0), 1.0);
 }
 
 #[test]
-fn enormous_hint_moves_the_mean_by_a_bounded_amount() {
+fn large_hint_moves_the_mean_by_a_bounded_amount() {
     let mut workload = WorkloadEstimator::new();
     assert_eq!(workload.on_request_arrived(&class(1.0), 100.0, 0), 1.0);
-    // The mean moves to 115 at most: by a twentieth of three times itself.
+    // The second hint counts as 4 times the mean, so the mean moves from 100 to 115.
     let relative_work = workload.on_request_arrived(&class(1.0), 1e9, 0);
     assert!((relative_work - 1e9 / 115.0).abs() < 1.0, "{relative_work}");
 }
