--- a/crates/balancer/src/state/endpoint_table.rs
+++ b/crates/balancer/src/state/endpoint_table.rs
@@ -11,15 +11,15 @@
 use crate::state::server_state::ServerState;
 use crate::{Endpoint, Micros, Outcome, ServerId};
 
-/// Where an entry of a list went.
+/// Result of merging one entry of an endpoint list.
 pub(crate) struct MergeResult {
     /// Index of the server.
     pub(crate) server_index: ServerIndex,
-    /// The server was known and has restarted since.
+    /// True if the server was known and has restarted since.
     pub(crate) restarted: bool,
 }
 
-/// The servers. An index is valid until [`EndpointTable::retain`] is called.
+/// The known servers. An index is valid until [`EndpointTable::retain`] is called.
 #[derive(Default)]
 pub(crate) struct EndpointTable {
     servers: Vec<ServerState>,
@@ -29,52 +29,53 @@
 }
 
 impl EndpointTable {
-    /// The index of a server.
+    /// Returns the index of a server.
     pub(crate) fn find(&self, id: ServerId) -> Option<ServerIndex> {
         self.index_by_id.get(&id).copied()
     }
 
-    /// The index of the server with this stable hash, by which other balancers know it.
+    /// Returns the index of the server with this stable hash, by which other balancers identify it.
     pub(crate) fn find_by_hash(&self, stable_hash: u64) -> Option<ServerIndex> {
         let has_hash = |server: &ServerState| server.endpoint().stable_hash == stable_hash;
         self.servers.iter().position(has_hash).map(ServerIndex)
     }
 
-    /// The indices of all servers, in order.
+    /// Returns the indices of all servers, in order.
     pub(crate) fn indices(&self) -> impl Iterator<Item = ServerIndex> + use<> {
         (0..self.servers.len()).map(ServerIndex)
     }
 
-    /// Number of servers.
+    /// Returns the number of servers.
     pub(crate) fn len(&self) -> usize {
         self.servers.len()
     }
 
-    /// The servers in the order of their indices.
+    /// Returns the servers in the order of their indices.
     pub(crate) fn iter(&self) -> std::slice::Iter<'_, ServerState> {
         self.servers.iter()
     }
 
-    /// Number of servers whose last health check failed.
+    /// Returns the number of servers whose last health check failed.
     pub(crate) fn failed_health_checks(&self) -> usize {
         self.failed_health_checks
     }
 
-    /// Takes in the version of a list; false where a newer one came before.
+    /// Records the version of an endpoint list; returns false if a newer one has been received.
     pub(crate) fn accept_version(&mut self, version: u64) -> bool {
-        let current = version >= self.version;
+        let is_current = version >= self.version;
         self.version = self.version.max(version);
-        current
+        is_current
     }
 
-    /// An endpoint list came after which no server is doubted any more.
+    /// Records that a current endpoint list was received, so that no server counts as possibly
+    /// draining any more.
     pub(crate) fn on_list_received(&mut self) {
         self.servers
             .iter_mut()
             .for_each(ServerState::on_endpoint_list_received);
     }
 
-    /// A full list came: what it does not name is removed.
+    /// Marks servers that a full endpoint list omits as removed.
     pub(crate) fn on_full_list(&mut self, endpoints: &[Endpoint]) {
         let listed: BTreeSet<ServerId> = endpoints.iter().map(|endpoint| endpoint.server).collect();
         let unlisted = |server: &&mut ServerState| !listed.contains(&server.id());
@@ -84,7 +85,7 @@
             .for_each(ServerState::on_unlisted);
     }
 
-    /// Takes in an entry of a list. The entry's status is left to
+    /// Adds or updates the server of a list entry. The entry's status is applied separately, by
     /// [`ServerState::on_status_listed`].
     pub(crate) fn merge(
         &mut self,
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Forgets all servers but these.
+    /// Removes the servers for which `keep` returns false; the others get new indices.
     pub(crate) fn retain(&mut self, keep: impl Fn(&ServerState) -> bool) {
         self.servers.retain(keep);
         let failed = |server: &&ServerState| server.health_check.last_failed();
@@ -122,7 +123,7 @@
             .collect();
     }
 
-    /// A server's health check ended; returns what it was for.
+    /// Records the result of a server's health check; returns the kind of the check.
     pub(crate) fn on_health_check_ended(
         &mut self,
         server_index: ServerIndex,
--- a/crates/balancer/src/state/endpoint_table/tests.rs
+++ b/crates/balancer/src/state/endpoint_table/tests.rs
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn retain_renumbers_servers_and_counts_failed_health_checks_anew() {
+fn retain_renumbers_servers_and_recounts_failed_health_checks() {
     let mut table = table(3);
     table.on_health_check_ended(ServerIndex(0), Outcome::TimedOut);
     table.on_health_check_ended(ServerIndex(2), Outcome::TimedOut);
--- a/crates/balancer/src/state/gossip_message.rs
+++ b/crates/balancer/src/state/gossip_message.rs
@@ -1,21 +1,21 @@
-//! The wire format of messages between balancers.
+//! Wire format of the gossip messages between balancers.
 //!
-//! A datagram is a sequence of records of [`RECORD_LEN`] bytes: one byte for the kind, the server's
-//! stable hash and its incarnation, both big-endian. An incomplete record at the end and unknown
-//! kinds are ignored.
+//! A datagram is a sequence of records of [`RECORD_LEN`] bytes: one byte for the kind, then the
+//! server's stable hash and its incarnation, both big-endian. An incomplete record at the end and
+//! records of unknown kinds are ignored.
 
 #[cfg(test)]
 mod tests;
 
 use crate::Micros;
 
-/// Bytes of one record.
+/// Length of one record in bytes.
 pub(crate) const RECORD_LEN: usize = 17;
 
-/// What a balancer reports or requests about a server.
+/// What a message reports or requests about a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum GossipKind {
-    /// Please check this server's health for the sender.
+    /// Asks the receiver to check the server's health on behalf of the sender.
     IndirectCheckRequest,
     /// The server answered the indirect check.
     ConfirmedAlive,
@@ -45,16 +45,16 @@
 /// One record of a gossip datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct GossipMessage {
-    /// What it says.
+    /// Kind of the message.
     pub(crate) kind: GossipKind,
-    /// The server it is about, by [`Endpoint::stable_hash`](crate::Endpoint::stable_hash).
+    /// The server, identified by [`Endpoint::stable_hash`](crate::Endpoint::stable_hash).
     pub(crate) stable_hash: u64,
-    /// The incarnation it is about: the server's start time, 0 for long ago.
+    /// Incarnation of the server: its start time, 0 if it started long ago.
     pub(crate) incarnation: Micros,
 }
 
 impl GossipMessage {
-    /// The record as bytes.
+    /// Encodes the message as one record.
     pub(crate) fn encode(&self) -> Vec<u8> {
         let mut record = Vec::with_capacity(RECORD_LEN);
         record.push(self.kind.code());
@@ -63,7 +63,7 @@
         record
     }
 
-    /// The valid records of a datagram, in order.
+    /// Decodes the valid records of a datagram, in order.
     pub(crate) fn decode(datagram: &[u8]) -> impl Iterator<Item = Self> + '_ {
         datagram
             .chunks_exact(RECORD_LEN)
--- a/crates/balancer/src/state/gossip_queue.rs
+++ b/crates/balancer/src/state/gossip_queue.rs
@@ -1,24 +1,24 @@
-//! Suspicions that are still to be disseminated, and how often each.
+//! Queue of suspicions to be sent to other balancers.
 
 #[cfg(test)]
 mod tests;
 
 use crate::state::gossip_message::GossipMessage;
 
-/// A record with the number of datagrams it still goes out in.
+/// A record and the number of datagrams in which it is still to be sent.
 struct QueuedRecord {
     bytes: Vec<u8>,
     remaining_datagrams: u32,
 }
 
-/// The queue; records take turns.
+/// Queue of records that are sent round-robin.
 #[derive(Default)]
 pub(crate) struct GossipQueue {
     records: Vec<QueuedRecord>,
 }
 
 impl GossipQueue {
-    /// Queues a message for a number of datagrams.
+    /// Queues a message to be sent in a number of datagrams.
     pub(crate) fn push(&mut self, message: &GossipMessage, datagrams: u32) {
         self.records.push(QueuedRecord {
             bytes: message.encode(),
@@ -26,22 +26,22 @@
         });
     }
 
-    /// True where nothing is to be sent.
+    /// Returns true if there is nothing to send.
     pub(crate) fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// The next datagram, of at most so many records.
+    /// Returns the next datagram, with at most `max_records` records.
     pub(crate) fn next_datagram(&mut self, max_records: usize) -> Vec<u8> {
-        let taken = self.records.len().min(max_records);
-        let datagram = self.records[..taken]
+        let record_count = self.records.len().min(max_records);
+        let datagram = self.records[..record_count]
             .iter()
             .flat_map(|record| record.bytes.iter().copied())
             .collect();
-        self.records[..taken]
+        self.records[..record_count]
             .iter_mut()
             .for_each(|record| record.remaining_datagrams -= 1);
-        self.records.rotate_left(taken);
+        self.records.rotate_left(record_count);
         self.records.retain(|record| record.remaining_datagrams > 0);
         datagram
     }
--- a/crates/balancer/src/state/gossip_queue/tests.rs
+++ b/crates/balancer/src/state/gossip_queue/tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn records_take_turns_and_leave_after_their_last_datagram() {
+fn records_are_sent_round_robin_and_leave_after_their_last_datagram() {
     let mut queue = GossipQueue::default();
     (1..=3).for_each(|hash| queue.push(&message(hash), 2));
     assert_eq!(next_hashes(&mut queue, 2), [1, 2]);
--- a/crates/balancer/src/state/health_check_record.rs
+++ b/crates/balancer/src/state/health_check_record.rs
@@ -2,17 +2,18 @@
 
 use crate::{Micros, Outcome};
 
-/// What a health check is for.
+/// Purpose of a health check.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum HealthCheckKind {
-    /// A failure is to be confirmed.
+    /// It checks the server's health; a failure is followed by a confirmation.
     #[default]
     Full,
-    /// It was requested for the load; a failure is left to the schedule.
+    /// It reads the server's load; a failure is followed by a full check.
     LoadOnly,
 }
 
-/// The health check in progress, the last result, and the confirmation of a failure.
+/// State of one server's health checks: the one in progress, the last result, and the confirmation
+/// of a failure.
 pub(crate) struct HealthCheckRecord {
     started_at: Option<Micros>,
     last_started_at: Micros,
@@ -38,99 +39,99 @@
 }
 
 impl HealthCheckRecord {
-    /// When the health check in progress started.
+    /// Returns when the health check in progress started; `None` if there is none.
     pub(crate) fn started_at(&self) -> Option<Micros> {
         self.started_at
     }
 
-    /// When the last health check started.
+    /// Returns when the last health check started.
     pub(crate) fn last_started_at(&self) -> Micros {
         self.last_started_at
     }
 
-    /// True where the last health check failed.
+    /// Returns true if the last health check failed.
     pub(crate) fn last_failed(&self) -> bool {
         self.last_failed
     }
 
-    /// True while a failure waits for its confirmation.
+    /// Returns true while the confirmation of a failure is scheduled.
     pub(crate) fn is_confirming(&self) -> bool {
         self.confirm_at.is_some()
     }
 
-    /// False from a failed health check on, until the server answers this balancer or another one.
+    /// Returns false from a failed full health check until the server answers this balancer or
+    /// another one.
     pub(crate) fn is_confirmed_alive(&self) -> bool {
         self.confirmed_alive
     }
 
-    /// Number of balancers that wait for the result.
+    /// Returns the number of balancers that wait for the result of an indirect check.
     pub(crate) fn requester_count(&self) -> usize {
         self.indirect_check_requesters.len()
     }
 
-    /// A health check started.
+    /// Records the start of a health check.
     pub(crate) fn on_started(&mut self, now: Micros) {
         self.started_at = Some(now);
         self.last_started_at = now;
     }
 
-    /// A load check was requested: unless a full health check is in progress, its failure is not
-    /// confirmed.
+    /// Marks the next health check as one for the load only; a check in progress keeps its kind.
     pub(crate) fn on_load_check_requested(&mut self) {
         if self.started_at.is_none() {
             self.kind = HealthCheckKind::LoadOnly;
         }
     }
 
-    /// The health check in progress counts as a full one.
+    /// Makes the health check in progress count as a full one.
     pub(crate) fn on_full_check_requested(&mut self) {
         self.kind = HealthCheckKind::Full;
     }
 
-    /// Another balancer asked for an indirect check.
+    /// Records another balancer that waits for the result of an indirect check.
     pub(crate) fn on_indirect_check_requested(&mut self, balancer: u32) {
         self.indirect_check_requesters.push(balancer);
     }
 
-    /// The health check in progress ended; returns what it was for.
+    /// Records the end of the health check in progress; returns its kind.
     pub(crate) fn on_ended(&mut self, outcome: Outcome) -> HealthCheckKind {
         self.started_at = None;
         self.last_failed = outcome != Outcome::Served;
         std::mem::take(&mut self.kind)
     }
 
-    /// The balancers that wait for the result; they wait no longer.
+    /// Removes and returns the balancers that wait for the result of an indirect check.
     pub(crate) fn take_requesters(&mut self) -> Vec<u32> {
         std::mem::take(&mut self.indirect_check_requesters)
     }
 
-    /// A health check succeeded.
+    /// Records a successful health check, which cancels any scheduled confirmation.
     pub(crate) fn on_succeeded(&mut self) {
         self.confirm_at = None;
         self.confirmed_alive = true;
     }
 
-    /// The server answered another balancer, or is trusted again.
+    /// Records that the server answered another balancer or was readmitted.
     pub(crate) fn on_confirmed_alive(&mut self) {
         self.confirmed_alive = true;
     }
 
-    /// A full health check failed.
+    /// Records a failed full health check.
     pub(crate) fn on_failed(&mut self) {
         self.confirmed_alive = false;
     }
 
-    /// A failure is to be confirmed at this time.
+    /// Schedules the confirmation of a failure.
     pub(crate) fn on_confirmation_scheduled(&mut self, at: Micros) {
         self.confirm_at = Some(at);
     }
 
-    /// True where the time of the confirmation has come.
+    /// Returns true if the scheduled confirmation is due.
     pub(crate) fn is_confirmation_due(&self, now: Micros) -> bool {
         self.confirm_at.is_some_and(|at| now >= at)
     }
 
-    /// Ends the wait for a confirmation whose time has come.
+    /// Clears the scheduled confirmation if it is due.
     pub(crate) fn end_due_confirmation(&mut self, now: Micros) {
         self.confirm_at.take_if(|at| now >= *at);
     }
--- a/crates/balancer/src/state/health_check_schedule.rs
+++ b/crates/balancer/src/state/health_check_schedule.rs
@@ -1,21 +1,21 @@
-//! When the next health check is due, and which servers are next.
+//! Schedule of health checks: when the next one is due, and which servers come next.
 
 #[cfg(test)]
 mod tests;
 
 use crate::{Micros, ServerId};
 
-/// Which servers come first.
+/// Which group of servers the next scheduled health check serves first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum CheckSource {
-    /// Suspected ones.
+    /// Suspected servers.
     Suspected,
-    /// Those that were made the next one.
+    /// Servers whose health check was expedited.
     #[default]
     Expedited,
 }
 
-/// The schedule. How long intervals are is decided by
+/// The schedule. The interval between checks is decided by
 /// [`HealthChecker`](crate::policy::HealthChecker).
 #[derive(Default)]
 pub(crate) struct HealthCheckSchedule {
@@ -26,37 +26,39 @@
 }
 
 impl HealthCheckSchedule {
-    /// The balancer started; the first health check comes at this time.
+    /// Schedules the first health check when the balancer starts.
     pub(crate) fn on_started(&mut self, first_at: Micros) {
         self.next_at = first_at;
     }
 
-    /// True where a health check is due.
+    /// Returns true if a health check is due.
     pub(crate) fn is_due(&self, now: Micros) -> bool {
         now >= self.next_at
     }
 
-    /// A scheduled health check starts; the next one follows after the interval.
+    /// Records the start of a scheduled health check, and schedules the next one after the
+    /// interval.
     pub(crate) fn on_scheduled_check_started(&mut self, now: Micros, interval: Micros) {
         self.next_at = now + interval;
         self.last_at = now;
     }
 
-    /// Makes a server the next one, at the latest this long after the last health check.
+    /// Makes a server the next to be checked: at most `interval` after the last scheduled check, or
+    /// now if that time has passed.
     pub(crate) fn expedite(&mut self, id: ServerId, interval: Micros, now: Micros) {
         if !self.expedited.contains(&id) {
             self.expedited.push(id);
-            let soon = self.last_at + interval;
-            self.next_at = self.next_at.min(soon.max(now));
+            let expedited_at = self.last_at + interval;
+            self.next_at = self.next_at.min(expedited_at.max(now));
         }
     }
 
-    /// Takes the server that was made the next one last.
+    /// Removes and returns the most recently expedited server.
     pub(crate) fn pop_expedited(&mut self) -> Option<ServerId> {
         self.expedited.pop()
     }
 
-    /// Whose turn the next check is: the two alternate.
+    /// Returns the group that the next check serves first; the two alternate.
     pub(crate) fn next_source(&mut self) -> CheckSource {
         self.last_source = match self.last_source {
             CheckSource::Suspected => CheckSource::Expedited,
--- a/crates/balancer/src/state/health_check_schedule/tests.rs
+++ b/crates/balancer/src/state/health_check_schedule/tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn pushed_server_brings_the_next_health_check_forward_and_is_queued_once() {
+fn expedited_server_brings_the_next_health_check_forward_and_is_queued_once() {
     let mut schedule = HealthCheckSchedule::default();
     schedule.on_scheduled_check_started(100, 1_000);
     schedule.expedite(ServerId(3), 200, 150);
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn pushed_server_is_due_at_once_where_the_last_health_check_is_long_ago() {
+fn expedited_server_is_due_at_once_if_the_last_health_check_was_long_ago() {
     let mut schedule = HealthCheckSchedule::default();
     schedule.on_scheduled_check_started(100, 5_000);
     schedule.expedite(ServerId(3), 200, 900);
@@ -32,14 +32,14 @@
 }
 
 #[test]
-fn suspects_take_every_other_turn() {
+fn suspected_and_expedited_servers_alternate() {
     let mut schedule = HealthCheckSchedule::default();
-    let turns = [(); 4].map(|()| schedule.next_source());
+    let sources = [(); 4].map(|()| schedule.next_source());
     let expected = [
         CheckSource::Suspected,
         CheckSource::Expedited,
         CheckSource::Suspected,
         CheckSource::Expedited,
     ];
-    assert_eq!(turns, expected);
+    assert_eq!(sources, expected);
 }
--- a/crates/balancer/src/state/mod.rs
+++ b/crates/balancer/src/state/mod.rs
@@ -1,6 +1,6 @@
-//! State without decisions: the servers, the requests, and messages between balancers.
+//! State of servers and requests, and messages between balancers.
 //!
-//! Each file owns one piece of state, with everything that changes it. Decisions are in `policy/`,
+//! Each file owns one piece of state and everything that changes it. Decisions are in `policy/`,
 //! estimates in `estimators/`.
 
 mod endpoint_table;
--- a/crates/balancer/src/state/request_state.rs
+++ b/crates/balancer/src/state/request_state.rs
@@ -1,18 +1,18 @@
-//! A request without a final response yet, and its attempts.
+//! State of a request without a final response, and of its attempts.
 
 #[cfg(test)]
 mod tests;
 
 use crate::{ClassId, Endpoint, IncomingRequest, Micros, Outcome, RequestClass, ServerId};
 
-/// Whether an attempt can have had an effect.
+/// Whether an attempt may have executed.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum AttemptState {
-    /// It may be executing.
+    /// It has not ended, and may be executing.
     InFlight,
-    /// It ended and had no effect.
+    /// It ended without having been executed.
     NeverExecuted,
-    /// It ended and may have had its effect.
+    /// It ended and may have been executed.
     MayHaveExecuted,
 }
 
@@ -27,35 +27,35 @@
 }
 
 impl Attempt {
-    /// When it was sent.
+    /// Returns when the attempt was sent.
     pub(crate) fn sent_at(&self) -> Micros {
         self.sent_at
     }
 
-    /// Zone of its server.
+    /// Returns the zone of its server.
     pub(crate) fn zone(&self) -> u32 {
         self.zone
     }
 
-    /// Cell of its server.
+    /// Returns the cell of its server.
     pub(crate) fn cell(&self) -> u32 {
         self.cell
     }
 }
 
-/// The servers to which a retry may go.
+/// The servers to which a retry may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RetryScope {
     /// All servers.
     Anywhere,
-    /// Those of one zone.
+    /// The servers of one zone.
     Zone(u32),
-    /// Those of one cell.
+    /// The servers of one cell.
     Cell(u32),
 }
 
 impl RetryScope {
-    /// True where the scope covers this server.
+    /// Returns true if the scope contains this server.
     pub(crate) fn contains(self, endpoint: &Endpoint) -> bool {
         match self {
             Self::Anywhere => true,
@@ -65,7 +65,7 @@
     }
 }
 
-/// A request without a final response yet.
+/// State of a request without a final response.
 pub(crate) struct RequestState {
     class: ClassId,
     arrived_at: Micros,
@@ -80,7 +80,8 @@
 }
 
 impl RequestState {
-    /// A request that has just arrived; `relative_work` is its work against a usual request.
+    /// Creates the state of a request that has just arrived; `relative_work` is its work relative
+    /// to an average request.
     pub(crate) fn new(
         request: &IncomingRequest,
         class: &RequestClass,
@@ -103,62 +104,62 @@
         }
     }
 
-    /// Its class, which exists.
+    /// Returns the request class, which is one of the settings' classes.
     pub(crate) fn class(&self) -> ClassId {
         self.class
     }
 
-    /// When it arrived.
+    /// Returns when the request arrived.
     pub(crate) fn arrived_at(&self) -> Micros {
         self.arrived_at
     }
 
-    /// When its latency objective ends.
+    /// Returns when the latency objective ends.
     pub(crate) fn objective_at(&self) -> Micros {
         self.objective_at
     }
 
-    /// Microseconds from its arrival to its latency objective.
+    /// Returns the latency objective, in microseconds from the arrival.
     pub(crate) fn objective(&self) -> Micros {
         self.objective_at - self.arrived_at
     }
 
-    /// When its client gives up.
+    /// Returns when the client gives up.
     pub(crate) fn deadline_at(&self) -> Micros {
         self.deadline_at
     }
 
-    /// Its work against that of a usual request.
+    /// Returns the work relative to an average request.
     pub(crate) fn relative_work(&self) -> f64 {
         self.relative_work
     }
 
-    /// True once its response has started to stream.
+    /// Returns true once the response has started to stream.
     pub(crate) fn is_streaming(&self) -> bool {
         self.streaming
     }
 
-    /// When its timer is due; a timer that fires at another time is void.
+    /// Returns when the timer is due; a timer that fires at another time has been replaced.
     pub(crate) fn timer_at(&self) -> Micros {
         self.timer_at
     }
 
-    /// Servers whose load was requested for it.
+    /// Returns the servers whose load was checked for this request.
     pub(crate) fn load_checked(&self) -> &[ServerId] {
         &self.load_checked
     }
 
-    /// Number of attempts so far.
+    /// Returns the number of attempts so far.
     pub(crate) fn attempt_count(&self) -> usize {
         self.attempts.len()
     }
 
-    /// Number of attempts without an end.
+    /// Returns the number of attempts in flight.
     pub(crate) fn in_flight_count(&self) -> usize {
         self.in_flight_attempts().count()
     }
 
-    /// Numbers of the attempts without an end.
+    /// Returns the numbers of the attempts in flight.
     pub(crate) fn in_flight_attempts(&self) -> impl Iterator<Item = u32> + '_ {
         let in_flight = |attempt: &Attempt| attempt.state == AttemptState::InFlight;
         self.attempts
@@ -168,19 +169,19 @@
             .map(|(_, number)| number)
     }
 
-    /// The first attempt that is executing or may have executed.
+    /// Returns the first attempt that is executing or may have executed.
     pub(crate) fn first_possible_execution(&self) -> Option<&Attempt> {
         self.attempts
             .iter()
             .find(|attempt| attempt.state != AttemptState::NeverExecuted)
     }
 
-    /// The servers of its attempts.
+    /// Returns the servers of all attempts so far.
     pub(crate) fn tried_servers(&self) -> Vec<ServerId> {
         self.attempts.iter().map(|attempt| attempt.server).collect()
     }
 
-    /// An attempt was sent; returns its number.
+    /// Records a new attempt; returns its number.
     pub(crate) fn on_attempt_sent(&mut self, endpoint: &Endpoint, now: Micros) -> u32 {
         let number = self.attempts.len() as u32;
         self.attempts.push(Attempt {
@@ -193,7 +194,7 @@
         number
     }
 
-    /// An attempt ended; unknown numbers are ignored.
+    /// Records the end of an attempt; unknown numbers are ignored.
     pub(crate) fn on_attempt_ended(&mut self, number: u32, outcome: Outcome) {
         let Some(attempt) = self.attempts.get_mut(number as usize) else {
             return;
@@ -205,30 +206,30 @@
         };
     }
 
-    /// Its response started to stream.
+    /// Records that the response has started to stream.
     pub(crate) fn on_response_started(&mut self) {
         self.streaming = true;
     }
 
-    /// The load of these servers was requested for it.
+    /// Records that load checks of these servers were started for this request.
     pub(crate) fn on_load_checks_started(&mut self, servers: Vec<ServerId>) {
         self.load_checked.clone_from(&servers);
         self.pending_load_checks = servers;
     }
 
-    /// A load check ended; true where it was the last one awaited.
+    /// Records the end of a load check; returns true if it was the last one pending.
     pub(crate) fn on_load_check_ended(&mut self, server: ServerId) -> bool {
         let awaited = self.pending_load_checks.len();
         self.pending_load_checks.retain(|&other| other != server);
         awaited > 0 && self.pending_load_checks.is_empty()
     }
 
-    /// Its timer was set.
+    /// Records the time of the timer.
     pub(crate) fn on_timer_set(&mut self, at: Micros) {
         self.timer_at = at;
     }
 
-    /// Its timer fired before the load checks ended.
+    /// Stops waiting for load checks when the timer fires.
     pub(crate) fn on_timer_fired(&mut self) {
         self.pending_load_checks.clear();
     }
--- a/crates/balancer/src/state/request_state/tests.rs
+++ b/crates/balancer/src/state/request_state/tests.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn attempt_in_flight_or_after_an_unclear_end_may_have_executed() {
+fn attempt_in_flight_or_with_an_ambiguous_end_may_have_executed() {
     let mut request = request();
     assert_eq!(
         request.on_attempt_sent(&Endpoint::ready(ServerId(4), 4), 1_010),
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn last_awaited_load_check_ends_the_wait_once() {
+fn last_pending_load_check_ends_the_wait_once() {
     let mut request = request();
     assert!(!request.on_load_check_ended(ServerId(1)));
     request.on_load_checks_started(vec![ServerId(1), ServerId(2)]);
--- a/crates/balancer/src/state/request_table/tests.rs
+++ b/crates/balancer/src/state/request_table/tests.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn timer_that_was_replaced_is_void() {
+fn replaced_timer_does_not_fire() {
     let mut table = table(1);
     table.set_timer(RequestId(0), 10);
     table.set_timer(RequestId(0), 60);
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn timer_of_a_sent_or_finished_request_is_void() {
+fn timer_of_a_sent_or_finished_request_does_not_fire() {
     let mut table = table(2);
     table.set_timer(RequestId(0), 10);
     table.set_timer(RequestId(1), 10);
--- a/crates/balancer/src/state/server_index.rs
+++ b/crates/balancer/src/state/server_index.rs
@@ -1,6 +1,6 @@
-//! The place of a server in the table.
+//! Index of a server in the endpoint table.
 
-/// Place of a server in the [`EndpointTable`](crate::state::EndpointTable), valid until the table
-/// forgets servers.
+/// Index of a server in the [`EndpointTable`](crate::state::EndpointTable), valid until the table
+/// removes servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ServerIndex(pub(crate) usize);
--- a/crates/balancer/src/state/server_state.rs
+++ b/crates/balancer/src/state/server_state.rs
@@ -1,4 +1,4 @@
-//! A server as this balancer knows it.
+//! State of one server, as known to this balancer.
 
 use crate::estimators::failure_rate::FailureRecord;
 use crate::estimators::latency::ServerLatency;
@@ -10,43 +10,43 @@
 use crate::state::suspicion::SuspicionRecord;
 use crate::{Endpoint, EndpointStatus, Micros, RequestId, ServerId, Settings, SlowStartSettings};
 
-/// An attempt without an end.
+/// An attempt in flight at a server.
 pub(crate) struct InFlightAttempt {
-    /// The request.
+    /// The request of the attempt.
     pub(crate) request: RequestId,
-    /// Number of the attempt.
+    /// Number of the attempt within its request.
     pub(crate) attempt: u32,
-    /// When it was sent.
+    /// When the attempt was sent.
     pub(crate) sent_at: Micros,
-    /// Its work against that of a usual request.
+    /// Work of the request relative to an average request.
     pub(crate) relative_work: f64,
-    /// The server's queue depth when it was sent.
+    /// Queue depth of the server when the attempt was sent.
     pub(crate) queue_depth: f64,
 }
 
-/// A server as this balancer knows it: its line of the endpoint list, attempts in flight, and a
-/// record for each policy or estimator that watches it.
+/// State of one server: its entry in the endpoint list, the attempts in flight, and a record for
+/// each policy or estimator that tracks it.
 pub(crate) struct ServerState {
     endpoint: Endpoint,
     listed_as_draining: bool,
     possibly_draining: bool,
     in_flight: Vec<InFlightAttempt>,
-    /// Whether it is suspected.
+    /// Suspicion and past ejections.
     pub(crate) suspicion: SuspicionRecord,
-    /// Its health checks.
+    /// Health checks of the server.
     pub(crate) health_check: HealthCheckRecord,
     /// Failures and successes of its attempts.
     pub(crate) failures: FailureRecord,
-    /// What is known of its load.
+    /// Load from other balancers.
     pub(crate) load: ServerLoad,
-    /// How its latency compares with others'.
+    /// Latency relative to the fleet.
     pub(crate) latency: ServerLatency,
-    /// Its slow start.
+    /// Slow start of the server.
     pub(crate) slow_start: SlowStartRecord,
 }
 
 impl ServerState {
-    /// A server that the endpoint list names for the first time.
+    /// Creates the state of a server that is new in the endpoint list.
     pub(crate) fn new(endpoint: Endpoint, now: Micros, slow_start_time: Micros) -> Self {
         let mut slow_start = SlowStartRecord::default();
         if let Some(started_at) = endpoint.incarnation {
@@ -66,22 +66,22 @@
         }
     }
 
-    /// Its number.
+    /// Returns the server's id.
     pub(crate) fn id(&self) -> ServerId {
         self.endpoint.server
     }
 
-    /// Its entry of the endpoint list.
+    /// Returns the entry in the endpoint list.
     pub(crate) fn endpoint(&self) -> &Endpoint {
         &self.endpoint
     }
 
-    /// Its latest start, 0 for long ago.
+    /// Returns the time of the latest start, 0 if the server started long ago.
     pub(crate) fn incarnation(&self) -> Micros {
         self.endpoint.incarnation.unwrap_or(0)
     }
 
-    /// A gossip message about its current incarnation.
+    /// Creates a gossip message about the current incarnation.
     pub(crate) fn gossip(&self, kind: GossipKind) -> GossipMessage {
         GossipMessage {
             kind,
@@ -90,35 +90,36 @@
         }
     }
 
-    /// Listed as draining since its last start.
+    /// Returns true if the endpoint list has named the server as draining since its last start.
     pub(crate) fn is_listed_as_draining(&self) -> bool {
         self.listed_as_draining
     }
 
-    /// It is suspected, or may be draining.
+    /// Returns true if the server is suspected or may be draining.
     pub(crate) fn is_untrusted(&self) -> bool {
         self.suspicion.is_suspected() || self.possibly_draining
     }
 
-    /// True where the endpoint list no longer names it.
+    /// Returns true if the endpoint list no longer names the server.
     pub(crate) fn is_removed(&self) -> bool {
         self.endpoint.status == EndpointStatus::Removed
     }
 
-    /// This balancer's attempts at it without an end.
+    /// Returns this balancer's attempts in flight at the server.
     pub(crate) fn in_flight(&self) -> &[InFlightAttempt] {
         &self.in_flight
     }
 
-    /// True where nothing is left to be known of it: the endpoint list no longer names it and its
-    /// attempts have ended. Where only draining binds it is kept until it is dead or drains.
+    /// Returns true if the server can be dropped: the endpoint list no longer names it and no
+    /// attempts are in flight. If only draining binds, an unlisted server can still be sent
+    /// requests, so it is kept until it is dead or draining.
     pub(crate) fn is_prunable(&self, settings: &Settings) -> bool {
         let may_be_tried =
             settings.only_draining_binds && !self.suspicion.is_dead() && !self.listed_as_draining;
         self.is_removed() && self.in_flight.is_empty() && !may_be_tried
     }
 
-    /// The endpoint list names it again; true where it has restarted since.
+    /// Updates the entry in the endpoint list; returns true if the server has restarted since.
     pub(crate) fn on_listed(&mut self, endpoint: Endpoint) -> bool {
         let restarted = endpoint.incarnation.unwrap_or(0) > self.incarnation();
         let incarnation = if restarted {
@@ -133,22 +134,22 @@
         restarted
     }
 
-    /// Keeps a listed drain until the next restart.
+    /// Applies the listed status; a listed drain persists until the next restart.
     pub(crate) fn on_status_listed(&mut self, status: EndpointStatus) {
         self.listed_as_draining |= status == EndpointStatus::Draining;
     }
 
-    /// A full endpoint list does not name it.
+    /// Marks the server as removed because a full endpoint list does not name it.
     pub(crate) fn on_unlisted(&mut self) {
         self.endpoint.status = EndpointStatus::Removed;
     }
 
-    /// The endpoint list can be trusted again.
+    /// Clears a possible drain once a current endpoint list is received.
     pub(crate) fn on_endpoint_list_received(&mut self) {
         self.possibly_draining = false;
     }
 
-    /// It has restarted, as the endpoint list says.
+    /// Resets drain and load, and begins slow start, after the endpoint list showed a restart.
     pub(crate) fn on_restarted(&mut self, now: Micros, slow_start_time: Micros) {
         self.listed_as_draining = false;
         self.load.on_restarted();
@@ -156,7 +157,7 @@
             .on_started(self.incarnation(), now, slow_start_time);
     }
 
-    /// An attempt was sent to it.
+    /// Records an attempt sent to the server.
     pub(crate) fn on_attempt_sent(
         &mut self,
         attempt: InFlightAttempt,
@@ -170,18 +171,19 @@
         self.in_flight.push(attempt);
     }
 
-    /// An attempt ended; returns what was recorded of it, `None` where it is unknown.
+    /// Removes an attempt that ended and returns it; `None` if it is unknown.
     pub(crate) fn on_attempt_ended(
         &mut self,
         request: RequestId,
         number: u32,
     ) -> Option<InFlightAttempt> {
-        let same = |other: &InFlightAttempt| other.request == request && other.attempt == number;
-        let position = self.in_flight.iter().position(same)?;
+        let matches = |other: &InFlightAttempt| other.request == request && other.attempt == number;
+        let position = self.in_flight.iter().position(matches)?;
         Some(self.in_flight.swap_remove(position))
     }
 
-    /// It reported the requests that it holds, by what the deployment goes by.
+    /// Records the requests in flight that the server reported; `source` tells how reports reach
+    /// the balancer.
     pub(crate) fn on_load_report(&mut self, reported: f64, source: LoadSource, now: Micros) {
         let own = self.in_flight.len() as f64;
         match source {
@@ -192,12 +194,13 @@
         }
     }
 
-    /// It rejected an attempt that was sent at this queue depth.
+    /// Records a rejected attempt that was sent at this queue depth.
     pub(crate) fn on_rejected(&mut self, queue_depth: f64, now: Micros) {
         self.load.on_rejected(queue_depth, now);
     }
 
-    /// It rejected an attempt while no endpoint list could tell whether it drains.
+    /// Records a rejection without a current endpoint list that would show whether the server
+    /// drains.
     pub(crate) fn on_possible_drain(&mut self) {
         self.possibly_draining = true;
     }
--- a/crates/balancer/src/state/subset_order.rs
+++ b/crates/balancer/src/state/subset_order.rs
@@ -1,4 +1,4 @@
-//! The order in which this balancer uses the servers. How many of them it uses is decided by
+//! Order in which this balancer uses the servers. How many of them it uses is decided by
 //! [`SubsetSize`](crate::policy::subset_size::SubsetSize).
 
 #[cfg(test)]
@@ -8,24 +8,24 @@
 
 use crate::state::{EndpointTable, ServerIndex, ServerState};
 
-/// Indices of the servers in a stable random order.
+/// The servers in a stable random order.
 #[derive(Default)]
 pub(crate) struct SubsetOrder {
     order: Vec<ServerIndex>,
 }
 
 impl SubsetOrder {
-    /// Indices of the servers, the preferred ones first.
+    /// Returns the indices of the servers, preferred ones first.
     pub(crate) fn iter(&self) -> impl Iterator<Item = ServerIndex> + '_ {
         self.order.iter().copied()
     }
 
-    /// The servers changed. Their order is random, the same at every list, and each cell comes once
-    /// before any comes twice.
+    /// Recomputes the order after the servers changed. It is random per balancer and stable across
+    /// lists, and interleaves the cells: each cell occurs once before any occurs twice.
     pub(crate) fn on_endpoints_updated(&mut self, endpoints: &EndpointTable, balancer_index: u32) {
-        let own = u64::from(balancer_index) << 32;
+        let balancer_seed = u64::from(balancer_index) << 32;
         let hash = |server: &ServerState| {
-            fastrand::Rng::with_seed(server.endpoint().stable_hash ^ own).u64(..)
+            fastrand::Rng::with_seed(server.endpoint().stable_hash ^ balancer_seed).u64(..)
         };
         let mut hashed: Vec<_> = endpoints
             .iter()
@@ -34,11 +34,13 @@
             .collect();
         hashed.sort_unstable();
         self.order = hashed.into_iter().map(|(_, index)| index).collect();
-        let mut turns = BTreeMap::new();
+        let mut servers_by_cell = BTreeMap::new();
         self.order.sort_by_cached_key(|&index| {
-            let turn = turns.entry(endpoints[index].endpoint().cell).or_insert(0);
-            *turn += 1;
-            *turn
+            let rank = servers_by_cell
+                .entry(endpoints[index].endpoint().cell)
+                .or_insert(0);
+            *rank += 1;
+            *rank
         });
     }
 }
--- a/crates/balancer/src/state/subset_order/tests.rs
+++ b/crates/balancer/src/state/subset_order/tests.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn order_names_each_server_once_and_each_cell_before_any_twice() {
+fn order_lists_each_server_once_and_interleaves_the_cells() {
     let order = order(16, 3);
     let mut sorted = order.clone();
     sorted.sort_unstable();
--- a/crates/balancer/src/state/suspicion.rs
+++ b/crates/balancer/src/state/suspicion.rs
@@ -1,29 +1,29 @@
-//! Whether a server is suspected, and its record of ejections.
+//! Suspicion of a server and its history of ejections.
 
 #[cfg(test)]
 mod tests;
 
 use crate::{EjectionCause, Micros};
 
-/// A suspicion that stands.
+/// An active suspicion.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Suspicion {
-    /// What raised it.
+    /// Cause of the suspicion.
     pub(crate) cause: EjectionCause,
-    /// When it was raised.
+    /// When the suspicion was raised.
     pub(crate) since: Micros,
-    /// How long successful health checks do not end it, where attempts raised it.
+    /// Time for which successful health checks do not end the suspicion, if attempts raised it.
     pub(crate) ejection_time: Micros,
 }
 
 impl Suspicion {
-    /// True once its ejection time is over.
+    /// Returns true once the ejection time has elapsed.
     pub(crate) fn ejection_time_elapsed(&self, now: Micros) -> bool {
         now >= self.since + self.ejection_time
     }
 }
 
-/// The suspicion of one server, past and present.
+/// Suspicion of one server and its history of ejections.
 #[derive(Default)]
 pub(crate) struct SuspicionRecord {
     current: Option<Suspicion>,
@@ -33,22 +33,22 @@
 }
 
 impl SuspicionRecord {
-    /// The suspicion that stands, if any.
+    /// Returns the active suspicion, if any.
     pub(crate) fn current(&self) -> Option<Suspicion> {
         self.current
     }
 
-    /// True where a suspicion stands.
+    /// Returns true if the server is suspected.
     pub(crate) fn is_suspected(&self) -> bool {
         self.current.is_some()
     }
 
-    /// True where a suspicion stood for so long that the server is taken for gone.
+    /// Returns true if the server has been suspected for so long that it was declared dead.
     pub(crate) fn is_dead(&self) -> bool {
         self.dead
     }
 
-    /// Earlier ejections that count for one at this moment: none where the last is older than
+    /// Returns how many earlier ejections count at this moment: none if the last one is older than
     /// `memory`.
     pub(crate) fn ejections_before(&self, now: Micros, memory: Micros) -> u32 {
         if now > self.last_ejected_at + memory {
@@ -58,24 +58,24 @@
         }
     }
 
-    /// True where it was ejected repeatedly, and last within `memory`.
+    /// Returns true if the server was ejected repeatedly, the last time within `memory`.
     pub(crate) fn is_flapping(&self, now: Micros, memory: Micros) -> bool {
         self.ejections > 0 && now < self.last_ejected_at + memory
     }
 
-    /// The server is suspected from now on; `ejections` earlier ones count.
+    /// Records an ejection, after the given number of earlier ones that count.
     pub(crate) fn on_ejected(&mut self, suspicion: Suspicion, ejections: u32) {
         self.ejections = ejections;
         self.last_ejected_at = suspicion.since;
         self.current = Some(suspicion);
     }
 
-    /// The suspicion stood for so long that the server is taken for gone.
+    /// Declares the server dead.
     pub(crate) fn on_declared_dead(&mut self) {
         self.dead = true;
     }
 
-    /// The suspicion ended; returns it.
+    /// Ends the active suspicion and returns it.
     pub(crate) fn on_readmitted(&mut self) -> Option<Suspicion> {
         let ended = self.current.take()?;
         self.dead = false;
--- a/crates/balancer/src/state/suspicion/tests.rs
+++ b/crates/balancer/src/state/suspicion/tests.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn readmission_ends_suspicion_and_death() {
+fn readmission_clears_suspected_and_dead() {
     let mut record = SuspicionRecord::default();
     eject(&mut record, 5_000);
     record.on_declared_dead();
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn suspicion_has_aged_once_its_ejection_time_is_over() {
+fn ejection_time_elapses_after_its_duration() {
     let suspicion = Suspicion {
         cause: EjectionCause::Gossip,
         since: 10,
