--- a/crates/balancer/src/policy/ejection.rs
+++ b/crates/balancer/src/policy/ejection.rs
@@ -76,7 +76,7 @@
         }
         let earlier_ejections = server
             .suspicion
-            .ejections_before(fleet.now, EJECTION_MEMORY);
+            .earlier_ejections(fleet.now, EJECTION_MEMORY);
         Self::Raised {
             suspicion: Suspicion {
                 cause,
--- a/crates/balancer/src/state/suspicion.rs
+++ b/crates/balancer/src/state/suspicion.rs
@@ -28,7 +28,7 @@
 pub(crate) struct SuspicionRecord {
     current: Option<Suspicion>,
     dead: bool,
-    ejections: u32,
+    ejections_before_last: u32,
     last_ejected_at: Micros,
 }
 
@@ -49,23 +49,23 @@
     }
 
     /// Returns how many earlier ejections count at this moment: none if the last one is older than
-    /// `memory`.
-    pub(crate) fn ejections_before(&self, now: Micros, memory: Micros) -> u32 {
-        if now > self.last_ejected_at + memory {
+    /// `window`.
+    pub(crate) fn earlier_ejections(&self, now: Micros, window: Micros) -> u32 {
+        if now > self.last_ejected_at + window {
             0
         } else {
-            self.ejections + 1
+            self.ejections_before_last + 1
         }
     }
 
-    /// Returns true if the server was ejected repeatedly, the last time within `memory`.
-    pub(crate) fn is_flapping(&self, now: Micros, memory: Micros) -> bool {
-        self.ejections > 0 && now < self.last_ejected_at + memory
+    /// Returns true if the server was ejected repeatedly, the last time within `window`.
+    pub(crate) fn is_flapping(&self, now: Micros, window: Micros) -> bool {
+        self.ejections_before_last > 0 && now < self.last_ejected_at + window
     }
 
     /// Records an ejection, after the given number of earlier ones that count.
-    pub(crate) fn on_ejected(&mut self, suspicion: Suspicion, ejections: u32) {
-        self.ejections = ejections;
+    pub(crate) fn on_ejected(&mut self, suspicion: Suspicion, earlier_ejections: u32) {
+        self.ejections_before_last = earlier_ejections;
         self.last_ejected_at = suspicion.since;
         self.current = Some(suspicion);
     }
--- a/crates/balancer/src/state/suspicion/tests.rs
+++ b/crates/balancer/src/state/suspicion/tests.rs
@@ -2,28 +2,28 @@
 use crate::EjectionCause;
 use crate::Micros;
 
-const MEMORY: Micros = 1_000;
+const WINDOW: Micros = 1_000;
 
 fn eject(record: &mut SuspicionRecord, now: Micros) {
-    let ejections = record.ejections_before(now, MEMORY);
+    let earlier_ejections = record.earlier_ejections(now, WINDOW);
     let suspicion = Suspicion {
         cause: EjectionCause::Attempts,
         since: now,
         ejection_time: 100,
     };
-    record.on_ejected(suspicion, ejections);
+    record.on_ejected(suspicion, earlier_ejections);
 }
 
 #[test]
-fn ejections_within_the_memory_count_and_older_ones_are_forgotten() {
+fn ejections_within_the_window_count_and_older_ones_do_not() {
     let mut record = SuspicionRecord::default();
     eject(&mut record, 5_000);
-    assert!(!record.is_flapping(5_500, MEMORY));
+    assert!(!record.is_flapping(5_500, WINDOW));
     record.on_readmitted();
-    assert_eq!(record.ejections_before(5_500, MEMORY), 1);
+    assert_eq!(record.earlier_ejections(5_500, WINDOW), 1);
     eject(&mut record, 5_500);
-    assert!(record.is_flapping(6_000, MEMORY) && !record.is_flapping(6_500, MEMORY));
-    assert_eq!(record.ejections_before(6_501, MEMORY), 0);
+    assert!(record.is_flapping(6_000, WINDOW) && !record.is_flapping(6_500, WINDOW));
+    assert_eq!(record.earlier_ejections(6_501, WINDOW), 0);
 }
 
 #[test]
