--- a/crates/balancer/src/estimators/estimates.rs
+++ b/crates/balancer/src/estimators/estimates.rs
@@ -25,7 +25,7 @@
     pub(crate) now: Micros,
     /// Service times observed so far.
     pub(crate) latency: &'a LatencyEstimator,
-    /// True if trusted load reports show how many requests servers hold.
+    /// True if load reports show how many requests servers hold.
     pub(crate) is_load_known: bool,
 }
 
@@ -97,8 +97,8 @@
         latency: f64,
     ) -> f64 {
         if self.settings.load_source() == LoadSource::Responses {
-            // The queue depth during the attempt is taken as the mean of its start and its end.
-            // Latency due to slow start is not attributed to the server.
+            // The queue depth during the attempt is taken as the mean of the depths when it was
+            // sent and when it ended. Latency due to slow start is not attributed to the server.
             let mean_depth = (attempt.queue_depth + self.queue_depth(server)) / 2.0;
             return latency * server.slow_start.factor(self.now, self.settings)
                 / (mean_depth * attempt.relative_work).max(MIN_LOAD_DIVISOR_WITH_RESPONSE_REPORTS);
