--- a/crates/balancer/src/estimators/mod.rs
+++ b/crates/balancer/src/estimators/mod.rs
@@ -1,7 +1,6 @@
-//! What responses, load reports and arrivals tell of the fleet and of each server.
+//! Estimates of the fleet and of each server, from responses, load reports and arrivals.
 //!
-//! Each estimator owns its figures and is updated by what happened. Nothing here decides: decisions
-//! are in `policy/`.
+//! Each estimator owns its state and is updated by events. Decisions are in `policy/`.
 
 mod decaying_rate;
 mod estimates;
@@ -14,8 +13,8 @@
 pub(crate) mod missed_objective;
 pub(crate) mod saturation;
 pub(crate) mod slow_start;
+mod smoothing;
 pub(crate) mod utilization;
-mod weights;
 pub(crate) mod workload;
 
 pub(crate) use estimates::Estimates;
--- a/crates/balancer/src/state/endpoint_table/tests.rs
+++ b/crates/balancer/src/state/endpoint_table/tests.rs
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn retain_renumbers_servers_and_counts_failed_health_checks_anew() {
+fn retain_renumbers_servers_and_recounts_failed_health_checks() {
     let mut table = table(3);
     table.on_health_check_ended(ServerIndex(0), Outcome::TimedOut);
     table.on_health_check_ended(ServerIndex(2), Outcome::TimedOut);
@@ -78,7 +78,7 @@
     let mut table = table(1);
     table[ServerIndex(0)].on_status_listed(EndpointStatus::Draining);
     table[ServerIndex(0)].on_status_listed(EndpointStatus::Ready);
-    assert!(table[ServerIndex(0)].is_drain_listed());
+    assert!(table[ServerIndex(0)].is_listed_as_draining());
     table[ServerIndex(0)].on_restarted(1_000, SLOW_START_TIME);
-    assert!(!table[ServerIndex(0)].is_drain_listed());
+    assert!(!table[ServerIndex(0)].is_listed_as_draining());
 }
--- a/crates/balancer/src/state/mod.rs
+++ b/crates/balancer/src/state/mod.rs
@@ -1,6 +1,6 @@
-//! State without decisions: the servers, the requests, and messages between balancers.
+//! State of servers and requests, and messages between balancers.
 //!
-//! Each file owns one piece of state, with everything that changes it. Decisions are in `policy/`,
+//! Each file owns one piece of state and everything that changes it. Decisions are in `policy/`,
 //! estimates in `estimators/`.
 
 mod endpoint_table;
@@ -19,7 +19,7 @@
 pub(crate) use gossip_message::{GossipKind, GossipMessage};
 pub(crate) use gossip_queue::GossipQueue;
 pub(crate) use health_check_record::HealthCheckKind;
-pub(crate) use health_check_schedule::{CheckTurn, HealthCheckSchedule};
+pub(crate) use health_check_schedule::{CheckSource, HealthCheckSchedule};
 pub(crate) use request_state::{Attempt, RequestState, RetryScope};
 pub(crate) use request_table::RequestTable;
 pub(crate) use server_index::ServerIndex;
