--- a/crates/balancer/src/balancer/servers.rs
+++ b/crates/balancer/src/balancer/servers.rs
@@ -2,7 +2,7 @@
 
 use crate::balancer::Balancer;
 use crate::policy::{
-    AttemptEvidence, Audience, Ejection, FailureDetector, GossipProtocol, LoadChecker, Readmission,
+    Audience, Ejection, FailureDetector, GossipProtocol, HealthSignal, LoadChecker, Readmission,
     ReportVerdict, Verdict,
 };
 use crate::state::{HealthCheckKind, InFlightAttempt, ServerIndex};
@@ -25,17 +25,17 @@
         let Some(attempt) = server.on_attempt_ended(end.request, end.attempt) else {
             return;
         };
-        match AttemptEvidence::of(server, &attempt, end.outcome) {
-            AttemptEvidence::Served => {
+        match HealthSignal::from_outcome(server, &attempt, end.outcome) {
+            HealthSignal::Served => {
                 server.failures.on_served(now);
                 self.on_response(index, &attempt);
                 self.policies.failure_detector.on_served();
                 self.readmit(index, actions);
             }
-            AttemptEvidence::Slow => self.on_response(index, &attempt),
-            AttemptEvidence::Rejected => self.on_attempt_rejected(index, &attempt),
-            AttemptEvidence::Failed => self.on_attempt_failed(index, end.outcome, actions),
-            AttemptEvidence::Nothing => {}
+            HealthSignal::Slow => self.on_response(index, &attempt),
+            HealthSignal::Rejected => self.on_attempt_rejected(index, &attempt),
+            HealthSignal::Failed => self.on_attempt_failed(index, end.outcome, actions),
+            HealthSignal::Inconclusive => {}
         }
     }
 
--- a/crates/balancer/src/policy.rs
+++ b/crates/balancer/src/policy.rs
@@ -6,7 +6,6 @@
 //! imported or handed in. The law of each stands at the top of its file; `docs/balancer.md` has
 //! them all.
 
-mod attempt_evidence;
 mod ejection;
 mod endpoint_poller;
 mod failure_detector;
@@ -14,6 +13,7 @@
 mod gossip_protocol;
 pub(crate) mod health_check_trust;
 mod health_checker;
+mod health_signal;
 mod load_checker;
 mod load_shedder;
 pub(crate) mod load_source;
@@ -27,13 +27,13 @@
 #[cfg(test)]
 mod test_support;
 
-pub(crate) use attempt_evidence::AttemptEvidence;
 pub(crate) use ejection::{Ejection, Readmission};
 pub(crate) use endpoint_poller::{EndpointPoller, ListLoss};
 pub(crate) use failure_detector::{Audience, FailureDetector, Verdict};
 pub(crate) use final_response::FinalResponse;
 pub(crate) use gossip_protocol::{GossipProtocol, PeerMessage};
 pub(crate) use health_checker::{CheckTarget, HealthChecker};
+pub(crate) use health_signal::HealthSignal;
 pub(crate) use load_checker::{LoadCheckResult, LoadChecker, ReportVerdict};
 pub(crate) use load_shedder::{LoadShedder, ShedDecision};
 pub(crate) use load_source::LoadSource;
--- a/crates/balancer/src/policy/attempt_evidence.rs
+++ b/crates/balancer/src/policy/health_signal.rs
@@ -13,7 +13,7 @@
 
 /// What the end of an attempt tells of its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum AttemptEvidence {
+pub(crate) enum HealthSignal {
     /// It serves.
     Served,
     /// It serves others, and this attempt took too long: a sample of its latency.
@@ -23,19 +23,23 @@
     /// It failed the attempt.
     Failed,
     /// Nothing: the attempt did not reach it, or was cancelled.
-    Nothing,
+    Inconclusive,
 }
 
-impl AttemptEvidence {
+impl HealthSignal {
     /// What the end of an attempt tells. A timeout at a server that has served others since the
     /// send is slowness.
-    pub(crate) fn of(server: &ServerState, attempt: &InFlightAttempt, outcome: Outcome) -> Self {
+    pub(crate) fn from_outcome(
+        server: &ServerState,
+        attempt: &InFlightAttempt,
+        outcome: Outcome,
+    ) -> Self {
         let has_served_since = server.failures.last_served_at() > attempt.sent_at;
         let serves_others = has_served_since && !server.suspicion.is_suspected();
         match outcome {
             Outcome::Served => Self::Served,
             Outcome::TimedOut if serves_others => Self::Slow,
-            Outcome::Cancelled | Outcome::NotSent => Self::Nothing,
+            Outcome::Cancelled | Outcome::NotSent => Self::Inconclusive,
             Outcome::Rejected => Self::Rejected,
             Outcome::TimedOut | Outcome::ServerError | Outcome::ConnectFailed | Outcome::Reset => {
                 Self::Failed
--- a/crates/balancer/src/policy/attempt_evidence/tests.rs
+++ b/crates/balancer/src/policy/health_signal/tests.rs
@@ -1,4 +1,4 @@
-use super::AttemptEvidence;
+use super::HealthSignal;
 use crate::fleet::Fleet;
 use crate::policy::test_support::{FIRST, MS, eject, fleet, send, settings};
 use crate::{EjectionCause, Outcome};
@@ -11,34 +11,34 @@
     fleet
 }
 
-fn evidence(fleet: &Fleet, outcome: Outcome) -> AttemptEvidence {
+fn signal(fleet: &Fleet, outcome: Outcome) -> HealthSignal {
     let server = &fleet.servers[FIRST];
-    AttemptEvidence::of(server, &server.in_flight()[0], outcome)
+    HealthSignal::from_outcome(server, &server.in_flight()[0], outcome)
 }
 
 #[test]
 fn timeout_is_slowness_only_at_a_trusted_server_that_has_served_others_since_the_send() {
     let mut fleet = fleet_with_an_attempt();
-    assert_eq!(evidence(&fleet, Outcome::TimedOut), AttemptEvidence::Failed);
+    assert_eq!(signal(&fleet, Outcome::TimedOut), HealthSignal::Failed);
     fleet.servers[FIRST].failures.on_served(fleet.now);
-    assert_eq!(evidence(&fleet, Outcome::TimedOut), AttemptEvidence::Slow);
+    assert_eq!(signal(&fleet, Outcome::TimedOut), HealthSignal::Slow);
     eject(&mut fleet, FIRST, EjectionCause::Attempts);
-    assert_eq!(evidence(&fleet, Outcome::TimedOut), AttemptEvidence::Failed);
+    assert_eq!(signal(&fleet, Outcome::TimedOut), HealthSignal::Failed);
 }
 
 #[test]
 fn rejection_is_no_failure_and_an_attempt_that_was_cancelled_or_not_sent_tells_nothing() {
     let fleet = fleet_with_an_attempt();
     let table = [
-        (Outcome::Served, AttemptEvidence::Served),
-        (Outcome::Rejected, AttemptEvidence::Rejected),
-        (Outcome::Cancelled, AttemptEvidence::Nothing),
-        (Outcome::NotSent, AttemptEvidence::Nothing),
-        (Outcome::ServerError, AttemptEvidence::Failed),
-        (Outcome::ConnectFailed, AttemptEvidence::Failed),
-        (Outcome::Reset, AttemptEvidence::Failed),
+        (Outcome::Served, HealthSignal::Served),
+        (Outcome::Rejected, HealthSignal::Rejected),
+        (Outcome::Cancelled, HealthSignal::Inconclusive),
+        (Outcome::NotSent, HealthSignal::Inconclusive),
+        (Outcome::ServerError, HealthSignal::Failed),
+        (Outcome::ConnectFailed, HealthSignal::Failed),
+        (Outcome::Reset, HealthSignal::Failed),
     ];
     for (outcome, expected) in table {
-        assert_eq!(evidence(&fleet, outcome), expected, "{outcome:?}");
+        assert_eq!(signal(&fleet, outcome), expected, "{outcome:?}");
     }
 }
