--- a/crates/balancer/src/balancer/servers.rs
+++ b/crates/balancer/src/balancer/servers.rs
@@ -2,8 +2,8 @@
 
 use crate::balancer::Balancer;
 use crate::policy::{
-    Audience, Ejection, FailureDetector, GossipProtocol, HealthSignal, LoadChecker, Readmission,
-    ReportVerdict, Verdict,
+    Audience, EjectionDecision, FailureDetector, GossipProtocol, HealthSignal, LoadChecker,
+    Readmission, ReportVerdict, Verdict,
 };
 use crate::state::{HealthCheckKind, InFlightAttempt, ServerIndex};
 use crate::{
@@ -191,8 +191,8 @@
         actions: &mut Actions,
     ) {
         let server = &self.fleet.servers[index];
-        let ejection = Ejection::decide(&self.fleet, server, cause);
-        let Ejection::Raised {
+        let ejection = EjectionDecision::decide(&self.fleet, server, cause);
+        let EjectionDecision::Eject {
             suspicion,
             earlier_ejections,
         } = ejection
@@ -229,7 +229,7 @@
         };
         server.failures.on_readmitted();
         match Readmission::decide(now, suspicion) {
-            Readmission::AtOnce => {}
+            Readmission::FullCapacity => {}
             Readmission::SlowStart => server.slow_start.on_silence_ended(now),
         }
         server.health_check.on_confirmed_alive();
--- a/crates/balancer/src/policy.rs
+++ b/crates/balancer/src/policy.rs
@@ -27,7 +27,7 @@
 #[cfg(test)]
 mod test_support;
 
-pub(crate) use ejection::{Ejection, Readmission};
+pub(crate) use ejection::{EjectionDecision, Readmission};
 pub(crate) use endpoint_poller::{EndpointPoller, ListLoss};
 pub(crate) use failure_detector::{Audience, FailureDetector, Verdict};
 pub(crate) use final_response::FinalResponse;
--- a/crates/balancer/src/policy/ejection.rs
+++ b/crates/balancer/src/policy/ejection.rs
@@ -34,50 +34,50 @@
 /// Time without a new suspicion after which earlier ones are forgotten, in microseconds. Within it
 /// ejection times double, and a restart alone does not end the suspicion of a server that was
 /// ejected repeatedly. Inherited with the first version of the module; its source was not recorded.
-const EJECTION_MEMORY: Micros = 20_000_000;
+const EJECTION_HISTORY_WINDOW: Micros = 20_000_000;
 /// A suspicion over health checks that stood for longer than this, in microseconds, may hide a
 /// restart that the endpoint list did not tell of: the server comes back in slow start. Two checks
 /// of a suspected server.
-const SILENT_RESTART_AFTER: Micros = 2 * MIN_SUSPECT_INTERVAL;
+const UNDETECTED_RESTART_THRESHOLD: Micros = 2 * MIN_SUSPECT_INTERVAL;
 
 /// Whether a suspicion is raised.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Ejection {
+pub(crate) enum EjectionDecision {
     /// It is raised.
-    Raised {
+    Eject {
         /// The suspicion.
         suspicion: Suspicion,
         /// Earlier ejections that counted for its time.
         earlier_ejections: u32,
     },
     /// The server is suspected already.
-    AlreadySuspected,
+    AlreadyEjected,
     /// Health checks are not believed now.
-    CauseNotBelieved,
+    CauseUntrusted,
 }
 
 /// How a server comes back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Readmission {
     /// With its full capacity.
-    AtOnce,
+    FullCapacity,
     /// In slow start, as it may have restarted.
     SlowStart,
 }
 
-impl Ejection {
+impl EjectionDecision {
     /// Whether a suspicion is raised for this cause, and for how long it withstands health checks.
     pub(crate) fn decide(fleet: &Fleet, server: &ServerState, cause: EjectionCause) -> Self {
         if server.suspicion.is_suspected() {
-            return Self::AlreadySuspected;
+            return Self::AlreadyEjected;
         }
-        if !is_believed(fleet, cause) {
-            return Self::CauseNotBelieved;
+        if !is_cause_trusted(fleet, cause) {
+            return Self::CauseUntrusted;
         }
         let earlier_ejections = server
             .suspicion
-            .ejections_before(fleet.now, EJECTION_MEMORY);
-        Self::Raised {
+            .ejections_before(fleet.now, EJECTION_HISTORY_WINDOW);
+        Self::Eject {
             suspicion: Suspicion {
                 cause,
                 since: fleet.now,
@@ -92,23 +92,23 @@
     /// How a server comes back whose suspicion ends now.
     pub(crate) fn decide(now: Micros, suspicion: Suspicion) -> Self {
         let may_have_restarted = suspicion.cause != EjectionCause::Attempts
-            && now > suspicion.since + SILENT_RESTART_AFTER;
+            && now > suspicion.since + UNDETECTED_RESTART_THRESHOLD;
         if may_have_restarted {
             Self::SlowStart
         } else {
-            Self::AtOnce
+            Self::FullCapacity
         }
     }
 }
 
 /// True where an earlier ejection still counts: the server was ejected repeatedly, and lately.
 pub(crate) fn is_flapping(now: Micros, server: &ServerState) -> bool {
-    server.suspicion.is_flapping(now, EJECTION_MEMORY)
+    server.suspicion.is_flapping(now, EJECTION_HISTORY_WINDOW)
 }
 
 /// Health checks, and other balancers that go by them, are believed while few fail; attempts
 /// always.
-pub(crate) fn is_believed(fleet: &Fleet, cause: EjectionCause) -> bool {
+pub(crate) fn is_cause_trusted(fleet: &Fleet, cause: EjectionCause) -> bool {
     cause == EjectionCause::Attempts || fleet.health_check_trust() == HealthCheckTrust::Trusted
 }
 
--- a/crates/balancer/src/policy/ejection/tests.rs
+++ b/crates/balancer/src/policy/ejection/tests.rs
@@ -1,11 +1,11 @@
-use super::{Ejection, Readmission};
+use super::{EjectionDecision, Readmission};
 use crate::fleet::Fleet;
 use crate::policy::test_support::{FIRST, MS, arrive, eject, fail_health_check, fleet, settings};
 use crate::state::{ServerIndex, Suspicion};
 use crate::{EjectionCause, Micros};
 
-fn decide(fleet: &Fleet, cause: EjectionCause) -> Ejection {
-    Ejection::decide(fleet, &fleet.servers[FIRST], cause)
+fn decide(fleet: &Fleet, cause: EjectionCause) -> EjectionDecision {
+    EjectionDecision::decide(fleet, &fleet.servers[FIRST], cause)
 }
 
 /// Ejects the first server and readmits it; returns its ejection time in milliseconds.
@@ -40,7 +40,7 @@
     let mut fleet = fleet(settings(), 10);
     eject(&mut fleet, FIRST, EjectionCause::Attempts);
     let decision = decide(&fleet, EjectionCause::Attempts);
-    assert_eq!(decision, Ejection::AlreadySuspected);
+    assert_eq!(decision, EjectionDecision::AlreadyEjected);
 }
 
 #[test]
@@ -48,10 +48,10 @@
     let mut fleet = fleet(settings(), 10);
     (0..5).for_each(|n| fail_health_check(&mut fleet, ServerIndex(n)));
     for cause in [EjectionCause::HealthChecks, EjectionCause::Gossip] {
-        assert_eq!(decide(&fleet, cause), Ejection::CauseNotBelieved);
+        assert_eq!(decide(&fleet, cause), EjectionDecision::CauseUntrusted);
     }
     let decision = decide(&fleet, EjectionCause::Attempts);
-    assert!(matches!(decision, Ejection::Raised { .. }));
+    assert!(matches!(decision, EjectionDecision::Eject { .. }));
 }
 
 #[test]
@@ -65,8 +65,8 @@
         Readmission::decide(after, suspicion)
     };
     let silent = EjectionCause::HealthChecks;
-    assert_eq!(readmission(silent, 800 * MS), Readmission::AtOnce);
+    assert_eq!(readmission(silent, 800 * MS), Readmission::FullCapacity);
     assert_eq!(readmission(silent, 801 * MS), Readmission::SlowStart);
     let failing = EjectionCause::Attempts;
-    assert_eq!(readmission(failing, 801 * MS), Readmission::AtOnce);
+    assert_eq!(readmission(failing, 801 * MS), Readmission::FullCapacity);
 }
--- a/crates/balancer/src/policy/failure_detector.rs
+++ b/crates/balancer/src/policy/failure_detector.rs
@@ -10,7 +10,7 @@
 //! - another balancer suspects it, and no own attempt was served in the last half second.
 //!
 //! A suspicion ends with a served attempt, a restart or a good health check; how long it withstands
-//! these is the law of [`Ejection`](crate::policy::Ejection). After 8 s a suspected server is
+//! these is the law of [`EjectionDecision`](crate::policy::EjectionDecision). After 8 s a suspected server is
 //! declared dead; it is still checked, and comes back when it answers. The mechanism is SWIM's, as
 //! in section 2.2.2 of the paper, with attempts as a second source of evidence.
 
@@ -20,7 +20,7 @@
 use crate::estimators::fleet_error_rate::FleetErrorRate;
 use crate::estimators::latency_distribution::LatencyDistribution;
 use crate::fleet::Fleet;
-use crate::policy::ejection::{is_believed, is_flapping};
+use crate::policy::ejection::{is_cause_trusted, is_flapping};
 use crate::state::{ServerState, Suspicion};
 use crate::{EjectionCause, Micros, Outcome};
 
@@ -218,7 +218,7 @@
     }
     // Where nothing checks its health, only attempts can show that a server has recovered.
     let is_tried_again = !fleet.settings.host.health_checks && suspicion.has_aged(fleet.now);
-    if is_tried_again || !is_believed(fleet, suspicion.cause) {
+    if is_tried_again || !is_cause_trusted(fleet, suspicion.cause) {
         Verdict::Readmit
     } else {
         Verdict::Keep
--- a/crates/balancer/src/policy/test_support.rs
+++ b/crates/balancer/src/policy/test_support.rs
@@ -1,7 +1,7 @@
 //! A fleet and requests for the tests of decisions.
 
 use crate::fleet::Fleet;
-use crate::policy::ejection::Ejection;
+use crate::policy::ejection::EjectionDecision;
 use crate::state::{InFlightAttempt, RequestState, ServerIndex};
 use crate::{
     ClassId, EjectionCause, Endpoint, Idempotency, IncomingRequest, Micros, Outcome, RequestClass,
@@ -125,8 +125,8 @@
 
 /// Suspects a server now.
 pub(crate) fn eject(fleet: &mut Fleet, server: ServerIndex, cause: EjectionCause) {
-    let ejection = Ejection::decide(fleet, &fleet.servers[server], cause);
-    let Ejection::Raised {
+    let ejection = EjectionDecision::decide(fleet, &fleet.servers[server], cause);
+    let EjectionDecision::Eject {
         suspicion,
         earlier_ejections,
     } = ejection
