--- a/crates/balancer/src/balancer/membership.rs
+++ b/crates/balancer/src/balancer/membership.rs
@@ -2,7 +2,7 @@
 //! servers.
 
 use crate::balancer::Balancer;
-use crate::policy::{FailureDetector, GossipProtocol, ListLoss, PeerMessage, Verdict};
+use crate::policy::{FailureDetector, GossipProtocol, HealthAction, ListLoss, PeerMessage};
 use crate::state::{GossipMessage, ServerIndex};
 use crate::{Action, Actions, Endpoint, Micros, StateChange, UpdateKind};
 
@@ -73,7 +73,7 @@
         let now = self.fleet.now;
         let server = &mut self.fleet.servers[index];
         server.on_restarted(now, self.fleet.settings.slow_start.duration);
-        let verdict = FailureDetector::judge_restart(now, server);
+        let verdict = FailureDetector::evaluate_restart(now, server);
         self.apply(verdict, index, actions);
     }
 
@@ -110,9 +110,9 @@
         actions: &mut Actions,
     ) {
         let server = &self.fleet.servers[index];
-        let verdict = FailureDetector::judge_gossip(self.fleet.now, server, incarnation);
+        let verdict = FailureDetector::evaluate_gossip(self.fleet.now, server, incarnation);
         self.apply(verdict, index, actions);
-        if matches!(verdict, Verdict::Eject { .. }) {
+        if matches!(verdict, HealthAction::Eject { .. }) {
             self.check_soon(index);
         }
     }
--- a/crates/balancer/src/balancer/servers.rs
+++ b/crates/balancer/src/balancer/servers.rs
@@ -2,8 +2,8 @@
 
 use crate::balancer::Balancer;
 use crate::policy::{
-    Audience, EjectionDecision, FailureDetector, GossipProtocol, HealthSignal, LoadChecker,
-    Readmission, ReportVerdict, Verdict,
+    EjectionDecision, FailureDetector, GossipProtocol, HealthAction, HealthSignal, LoadChecker,
+    Readmission, ReportVerdict, SuspicionScope,
 };
 use crate::state::{HealthCheckKind, InFlightAttempt, ServerIndex};
 use crate::{
@@ -110,11 +110,11 @@
         let server = &mut self.fleet.servers[index];
         let verdict = if outcome == Outcome::Served {
             server.health_check.on_succeeded();
-            FailureDetector::judge_succeeded_check(self.fleet.now, server)
+            FailureDetector::evaluate_successful_check(self.fleet.now, server)
         } else if kind == HealthCheckKind::LoadOnly {
-            Verdict::CheckSoon
+            HealthAction::CheckSoon
         } else {
-            FailureDetector::judge_failed_check(&self.fleet, &self.fleet.servers[index])
+            FailureDetector::evaluate_failed_check(&self.fleet, &self.fleet.servers[index])
         };
         self.apply(verdict, index, actions);
         self.on_load_check_ended(id, actions);
@@ -134,25 +134,30 @@
     /// Looks at a server with each tick.
     pub(super) fn review_server(&mut self, index: ServerIndex, actions: &mut Actions) {
         let detector = &self.policies.failure_detector;
-        let verdict = detector.review(&self.fleet, &self.fleet.servers[index]);
+        let verdict = detector.evaluate_server(&self.fleet, &self.fleet.servers[index]);
         let now = self.fleet.now;
         self.fleet.servers[index]
             .health_check
             .end_due_confirmation(now);
         self.apply(verdict, index, actions);
-        if verdict == Verdict::DeclareDead {
+        if verdict == HealthAction::DeclareDead {
             // The same tick may end the suspicion.
             let detector = &self.policies.failure_detector;
-            let next = detector.review(&self.fleet, &self.fleet.servers[index]);
+            let next = detector.evaluate_server(&self.fleet, &self.fleet.servers[index]);
             self.apply(next, index, actions);
         }
     }
 
     /// Carries out a verdict of the failure detector.
-    pub(super) fn apply(&mut self, verdict: Verdict, index: ServerIndex, actions: &mut Actions) {
+    pub(super) fn apply(
+        &mut self,
+        verdict: HealthAction,
+        index: ServerIndex,
+        actions: &mut Actions,
+    ) {
         match verdict {
-            Verdict::Keep => {}
-            Verdict::ConfirmAt(at) => {
+            HealthAction::NoAction => {}
+            HealthAction::ConfirmAt(at) => {
                 let server = &mut self.fleet.servers[index];
                 server.health_check.on_failed();
                 server.health_check.on_confirmation_scheduled(at);
@@ -161,18 +166,18 @@
                     GossipProtocol::request_indirect_checks(settings, server, &mut self.rng);
                 actions.extend(requests.map(Action::from));
             }
-            Verdict::CheckAgain => {
+            HealthAction::CheckAgain => {
                 self.fleet.servers[index].health_check.on_failed();
                 self.start_health_check(index, actions);
             }
-            Verdict::CheckSoon => self.check_soon(index),
-            Verdict::Eject { cause, audience } => self.eject(index, cause, audience, actions),
-            Verdict::DeclareDead => {
+            HealthAction::CheckSoon => self.check_soon(index),
+            HealthAction::Eject { cause, scope } => self.eject(index, cause, scope, actions),
+            HealthAction::DeclareDead => {
                 let server = &mut self.fleet.servers[index];
                 server.suspicion.on_declared_dead();
                 record(ServerEvent::DeclaredDead, server.id(), actions);
             }
-            Verdict::Readmit => self.readmit(index, actions),
+            HealthAction::Readmit => self.readmit(index, actions),
         }
     }
 
@@ -187,7 +192,7 @@
         &mut self,
         index: ServerIndex,
         cause: EjectionCause,
-        audience: Audience,
+        scope: SuspicionScope,
         actions: &mut Actions,
     ) {
         let server = &self.fleet.servers[index];
@@ -203,7 +208,7 @@
         server.suspicion.on_ejected(suspicion, earlier_ejections);
         record(ServerEvent::Ejected { cause }, server.id(), actions);
         self.retry_in_flight(index, actions);
-        if audience == Audience::AllBalancers {
+        if scope == SuspicionScope::AllBalancers {
             let server = &self.fleet.servers[index];
             self.policies
                 .gossip
--- a/crates/balancer/src/policy.rs
+++ b/crates/balancer/src/policy.rs
@@ -29,7 +29,7 @@
 
 pub(crate) use ejection::{EjectionDecision, Readmission};
 pub(crate) use endpoint_poller::{EndpointPoller, ListLoss};
-pub(crate) use failure_detector::{Audience, FailureDetector, Verdict};
+pub(crate) use failure_detector::{FailureDetector, HealthAction, SuspicionScope};
 pub(crate) use final_response::FinalResponse;
 pub(crate) use gossip_protocol::{GossipProtocol, PeerMessage};
 pub(crate) use health_checker::{CheckTarget, HealthChecker};
--- a/crates/balancer/src/policy/failure_detector.rs
+++ b/crates/balancer/src/policy/failure_detector.rs
@@ -36,22 +36,22 @@
 /// are one in a million; the bound is that strict because responses of one server hang together.
 /// Lower, and general slowness raises suspicions; higher, and a server that answers health checks
 /// but no attempt is used for longer. Inherited with the first version of the module.
-const SILENCE_THRESHOLD_NATS: f64 = 14.0;
+const NO_RESPONSE_THRESHOLD_NATS: f64 = 14.0;
 /// Improbability of the failures in a row above which a server is suspected, in nats. Two failures
 /// reach it where the fleet fails one attempt in a hundred or fewer, and more are needed where all
 /// fail more often. Inherited with the first version of the module.
-const FAILURE_RUN_THRESHOLD_NATS: f64 = 9.0;
+const CONSECUTIVE_FAILURE_THRESHOLD_NATS: f64 = 9.0;
 /// An own attempt served within this time, in microseconds, outweighs another balancer's suspicion.
 /// Longer, and a server that has just failed is used for longer; shorter, and one mistaken balancer
 /// makes busy ones drop a sound server. Inherited with the first version of the module; its source
 /// was not recorded.
-const SERVED_OUTWEIGHS_GOSSIP: Micros = 500_000;
+const RECENT_SUCCESS_WINDOW: Micros = 500_000;
 
 /// What is to be done about a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Verdict {
+pub(crate) enum HealthAction {
     /// Nothing.
-    Keep,
+    NoAction,
     /// A failed health check is to be confirmed at this time: by other balancers or by a second
     /// check.
     ConfirmAt(Micros),
@@ -65,7 +65,7 @@
         /// Why.
         cause: EjectionCause,
         /// Who learns of it.
-        audience: Audience,
+        scope: SuspicionScope,
     },
     /// It has been suspected for so long that it is taken for gone.
     DeclareDead,
@@ -75,7 +75,7 @@
 
 /// Who learns of a suspicion.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Audience {
+pub(crate) enum SuspicionScope {
     /// This balancer alone.
     Local,
     /// All balancers, by gossip.
@@ -109,118 +109,122 @@
 
     /// A server failed an attempt, the last of so many `failures` in a row. A timeout is left to
     /// the silence of the attempts.
-    pub(crate) fn on_attempt_failed(&mut self, failures: u32, outcome: Outcome) -> Verdict {
+    pub(crate) fn on_attempt_failed(&mut self, failures: u32, outcome: Outcome) -> HealthAction {
         if outcome == Outcome::TimedOut {
-            return Verdict::Keep;
+            return HealthAction::NoAction;
         }
         if failures == 1 {
             self.fleet_error_rate.on_first_failure();
         }
         let improbability = self.fleet_error_rate.run_improbability(failures);
-        if improbability >= FAILURE_RUN_THRESHOLD_NATS {
-            eject(EjectionCause::Attempts, Audience::Local)
+        if improbability >= CONSECUTIVE_FAILURE_THRESHOLD_NATS {
+            eject(EjectionCause::Attempts, SuspicionScope::Local)
         } else {
-            Verdict::Keep
+            HealthAction::NoAction
         }
     }
 
     /// Looks at a server with each tick: at a failed health check that waits for its confirmation,
     /// at a suspicion that stands, or else at the silence of its attempts.
-    pub(crate) fn review(&self, fleet: &Fleet, server: &ServerState) -> Verdict {
+    pub(crate) fn evaluate_server(&self, fleet: &Fleet, server: &ServerState) -> HealthAction {
         if server.health_check.is_confirmation_due(fleet.now) {
             return confirm_failed_check(fleet, server);
         }
         if let Some(suspicion) = server.suspicion.current() {
-            return review_suspicion(fleet, server, suspicion);
+            return evaluate_suspicion(fleet, server, suspicion);
         }
         let silence = self
             .latency_distribution
             .silence_improbability(server, fleet.now);
-        if silence > SILENCE_THRESHOLD_NATS {
-            eject(EjectionCause::Attempts, Audience::Local)
+        if silence > NO_RESPONSE_THRESHOLD_NATS {
+            eject(EjectionCause::Attempts, SuspicionScope::Local)
         } else {
-            Verdict::Keep
+            HealthAction::NoAction
         }
     }
 
     /// A health check of a server succeeded. That proves little where attempts raised the
     /// suspicion.
-    pub(crate) fn judge_succeeded_check(now: Micros, server: &ServerState) -> Verdict {
+    pub(crate) fn evaluate_successful_check(now: Micros, server: &ServerState) -> HealthAction {
         match server.suspicion.current() {
-            Some(suspicion) if ends_with_good_check(now, suspicion) => Verdict::Readmit,
-            _ => Verdict::Keep,
+            Some(suspicion) if ends_with_successful_check(now, suspicion) => HealthAction::Readmit,
+            _ => HealthAction::NoAction,
         }
     }
 
     /// A full health check of a server failed.
-    pub(crate) fn judge_failed_check(fleet: &Fleet, server: &ServerState) -> Verdict {
-        let is_known_to_fail =
+    pub(crate) fn evaluate_failed_check(fleet: &Fleet, server: &ServerState) -> HealthAction {
+        let is_already_handled =
             server.suspicion.is_suspected() || server.health_check.is_confirming();
-        if is_known_to_fail {
-            return Verdict::Keep;
+        if is_already_handled {
+            return HealthAction::NoAction;
         }
         if fleet.settings.has_peers() || server.health_check.is_confirmed_alive() {
-            return Verdict::ConfirmAt(fleet.now + CONFIRMATION_DELAY);
+            return HealthAction::ConfirmAt(fleet.now + CONFIRMATION_DELAY);
         }
-        eject(EjectionCause::HealthChecks, Audience::Local)
+        eject(EjectionCause::HealthChecks, SuspicionScope::Local)
     }
 
     /// Another balancer suspects an incarnation of a server.
-    pub(crate) fn judge_gossip(now: Micros, server: &ServerState, incarnation: Micros) -> Verdict {
+    pub(crate) fn evaluate_gossip(
+        now: Micros,
+        server: &ServerState,
+        incarnation: Micros,
+    ) -> HealthAction {
         if incarnation < server.incarnation() || server.suspicion.is_suspected() {
-            return Verdict::Keep;
+            return HealthAction::NoAction;
         }
-        let has_just_served = now < server.failures.last_served_at() + SERVED_OUTWEIGHS_GOSSIP;
-        if has_just_served {
-            return Verdict::CheckSoon;
+        let has_recently_served = now < server.failures.last_served_at() + RECENT_SUCCESS_WINDOW;
+        if has_recently_served {
+            return HealthAction::CheckSoon;
         }
-        eject(EjectionCause::Gossip, Audience::AllBalancers)
+        eject(EjectionCause::Gossip, SuspicionScope::AllBalancers)
     }
 
     /// The endpoint list names a newer incarnation of a server. A server that keeps restarting does
     /// not earn trust by that alone.
-    pub(crate) fn judge_restart(now: Micros, server: &ServerState) -> Verdict {
+    pub(crate) fn evaluate_restart(now: Micros, server: &ServerState) -> HealthAction {
         if is_flapping(now, server) {
-            Verdict::Keep
+            HealthAction::NoAction
         } else {
-            Verdict::Readmit
+            HealthAction::Readmit
         }
     }
 }
 
-fn eject(cause: EjectionCause, audience: Audience) -> Verdict {
-    Verdict::Eject { cause, audience }
+fn eject(cause: EjectionCause, scope: SuspicionScope) -> HealthAction {
+    HealthAction::Eject { cause, scope }
 }
 
-fn ends_with_good_check(now: Micros, suspicion: Suspicion) -> bool {
+fn ends_with_successful_check(now: Micros, suspicion: Suspicion) -> bool {
     suspicion.cause != EjectionCause::Attempts || suspicion.has_aged(now)
 }
 
 /// The confirmation of a failed health check is due: other balancers have been asked, or else this
 /// one checks again. One that answered another balancer is suspected by this one alone.
-fn confirm_failed_check(fleet: &Fleet, server: &ServerState) -> Verdict {
+fn confirm_failed_check(fleet: &Fleet, server: &ServerState) -> HealthAction {
     if !fleet.settings.has_peers() {
-        return Verdict::CheckAgain;
+        return HealthAction::CheckAgain;
     }
-    let audience = if server.health_check.is_confirmed_alive() {
-        Audience::Local
+    let scope = if server.health_check.is_confirmed_alive() {
+        SuspicionScope::Local
     } else {
-        Audience::AllBalancers
+        SuspicionScope::AllBalancers
     };
-    eject(EjectionCause::HealthChecks, audience)
+    eject(EjectionCause::HealthChecks, scope)
 }
 
 /// Death is declared first; the suspicion may end right after it.
-fn review_suspicion(fleet: &Fleet, server: &ServerState, suspicion: Suspicion) -> Verdict {
+fn evaluate_suspicion(fleet: &Fleet, server: &ServerState, suspicion: Suspicion) -> HealthAction {
     let is_overdue = fleet.now >= suspicion.since + DEAD_AFTER;
     if is_overdue && !server.suspicion.is_dead() {
-        return Verdict::DeclareDead;
+        return HealthAction::DeclareDead;
     }
     // Where nothing checks its health, only attempts can show that a server has recovered.
-    let is_tried_again = !fleet.settings.host.health_checks && suspicion.has_aged(fleet.now);
-    if is_tried_again || !is_cause_trusted(fleet, suspicion.cause) {
-        Verdict::Readmit
+    let is_ejection_over = !fleet.settings.host.health_checks && suspicion.has_aged(fleet.now);
+    if is_ejection_over || !is_cause_trusted(fleet, suspicion.cause) {
+        HealthAction::Readmit
     } else {
-        Verdict::Keep
+        HealthAction::NoAction
     }
 }
