--- a/crates/balancer/src/balancer/membership.rs
+++ b/crates/balancer/src/balancer/membership.rs
@@ -2,7 +2,7 @@
 //! servers.
 
 use crate::balancer::Balancer;
-use crate::policy::{FailureDetector, GossipProtocol, HealthAction, ListLoss, PeerMessage};
+use crate::policy::{FailureDetector, GossipProtocol, HealthAction, PeerMessage, UpdateFailure};
 use crate::state::{GossipMessage, ServerIndex};
 use crate::{Action, Actions, Endpoint, Micros, StateChange, UpdateKind};
 
@@ -20,8 +20,8 @@
         let loss =
             self.policies
                 .endpoint_poller
-                .on_list_lost(self.fleet.now, polling, &mut self.rng);
-        if loss == ListLoss::SubscriptionBroke {
+                .on_update_failed(self.fleet.now, polling, &mut self.rng);
+        if loss == UpdateFailure::SubscriptionLost {
             actions.push(Action::Record(StateChange::EndpointListLost));
         }
     }
--- a/crates/balancer/src/policy.rs
+++ b/crates/balancer/src/policy.rs
@@ -28,7 +28,7 @@
 mod test_support;
 
 pub(crate) use ejection::{EjectionDecision, Readmission};
-pub(crate) use endpoint_poller::{EndpointPoller, ListLoss};
+pub(crate) use endpoint_poller::{EndpointPoller, UpdateFailure};
 pub(crate) use failure_detector::{FailureDetector, HealthAction, SuspicionScope};
 pub(crate) use final_response::FinalResponse;
 pub(crate) use gossip_protocol::{GossipProtocol, PeerMessage};
--- a/crates/balancer/src/policy/endpoint_poller.rs
+++ b/crates/balancer/src/policy/endpoint_poller.rs
@@ -17,21 +17,21 @@
 /// longer ones keep the list stale for longer. Inherited with the first version of the module; its
 /// source was not recorded.
 const INITIAL_BACKOFF: Micros = 200_000;
-/// Growth of the pause with each loss in a row. Chosen by experiment: with 100 balancers a doubling
+/// Growth of the pause with each failure in a row. Chosen by experiment: with 100 balancers a doubling
 /// scored 0.867 on the quick days, a tripling 0.892 (docs/fleet.md, "slower backoff").
 const BACKOFF_GROWTH: Micros = 3;
 /// Part of the longest interval that the pause grows to.
 const MAX_BACKOFF_DIVISOR: Micros = 2;
 /// A poll without any response is repeated after this part of the longest interval, so that the
 /// interval holds with some time to spare for the poll itself.
-const REPEAT_NUMERATOR: Micros = 3;
-const REPEAT_DENOMINATOR: Micros = 4;
+const POLL_TIMEOUT_NUMERATOR: Micros = 3;
+const POLL_TIMEOUT_DENOMINATOR: Micros = 4;
 
-/// What the loss of the list means.
+/// What the failure of the list means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum ListLoss {
+pub(crate) enum UpdateFailure {
     /// A subscription broke: the list may be stale from now on.
-    SubscriptionBroke,
+    SubscriptionLost,
     /// A poll failed; there was no subscription.
     PollFailed,
 }
@@ -58,8 +58,9 @@
 
     /// The list was polled.
     pub(crate) fn on_polled(&mut self, now: Micros, settings: &PollingSettings) {
-        let repeat_after = settings.max_interval * REPEAT_NUMERATOR / REPEAT_DENOMINATOR;
-        self.next_poll_at = Some(now + repeat_after);
+        let poll_timeout =
+            settings.max_interval * POLL_TIMEOUT_NUMERATOR / POLL_TIMEOUT_DENOMINATOR;
+        self.next_poll_at = Some(now + poll_timeout);
     }
 
     /// A list or a change of it came.
@@ -72,16 +73,16 @@
     }
 
     /// A poll failed or the subscription broke. Draws the jitter of the next poll.
-    pub(crate) fn on_list_lost(
+    pub(crate) fn on_update_failed(
         &mut self,
         now: Micros,
         settings: &PollingSettings,
         rng: &mut fastrand::Rng,
-    ) -> ListLoss {
-        let loss = if self.subscribed {
-            ListLoss::SubscriptionBroke
+    ) -> UpdateFailure {
+        let failure = if self.subscribed {
+            UpdateFailure::SubscriptionLost
         } else {
-            ListLoss::PollFailed
+            UpdateFailure::PollFailed
         };
         let backoff = self.backoff.unwrap_or(INITIAL_BACKOFF);
         let max_backoff = settings.max_interval / MAX_BACKOFF_DIVISOR;
@@ -90,6 +91,6 @@
             next_poll_at: Some(now + backoff / 2 + rng.u64(0..=backoff)),
             backoff: Some((BACKOFF_GROWTH * backoff).min(max_backoff)),
         };
-        loss
+        failure
     }
 }
--- a/crates/balancer/src/policy/endpoint_poller/tests.rs
+++ b/crates/balancer/src/policy/endpoint_poller/tests.rs
@@ -1,4 +1,4 @@
-use super::{EndpointPoller, ListLoss};
+use super::{EndpointPoller, UpdateFailure};
 use crate::policy::test_support::NOW;
 use crate::{Micros, PollingSettings};
 
@@ -7,8 +7,8 @@
     max_interval: 10_000_000,
 };
 
-fn lose_list(poller: &mut EndpointPoller) -> ListLoss {
-    poller.on_list_lost(NOW, &SETTINGS, &mut fastrand::Rng::with_seed(1))
+fn fail_update(poller: &mut EndpointPoller) -> UpdateFailure {
+    poller.on_update_failed(NOW, &SETTINGS, &mut fastrand::Rng::with_seed(1))
 }
 
 fn is_due_after(poller: &EndpointPoller, pause: Micros) -> bool {
@@ -27,13 +27,13 @@
 fn pauses_grow_threefold_up_to_half_the_longest_interval_and_anew_after_a_list() {
     let mut poller = EndpointPoller::default();
     for backoff in [200_000, 600_000, 1_800_000, 5_000_000, 5_000_000] {
-        lose_list(&mut poller);
+        fail_update(&mut poller);
         assert!(!is_due_after(&poller, backoff / 2 - 1), "{backoff}");
         assert!(is_due_after(&poller, backoff / 2 + backoff), "{backoff}");
     }
     poller.on_list_received();
     assert!(!poller.is_due(Micros::MAX), "a subscription ends polling");
-    lose_list(&mut poller);
+    fail_update(&mut poller);
     assert!(is_due_after(&poller, 300_000));
 }
 
@@ -41,8 +41,8 @@
 fn loss_of_a_subscription_is_told_from_another_failed_poll() {
     let mut poller = EndpointPoller::default();
     poller.on_list_received();
-    assert_eq!(lose_list(&mut poller), ListLoss::SubscriptionBroke);
-    assert_eq!(lose_list(&mut poller), ListLoss::PollFailed);
+    assert_eq!(fail_update(&mut poller), UpdateFailure::SubscriptionLost);
+    assert_eq!(fail_update(&mut poller), UpdateFailure::PollFailed);
 }
 
 #[test]
