--- a/crates/balancer/src/balancer/membership.rs
+++ b/crates/balancer/src/balancer/membership.rs
@@ -98,7 +98,7 @@
                 } => {
                     self.on_peer_suspicion(server, incarnation, actions);
                 }
-                PeerMessage::UnknownServer | PeerMessage::TooManyRequests => {}
+                PeerMessage::UnknownServer | PeerMessage::RequesterLimitReached => {}
             }
         }
     }
--- a/crates/balancer/src/balancer/servers.rs
+++ b/crates/balancer/src/balancer/servers.rs
@@ -212,7 +212,7 @@
             let server = &self.fleet.servers[index];
             self.policies
                 .gossip
-                .announce_suspicion(&self.fleet.settings, server);
+                .queue_suspicion(&self.fleet.settings, server);
         }
     }
 
--- a/crates/balancer/src/policy/gossip_protocol.rs
+++ b/crates/balancer/src/policy/gossip_protocol.rs
@@ -22,7 +22,7 @@
 /// checked for at a time. More find a way around a partial network failure more often, and cost as
 /// many more health checks. The first design names five; three is inherited with the first version
 /// of the module.
-const INDIRECT_CHECKERS: usize = 3;
+const INDIRECT_CHECK_FANOUT: usize = 3;
 
 /// A datagram to another balancer.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -57,7 +57,7 @@
     /// Nothing: the endpoint list does not name the server.
     UnknownServer,
     /// Nothing: enough balancers wait for a check of the server.
-    TooManyRequests,
+    RequesterLimitReached,
 }
 
 /// Decides what is sent to which balancer; owns the suspicions that still go out.
@@ -74,7 +74,7 @@
         rng: &mut fastrand::Rng,
     ) -> impl Iterator<Item = Datagram> {
         let bytes = server.gossip(GossipKind::IndirectCheckRequest).encode();
-        (0..INDIRECT_CHECKERS)
+        (0..INDIRECT_CHECK_FANOUT)
             .filter_map(move |_| random_peer(settings, rng))
             .map(move |to| Datagram {
                 to,
@@ -95,10 +95,12 @@
     }
 
     /// Queues the suspicion of a server for so many datagrams that it reaches all balancers.
-    pub(crate) fn announce_suspicion(&mut self, settings: &Settings, server: &ServerState) {
-        let bits_of_count = u32::BITS - settings.identity.count.leading_zeros();
-        self.queue
-            .push(&server.gossip(GossipKind::Suspected), bits_of_count + 1);
+    pub(crate) fn queue_suspicion(&mut self, settings: &Settings, server: &ServerState) {
+        let log2_count_rounded = u32::BITS - settings.identity.count.leading_zeros();
+        self.queue.push(
+            &server.gossip(GossipKind::Suspected),
+            log2_count_rounded + 1,
+        );
     }
 
     /// The datagram that goes out with a scheduled health check, if there is anything to say. Draws
@@ -128,10 +130,10 @@
         };
         let requesters = fleet.servers[server].health_check.requester_count();
         match message.kind {
-            GossipKind::IndirectCheckRequest if requesters < INDIRECT_CHECKERS => {
+            GossipKind::IndirectCheckRequest if requesters < INDIRECT_CHECK_FANOUT => {
                 PeerMessage::CheckServer(server)
             }
-            GossipKind::IndirectCheckRequest => PeerMessage::TooManyRequests,
+            GossipKind::IndirectCheckRequest => PeerMessage::RequesterLimitReached,
             GossipKind::ConfirmedAlive => PeerMessage::ConfirmedAlive(server),
             GossipKind::Suspected => PeerMessage::Suspected {
                 server,
--- a/crates/balancer/src/policy/gossip_protocol/tests.rs
+++ b/crates/balancer/src/policy/gossip_protocol/tests.rs
@@ -44,7 +44,7 @@
         fleet.settings.identity.count = balancers;
         let mut rng = fastrand::Rng::with_seed(1);
         let mut gossip = GossipProtocol::default();
-        gossip.announce_suspicion(&fleet.settings, &fleet.servers[FIRST]);
+        gossip.queue_suspicion(&fleet.settings, &fleet.servers[FIRST]);
         let sent = std::iter::from_fn(|| gossip.next_datagram(&fleet.settings, &mut rng)).count();
         assert_eq!(sent, datagrams, "{balancers} balancers");
     }
@@ -55,7 +55,7 @@
     let fleet = fleet(settings_with_peers(), 20);
     let mut gossip = GossipProtocol::default();
     let servers = fleet.servers.iter();
-    servers.for_each(|server| gossip.announce_suspicion(&fleet.settings, server));
+    servers.for_each(|server| gossip.queue_suspicion(&fleet.settings, server));
     let mut rng = fastrand::Rng::with_seed(1);
     let datagram = gossip.next_datagram(&fleet.settings, &mut rng);
     let bytes = datagram.expect("suspicions are queued").bytes;
@@ -72,7 +72,7 @@
         health_check.on_indirect_check_requested(from);
     }
     let asked = interpret(&fleet, GossipKind::IndirectCheckRequest, 0);
-    assert_eq!(asked, PeerMessage::TooManyRequests);
+    assert_eq!(asked, PeerMessage::RequesterLimitReached);
 }
 
 #[test]
