--- a/crates/balancer/src/policy/ejection.rs
+++ b/crates/balancer/src/policy/ejection.rs
@@ -18,7 +18,7 @@
 
 use crate::fleet::Fleet;
 use crate::policy::health_check_trust::HealthCheckTrust;
-use crate::policy::health_checker::MIN_SUSPECT_INTERVAL;
+use crate::policy::health_checker::MIN_SUSPECT_CHECK_INTERVAL;
 use crate::state::{ServerState, Suspicion};
 use crate::{EjectionCause, Micros};
 
@@ -38,7 +38,7 @@
 /// A suspicion over health checks that stood for longer than this, in microseconds, may hide a
 /// restart that the endpoint list did not tell of: the server comes back in slow start. Two checks
 /// of a suspected server.
-const UNDETECTED_RESTART_THRESHOLD: Micros = 2 * MIN_SUSPECT_INTERVAL;
+const UNDETECTED_RESTART_THRESHOLD: Micros = 2 * MIN_SUSPECT_CHECK_INTERVAL;
 
 /// Whether a suspicion is raised.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/balancer/src/policy/final_response.rs
+++ b/crates/balancer/src/policy/final_response.rs
@@ -8,7 +8,7 @@
 //! of a rejection grows as the fleet fills up, with a jitter that spreads the clients:
 //!
 //! ```text
-//! Retry-After = min((mean service time + fullness * longest) * random(0.75..1.25), longest)
+//! Retry-After = min((mean service time + fullness * max_retry_after) * random(0.75..1.25), max_retry_after)
 //! ```
 
 #[cfg(test)]
@@ -20,10 +20,10 @@
 
 /// Least factor of the jitter of Retry-After. With the span it keeps a mean of 1. Inherited with
 /// the first version of the module; its source was not recorded.
-const MIN_JITTER: f64 = 0.75;
+const MIN_JITTER_FACTOR: f64 = 0.75;
 /// Span of the jitter above the least factor: with less, clients that were rejected together return
 /// together. Inherited with the first version of the module; its source was not recorded.
-const JITTER_SPAN: f64 = 0.5;
+const JITTER_FACTOR_RANGE: f64 = 0.5;
 
 /// What a client gets whose request is given up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -40,7 +40,7 @@
 impl FinalResponse {
     /// The response to a request. Draws the jitter of a rejection.
     pub(crate) fn decide(fleet: &Fleet, request: &RequestState, rng: &mut fastrand::Rng) -> Self {
-        if is_retry_harmless(&fleet.settings, request) {
+        if is_retry_safe(&fleet.settings, request) {
             let retry_after = retry_after(fleet, rng);
             Self::Reject { retry_after }
         } else {
@@ -49,7 +49,7 @@
     }
 }
 
-fn is_retry_harmless(settings: &Settings, request: &RequestState) -> bool {
+fn is_retry_safe(settings: &Settings, request: &RequestState) -> bool {
     let class = settings.class(request.class());
     let is_deduplicated_everywhere = class.idempotency == Idempotency::IdempotencyKey
         && class.deduplication_scope == DeduplicationScope::All;
@@ -60,10 +60,10 @@
 
 /// A fleet that is full throughout has no use for clients that are back at once.
 fn retry_after(fleet: &Fleet, rng: &mut fastrand::Rng) -> Option<Micros> {
-    let longest = fleet.settings.retries.max_retry_after;
+    let max_retry_after = fleet.settings.retries.max_retry_after;
     let fullness = fleet.estimators.utilization.fullness();
-    let wait = fleet.estimators.latency.mean_service_time() + fullness * longest as f64;
-    let jitter = MIN_JITTER + JITTER_SPAN * rng.f64();
-    let retry_after = ((wait * jitter) as Micros).min(longest);
+    let base = fleet.estimators.latency.mean_service_time() + fullness * max_retry_after as f64;
+    let jitter = MIN_JITTER_FACTOR + JITTER_FACTOR_RANGE * rng.f64();
+    let retry_after = ((base * jitter) as Micros).min(max_retry_after);
     fleet.settings.host.retry_after.then_some(retry_after)
 }
--- a/crates/balancer/src/policy/final_response/tests.rs
+++ b/crates/balancer/src/policy/final_response/tests.rs
@@ -36,12 +36,12 @@
         (IdempotencyKey, Cell, false),
         (NonIdempotent, All, false),
     ];
-    for (idempotency, scope, is_harmless) in table {
+    for (idempotency, scope, is_safe_to_retry) in table {
         let fleet = fleet(idempotency, scope);
-        let unclear = response(&fleet, Outcome::Reset);
+        let unknown_outcome = response(&fleet, Outcome::Reset);
         assert_eq!(
-            unclear != FinalResponse::Fail,
-            is_harmless,
+            unknown_outcome != FinalResponse::Fail,
+            is_safe_to_retry,
             "{idempotency:?} {scope:?}"
         );
         assert_ne!(response(&fleet, Outcome::Rejected), FinalResponse::Fail);
--- a/crates/balancer/src/policy/health_checker.rs
+++ b/crates/balancer/src/policy/health_checker.rs
@@ -29,13 +29,13 @@
 /// Largest cost of the random checks, as a fraction of the deployment's result. Above it the
 /// interval grows. Half of what the first version of the module had; chosen by experiment on the
 /// testbed.
-const MAX_COST: f64 = 0.001;
+const MAX_CHECK_COST: f64 = 0.001;
 /// Intervals are shorter by this factor while a server is suspected, so that one that recovers is
 /// soon used again. Inherited with the first version of the module; its source was not recorded.
-const SPEEDUP_WHILE_SUSPECTED: Micros = 4;
+const SUSPECTED_INTERVAL_DIVISOR: Micros = 4;
 /// Least time between the starts of two checks of a suspected server, in microseconds. Inherited
 /// with the first version of the module; its source was not recorded.
-pub(crate) const MIN_SUSPECT_INTERVAL: Micros = 400_000;
+pub(crate) const MIN_SUSPECT_CHECK_INTERVAL: Micros = 400_000;
 
 /// The server that a scheduled check is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -78,7 +78,7 @@
     /// Makes a server whose attempt or load check failed the next to be checked, and soon.
     pub(crate) fn check_soon(&mut self, id: ServerId, now: Micros) {
         self.schedule
-            .push(id, MIN_INTERVAL / SPEEDUP_WHILE_SUSPECTED, now);
+            .push(id, MIN_INTERVAL / SUSPECTED_INTERVAL_DIVISOR, now);
     }
 
     /// True where a health check of the server can start: one at a time.
@@ -88,7 +88,7 @@
 }
 
 fn interval(fleet: &Fleet) -> Micros {
-    let cost_per_interval = MAX_COST * fleet.request_rate();
+    let cost_per_interval = MAX_CHECK_COST * fleet.request_rate();
     let affordable = (fleet.settings.fees.health_check / cost_per_interval) as Micros;
     let interval = affordable.clamp(MIN_INTERVAL, MAX_INTERVAL);
     if fleet
@@ -96,7 +96,7 @@
         .iter()
         .any(|server| server.suspicion.is_suspected())
     {
-        interval / SPEEDUP_WHILE_SUSPECTED
+        interval / SUSPECTED_INTERVAL_DIVISOR
     } else {
         interval
     }
@@ -109,6 +109,6 @@
         .servers
         .indices()
         .filter(|&index| fleet.servers[index].suspicion.is_suspected())
-        .filter(|index| fleet.now >= last_started_at(index) + MIN_SUSPECT_INTERVAL)
+        .filter(|index| fleet.now >= last_started_at(index) + MIN_SUSPECT_CHECK_INTERVAL)
         .min_by_key(last_started_at)
 }
