--- a/crates/balancer/src/policy/health_signal.rs
+++ b/crates/balancer/src/policy/health_signal.rs
@@ -1,9 +1,10 @@
-//! What the end of an attempt tells of its server.
+//! Classifies the outcome of an attempt as a passive health signal for its server.
 //!
-//! A response is a sample of the server's latency, and so is a timeout at a server that has served
-//! others since the attempt was sent: that is slowness, not failure. Every other error is a
-//! failure, which the failure detector counts. A rejection says that the server is full or drains,
-//! and is no failure. An attempt that was cancelled or never sent tells nothing.
+//! A response is a latency sample. A timeout is one too, if the server is not suspected and has
+//! served another attempt since this one was sent: the server is slow but has not failed. Every
+//! other error counts as a failure for the failure detector. A rejection means that the server is
+//! at capacity or draining and does not count as a failure. An attempt that was cancelled or never
+//! sent is inconclusive.
 
 #[cfg(test)]
 mod tests;
@@ -11,24 +12,23 @@
 use crate::Outcome;
 use crate::state::{InFlightAttempt, ServerState};
 
-/// What the end of an attempt tells of its server.
+/// Passive health signal derived from the outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HealthSignal {
-    /// It serves.
+    /// The server served the attempt.
     Served,
-    /// It serves others, and this attempt took too long: a sample of its latency.
+    /// The attempt timed out at a server that serves others; it counts as a latency sample.
     Slow,
-    /// It is full, or drains.
+    /// The server rejected the attempt because it is at capacity or draining.
     Rejected,
-    /// It failed the attempt.
+    /// The server failed the attempt.
     Failed,
-    /// Nothing: the attempt did not reach it, or was cancelled.
+    /// The attempt was cancelled or did not reach the server.
     Inconclusive,
 }
 
 impl HealthSignal {
-    /// What the end of an attempt tells. A timeout at a server that has served others since the
-    /// send is slowness.
+    /// Classifies the `outcome` of an `attempt` that was sent to `server`.
     pub(crate) fn from_outcome(
         server: &ServerState,
         attempt: &InFlightAttempt,
--- a/crates/balancer/src/policy/health_signal/tests.rs
+++ b/crates/balancer/src/policy/health_signal/tests.rs
@@ -3,7 +3,7 @@
 use crate::policy::test_support::{FIRST, MS, eject, fleet, send, settings};
 use crate::{EjectionCause, Outcome};
 
-/// A server with an attempt in flight, sent 10 ms ago.
+/// One server with an attempt that was sent 10 ms ago.
 fn fleet_with_an_attempt() -> Fleet {
     let mut fleet = fleet(settings(), 1);
     send(&mut fleet, FIRST, 1);
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn timeout_is_slowness_only_at_a_trusted_server_that_has_served_others_since_the_send() {
+fn timeout_is_slow_only_if_an_unsuspected_server_has_served_others_since_the_send() {
     let mut fleet = fleet_with_an_attempt();
     assert_eq!(signal(&fleet, Outcome::TimedOut), HealthSignal::Failed);
     fleet.servers[FIRST].failures.on_served(fleet.now);
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn rejection_is_no_failure_and_an_attempt_that_was_cancelled_or_not_sent_tells_nothing() {
+fn rejected_attempt_is_no_failure_and_cancelled_or_unsent_attempt_is_inconclusive() {
     let fleet = fleet_with_an_attempt();
     let table = [
         (Outcome::Served, HealthSignal::Served),
