--- a/crates/balancer/src/policy/ejection.rs
+++ b/crates/balancer/src/policy/ejection.rs
@@ -1,17 +1,21 @@
-//! How long a suspicion lasts, and how a server comes back from it.
+//! Ejection time of a suspected server, and how the server is readmitted.
 //!
-//! A suspicion that attempts raised withstands good health checks for its ejection time: a server
-//! that answers health checks but no attempt would come back at once. With `k` earlier ejections in
-//! the last 20 s, and the mean pause between own attempts at one server of the subset,
+//! A suspicion raised by failed attempts is not cleared by successful health checks until its
+//! ejection time has passed. Otherwise a server that answers health checks but no attempts would be
+//! readmitted immediately. The ejection time is
 //!
 //! ```text
-//! ejection time = min(max(0.5 s * 2^k, mean pause), 8 s)
+//! ejection time = min(max(0.5 s * 2^k, mean attempt interval), 8 s)
 //! ```
 //!
-//! as with the outlier detection of Envoy, which multiplies where this doubles. Suspicions that
-//! health checks or other balancers raised are not believed while too many health checks fail
-//! ([`HealthCheckTrust`]); they end with the first good one, after which the server is in slow
-//! start if it may have restarted meanwhile.
+//! where `k` is the number of earlier ejections, reset after 20 s without one, and the mean attempt
+//! interval is the mean time between this balancer's attempts to one server of its subset. This is
+//! similar to Envoy's outlier detection, which grows the ejection time linearly instead of
+//! exponentially.
+//!
+//! Suspicions raised by health checks or by other balancers are ignored while too many health
+//! checks fail ([`HealthCheckTrust`]). The first successful health check clears them; the server
+//! then enters slow start if it may have restarted in the meantime.
 
 #[cfg(test)]
 mod tests;
@@ -22,51 +26,49 @@
 use crate::state::{ServerState, Suspicion};
 use crate::{EjectionCause, Micros};
 
-/// First ejection time, in microseconds: how long a suspicion that attempts raised withstands
-/// health checks. Inherited with the first version of the module; its source was not recorded.
+/// First ejection time, in microseconds.
 const BASE_EJECTION_TIME: Micros = 500_000;
-/// Longest ejection time, in microseconds: it bounds how long a server that has recovered gets
-/// nothing. Inherited with the first version of the module; its source was not recorded.
+/// Longest ejection time, in microseconds. Bounds how long a recovered server gets no requests.
 const MAX_EJECTION_TIME: Micros = 8_000_000;
-/// Most doublings of the ejection time: only keeps the shift in range, as four already reach the
-/// longest time.
+/// Maximum number of doublings of the ejection time. Only keeps the shift in range: four doublings
+/// already reach [`MAX_EJECTION_TIME`].
 const MAX_EJECTION_DOUBLINGS: u32 = 8;
-/// Time without a new suspicion after which earlier ones are forgotten, in microseconds. Within it
-/// ejection times double, and a restart alone does not end the suspicion of a server that was
-/// ejected repeatedly. Inherited with the first version of the module; its source was not recorded.
+/// Earlier ejections are forgotten after this time without a new one, in microseconds. Within the
+/// window each ejection doubles the ejection time, and a restart alone does not clear the suspicion
+/// of a server that was ejected repeatedly.
 const EJECTION_HISTORY_WINDOW: Micros = 20_000_000;
-/// A suspicion over health checks that stood for longer than this, in microseconds, may hide a
-/// restart that the endpoint list did not tell of: the server comes back in slow start. Two checks
-/// of a suspected server.
+/// Age of a suspicion that was not raised by attempts, in microseconds, above which the server may
+/// have restarted without an endpoint list update, so that it is readmitted in slow start. Equals
+/// two check intervals of a suspected server.
 const UNDETECTED_RESTART_THRESHOLD: Micros = 2 * MIN_SUSPECT_CHECK_INTERVAL;
 
-/// Whether a suspicion is raised.
+/// Whether a server is ejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EjectionDecision {
-    /// It is raised.
+    /// The server is ejected.
     Eject {
-        /// The suspicion.
+        /// The suspicion to record.
         suspicion: Suspicion,
-        /// Earlier ejections that counted for its time.
+        /// Number of recent earlier ejections that lengthened the ejection time.
         earlier_ejections: u32,
     },
-    /// The server is suspected already.
+    /// The server is already suspected.
     AlreadyEjected,
-    /// Health checks are not believed now.
+    /// The cause depends on health checks, which are currently untrusted.
     CauseUntrusted,
 }
 
-/// How a server comes back.
+/// How a server is readmitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Readmission {
-    /// With its full capacity.
+    /// At full capacity.
     FullCapacity,
-    /// In slow start, as it may have restarted.
+    /// In slow start, because it may have restarted.
     SlowStart,
 }
 
 impl EjectionDecision {
-    /// Whether a suspicion is raised for this cause, and for how long it withstands health checks.
+    /// Decides whether `cause` ejects `server`, and for how long.
     pub(crate) fn decide(fleet: &Fleet, server: &ServerState, cause: EjectionCause) -> Self {
         if server.suspicion.is_suspected() {
             return Self::AlreadyEjected;
@@ -89,7 +91,7 @@
 }
 
 impl Readmission {
-    /// How a server comes back whose suspicion ends now.
+    /// Decides how a server is readmitted when `suspicion` ends at `now`.
     pub(crate) fn decide(now: Micros, suspicion: Suspicion) -> Self {
         let may_have_restarted = suspicion.cause != EjectionCause::Attempts
             && now > suspicion.since + UNDETECTED_RESTART_THRESHOLD;
@@ -101,21 +103,23 @@
     }
 }
 
-/// True where an earlier ejection still counts: the server was ejected repeatedly, and lately.
+/// Returns true if the server was ejected repeatedly and recently.
 pub(crate) fn is_flapping(now: Micros, server: &ServerState) -> bool {
     server.suspicion.is_flapping(now, EJECTION_HISTORY_WINDOW)
 }
 
-/// Health checks, and other balancers that go by them, are believed while few fail; attempts
-/// always.
+/// Returns true if suspicions with this cause are accepted. Attempts are always trusted; health
+/// checks and gossip, which is based on health checks, only while few health checks fail.
 pub(crate) fn is_cause_trusted(fleet: &Fleet, cause: EjectionCause) -> bool {
     cause == EjectionCause::Attempts || fleet.health_check_trust() == HealthCheckTrust::Trusted
 }
 
-/// A balancer so quiet that it sends to a server more seldom than that would learn nothing from the
-/// ejection.
+/// Returns the ejection time in microseconds. It is at least the mean attempt interval: with a low
+/// request rate, a shorter ejection could end before the next attempt would have been sent.
 fn ejection_time(fleet: &Fleet, earlier_ejections: u32) -> Micros {
     let doubled = BASE_EJECTION_TIME << earlier_ejections.min(MAX_EJECTION_DOUBLINGS);
-    let mean_pause = fleet.subset_size() as f64 / fleet.request_rate();
-    doubled.max(mean_pause as Micros).min(MAX_EJECTION_TIME)
+    let mean_attempt_interval = fleet.subset_size() as f64 / fleet.request_rate();
+    doubled
+        .max(mean_attempt_interval as Micros)
+        .min(MAX_EJECTION_TIME)
 }
--- a/crates/balancer/src/policy/ejection/tests.rs
+++ b/crates/balancer/src/policy/ejection/tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn ejection_time_doubles_up_to_8_seconds_until_20_seconds_pass_without_one() {
+fn ejection_time_doubles_up_to_8_s_and_resets_after_20_s_without_ejection() {
     let mut fleet = fleet(settings(), 10);
     arrive(&mut fleet, 10_000);
     let times = [(); 6].map(|()| ejection_ms(&mut fleet));
@@ -27,9 +27,9 @@
 }
 
 #[test]
-fn quiet_balancer_ejects_for_its_mean_pause_between_attempts_at_a_server() {
+fn ejection_lasts_at_least_the_mean_attempt_interval_per_server() {
     let mut fleet = fleet(settings(), 10);
-    // 25 requests now are a rate of 3.5 a second, or one at each of ten servers in 2.9 s.
+    // 25 requests at one instant count as 3.5 requests/s: one per 2.9 s at each of ten servers.
     arrive(&mut fleet, 25);
     let time = ejection_ms(&mut fleet);
     assert!((2_800..3_000).contains(&time), "{time}");
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn only_attempts_are_believed_where_most_health_checks_fail() {
+fn only_attempts_eject_while_health_checks_are_untrusted() {
     let mut fleet = fleet(settings(), 10);
     (0..5).for_each(|n| fail_health_check(&mut fleet, ServerIndex(n)));
     for cause in [EjectionCause::HealthChecks, EjectionCause::Gossip] {
@@ -55,18 +55,21 @@
 }
 
 #[test]
-fn server_that_was_silent_for_longer_than_two_checks_comes_back_in_slow_start() {
-    let readmission = |cause, after| {
+fn server_that_failed_health_checks_for_more_than_800_ms_is_readmitted_in_slow_start() {
+    let readmission = |cause, now| {
         let suspicion = Suspicion {
             cause,
             since: 0,
             ejection_time: 0,
         };
-        Readmission::decide(after, suspicion)
+        Readmission::decide(now, suspicion)
     };
-    let silent = EjectionCause::HealthChecks;
-    assert_eq!(readmission(silent, 800 * MS), Readmission::FullCapacity);
-    assert_eq!(readmission(silent, 801 * MS), Readmission::SlowStart);
-    let failing = EjectionCause::Attempts;
-    assert_eq!(readmission(failing, 801 * MS), Readmission::FullCapacity);
+    let health_checks = EjectionCause::HealthChecks;
+    assert_eq!(
+        readmission(health_checks, 800 * MS),
+        Readmission::FullCapacity
+    );
+    assert_eq!(readmission(health_checks, 801 * MS), Readmission::SlowStart);
+    let attempts = EjectionCause::Attempts;
+    assert_eq!(readmission(attempts, 801 * MS), Readmission::FullCapacity);
 }
