--- a/crates/balancer/src/policy/endpoint_poller.rs
+++ b/crates/balancer/src/policy/endpoint_poller.rs
@@ -1,11 +1,11 @@
-//! When the endpoint list is polled.
+//! Schedules polls of the endpoint list.
 //!
-//! While there is a subscription, changes arrive by themselves and nothing is polled. A poll that
-//! gets no response at all is repeated after three quarters of the longest interval. Where the list
-//! is lost, polls back off exponentially with full jitter around the pause: `pause/2 +
-//! random(0..=pause)`, with pauses of 0.2 s, 0.6 s, 1.8 s and so on up to half the longest
-//! interval. Many balancers lose the list at once, and discovery handles a few calls a second,
-//! whoever polls.
+//! While a subscription is active, updates are pushed and no poll is sent. A poll without any
+//! response is repeated after three quarters of the maximum poll interval. When a poll fails or the
+//! subscription is lost, polls are delayed by `backoff/2 + random(0..=backoff)`. The backoff starts
+//! at 0.2 s and grows by a factor of 3 up to half the maximum poll interval. The backoff and its
+//! jitter limit the load on the discovery service: it handles only a few calls per second, and many
+//! balancers lose their subscription at the same time.
 
 #[cfg(test)]
 mod tests;
@@ -13,30 +13,31 @@
 use crate::Micros;
 use crate::settings::PollingSettings;
 
-/// First pause after the list was lost, in microseconds: shorter pauses keep discovery saturated,
-/// longer ones keep the list stale for longer. Inherited with the first version of the module; its
-/// source was not recorded.
+/// Backoff after the first failure, in microseconds. A shorter backoff keeps the discovery service
+/// saturated; a longer one keeps the list stale for longer.
 const INITIAL_BACKOFF: Micros = 200_000;
-/// Growth of the pause with each failure in a row. Chosen by experiment: with 100 balancers a doubling
-/// scored 0.867 on the quick days, a tripling 0.892 (docs/fleet.md, "slower backoff").
+/// Factor by which the backoff grows with each consecutive failure. With 100 balancers a factor of
+/// 2 scored 0.867 in the quick benchmark and a factor of 3 scored 0.892 (docs/fleet.md, "slower
+/// backoff").
 const BACKOFF_GROWTH: Micros = 3;
-/// Part of the longest interval that the pause grows to.
+/// The maximum backoff is the maximum poll interval divided by this.
 const MAX_BACKOFF_DIVISOR: Micros = 2;
-/// A poll without any response is repeated after this part of the longest interval, so that the
-/// interval holds with some time to spare for the poll itself.
+/// Numerator of the poll timeout as a fraction of the maximum poll interval. The timeout is shorter
+/// than the interval so that the repeated poll can complete within it.
 const POLL_TIMEOUT_NUMERATOR: Micros = 3;
+/// Denominator of the poll timeout as a fraction of the maximum poll interval.
 const POLL_TIMEOUT_DENOMINATOR: Micros = 4;
 
-/// What the failure of the list means.
+/// Why an update of the endpoint list failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum UpdateFailure {
-    /// A subscription broke: the list may be stale from now on.
+    /// The subscription was lost; the list may be stale from now on.
     SubscriptionLost,
-    /// A poll failed; there was no subscription.
+    /// A poll failed while there was no subscription.
     PollFailed,
 }
 
-/// The subscription to the endpoint list, and the backoff while there is none.
+/// State of the endpoint list subscription, and the poll backoff while there is none.
 #[derive(Default)]
 pub(crate) struct EndpointPoller {
     subscribed: bool,
@@ -45,25 +46,25 @@
 }
 
 impl EndpointPoller {
-    /// True where the list is to be polled.
+    /// Returns true if the list must be polled now.
     pub(crate) fn is_due(&self, now: Micros) -> bool {
         self.next_poll_at.is_some_and(|at| now >= at)
     }
 
-    /// True where the deployment does not push the list, and no subscription stands: a drain may be
-    /// unlisted.
+    /// Returns true if a server may drain without this balancer being notified: the list must be
+    /// polled for and no subscription is active.
     pub(crate) fn may_miss_drains(&self, settings: &PollingSettings) -> bool {
         settings.required && !self.subscribed
     }
 
-    /// The list was polled.
+    /// Records a poll and sets its timeout.
     pub(crate) fn on_polled(&mut self, now: Micros, settings: &PollingSettings) {
         let poll_timeout =
             settings.max_interval * POLL_TIMEOUT_NUMERATOR / POLL_TIMEOUT_DENOMINATOR;
         self.next_poll_at = Some(now + poll_timeout);
     }
 
-    /// A list or a change of it came.
+    /// Records a received list or incremental update; stops polling.
     pub(crate) fn on_list_received(&mut self) {
         *self = Self {
             subscribed: true,
@@ -72,7 +73,7 @@
         };
     }
 
-    /// A poll failed or the subscription broke. Draws the jitter of the next poll.
+    /// Records a failed poll or a lost subscription and schedules the next poll with jitter.
     pub(crate) fn on_update_failed(
         &mut self,
         now: Micros,
--- a/crates/balancer/src/policy/endpoint_poller/tests.rs
+++ b/crates/balancer/src/policy/endpoint_poller/tests.rs
@@ -11,12 +11,12 @@
     poller.on_update_failed(NOW, &SETTINGS, &mut fastrand::Rng::with_seed(1))
 }
 
-fn is_due_after(poller: &EndpointPoller, pause: Micros) -> bool {
-    poller.is_due(NOW + pause)
+fn is_due_after(poller: &EndpointPoller, delay: Micros) -> bool {
+    poller.is_due(NOW + delay)
 }
 
 #[test]
-fn poll_without_any_response_is_repeated_within_the_longest_interval() {
+fn poll_without_a_response_is_repeated_within_the_maximum_interval() {
     let mut poller = EndpointPoller::default();
     poller.on_polled(NOW, &SETTINGS);
     assert!(!is_due_after(&poller, 7_499_999));
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn pauses_grow_threefold_up_to_half_the_longest_interval_and_anew_after_a_list() {
+fn backoff_triples_up_to_half_the_maximum_interval_and_resets_on_a_received_list() {
     let mut poller = EndpointPoller::default();
     for backoff in [200_000, 600_000, 1_800_000, 5_000_000, 5_000_000] {
         fail_update(&mut poller);
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn loss_of_a_subscription_is_told_from_another_failed_poll() {
+fn lost_subscription_is_distinguished_from_a_failed_poll() {
     let mut poller = EndpointPoller::default();
     poller.on_list_received();
     assert_eq!(fail_update(&mut poller), UpdateFailure::SubscriptionLost);
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn drains_may_be_missed_only_where_the_list_is_polled_without_a_subscription() {
+fn drains_may_be_missed_only_if_polling_is_required_and_no_subscription_is_active() {
     let mut poller = EndpointPoller::default();
     let mut pushed = SETTINGS;
     pushed.required = false;
