--- a/crates/balancer/src/policy/failure_detector.rs
+++ b/crates/balancer/src/policy/failure_detector.rs
@@ -1,18 +1,20 @@
-//! Which servers are suspected, why, and when that ends.
+//! Detects failed servers and decides when they are suspected, readmitted or declared dead.
 //!
-//! A server is suspected (ejected) where
-//! - a full health check fails and none has succeeded 150 ms later; without other balancers a
-//!   second check then decides, with others it is suspected by all, or by this one alone if another
-//!   one has reached it;
-//! - all attempts in flight at it have been silent for so long that `-ln P(silence) > 14` on a
-//!   sound server, under a log-normal distribution of the fleet's latencies;
-//! - `k` attempts in a row fail and `-k * ln(fleet's error rate) >= 9`;
-//! - another balancer suspects it, and no own attempt was served in the last half second.
+//! A server is suspected (ejected) if one of these holds:
+//! - A full health check fails and none succeeds within 150 ms. Without peers, a second check then
+//!   decides. With peers, the suspicion is sent to all balancers, or kept local if another balancer
+//!   has reached the server.
+//! - Its attempts in flight have gone without a response for so long that `-ln P > 14`, where `P`
+//!   is the probability of that at a healthy server under a log-normal distribution of the fleet's
+//!   latencies, as in an accrual failure detector.
+//! - `k` consecutive attempts fail and `-k * ln(fleet's error rate) >= 9`.
+//! - Another balancer suspects it and it has served none of this balancer's attempts in the last
+//!   0.5 s.
 //!
-//! A suspicion ends with a served attempt, a restart or a good health check; how long it withstands
-//! these is the law of [`EjectionDecision`](crate::policy::EjectionDecision). After 8 s a suspected server is
-//! declared dead; it is still checked, and comes back when it answers. The mechanism is SWIM's, as
-//! in section 2.2.2 of the paper, with attempts as a second source of evidence.
+//! A served attempt, a restart or a successful health check ends the suspicion, subject to the
+//! ejection time ([`EjectionDecision`](crate::policy::EjectionDecision)). After 8 s a suspected
+//! server is declared dead. It is still checked, and is readmitted when it answers. The mechanism
+//! is that of SWIM (section 2.2.2 of the paper), with attempts as a second source of evidence.
 
 #[cfg(test)]
 mod tests;
@@ -24,72 +26,69 @@
 use crate::state::{ServerState, Suspicion};
 use crate::{EjectionCause, Micros, Outcome};
 
-/// Time from a failed health check to its confirmation, in microseconds. Other balancers that are
-/// asked must answer within it; longer, and a server that is gone gets attempts for longer.
-/// Inherited with the first version of the module; its source was not recorded.
+/// Time from a failed health check to its confirmation, in microseconds. Other balancers must
+/// answer indirect check requests within it. A longer delay sends more attempts to a failed server.
 const CONFIRMATION_DELAY: Micros = 150_000;
-/// Time without a sign of life after which a suspected server is declared dead, in microseconds.
-/// The paper (section 2.2.2) waits three minutes; 8 s is the choice of the first design.
+/// Time after which a server that is still suspected is declared dead, in microseconds. The
+/// original design chose 8 s instead of the three minutes of the paper (section 2.2.2).
 const DEAD_AFTER: Micros = 8_000_000;
-/// Improbability of the silence of a server's attempts above which it is suspected, in nats: the
-/// negative natural logarithm of the probability that a sound server is silent for so long. 14 nats
-/// are one in a million; the bound is that strict because responses of one server hang together.
-/// Lower, and general slowness raises suspicions; higher, and a server that answers health checks
-/// but no attempt is used for longer. Inherited with the first version of the module.
+/// A server is suspected if its missing responses are less probable than this, in nats: the
+/// negative natural logarithm of the probability that a healthy server takes that long to respond.
+/// 14 nats are about one in a million. The threshold is strict because the response times of one
+/// server are correlated. A lower threshold ejects servers when the whole fleet is slow; a higher
+/// one delays the ejection of a server that answers health checks but no attempts.
 const NO_RESPONSE_THRESHOLD_NATS: f64 = 14.0;
-/// Improbability of the failures in a row above which a server is suspected, in nats. Two failures
-/// reach it where the fleet fails one attempt in a hundred or fewer, and more are needed where all
-/// fail more often. Inherited with the first version of the module.
+/// A server is suspected if its consecutive failures are at most this probable, in nats. Two
+/// consecutive failures suffice if the fleet's error rate is 1 % or lower; a higher error rate
+/// requires more.
 const CONSECUTIVE_FAILURE_THRESHOLD_NATS: f64 = 9.0;
-/// An own attempt served within this time, in microseconds, outweighs another balancer's suspicion.
-/// Longer, and a server that has just failed is used for longer; shorter, and one mistaken balancer
-/// makes busy ones drop a sound server. Inherited with the first version of the module; its source
-/// was not recorded.
+/// A suspicion of another balancer is not adopted if the server has served an attempt of this
+/// balancer within this time, in microseconds. With a longer window a server that has just failed
+/// is used for longer; with a shorter one a single mistaken balancer makes busy ones eject a
+/// healthy server.
 const RECENT_SUCCESS_WINDOW: Micros = 500_000;
 
-/// What is to be done about a server.
+/// What to do about a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HealthAction {
-    /// Nothing.
+    /// Leave the state of the server as it is.
     NoAction,
-    /// A failed health check is to be confirmed at this time: by other balancers or by a second
-    /// check.
+    /// Confirm a failed health check at this time, by indirect checks or by a second check.
     ConfirmAt(Micros),
-    /// Its health is to be checked a second time now, as there are no other balancers to confirm a
-    /// failure.
+    /// Repeat the health check now, as there are no other balancers to confirm the failure.
     CheckAgain,
-    /// It is to be the next server that is checked.
+    /// Make the server the next one to be checked.
     CheckSoon,
-    /// It is to be suspected.
+    /// Suspect the server.
     Eject {
-        /// Why.
+        /// What raised the suspicion.
         cause: EjectionCause,
-        /// Who learns of it.
+        /// Which balancers are told.
         scope: SuspicionScope,
     },
-    /// It has been suspected for so long that it is taken for gone.
+    /// Declare the server dead: it has been suspected for too long.
     DeclareDead,
-    /// Its suspicion is to end.
+    /// End the suspicion.
     Readmit,
 }
 
-/// Who learns of a suspicion.
+/// Which balancers are told of a suspicion.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SuspicionScope {
-    /// This balancer alone.
+    /// Only this balancer.
     Local,
-    /// All balancers, by gossip.
+    /// All balancers, through gossip.
     AllBalancers,
 }
 
-/// Detects failed servers; owns what is usual in the fleet: its latencies and its error rate.
+/// Detects failed servers against the fleet-wide latency distribution and error rate.
 pub(crate) struct FailureDetector {
     latency_distribution: LatencyDistribution,
     fleet_error_rate: FleetErrorRate,
 }
 
 impl FailureDetector {
-    /// A detector that has seen nothing; `shortest_objective` is in microseconds.
+    /// Creates a detector without samples; `shortest_objective` is in microseconds.
     pub(crate) fn new(shortest_objective: f64) -> Self {
         Self {
             latency_distribution: LatencyDistribution::new(shortest_objective),
@@ -97,18 +96,18 @@
         }
     }
 
-    /// A server responded to an attempt after so many microseconds.
+    /// Adds the latency of a response, in microseconds, to the fleet's distribution.
     pub(crate) fn on_response(&mut self, latency: f64) {
         self.latency_distribution.on_response(latency);
     }
 
-    /// An attempt was served.
+    /// Records a served attempt in the fleet's error rate.
     pub(crate) fn on_served(&mut self) {
         self.fleet_error_rate.on_served();
     }
 
-    /// A server failed an attempt, the last of so many `failures` in a row. A timeout is left to
-    /// the silence of the attempts.
+    /// Handles a failed attempt, the last of `failures` consecutive ones at its server. Timeouts
+    /// are ignored here; [`evaluate_server`](Self::evaluate_server) detects missing responses.
     pub(crate) fn on_attempt_failed(&mut self, failures: u32, outcome: Outcome) -> HealthAction {
         if outcome == Outcome::TimedOut {
             return HealthAction::NoAction;
@@ -124,8 +123,8 @@
         }
     }
 
-    /// Looks at a server with each tick: at a failed health check that waits for its confirmation,
-    /// at a suspicion that stands, or else at the silence of its attempts.
+    /// Evaluates a server on each tick: a failed health check whose confirmation is due, else a
+    /// current suspicion, else the attempts without a response.
     pub(crate) fn evaluate_server(&self, fleet: &Fleet, server: &ServerState) -> HealthAction {
         if server.health_check.is_confirmation_due(fleet.now) {
             return confirm_failed_check(fleet, server);
@@ -133,18 +132,18 @@
         if let Some(suspicion) = server.suspicion.current() {
             return evaluate_suspicion(fleet, server, suspicion);
         }
-        let silence = self
+        let improbability = self
             .latency_distribution
             .silence_improbability(server, fleet.now);
-        if silence > NO_RESPONSE_THRESHOLD_NATS {
+        if improbability > NO_RESPONSE_THRESHOLD_NATS {
             eject(EjectionCause::Attempts, SuspicionScope::Local)
         } else {
             HealthAction::NoAction
         }
     }
 
-    /// A health check of a server succeeded. That proves little where attempts raised the
-    /// suspicion.
+    /// Handles a successful health check. If attempts raised the suspicion, it ends only after its
+    /// ejection time.
     pub(crate) fn evaluate_successful_check(now: Micros, server: &ServerState) -> HealthAction {
         match server.suspicion.current() {
             Some(suspicion) if ends_with_successful_check(now, suspicion) => HealthAction::Readmit,
@@ -152,7 +151,7 @@
         }
     }
 
-    /// A full health check of a server failed.
+    /// Handles a failed full health check.
     pub(crate) fn evaluate_failed_check(fleet: &Fleet, server: &ServerState) -> HealthAction {
         let is_already_handled =
             server.suspicion.is_suspected() || server.health_check.is_confirming();
@@ -165,7 +164,7 @@
         eject(EjectionCause::HealthChecks, SuspicionScope::Local)
     }
 
-    /// Another balancer suspects an incarnation of a server.
+    /// Handles a suspicion of another balancer against an incarnation of a server.
     pub(crate) fn evaluate_gossip(
         now: Micros,
         server: &ServerState,
@@ -181,8 +180,8 @@
         eject(EjectionCause::Gossip, SuspicionScope::AllBalancers)
     }
 
-    /// The endpoint list names a newer incarnation of a server. A server that keeps restarting does
-    /// not earn trust by that alone.
+    /// Handles a newer incarnation in the endpoint list. A restart does not end the suspicion of a
+    /// server that was ejected repeatedly.
     pub(crate) fn evaluate_restart(now: Micros, server: &ServerState) -> HealthAction {
         if is_flapping(now, server) {
             HealthAction::NoAction
@@ -200,8 +199,8 @@
     suspicion.cause != EjectionCause::Attempts || suspicion.has_aged(now)
 }
 
-/// The confirmation of a failed health check is due: other balancers have been asked, or else this
-/// one checks again. One that answered another balancer is suspected by this one alone.
+/// Concludes the confirmation of a failed health check. With peers, the server is ejected, only
+/// locally if another balancer has reached it. Without peers, it is checked a second time.
 fn confirm_failed_check(fleet: &Fleet, server: &ServerState) -> HealthAction {
     if !fleet.settings.has_peers() {
         return HealthAction::CheckAgain;
@@ -214,15 +213,16 @@
     eject(EjectionCause::HealthChecks, scope)
 }
 
-/// Death is declared first; the suspicion may end right after it.
+/// Declaring a server dead takes precedence; the caller then evaluates it again, which may end the
+/// suspicion.
 fn evaluate_suspicion(fleet: &Fleet, server: &ServerState, suspicion: Suspicion) -> HealthAction {
     let is_overdue = fleet.now >= suspicion.since + DEAD_AFTER;
     if is_overdue && !server.suspicion.is_dead() {
         return HealthAction::DeclareDead;
     }
-    // Where nothing checks its health, only attempts can show that a server has recovered.
-    let is_ejection_over = !fleet.settings.host.health_checks && suspicion.has_aged(fleet.now);
-    if is_ejection_over || !is_cause_trusted(fleet, suspicion.cause) {
+    // Without health checks, only further attempts can show that a server has recovered.
+    let is_ejection_time_over = !fleet.settings.host.health_checks && suspicion.has_aged(fleet.now);
+    if is_ejection_time_over || !is_cause_trusted(fleet, suspicion.cause) {
         HealthAction::Readmit
     } else {
         HealthAction::NoAction
--- a/crates/balancer/src/policy/failure_detector/tests.rs
+++ b/crates/balancer/src/policy/failure_detector/tests.rs
@@ -27,7 +27,7 @@
     FailureDetector::evaluate_failed_check(fleet, &fleet.servers[FIRST])
 }
 
-/// A fleet whose first server has failed a health check 150 ms ago.
+/// A fleet whose first server failed a health check 150 ms ago.
 fn fleet_with_a_failed_check(settings: Settings) -> Fleet {
     let mut fleet = fleet(settings, 4);
     let confirm_at = fleet.now + 150 * MS;
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn second_failed_health_check_raises_a_suspicion() {
+fn second_failed_health_check_ejects_without_peers() {
     let mut fleet = fleet_with_a_failed_check(settings());
     assert_eq!(evaluate_server(&fleet), HealthAction::CheckAgain);
     let now = fleet.now;
@@ -54,10 +54,10 @@
 }
 
 #[test]
-fn failed_check_is_announced_unless_another_balancer_reached_the_server() {
+fn ejection_is_gossiped_unless_another_balancer_reached_the_server() {
     let mut fleet = fleet_with_a_failed_check(settings_with_peers());
-    let announced = eject_for_health_checks(SuspicionScope::AllBalancers);
-    assert_eq!(evaluate_server(&fleet), announced);
+    let gossiped = eject_for_health_checks(SuspicionScope::AllBalancers);
+    assert_eq!(evaluate_server(&fleet), gossiped);
     fleet.servers[FIRST].health_check.on_confirmed_alive();
     assert_eq!(
         evaluate_server(&fleet),
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn attempts_that_are_silent_for_longer_than_latencies_explain_raise_a_suspicion() {
+fn attempts_without_a_response_eject_once_the_latency_is_improbable() {
     let mut fleet = fleet(settings(), 4);
     send(&mut fleet, FIRST, 1);
     let mut detector = detector();
@@ -79,13 +79,13 @@
 }
 
 #[test]
-fn two_failures_in_a_row_raise_a_suspicion_where_failures_are_rare() {
+fn two_consecutive_failures_eject_if_the_fleet_error_rate_is_low() {
     let mut detector = detector();
     assert_eq!(
         detector.on_attempt_failed(1, Outcome::Reset),
         HealthAction::NoAction
     );
-    // The first failure counts for 2 % of the fleet's attempts, until other servers have served.
+    // The first failure raises the fleet's error rate to 2 %; served attempts lower it again.
     assert_eq!(
         detector.on_attempt_failed(2, Outcome::Reset),
         HealthAction::NoAction
@@ -96,13 +96,13 @@
 }
 
 #[test]
-fn timeouts_in_a_row_are_left_to_the_silence_of_the_attempts() {
+fn consecutive_timeouts_do_not_eject_as_failures() {
     let action = detector().on_attempt_failed(100, Outcome::TimedOut);
     assert_eq!(action, HealthAction::NoAction);
 }
 
 #[test]
-fn suspected_server_is_declared_dead_once_after_8_seconds() {
+fn suspected_server_is_declared_dead_once_after_8_s() {
     let mut fleet = fleet(settings(), 4);
     eject(&mut fleet, FIRST, EjectionCause::HealthChecks);
     fleet.now += 7_999 * MS;
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn good_health_check_ends_a_suspicion_that_attempts_raised_only_after_its_ejection_time() {
+fn successful_check_ends_a_suspicion_raised_by_attempts_only_after_its_ejection_time() {
     let mut fleet = fleet(settings(), 4);
     eject(&mut fleet, FIRST, EjectionCause::Attempts);
     let action =
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn suspicion_ends_by_itself_where_the_host_cannot_check_health() {
+fn suspicion_ends_after_its_ejection_time_if_the_host_has_no_health_checks() {
     let mut fleet = fleet(settings(), 4);
     fleet.settings.host.health_checks = false;
     eject(&mut fleet, FIRST, EjectionCause::Attempts);
@@ -136,20 +136,20 @@
 }
 
 #[test]
-fn gossip_about_an_older_incarnation_or_a_server_that_has_just_served_is_not_followed() {
+fn gossip_is_ignored_for_an_older_incarnation_or_a_server_that_served_recently() {
     let mut fleet = fleet(settings(), 4);
     let action = |fleet: &Fleet, incarnation| {
         FailureDetector::evaluate_gossip(fleet.now, &fleet.servers[FIRST], incarnation)
     };
-    let followed = HealthAction::Eject {
+    let ejected = HealthAction::Eject {
         cause: EjectionCause::Gossip,
         scope: SuspicionScope::AllBalancers,
     };
-    assert_eq!(action(&fleet, 0), followed);
+    assert_eq!(action(&fleet, 0), ejected);
     fleet.servers[FIRST].failures.on_served(fleet.now);
     assert_eq!(action(&fleet, 0), HealthAction::CheckSoon);
     fleet.now += 500 * MS;
-    assert_eq!(action(&fleet, 0), followed);
+    assert_eq!(action(&fleet, 0), ejected);
     let mut restarted = *fleet.servers[FIRST].endpoint();
     restarted.incarnation = Some(5);
     fleet.servers[FIRST].on_listed(restarted);
