--- a/crates/balancer/src/policy/final_response.rs
+++ b/crates/balancer/src/policy/final_response.rs
@@ -1,14 +1,15 @@
-//! The final response to a request that is given up: a rejection, or a failure.
+//! Chooses the final response to a request that the balancer gives up: a rejection or a failure.
 //!
-//! Why it is given up was decided before: by `LoadShedder`, `ServerSelector` or `RetryPolicy`.
+//! The decision to give up is made earlier, by `LoadShedder`, `ServerSelector` or `RetryPolicy`.
 //!
-//! A rejection tells the client that it may retry, and so is given only where a retry is known to
-//! be harmless: the class is idempotent, or its idempotency keys are known to all servers, or no
-//! attempt can have executed. Every other request fails. Nothing else decides that. The Retry-After
-//! of a rejection grows as the fleet fills up, with a jitter that spreads the clients:
+//! A rejection tells the client that it may retry. It is therefore used only if a retry is safe:
+//! the request class is idempotent, or its idempotency keys are deduplicated across all servers, or
+//! no attempt can have executed. In all other cases the request fails. The Retry-After of a
+//! rejection grows with the utilization of the fleet, and its jitter spreads the retries:
 //!
 //! ```text
-//! Retry-After = min((mean service time + fullness * max_retry_after) * random(0.75..1.25), max_retry_after)
+//! base        = mean service time + fullness * max_retry_after
+//! Retry-After = min(base * random(0.75..1.25), max_retry_after)
 //! ```
 
 #[cfg(test)]
@@ -18,27 +19,27 @@
 use crate::state::RequestState;
 use crate::{DeduplicationScope, Idempotency, Micros, Settings};
 
-/// Least factor of the jitter of Retry-After. With the span it keeps a mean of 1. Inherited with
-/// the first version of the module; its source was not recorded.
+/// Smallest jitter factor of Retry-After. Together with [`JITTER_FACTOR_RANGE`] the mean factor is
+/// 1.
 const MIN_JITTER_FACTOR: f64 = 0.75;
-/// Span of the jitter above the least factor: with less, clients that were rejected together return
-/// together. Inherited with the first version of the module; its source was not recorded.
+/// Width of the range of jitter factors. With a narrower range, clients that were rejected together
+/// retry together.
 const JITTER_FACTOR_RANGE: f64 = 0.5;
 
-/// What a client gets whose request is given up.
+/// Final response to a request that is given up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FinalResponse {
-    /// A rejection: a retry is harmless.
+    /// Reject the request; the client may safely retry it.
     Reject {
-        /// Retry-After in microseconds, where the host passes it on.
+        /// Retry-After in microseconds; `None` if the host does not forward it to clients.
         retry_after: Option<Micros>,
     },
-    /// A failure: the request may have executed.
+    /// Fail the request; it may have executed.
     Fail,
 }
 
 impl FinalResponse {
-    /// The response to a request. Draws the jitter of a rejection.
+    /// Chooses the response to `request`. A rejection draws one random number for the jitter.
     pub(crate) fn decide(fleet: &Fleet, request: &RequestState, rng: &mut fastrand::Rng) -> Self {
         if is_retry_safe(&fleet.settings, request) {
             let retry_after = retry_after(fleet, rng);
@@ -58,7 +59,8 @@
         || request.first_possible_execution().is_none()
 }
 
-/// A fleet that is full throughout has no use for clients that are back at once.
+/// Computes Retry-After with jitter: the fuller the fleet, the later clients should retry. Draws
+/// the jitter even if the host does not forward the value.
 fn retry_after(fleet: &Fleet, rng: &mut fastrand::Rng) -> Option<Micros> {
     let max_retry_after = fleet.settings.retries.max_retry_after;
     let fullness = fleet.estimators.utilization.fullness();
--- a/crates/balancer/src/policy/final_response/tests.rs
+++ b/crates/balancer/src/policy/final_response/tests.rs
@@ -10,7 +10,7 @@
     fleet_of(class, 1)
 }
 
-/// The response to a request whose only attempt ended so.
+/// The response to a request whose only attempt ended with `outcome`.
 fn response(fleet: &Fleet, outcome: Outcome) -> FinalResponse {
     let mut request = request(fleet);
     request.on_attempt_sent(&Endpoint::ready(ServerId(0), 0), fleet.now);
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn request_is_rejected_only_where_it_never_executed_or_a_retry_is_harmless() {
+fn request_is_rejected_only_if_it_never_executed_or_a_retry_is_safe() {
     use DeduplicationScope::{All, Cell, Zone};
     use Idempotency::{IdempotencyKey, Idempotent, NonIdempotent};
     let table = [
@@ -49,14 +49,14 @@
 }
 
 #[test]
-fn retry_after_grows_from_the_mean_service_time_to_the_longest_one_as_the_fleet_fills_up() {
+fn retry_after_grows_from_the_mean_service_time_to_the_maximum_with_utilization() {
     let mut fleet = fleet(Idempotency::Idempotent, DeduplicationScope::All);
     fleet.settings.retries.max_retry_after = 100 * MS;
-    // 31.25 ms before any response, and a jitter of a quarter.
-    let idle = retry_after(&fleet).expect("passed on");
+    // The initial mean service time is 31.25 ms; the jitter is at most 25 %.
+    let idle = retry_after(&fleet).expect("Retry-After is forwarded");
     assert!((23 * MS..40 * MS).contains(&idle), "{idle}");
     (0..500).for_each(|_| fleet.estimators.utilization.on_load_report(1.0));
-    let full = retry_after(&fleet).expect("passed on");
+    let full = retry_after(&fleet).expect("Retry-After is forwarded");
     assert!((75 * MS..=100 * MS).contains(&full), "{full}");
     fleet.settings.host.retry_after = false;
     assert_eq!(retry_after(&fleet), None);
