--- a/crates/balancer/src/policy/gossip_protocol.rs
+++ b/crates/balancer/src/policy/gossip_protocol.rs
@@ -1,12 +1,12 @@
-//! What balancers tell each other: suspicions, and health checks on each other's behalf.
+//! Gossip between balancers: indirect health checks and dissemination of suspicions.
 //!
-//! After SWIM, as in section 2.2.2 of the paper: a balancer whose health check of a server fails
-//! asks a few random others to check it (indirect checks). What none of them can reach either is
-//! suspected, and the suspicion goes out with later datagrams, one to a random balancer with each
-//! scheduled health check; a record leaves the queue after `floor(log2 N) + 2` datagrams, which
-//! spread it to all `N` balancers with high probability. A suspicion of an older incarnation of the
-//! server is ignored. Unlike in the paper a server cannot refute a suspicion itself, so what each
-//! balancer sees served outweighs it.
+//! The protocol follows SWIM (section 2.2.2 of the paper). A balancer whose health check of a
+//! server fails asks a few random balancers to check it (indirect checks). If none of them reaches
+//! the server either, it is suspected. Suspicions are queued, and each scheduled health check sends
+//! one datagram of queued records to a random balancer. A record is dropped from the queue after
+//! `floor(log2 N) + 2` datagrams, which spread it to all `N` balancers with high probability. A
+//! suspicion of an older incarnation of the server is ignored. Unlike in the paper, a server cannot
+//! refute a suspicion itself; instead a balancer ignores it while the server serves its attempts.
 
 #[cfg(test)]
 mod tests;
@@ -15,16 +15,16 @@
 use crate::state::{GossipKind, GossipMessage, GossipQueue, ServerIndex, ServerState};
 use crate::{Action, Micros, Settings};
 
-/// Most suspicions in one datagram: 15 records of 17 bytes fit into a datagram of 256 bytes. With
-/// more suspicions than this they take turns.
+/// Maximum suspicions per datagram: 15 records of 17 bytes fit into a datagram of 256 bytes. If
+/// more are queued, they are sent in rotation.
 const MAX_SUSPICIONS_PER_DATAGRAM: usize = 15;
-/// Balancers that are asked to confirm a failed health check, and most balancers that one server is
-/// checked for at a time. More find a way around a partial network failure more often, and cost as
-/// many more health checks. The first design names five; three is inherited with the first version
-/// of the module.
+/// Number of balancers that are asked to confirm a failed health check, and the maximum number of
+/// balancers that wait for an indirect check of one server at a time. A larger fanout gets around
+/// partial network failures more often, at the cost of as many more health checks. The original
+/// design asks five.
 const INDIRECT_CHECK_FANOUT: usize = 3;
 
-/// A datagram to another balancer.
+/// A gossip datagram and the balancer it is sent to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Datagram {
     to: u32,
@@ -40,34 +40,35 @@
     }
 }
 
-/// What a record of a datagram asks of this balancer.
+/// A received gossip record, resolved against the endpoint list and the limits of this balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PeerMessage {
-    /// Check the health of a server for the sender.
+    /// The sender requests an indirect health check of a server.
     CheckServer(ServerIndex),
-    /// The server answered the sender.
+    /// The server answered a health check of the sender.
     ConfirmedAlive(ServerIndex),
     /// The sender suspects an incarnation of a server.
     Suspected {
         /// The server.
         server: ServerIndex,
-        /// The incarnation, 0 for long ago.
+        /// The suspected incarnation; 0 if the server started long ago.
         incarnation: Micros,
     },
-    /// Nothing: the endpoint list does not name the server.
+    /// The server is not in the endpoint list; the record is ignored.
     UnknownServer,
-    /// Nothing: enough balancers wait for a check of the server.
+    /// Too many balancers already wait for a check of the server; the request is ignored.
     RequesterLimitReached,
 }
 
-/// Decides what is sent to which balancer; owns the suspicions that still go out.
+/// Builds outgoing gossip and interprets incoming gossip; owns the queue of suspicions to send.
 #[derive(Default)]
 pub(crate) struct GossipProtocol {
     queue: GossipQueue,
 }
 
 impl GossipProtocol {
-    /// Asks some random balancers to check a server; one that is drawn twice is asked twice.
+    /// Requests indirect checks of a server from random balancers. Draws with replacement, so that
+    /// one balancer may be asked twice.
     pub(crate) fn request_indirect_checks(
         settings: &Settings,
         server: &ServerState,
@@ -82,7 +83,7 @@
             })
     }
 
-    /// Tells the balancers that asked for a check of a server that it answered.
+    /// Tells the balancers that requested an indirect check that the server answered.
     pub(crate) fn confirm_alive(
         server: &ServerState,
         requesters: Vec<u32>,
@@ -94,17 +95,15 @@
         })
     }
 
-    /// Queues the suspicion of a server for so many datagrams that it reaches all balancers.
+    /// Queues the suspicion of a server for `floor(log2 N) + 2` datagrams.
     pub(crate) fn queue_suspicion(&mut self, settings: &Settings, server: &ServerState) {
-        let log2_count_rounded = u32::BITS - settings.identity.count.leading_zeros();
-        self.queue.push(
-            &server.gossip(GossipKind::Suspected),
-            log2_count_rounded + 1,
-        );
+        let bit_length = u32::BITS - settings.identity.count.leading_zeros();
+        self.queue
+            .push(&server.gossip(GossipKind::Suspected), bit_length + 1);
     }
 
-    /// The datagram that goes out with a scheduled health check, if there is anything to say. Draws
-    /// its receiver in any case where there are other balancers.
+    /// Returns the datagram to send along with a scheduled health check, if suspicions are queued.
+    /// If there are other balancers, a receiver is drawn even if the queue is empty.
     pub(crate) fn next_datagram(
         &mut self,
         settings: &Settings,
@@ -118,12 +117,12 @@
         Some(Datagram { to, bytes })
     }
 
-    /// True where a datagram comes from a balancer of the deployment.
+    /// Returns true if `from` is the index of a balancer of this deployment.
     pub(crate) fn is_known_sender(settings: &Settings, from: u32) -> bool {
         from < settings.identity.count
     }
 
-    /// What a record asks of this balancer.
+    /// Resolves a received record.
     pub(crate) fn interpret(fleet: &Fleet, message: GossipMessage) -> PeerMessage {
         let Some(server) = fleet.servers.find_by_hash(message.stable_hash) else {
             return PeerMessage::UnknownServer;
@@ -143,7 +142,7 @@
     }
 }
 
-/// Another balancer, drawn at random; `None` where there is none.
+/// Draws another balancer at random; `None` if there is no other balancer.
 fn random_peer(settings: &Settings, rng: &mut fastrand::Rng) -> Option<u32> {
     if !settings.has_peers() {
         return None;
--- a/crates/balancer/src/policy/gossip_protocol/tests.rs
+++ b/crates/balancer/src/policy/gossip_protocol/tests.rs
@@ -12,7 +12,7 @@
     GossipProtocol::interpret(fleet, message)
 }
 
-/// The balancers that are asked for an indirect check, and the generator after it.
+/// The balancers asked for an indirect check, and the state of the generator afterwards.
 fn checkers(fleet: &Fleet) -> (Vec<u32>, fastrand::Rng) {
     let mut rng = fastrand::Rng::with_seed(1);
     let server = &fleet.servers[FIRST];
@@ -31,14 +31,14 @@
 }
 
 #[test]
-fn balancer_without_others_asks_none_and_draws_nothing() {
+fn balancer_without_peers_sends_no_request_and_draws_no_random_number() {
     let (checkers, rng) = checkers(&fleet(settings(), 1));
     assert_eq!(checkers, []);
     assert_eq!(rng, fastrand::Rng::with_seed(1));
 }
 
 #[test]
-fn suspicion_goes_out_in_about_log_n_datagrams() {
+fn suspicion_is_sent_in_floor_log2_n_plus_2_datagrams() {
     for (balancers, datagrams) in [(4, 4), (300, 10)] {
         let mut fleet = fleet(settings_with_peers(), 1);
         fleet.settings.identity.count = balancers;
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn datagram_holds_15_suspicions_at_most() {
+fn datagram_holds_at_most_15_suspicions() {
     let fleet = fleet(settings_with_peers(), 20);
     let mut gossip = GossipProtocol::default();
     let servers = fleet.servers.iter();
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn fourth_request_to_check_a_server_is_one_too_many() {
+fn fourth_indirect_check_request_for_a_server_exceeds_the_limit() {
     let mut fleet = fleet(settings_with_peers(), 1);
     for from in 1..4 {
         let asked = interpret(&fleet, GossipKind::IndirectCheckRequest, 0);
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn message_names_its_server_by_hash_and_one_about_no_known_server_is_ignored() {
+fn message_identifies_its_server_by_hash_and_is_ignored_for_an_unknown_server() {
     let fleet = fleet(settings_with_peers(), 1);
     let suspected = PeerMessage::Suspected {
         server: FIRST,
