--- a/crates/balancer/src/policy/health_check_trust.rs
+++ b/crates/balancer/src/policy/health_check_trust.rs
@@ -1,29 +1,29 @@
-//! Whether the results of health checks are believed.
+//! Decides whether the results of health checks are trusted.
 //!
-//! Health checks may fail while servers serve. Where more than three in ten of the servers in use
-//! fail them, the checks themselves are taken to be at fault: only attempts are believed then, and
-//! load reports are not used. Servers that are really gone fail attempts as well.
+//! Health checks can fail although the servers serve requests. If more than 30 % of the servers
+//! fail their last check, the health checks themselves are assumed to be faulty: only attempts are
+//! then used to detect failures, and load reports are ignored. Servers that have really failed also
+//! fail attempts, so they are still detected.
 
 #[cfg(test)]
 mod tests;
 
-/// Largest share of the servers in use, with those that fail, whose failed health checks are
-/// believed; with more, none is. Inherited with the first version of the module; its source was not
-/// recorded.
+/// Health checks are trusted up to this share of failed servers, out of the subset size plus the
+/// number of failed servers.
 const MAX_FAILED_SHARE: f64 = 0.3;
 
-/// Whether the results of health checks are believed.
+/// Whether the results of health checks are trusted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HealthCheckTrust {
-    /// They tell of servers.
+    /// Results reflect the state of the servers.
     Trusted,
-    /// So many fail that they tell nothing.
+    /// Too many checks fail; the results are ignored.
     Untrusted,
 }
 
 impl HealthCheckTrust {
-    /// Judges by the number of servers whose last health check failed, and by the size of the
-    /// subset, which is only asked for where some failed.
+    /// Assesses trust from the number of servers whose last health check failed and the subset
+    /// size. `subset_size` is called only if `failed` is not zero.
     pub(crate) fn assess(failed: usize, subset_size: impl FnOnce() -> usize) -> Self {
         if failed == 0 {
             return Self::Trusted;
--- a/crates/balancer/src/policy/health_check_trust/tests.rs
+++ b/crates/balancer/src/policy/health_check_trust/tests.rs
@@ -1,8 +1,8 @@
 use super::HealthCheckTrust;
 
 #[test]
-fn checks_are_trusted_while_three_in_ten_servers_or_fewer_fail_them() {
-    // 3 of 7 + 3 are three in ten, 3 of 6 + 3 are more.
+fn checks_are_trusted_while_at_most_30_percent_of_the_servers_fail() {
+    // 3 of 7 + 3 servers are 30 %; 3 of 6 + 3 are more.
     assert_eq!(HealthCheckTrust::assess(3, || 7), HealthCheckTrust::Trusted);
     assert_eq!(
         HealthCheckTrust::assess(3, || 6),
@@ -11,6 +11,6 @@
 }
 
 #[test]
-fn checks_that_all_succeed_are_trusted_whatever_the_subset() {
+fn checks_that_all_succeed_are_trusted_for_any_subset_size() {
     assert_eq!(HealthCheckTrust::assess(0, || 0), HealthCheckTrust::Trusted);
 }
