--- a/crates/balancer/src/policy/health_checker.rs
+++ b/crates/balancer/src/policy/health_checker.rs
@@ -1,15 +1,17 @@
-//! Which server's health is checked next, and when.
+//! Schedules health checks: which server is checked next, and when.
 //!
-//! One schedule serves all servers, however many there are, so that its cost is bounded: with the
-//! request rate `r` and the fee `c` for one health check per request, the interval is
+//! A single schedule covers all servers, so that its cost does not grow with their number. With the
+//! request rate `r` and the cost `c` of one health check per request, the interval is
 //!
 //! ```text
-//! interval = clamp(c / (0.001 * r), 1 s, 5 s), a quarter of it while a server is suspected
+//! interval = clamp(c / (0.001 * r), 1 s, 5 s)
 //! ```
 //!
-//! Every other check is for the suspected server that has waited longest. Else the turn goes to a
-//! server whose attempt or load check failed, the last one first, and else to a random candidate,
-//! as in SWIM.
+//! and a quarter of that while any server is suspected.
+//!
+//! Every other check goes to the suspected server whose last check is the oldest. The remaining
+//! checks go to servers whose attempt or load check failed, the most recent one first, or else to a
+//! random candidate, as in SWIM.
 
 #[cfg(test)]
 mod tests;
@@ -18,31 +20,28 @@
 use crate::state::{CheckTurn, HealthCheckSchedule, ServerIndex, ServerState};
 use crate::{Micros, ServerId, Settings};
 
-/// Shortest interval of random checks, in microseconds, and the span over which balancers that
-/// start together spread their first one. A shorter interval finds failures sooner than attempts
-/// do, at a higher cost. Inherited with the first version of the module; its source was not
-/// recorded.
+/// Shortest check interval, in microseconds, and the range of the random delay of the first check,
+/// which spreads the checks of balancers that start together. A shorter interval detects failures
+/// sooner than attempts do, at a higher cost.
 const MIN_INTERVAL: Micros = 1_000_000;
-/// Longest interval of random checks, in microseconds: the first design leaves the period open up
-/// to 5 s.
+/// Longest check interval, in microseconds. The original design allows check periods of up to 5 s.
 const MAX_INTERVAL: Micros = 5_000_000;
-/// Largest cost of the random checks, as a fraction of the deployment's result. Above it the
-/// interval grows. Half of what the first version of the module had; chosen by experiment on the
-/// testbed.
+/// Cost limit of the scheduled checks, as a fraction of the deployment's result (the unit of
+/// [`Fees`](crate::Fees)). The interval is lengthened to stay within it. Halved from 0.002 after
+/// experiments on the testbed.
 const MAX_CHECK_COST: f64 = 0.001;
-/// Intervals are shorter by this factor while a server is suspected, so that one that recovers is
-/// soon used again. Inherited with the first version of the module; its source was not recorded.
+/// The check interval is divided by this while a server is suspected, so that a recovered server is
+/// readmitted soon.
 const SUSPECTED_INTERVAL_DIVISOR: Micros = 4;
-/// Least time between the starts of two checks of a suspected server, in microseconds. Inherited
-/// with the first version of the module; its source was not recorded.
+/// Minimum time between the starts of two scheduled checks of a suspected server, in microseconds.
 pub(crate) const MIN_SUSPECT_CHECK_INTERVAL: Micros = 400_000;
 
-/// The server that a scheduled check is for.
+/// Target of a scheduled health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CheckTarget {
-    /// This one.
+    /// A specific server.
     Server(ServerIndex),
-    /// A random one of those that may be sent requests.
+    /// A random server among those that may be sent requests.
     RandomCandidate,
 }
 
@@ -53,17 +52,17 @@
 }
 
 impl HealthChecker {
-    /// The balancer started. Draws the time of the first check.
+    /// Schedules the first check after a random delay.
     pub(crate) fn on_started(&mut self, now: Micros, rng: &mut fastrand::Rng) {
         self.schedule.on_started(now + rng.u64(0..MIN_INTERVAL));
     }
 
-    /// True where a scheduled check is due.
+    /// Returns true if a scheduled check is due.
     pub(crate) fn is_due(&self, fleet: &Fleet) -> bool {
         fleet.settings.host.health_checks && self.schedule.is_due(fleet.now)
     }
 
-    /// Takes the next server in turn, and schedules the check after it.
+    /// Returns the target of the check that is due and schedules the next check.
     pub(crate) fn next_target(&mut self, fleet: &Fleet) -> CheckTarget {
         self.schedule.on_check_due(fleet.now, interval(fleet));
         let suspect = longest_waiting_suspect(fleet);
@@ -75,13 +74,14 @@
         queued.map_or(CheckTarget::RandomCandidate, CheckTarget::Server)
     }
 
-    /// Makes a server whose attempt or load check failed the next to be checked, and soon.
+    /// Puts a server whose attempt or load check failed first in the queue, and brings the next
+    /// scheduled check forward.
     pub(crate) fn check_soon(&mut self, id: ServerId, now: Micros) {
         self.schedule
             .push(id, MIN_INTERVAL / SUSPECTED_INTERVAL_DIVISOR, now);
     }
 
-    /// True where a health check of the server can start: one at a time.
+    /// Returns true if a health check can start: the host supports them and none is in progress.
     pub(crate) fn may_start(settings: &Settings, server: &ServerState) -> bool {
         settings.host.health_checks && server.health_check.started_at().is_none()
     }
--- a/crates/balancer/src/policy/health_checker/tests.rs
+++ b/crates/balancer/src/policy/health_checker/tests.rs
@@ -3,8 +3,8 @@
 use crate::policy::test_support::{FIRST, MS, SECOND, arrive, eject, fleet, settings};
 use crate::{EjectionCause, Micros, ServerId};
 
-/// A fleet whose health checks cost this much, with a hundred requests in the last moment.
-fn fleet_with_fee(health_check: f64) -> Fleet {
+/// A fleet with this cost per health check, and a hundred requests that arrived just now.
+fn fleet_with_check_cost(health_check: f64) -> Fleet {
     let mut settings = settings();
     settings.fees.health_check = health_check;
     let mut fleet = fleet(settings, 4);
@@ -12,7 +12,7 @@
     fleet
 }
 
-/// The interval after a check that is made now, in milliseconds.
+/// The time from a check now until the next one is due, in milliseconds.
 fn interval_ms(mut fleet: Fleet) -> Micros {
     let mut checker = HealthChecker::default();
     checker.next_target(&fleet);
@@ -24,20 +24,20 @@
 }
 
 #[test]
-fn interval_grows_with_the_fee_from_one_to_five_seconds_and_shrinks_for_a_suspect() {
-    assert_eq!(interval_ms(fleet_with_fee(0.0)), 1_000);
-    // A hundred requests now are a rate of 13.9 a second; 0.04 / (0.001 * 13.9) is 2.9 s.
-    let interval = interval_ms(fleet_with_fee(0.04));
+fn interval_grows_with_the_cost_from_1_to_5_s_and_is_quartered_while_a_server_is_suspected() {
+    assert_eq!(interval_ms(fleet_with_check_cost(0.0)), 1_000);
+    // 100 requests at one instant count as 13.9 requests/s; 0.04 / (0.001 * 13.9) is 2.9 s.
+    let interval = interval_ms(fleet_with_check_cost(0.04));
     assert!((2_800..3_000).contains(&interval), "{interval}");
-    assert_eq!(interval_ms(fleet_with_fee(1.0)), 5_000);
-    let mut fleet = fleet_with_fee(0.0);
+    assert_eq!(interval_ms(fleet_with_check_cost(1.0)), 5_000);
+    let mut fleet = fleet_with_check_cost(0.0);
     eject(&mut fleet, FIRST, EjectionCause::Attempts);
     assert_eq!(interval_ms(fleet), 250);
 }
 
 #[test]
-fn suspected_servers_and_servers_that_failed_take_turns() {
-    let mut fleet = fleet_with_fee(0.0);
+fn checks_alternate_between_suspected_servers_and_the_queue() {
+    let mut fleet = fleet_with_check_cost(0.0);
     eject(&mut fleet, FIRST, EjectionCause::Attempts);
     let mut checker = HealthChecker::default();
     checker.check_soon(ServerId(1), fleet.now);
@@ -47,8 +47,8 @@
 }
 
 #[test]
-fn suspected_server_that_waits_longest_comes_first_and_none_within_400_ms() {
-    let mut fleet = fleet_with_fee(0.0);
+fn suspected_server_with_the_oldest_check_is_first_and_none_is_rechecked_within_400_ms() {
+    let mut fleet = fleet_with_check_cost(0.0);
     eject(&mut fleet, FIRST, EjectionCause::Attempts);
     eject(&mut fleet, SECOND, EjectionCause::Attempts);
     let now = fleet.now;
@@ -63,8 +63,8 @@
 }
 
 #[test]
-fn health_check_of_a_server_starts_only_where_none_is_in_progress() {
-    let mut fleet = fleet_with_fee(0.0);
+fn health_check_starts_only_if_none_is_in_progress() {
+    let mut fleet = fleet_with_check_cost(0.0);
     let may_start =
         |fleet: &Fleet| HealthChecker::may_start(&fleet.settings, &fleet.servers[FIRST]);
     assert!(may_start(&fleet));
