--- a/crates/balancer/src/balancer/membership.rs
+++ b/crates/balancer/src/balancer/membership.rs
@@ -2,7 +2,7 @@
 //! servers.
 
 use crate::balancer::Balancer;
-use crate::policy::{FailureDetector, GossipProtocol, ListLoss, PeerMessage, Verdict};
+use crate::policy::{FailureDetector, GossipProtocol, HealthAction, PeerMessage, UpdateFailure};
 use crate::state::{GossipMessage, ServerIndex};
 use crate::{Action, Actions, Endpoint, Micros, StateChange, UpdateKind};
 
@@ -20,8 +20,8 @@
         let loss =
             self.policies
                 .endpoint_poller
-                .on_list_lost(self.fleet.now, polling, &mut self.rng);
-        if loss == ListLoss::SubscriptionBroke {
+                .on_update_failed(self.fleet.now, polling, &mut self.rng);
+        if loss == UpdateFailure::SubscriptionLost {
             actions.push(Action::Record(StateChange::EndpointListLost));
         }
     }
@@ -73,7 +73,7 @@
         let now = self.fleet.now;
         let server = &mut self.fleet.servers[index];
         server.on_restarted(now, self.fleet.settings.slow_start.duration);
-        let verdict = FailureDetector::judge_restart(now, server);
+        let verdict = FailureDetector::evaluate_restart(now, server);
         self.apply(verdict, index, actions);
     }
 
@@ -98,7 +98,7 @@
                 } => {
                     self.on_peer_suspicion(server, incarnation, actions);
                 }
-                PeerMessage::UnknownServer | PeerMessage::TooManyRequests => {}
+                PeerMessage::UnknownServer | PeerMessage::RequesterLimitReached => {}
             }
         }
     }
@@ -110,9 +110,9 @@
         actions: &mut Actions,
     ) {
         let server = &self.fleet.servers[index];
-        let verdict = FailureDetector::judge_gossip(self.fleet.now, server, incarnation);
+        let verdict = FailureDetector::evaluate_gossip(self.fleet.now, server, incarnation);
         self.apply(verdict, index, actions);
-        if matches!(verdict, Verdict::Eject { .. }) {
+        if matches!(verdict, HealthAction::Eject { .. }) {
             self.check_soon(index);
         }
     }
--- a/crates/balancer/src/policy.rs
+++ b/crates/balancer/src/policy.rs
@@ -1,12 +1,11 @@
-//! The decisions of the balancer, one type each.
+//! The policies of the balancer, one type per decision.
 //!
-//! A decision owns its constants and what it alone remembers. It reads the fleet, draws from the
-//! generator that it is handed, and returns what is to be done and why; it changes nothing else.
-//! None reaches another one through [`Balancer`](crate::Balancer): what it needs of another is
-//! imported or handed in. The law of each stands at the top of its file; `docs/balancer.md` has
-//! them all.
+//! A policy owns its constants and its private state. It reads the fleet, draws from the random
+//! number generator that it is given, and returns what to do and why; it has no other side effects.
+//! Policies do not reach each other through [`Balancer`](crate::Balancer): what one needs from
+//! another is imported or passed as an argument. The module documentation of each policy states its
+//! rules; `docs/balancer.md` collects them.
 
-mod attempt_evidence;
 mod ejection;
 mod endpoint_poller;
 mod failure_detector;
@@ -14,6 +13,7 @@
 mod gossip_protocol;
 pub(crate) mod health_check_trust;
 mod health_checker;
+mod health_signal;
 mod load_checker;
 mod load_shedder;
 pub(crate) mod load_source;
@@ -27,13 +27,13 @@
 #[cfg(test)]
 mod test_support;
 
-pub(crate) use attempt_evidence::AttemptEvidence;
-pub(crate) use ejection::{Ejection, Readmission};
-pub(crate) use endpoint_poller::{EndpointPoller, ListLoss};
-pub(crate) use failure_detector::{Audience, FailureDetector, Verdict};
+pub(crate) use ejection::{EjectionDecision, Readmission};
+pub(crate) use endpoint_poller::{EndpointPoller, UpdateFailure};
+pub(crate) use failure_detector::{FailureDetector, HealthAction, SuspicionScope};
 pub(crate) use final_response::FinalResponse;
 pub(crate) use gossip_protocol::{GossipProtocol, PeerMessage};
 pub(crate) use health_checker::{CheckTarget, HealthChecker};
+pub(crate) use health_signal::HealthSignal;
 pub(crate) use load_checker::{LoadCheckResult, LoadChecker, ReportVerdict};
 pub(crate) use load_shedder::{LoadShedder, ShedDecision};
 pub(crate) use load_source::LoadSource;
