--- a/crates/balancer/src/balancer/requests.rs
+++ b/crates/balancer/src/balancer/requests.rs
@@ -66,9 +66,9 @@
             self.dispatch(id, actions);
             return;
         }
-        let max_wait = LoadChecker::max_wait(request);
+        let timeout = LoadChecker::timeout(request);
         request.on_load_checks_started(ids);
-        self.set_request_timer(id, max_wait, actions);
+        self.set_request_timer(id, timeout, actions);
     }
 
     /// A health check ended: requests that awaited nothing else are dispatched.
--- a/crates/balancer/src/balancer/servers.rs
+++ b/crates/balancer/src/balancer/servers.rs
@@ -3,7 +3,7 @@
 use crate::balancer::Balancer;
 use crate::policy::{
     AttemptEvidence, Audience, Ejection, FailureDetector, GossipProtocol, LoadChecker, Readmission,
-    ReportVerdict, Verdict,
+    ReportValidity, Verdict,
 };
 use crate::state::{HealthCheckKind, InFlightAttempt, ServerIndex};
 use crate::{
@@ -83,12 +83,12 @@
         };
         let source = self.fleet.settings.load_source();
         let server = &mut self.fleet.servers[index];
-        match LoadChecker::judge_report(source, server, report) {
-            ReportVerdict::Believed { in_flight } => {
+        match LoadChecker::validate_report(source, server, report) {
+            ReportValidity::Accepted { in_flight } => {
                 server.on_load_report(in_flight, source, self.fleet.now);
                 self.fleet.estimators.utilization.on_load_report(in_flight);
             }
-            ReportVerdict::ContradictsOwnAttempts | ReportVerdict::Malformed => {}
+            ReportValidity::ContradictsOwnAttempts | ReportValidity::Malformed => {}
         }
     }
 
--- a/crates/balancer/src/policy.rs
+++ b/crates/balancer/src/policy.rs
@@ -34,7 +34,7 @@
 pub(crate) use final_response::FinalResponse;
 pub(crate) use gossip_protocol::{GossipProtocol, PeerMessage};
 pub(crate) use health_checker::{CheckTarget, HealthChecker};
-pub(crate) use load_checker::{LoadCheckResult, LoadChecker, ReportVerdict};
+pub(crate) use load_checker::{LoadCheckResult, LoadChecker, ReportValidity};
 pub(crate) use load_shedder::{LoadShedder, ShedDecision};
 pub(crate) use load_source::LoadSource;
 pub(crate) use retry_policy::{RetryDecision, RetryPolicy, RetryTarget};
--- a/crates/balancer/src/policy/load_checker.rs
+++ b/crates/balancer/src/policy/load_checker.rs
@@ -31,7 +31,7 @@
 /// Share of the latency objective for which a request waits for its load checks. Longer, and a
 /// server that does not answer costs the time of the request itself. Inherited with the first
 /// version of the module; its source was not recorded.
-const MAX_WAIT_SHARE_OF_OBJECTIVE: f64 = 0.02;
+const TIMEOUT_FRACTION_OF_OBJECTIVE: f64 = 0.02;
 /// Requests by which a report may fall below the attempts that are known to be in flight and still
 /// be believed. Any value between 0 and 1 says the same of whole numbers.
 const REPORT_TOLERANCE: f64 = 0.5;
@@ -52,9 +52,9 @@
 
 /// What becomes of a load report.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum ReportVerdict {
+pub(crate) enum ReportValidity {
     /// The server holds this many requests.
-    Believed {
+    Accepted {
         /// Requests in flight there.
         in_flight: f64,
     },
@@ -84,8 +84,8 @@
 
     /// How long a request waits for its load checks, in microseconds. Goes by its own objective, as
     /// its client may have had less time than its class says.
-    pub(crate) fn max_wait(request: &RequestState) -> Micros {
-        (request.objective() as f64 * MAX_WAIT_SHARE_OF_OBJECTIVE) as Micros
+    pub(crate) fn timeout(request: &RequestState) -> Micros {
+        (request.objective() as f64 * TIMEOUT_FRACTION_OF_OBJECTIVE) as Micros
     }
 
     /// The least loaded of the servers that answered since the request arrived.
@@ -98,44 +98,44 @@
         let mut servers: Vec<ServerIndex> = checked
             .iter()
             .filter_map(|&id| fleet.servers.find(id))
-            .filter(|&index| has_answered(fleet, &fleet.servers[index], since))
+            .filter(|&index| has_usable_report(fleet, &fleet.servers[index], since))
             .collect();
         let estimates = fleet.estimates();
         let load = |index: &ServerIndex| estimates.load(&fleet.servers[*index]);
         let least = servers.iter().map(load).fold(f64::MAX, f64::min);
-        let max_load = max_believed_load(fleet).min(least + EQUAL_LOAD_TOLERANCE);
+        let max_load = max_accepted_load(fleet).min(least + EQUAL_LOAD_TOLERANCE);
         servers.retain(|index| load(index) < max_load);
         LoadCheckResult::LeastLoaded(servers)
     }
 
     /// Whether a load report of a server is believed. One that a health check brought must hold the
     /// own attempts that were in flight when the check started.
-    pub(crate) fn judge_report(
+    pub(crate) fn validate_report(
         source: LoadSource,
         server: &ServerState,
         report: LoadReport,
-    ) -> ReportVerdict {
+    ) -> ReportValidity {
         let in_flight = report.in_flight;
         if !in_flight.is_finite() || in_flight < 0.0 {
-            return ReportVerdict::Malformed;
+            return ReportValidity::Malformed;
         }
-        let is_late_by_design = source == LoadSource::Responses;
-        if is_late_by_design || in_flight + REPORT_TOLERANCE >= known_in_flight(server) {
-            ReportVerdict::Believed { in_flight }
+        let is_delayed = source == LoadSource::Responses;
+        if is_delayed || in_flight + REPORT_TOLERANCE >= in_flight_before_check(server) {
+            ReportValidity::Accepted { in_flight }
         } else {
-            ReportVerdict::ContradictsOwnAttempts
+            ReportValidity::ContradictsOwnAttempts
         }
     }
 }
 
-fn has_answered(fleet: &Fleet, server: &ServerState, since: Micros) -> bool {
+fn has_usable_report(fleet: &Fleet, server: &ServerState, since: Micros) -> bool {
     let is_usable = !server.suspicion.is_suspected() && fleet.is_ready(server);
     is_usable && server.load.updated_at() >= since
 }
 
 /// Where health checks are unreliable, a server that reports to be idle is believed, but no other
 /// is preferred because it is silent.
-fn max_believed_load(fleet: &Fleet) -> f64 {
+fn max_accepted_load(fleet: &Fleet) -> f64 {
     match fleet.health_check_trust() {
         HealthCheckTrust::Trusted => f64::MAX,
         HealthCheckTrust::Untrusted => 1.0 + fleet.estimators.utilization.utilization(),
@@ -144,7 +144,7 @@
 
 /// Own attempts that were in flight when the health check in progress started; none without a
 /// check.
-fn known_in_flight(server: &ServerState) -> f64 {
+fn in_flight_before_check(server: &ServerState) -> f64 {
     let check_started_at = server.health_check.started_at();
     server
         .in_flight()
--- a/crates/balancer/src/policy/load_checker/tests.rs
+++ b/crates/balancer/src/policy/load_checker/tests.rs
@@ -1,4 +1,4 @@
-use super::{LoadCheckResult, LoadChecker, ReportVerdict};
+use super::{LoadCheckResult, LoadChecker, ReportValidity};
 use crate::fleet::Fleet;
 use crate::policy::load_source::LoadSource;
 use crate::policy::test_support::{
@@ -91,17 +91,17 @@
     let now = fleet.now;
     fleet.servers[FIRST].health_check.on_started(now);
     send(&mut fleet, FIRST, 3);
-    let judge = |source, in_flight| {
-        LoadChecker::judge_report(source, &fleet.servers[FIRST], report(in_flight))
+    let validate = |source, in_flight| {
+        LoadChecker::validate_report(source, &fleet.servers[FIRST], report(in_flight))
     };
-    let believed = |in_flight| ReportVerdict::Believed { in_flight };
-    assert_eq!(judge(LoadSource::LoadChecks, 2.0), believed(2.0));
-    let contradiction = ReportVerdict::ContradictsOwnAttempts;
-    assert_eq!(judge(LoadSource::LoadChecks, 1.0), contradiction);
+    let accepted = |in_flight| ReportValidity::Accepted { in_flight };
+    assert_eq!(validate(LoadSource::LoadChecks, 2.0), accepted(2.0));
+    let contradiction = ReportValidity::ContradictsOwnAttempts;
+    assert_eq!(validate(LoadSource::LoadChecks, 1.0), contradiction);
     // Reports in responses are of some time before.
-    assert_eq!(judge(LoadSource::Responses, 1.0), believed(1.0));
+    assert_eq!(validate(LoadSource::Responses, 1.0), accepted(1.0));
     for malformed in [-1.0, f64::NAN, f64::INFINITY] {
-        let verdict = judge(LoadSource::Responses, malformed);
-        assert_eq!(verdict, ReportVerdict::Malformed, "{malformed}");
+        let validity = validate(LoadSource::Responses, malformed);
+        assert_eq!(validity, ReportValidity::Malformed, "{malformed}");
     }
 }
