--- a/crates/balancer/src/balancer/requests.rs
+++ b/crates/balancer/src/balancer/requests.rs
@@ -34,7 +34,7 @@
         let workload = &mut self.fleet.estimators.workload;
         let relative_work = workload.on_request_arrived(class, hint, now);
         let request = RequestState::new(incoming, class, relative_work, now);
-        let decision = LoadShedder::judge_arrival(&self.fleet, incoming, class, &request);
+        let decision = LoadShedder::decide_on_arrival(&self.fleet, incoming, class, &request);
         self.requests.on_request_arrived(incoming.id, request);
         self.policies.retry_policy.on_request_arrived();
         if decision != ShedDecision::Admit {
@@ -90,7 +90,8 @@
         };
         let selection = ServerSelector::select(&self.fleet, request, &candidates, &mut self.rng);
         let load_shedder = &mut self.policies.load_shedder;
-        let decision = load_shedder.judge_selection(&self.fleet, request, selection, &mut self.rng);
+        let decision =
+            load_shedder.decide_after_selection(&self.fleet, request, selection, &mut self.rng);
         match selection {
             Selection::NoneKnown => {
                 match ServerSelector::wait_for_server(self.fleet.now, request) {
@@ -207,7 +208,7 @@
         let target = RetryPolicy::judge_target(&self.fleet.servers[server]);
         let load_shedder = &self.policies.load_shedder;
         let is_suitable = target == RetryTarget::Suitable
-            && !load_shedder.exceeds_deadline(&self.fleet, request, server);
+            && !load_shedder.responds_too_late(&self.fleet, request, server);
         is_suitable.then_some(server)
     }
 
--- a/crates/balancer/src/policy/load_shedder.rs
+++ b/crates/balancer/src/policy/load_shedder.rs
@@ -29,33 +29,33 @@
 /// Work of a request without a work hint on arrival, as a share of the mean service time: with less
 /// time left than this it is shed. Inherited with the first version of the module; its source was
 /// not recorded.
-const MIN_SHARE_OF_MEAN_SERVICE_TIME: f64 = 0.5;
+const DEFAULT_WORK_FRACTION: f64 = 0.5;
 /// Share of the time left within which a response must be expected where the fleet is full and no
 /// request misses its objective, for a request of usual value. A fleet that is full serves more by
 /// taking only what it serves for sure. Chosen by experiment over loads from 0.7 to 1.2 of
 /// capacity.
-const MAX_DEADLINE_FRACTION_WHEN_BUSY: f64 = 0.6;
+const MAX_TIME_FRACTION_WHEN_FULL: f64 = 0.6;
 /// What that share loses as all requests miss their objective: 0.35 of the time left then. Chosen
 /// by experiment over loads from 0.7 to 1.2 of capacity.
-const DEADLINE_FRACTION_LOST_WHEN_FULL: f64 = 0.25;
+const TIME_FRACTION_MISS_PENALTY: f64 = 0.25;
 /// Requests ahead of a request from which there is a queue. Below, what is ahead is the rest of an
 /// estimate. Inherited with the first version of the module; its source was not recorded.
 const MIN_REQUESTS_AHEAD: f64 = 0.5;
 /// Share of requests that find no server in time, above which late responses are not bought any
 /// more: the capacity they take is needed for responses in time. Chosen by experiment on the
 /// testbed's deployments (docs/deployments.md).
-const MAX_MISSED_SHARE_FOR_LATE_RESPONSES: f64 = 0.05;
+const MAX_MISS_RATE_FOR_LATE_RESPONSES: f64 = 0.05;
 /// Saturation above which requests of the least priority are shed. Below it, nothing is. Chosen by
 /// experiment: with 100 balancers 0.25 shed at moderate load, and 0.30 to 0.40 were tried
 /// (docs/fleet.md).
 const SHEDDING_THRESHOLD: f64 = 0.32;
 /// Saturation above the threshold at which all requests are shed; a smaller span sheds more
 /// steeply. Chosen by experiment: 0.20 to 0.50 were tried (docs/fleet.md).
-const SHEDDING_SPAN: f64 = 0.35;
+const SHEDDING_RANGE: f64 = 0.35;
 /// Rise of the shedding probability over the span. With 2, all requests of the least priority are
 /// shed in the middle of it, where those of the greatest begin to be. Follows from the span being
 /// for all of them.
-const PROBABILITY_OVER_SPAN: f64 = 2.0;
+const PROBABILITY_GAIN: f64 = 2.0;
 
 /// Whether a request is shed, and why.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -63,11 +63,11 @@
     /// It is not.
     Admit,
     /// Its client does not wait any more.
-    NoTimeLeft,
+    DeadlinePassed,
     /// It would miss its objective on an idle server.
     CannotMeetObjective,
     /// The server selected would respond so late that its work is better spent on another request.
-    ExceedsDeadline,
+    ResponseTooLate,
     /// The fleet is saturated, and chance took this one.
     Saturated,
 }
@@ -91,7 +91,7 @@
     }
 
     /// Whether a request is shed on arrival.
-    pub(crate) fn judge_arrival(
+    pub(crate) fn decide_on_arrival(
         fleet: &Fleet,
         incoming: &IncomingRequest,
         class: &RequestClass,
@@ -101,13 +101,13 @@
             Some(hint) if hint > 0 => hint as f64,
             _ => {
                 let mean_service_time = fleet.estimators.latency.mean_service_time();
-                mean_service_time * MIN_SHARE_OF_MEAN_SERVICE_TIME
+                mean_service_time * DEFAULT_WORK_FRACTION
             }
         };
         if class.late_value == 0.0 && work > request.objective() as f64 {
             ShedDecision::CannotMeetObjective
         } else if incoming.time_left == 0 {
-            ShedDecision::NoTimeLeft
+            ShedDecision::DeadlinePassed
         } else {
             ShedDecision::Admit
         }
@@ -115,7 +115,7 @@
 
     /// Whether a request is shed for which a server was sought. Draws a random number where nothing
     /// tells of load.
-    pub(crate) fn judge_selection(
+    pub(crate) fn decide_after_selection(
         &mut self,
         fleet: &Fleet,
         request: &RequestState,
@@ -126,15 +126,15 @@
             self.missed_objectives.on_met();
             return ShedDecision::Admit;
         };
-        if self.exceeds_deadline(fleet, request, server) {
+        if self.responds_too_late(fleet, request, server) {
             self.missed_objectives.on_missed();
-            return ShedDecision::ExceedsDeadline;
+            return ShedDecision::ResponseTooLate;
         }
         match selection {
             Selection::NoneInTime(_) => self.missed_objectives.on_missed(),
             Selection::Server(_) | Selection::NoneKnown => self.missed_objectives.on_met(),
         }
-        if self.is_shed_at_random(fleet, request, rng) {
+        if self.is_shed_by_saturation(fleet, request, rng) {
             ShedDecision::Saturated
         } else {
             ShedDecision::Admit
@@ -142,7 +142,7 @@
     }
 
     /// True where a server would respond so late that its work is better spent on another request.
-    pub(crate) fn exceeds_deadline(
+    pub(crate) fn responds_too_late(
         &self,
         fleet: &Fleet,
         request: &RequestState,
@@ -154,28 +154,28 @@
         match fleet.settings.load_source() {
             LoadSource::Responses => {
                 forecast.misses_objective(server)
-                    && !self.buys_late_response(class, &forecast, server)
+                    && !self.accepts_late_response(class, &forecast, server)
             }
             LoadSource::LoadChecks if class.late_value == 0.0 && fleet.load_reports_trusted() => {
-                self.waits_too_long(fleet, &forecast, request, server)
+                self.exceeds_time_budget(fleet, &forecast, request, server)
             }
             LoadSource::LoadChecks | LoadSource::Unknown => false,
         }
     }
 
     /// A late response is bought where there is room for it; a server in slow start has none.
-    fn buys_late_response(
+    fn accepts_late_response(
         &self,
         class: &RequestClass,
         forecast: &ResponseForecast<'_>,
         server: &ServerState,
     ) -> bool {
-        let has_room = !server.slow_start.is_active()
-            && self.missed_objectives.rate() < MAX_MISSED_SHARE_FOR_LATE_RESPONSES;
-        class.late_value > 0.0 && has_room && !forecast.misses_deadline(server)
+        let has_spare_capacity = !server.slow_start.is_active()
+            && self.missed_objectives.rate() < MAX_MISS_RATE_FOR_LATE_RESPONSES;
+        class.late_value > 0.0 && has_spare_capacity && !forecast.misses_deadline(server)
     }
 
-    fn waits_too_long(
+    fn exceeds_time_budget(
         &self,
         fleet: &Fleet,
         forecast: &ResponseForecast<'_>,
@@ -185,9 +185,9 @@
         if forecast.requests_ahead(server) < MIN_REQUESTS_AHEAD {
             return false;
         }
-        let sure_share = MAX_DEADLINE_FRACTION_WHEN_BUSY
-            - DEADLINE_FRACTION_LOST_WHEN_FULL * self.missed_objectives.rate();
-        let excess = (1.0 - sure_share * forecast.value_density()).max(0.0);
+        let max_fraction_when_full = MAX_TIME_FRACTION_WHEN_FULL
+            - TIME_FRACTION_MISS_PENALTY * self.missed_objectives.rate();
+        let excess = (1.0 - max_fraction_when_full * forecast.value_density()).max(0.0);
         let share = 1.0 - fleet.estimators.utilization.fullness() * excess;
         let time_left = request.objective_at().saturating_sub(fleet.now) as f64;
         forecast.expected_service_time(server) > share * time_left
@@ -195,7 +195,7 @@
 
     /// Sheds as much as the saturation asks for. Queues that all balancers fill together show in
     /// none of their own few requests, but in how long responses take.
-    fn is_shed_at_random(
+    fn is_shed_by_saturation(
         &self,
         fleet: &Fleet,
         request: &RequestState,
@@ -207,6 +207,6 @@
         }
         let rank = fleet.settings.priority_rank(class);
         let excess = self.saturation.saturation(fleet.now) - SHEDDING_THRESHOLD;
-        rng.f64() < PROBABILITY_OVER_SPAN * excess / SHEDDING_SPAN - rank
+        rng.f64() < PROBABILITY_GAIN * excess / SHEDDING_RANGE - rank
     }
 }
--- a/crates/balancer/src/policy/load_shedder/tests.rs
+++ b/crates/balancer/src/policy/load_shedder/tests.rs
@@ -22,44 +22,44 @@
 }
 
 /// How many of a thousand requests are shed at random at this saturation.
-fn shed_of_a_thousand(saturation: f64, fleet: &Fleet) -> usize {
+fn shed_per_thousand(saturation: f64, fleet: &Fleet) -> usize {
     let mut shedder = shedder_at(saturation, fleet);
     let mut rng = fastrand::Rng::with_seed(1);
     let selection = Selection::Server(FIRST);
     let request = request(fleet);
     (0..1_000)
-        .map(|_| shedder.judge_selection(fleet, &request, selection, &mut rng))
+        .map(|_| shedder.decide_after_selection(fleet, &request, selection, &mut rng))
         .filter(|decision| *decision == ShedDecision::Saturated)
         .count()
 }
 
 #[test]
 fn request_that_cannot_meet_its_objective_is_shed_on_arrival() {
-    let judge = |time_left: Micros, work_hint: Option<Micros>| {
+    let decide = |time_left: Micros, work_hint: Option<Micros>| {
         let fleet = fleet(settings(), 1);
         let class = &fleet.settings.classes[0];
         let incoming = incoming(time_left, work_hint);
         let request = RequestState::new(&incoming, class, 1.0, fleet.now);
-        LoadShedder::judge_arrival(&fleet, &incoming, class, &request)
+        LoadShedder::decide_on_arrival(&fleet, &incoming, class, &request)
     };
-    assert_eq!(judge(600 * MS, Some(250 * MS)), ShedDecision::Admit);
-    let too_large = judge(600 * MS, Some(251 * MS));
+    assert_eq!(decide(600 * MS, Some(250 * MS)), ShedDecision::Admit);
+    let too_large = decide(600 * MS, Some(251 * MS));
     assert_eq!(too_large, ShedDecision::CannotMeetObjective);
     // Half of the mean service time is 15.6 ms before any response.
-    assert_eq!(judge(16 * MS, None), ShedDecision::Admit);
-    assert_eq!(judge(15 * MS, None), ShedDecision::CannotMeetObjective);
+    assert_eq!(decide(16 * MS, None), ShedDecision::Admit);
+    assert_eq!(decide(15 * MS, None), ShedDecision::CannotMeetObjective);
 }
 
 #[test]
 fn saturation_sheds_from_a_third_of_the_objective_on_and_the_greatest_priority_last() {
     let mut fleet = fleet(settings(), 1);
-    assert_eq!(shed_of_a_thousand(0.31, &fleet), 0);
-    assert!((400..=520).contains(&shed_of_a_thousand(0.40, &fleet)));
-    assert_eq!(shed_of_a_thousand(0.50, &fleet), 1_000);
+    assert_eq!(shed_per_thousand(0.31, &fleet), 0);
+    assert!((400..=520).contains(&shed_per_thousand(0.40, &fleet)));
+    assert_eq!(shed_per_thousand(0.50, &fleet), 1_000);
     fleet.settings.classes.push(class());
     fleet.settings.classes[0].priority_weight = 8.0;
-    assert_eq!(shed_of_a_thousand(0.49, &fleet), 0);
-    assert_eq!(shed_of_a_thousand(0.68, &fleet), 1_000);
+    assert_eq!(shed_per_thousand(0.49, &fleet), 0);
+    assert_eq!(shed_per_thousand(0.68, &fleet), 1_000);
 }
 
 #[test]
@@ -68,7 +68,7 @@
         settings_with_load_checks(),
         settings_with_load_in_responses(),
     ] {
-        assert_eq!(shed_of_a_thousand(1.0, &fleet(settings, 1)), 0);
+        assert_eq!(shed_per_thousand(1.0, &fleet(settings, 1)), 0);
     }
 }
 
@@ -78,9 +78,9 @@
     let request = request(&fleet);
     let shedder = LoadShedder::default();
     // Five requests of 31 ms are 156 of 250 ms: more than 0.6.
-    assert!(!shedder.exceeds_deadline(&fleet, &request, FIRST));
+    assert!(!shedder.responds_too_late(&fleet, &request, FIRST));
     (0..200).for_each(|_| fleet.estimators.utilization.on_load_report(1.0));
-    assert!(shedder.exceeds_deadline(&fleet, &request, FIRST));
+    assert!(shedder.responds_too_late(&fleet, &request, FIRST));
 }
 
 #[test]
@@ -91,12 +91,12 @@
     let request = request(&fleet);
     let mut shedder = LoadShedder::default();
     let mut rng = fastrand::Rng::with_seed(1);
-    let mut judge =
-        || shedder.judge_selection(&fleet, &request, Selection::NoneInTime(FIRST), &mut rng);
+    let mut decide =
+        || shedder.decide_after_selection(&fleet, &request, Selection::NoneInTime(FIRST), &mut rng);
     // The second one finds one request in twenty late.
-    let decisions = [judge(), judge()];
-    let expected = [ShedDecision::Admit, ShedDecision::ExceedsDeadline];
+    let decisions = [decide(), decide()];
+    let expected = [ShedDecision::Admit, ShedDecision::ResponseTooLate];
     assert_eq!(decisions, expected);
     restart(&mut fleet, FIRST);
-    assert!(LoadShedder::default().exceeds_deadline(&fleet, &request, FIRST));
+    assert!(LoadShedder::default().responds_too_late(&fleet, &request, FIRST));
 }
