--- a/crates/balancer/src/balancer/requests.rs
+++ b/crates/balancer/src/balancer/requests.rs
@@ -2,9 +2,8 @@
 
 use crate::balancer::Balancer;
 use crate::policy::{
-    Candidates, FinalResponse, LoadCheckResult, LoadChecker, LoadKnowledge, LoadShedder,
-    LoadSource, RetryDecision, RetryPolicy, RetryTarget, Selection, ServerSelector, ServerWait,
-    ShedDecision,
+    Candidates, FinalResponse, LoadCheckResult, LoadChecker, LoadShedder, LoadSource, LoadStatus,
+    RetryDecision, RetryPolicy, RetryTarget, Selection, ServerSelector, ServerWait, ShedDecision,
 };
 use crate::state::{InFlightAttempt, RequestState, RetryScope, ServerIndex};
 use crate::{Action, Actions, AttemptEnd, IncomingRequest, RequestId, ServerId};
@@ -93,13 +92,13 @@
         let decision =
             load_shedder.decide_after_selection(&self.fleet, request, selection, &mut self.rng);
         match selection {
-            Selection::NoneKnown => {
+            Selection::NoCandidate => {
                 match ServerSelector::wait_for_server(self.fleet.now, request) {
-                    ServerWait::LookAgainAfter(after) => self.set_request_timer(id, after, actions),
+                    ServerWait::WaitFor(after) => self.set_request_timer(id, after, actions),
                     ServerWait::GiveUp => self.give_up(id, actions),
                 }
             }
-            Selection::Server(server) | Selection::NoneInTime(server) => match decision {
+            Selection::Server(server) | Selection::LateServer(server) => match decision {
                 ShedDecision::Admit => self.send(id, server, actions),
                 _ => self.give_up(id, actions),
             },
@@ -108,16 +107,16 @@
 
     /// The servers that load checks found, else all candidates of the subset.
     fn first_candidates(&mut self, load_checks: LoadCheckResult) -> Candidates {
-        let (mut servers, load_knowledge) = match load_checks {
-            LoadCheckResult::LeastLoaded(servers) => (servers, LoadKnowledge::Checked),
-            LoadCheckResult::NotChecked => (Vec::new(), LoadKnowledge::Unchecked),
+        let (mut servers, load_status) = match load_checks {
+            LoadCheckResult::LeastLoaded(servers) => (servers, LoadStatus::Checked),
+            LoadCheckResult::NotChecked => (Vec::new(), LoadStatus::Unchecked),
         };
         if servers.is_empty() {
             servers = self.candidates(RetryScope::Anywhere, &[]);
         }
         Candidates {
             servers,
-            load_knowledge,
+            load_status,
         }
     }
 
@@ -200,7 +199,7 @@
     ) -> Option<ServerIndex> {
         let candidates = Candidates {
             servers: self.candidates(scope, tried),
-            load_knowledge: LoadKnowledge::Unchecked,
+            load_status: LoadStatus::Unchecked,
         };
         let request = self.requests.get(id)?;
         let selection = ServerSelector::select(&self.fleet, request, &candidates, &mut self.rng);
--- a/crates/balancer/src/policy.rs
+++ b/crates/balancer/src/policy.rs
@@ -38,8 +38,6 @@
 pub(crate) use load_shedder::{LoadShedder, ShedDecision};
 pub(crate) use load_source::LoadSource;
 pub(crate) use retry_policy::{RetryDecision, RetryPolicy, RetryTarget};
-pub(crate) use server_selector::{
-    Candidates, LoadKnowledge, Selection, ServerSelector, ServerWait,
-};
+pub(crate) use server_selector::{Candidates, LoadStatus, Selection, ServerSelector, ServerWait};
 pub(crate) use slow_start_admission::{Admission, SlowStartAdmission};
 pub(crate) use subsetter::{CandidateFilter, Subsetter};
--- a/crates/balancer/src/policy/load_shedder.rs
+++ b/crates/balancer/src/policy/load_shedder.rs
@@ -131,8 +131,8 @@
             return ShedDecision::ResponseTooLate;
         }
         match selection {
-            Selection::NoneInTime(_) => self.missed_objectives.on_missed(),
-            Selection::Server(_) | Selection::NoneKnown => self.missed_objectives.on_met(),
+            Selection::LateServer(_) => self.missed_objectives.on_missed(),
+            Selection::Server(_) | Selection::NoCandidate => self.missed_objectives.on_met(),
         }
         if self.is_shed_by_saturation(fleet, request, rng) {
             ShedDecision::Saturated
--- a/crates/balancer/src/policy/load_shedder/tests.rs
+++ b/crates/balancer/src/policy/load_shedder/tests.rs
@@ -92,7 +92,7 @@
     let mut shedder = LoadShedder::default();
     let mut rng = fastrand::Rng::with_seed(1);
     let mut decide =
-        || shedder.decide_after_selection(&fleet, &request, Selection::NoneInTime(FIRST), &mut rng);
+        || shedder.decide_after_selection(&fleet, &request, Selection::LateServer(FIRST), &mut rng);
     // The second one finds one request in twenty late.
     let decisions = [decide(), decide()];
     let expected = [ShedDecision::Admit, ShedDecision::ResponseTooLate];
--- a/crates/balancer/src/policy/server_selector.rs
+++ b/crates/balancer/src/policy/server_selector.rs
@@ -29,9 +29,9 @@
 /// Share of the latency objective for which a request waits where no server is known. Longer, and
 /// there is no time left to serve it. Inherited with the first version of the module; its source
 /// was not recorded.
-const MAX_WAIT_SHARE_OF_OBJECTIVE: f64 = 0.5;
+const MAX_WAIT_FRACTION_OF_OBJECTIVE: f64 = 0.5;
 /// Time between two looks for a server, in microseconds: that of the balancer's tick.
-const WAIT_INTERVAL: Micros = 25_000;
+const RESELECTION_INTERVAL: Micros = 25_000;
 
 /// The servers that may get a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -39,12 +39,12 @@
     /// Their indices.
     pub(crate) servers: Vec<ServerIndex>,
     /// Whether servers were asked for their load for this attempt.
-    pub(crate) load_knowledge: LoadKnowledge,
+    pub(crate) load_status: LoadStatus,
 }
 
 /// Whether servers were asked for their load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum LoadKnowledge {
+pub(crate) enum LoadStatus {
     /// They were asked: also one in slow start may be taken for its low load.
     Checked,
     /// They were not: one in slow start looks idle to all balancers at once.
@@ -57,17 +57,17 @@
     /// This one, which is expected to respond in time, or of which nothing is expected.
     Server(ServerIndex),
     /// No candidate is expected to respond in time; this is the best of those that were drawn.
-    NoneInTime(ServerIndex),
+    LateServer(ServerIndex),
     /// There is no candidate.
-    NoneKnown,
+    NoCandidate,
 }
 
 impl Selection {
     /// The server, if there is one.
     pub(crate) fn server(self) -> Option<ServerIndex> {
         match self {
-            Self::Server(server) | Self::NoneInTime(server) => Some(server),
-            Self::NoneKnown => None,
+            Self::Server(server) | Self::LateServer(server) => Some(server),
+            Self::NoCandidate => None,
         }
     }
 }
@@ -76,7 +76,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ServerWait {
     /// It looks again after so many microseconds.
-    LookAgainAfter(Micros),
+    WaitFor(Micros),
     /// It has waited for as long as it may.
     GiveUp,
 }
@@ -96,23 +96,23 @@
         let is_in_time = |index: &ServerIndex| !forecast.misses_objective(&fleet.servers[*index]);
         let all = &candidates.servers;
         let in_time: Vec<ServerIndex> = all.iter().copied().filter(is_in_time).collect();
-        let load_knowledge = candidates.load_knowledge;
+        let load_status = candidates.load_status;
         if in_time.is_empty() {
-            let best = better_of_two(fleet, all, load_knowledge, rng);
-            best.map_or(Selection::NoneKnown, Selection::NoneInTime)
+            let best = better_of_two(fleet, all, load_status, rng);
+            best.map_or(Selection::NoCandidate, Selection::LateServer)
         } else {
-            let best = better_of_two(fleet, &in_time, load_knowledge, rng);
-            best.map_or(Selection::NoneKnown, Selection::Server)
+            let best = better_of_two(fleet, &in_time, load_status, rng);
+            best.map_or(Selection::NoCandidate, Selection::Server)
         }
     }
 
     /// What a request does for which no server is known: it waits while there is time for two
     /// looks.
     pub(crate) fn wait_for_server(now: Micros, request: &RequestState) -> ServerWait {
-        let max_wait = (request.objective() as f64 * MAX_WAIT_SHARE_OF_OBJECTIVE) as Micros;
+        let max_wait = (request.objective() as f64 * MAX_WAIT_FRACTION_OF_OBJECTIVE) as Micros;
         let wait_until = request.deadline_at().min(request.arrived_at() + max_wait);
-        if now + 2 * WAIT_INTERVAL < wait_until {
-            ServerWait::LookAgainAfter(WAIT_INTERVAL)
+        if now + 2 * RESELECTION_INTERVAL < wait_until {
+            ServerWait::WaitFor(RESELECTION_INTERVAL)
         } else {
             ServerWait::GiveUp
         }
@@ -124,17 +124,17 @@
 fn better_of_two(
     fleet: &Fleet,
     servers: &[ServerIndex],
-    load_knowledge: LoadKnowledge,
+    load_status: LoadStatus,
     rng: &mut fastrand::Rng,
 ) -> Option<ServerIndex> {
     let (first, second) = draw_two(fleet, servers, rng)?;
-    let is_cold = |index: ServerIndex| fleet.servers[index].slow_start.is_active();
-    let is_any_cold = is_cold(first) || is_cold(second);
-    if load_knowledge == LoadKnowledge::Unchecked && is_any_cold {
+    let is_in_slow_start = |index: ServerIndex| fleet.servers[index].slow_start.is_active();
+    let is_any_in_slow_start = is_in_slow_start(first) || is_in_slow_start(second);
+    if load_status == LoadStatus::Unchecked && is_any_in_slow_start {
         return Some(first);
     }
     let estimates = fleet.estimates();
-    let load = |index: ServerIndex| compared_load(&estimates, &fleet.servers[index]);
+    let load = |index: ServerIndex| load_for_comparison(&estimates, &fleet.servers[index]);
     let is_second_less_loaded = load(second) < load(first);
     Some(if is_second_less_loaded { second } else { first })
 }
@@ -169,11 +169,11 @@
 
 /// What two servers are compared by. Where nothing reports load these are the attempts in flight
 /// against the machine's cores, as its weight in the draw stands for the rest already.
-fn compared_load(estimates: &Estimates<'_>, server: &ServerState) -> f64 {
+fn load_for_comparison(estimates: &Estimates<'_>, server: &ServerState) -> f64 {
     let load = estimates.load(server);
     if estimates.settings.load_source() != LoadSource::Unknown {
         return load;
     }
-    let own_share = estimates.relative_service_time(server);
-    (load - own_share) / server.endpoint().machine_type.cores
+    let own_service_time = estimates.relative_service_time(server);
+    (load - own_service_time) / server.endpoint().machine_type.cores
 }
--- a/crates/balancer/src/policy/server_selector/tests.rs
+++ b/crates/balancer/src/policy/server_selector/tests.rs
@@ -1,4 +1,4 @@
-use super::{Candidates, LoadKnowledge, Selection, ServerSelector, ServerWait};
+use super::{Candidates, LoadStatus, Selection, ServerSelector, ServerWait};
 use crate::fleet::Fleet;
 use crate::policy::test_support::{
     FIRST, MS, SECOND, fleet, request, restart, send, settings, settings_with_load_in_responses,
@@ -8,7 +8,7 @@
 fn candidates(servers: &[ServerIndex]) -> Candidates {
     Candidates {
         servers: servers.to_vec(),
-        load_knowledge: LoadKnowledge::Unchecked,
+        load_status: LoadStatus::Unchecked,
     }
 }
 
@@ -52,7 +52,7 @@
     send(&mut fleet, SECOND, 1);
     let unchecked = candidates(&[FIRST, SECOND]);
     let checked = Candidates {
-        load_knowledge: LoadKnowledge::Checked,
+        load_status: LoadStatus::Checked,
         ..unchecked.clone()
     };
     let [cold, _] = selections(&fleet, &unchecked);
@@ -73,7 +73,7 @@
     let mut rng = fastrand::Rng::with_seed(1);
     let both = candidates(&[FIRST, SECOND]);
     let selection = ServerSelector::select(&fleet, &request(&fleet), &both, &mut rng);
-    assert!(matches!(selection, Selection::NoneInTime(_)));
+    assert!(matches!(selection, Selection::LateServer(_)));
 }
 
 #[test]
@@ -82,10 +82,10 @@
     let mut rng = fastrand::Rng::with_seed(1);
     let request = request(&fleet);
     let selection = ServerSelector::select(&fleet, &request, &candidates(&[]), &mut rng);
-    assert_eq!(selection, Selection::NoneKnown);
+    assert_eq!(selection, Selection::NoCandidate);
     let wait = |now| ServerSelector::wait_for_server(now, &request);
     fleet.now += 74 * MS;
-    assert_eq!(wait(fleet.now), ServerWait::LookAgainAfter(25 * MS));
+    assert_eq!(wait(fleet.now), ServerWait::WaitFor(25 * MS));
     fleet.now += MS;
     assert_eq!(wait(fleet.now), ServerWait::GiveUp);
 }
