--- a/crates/balancer/src/balancer/requests.rs
+++ b/crates/balancer/src/balancer/requests.rs
@@ -204,7 +204,7 @@
         let request = self.requests.get(id)?;
         let selection = ServerSelector::select(&self.fleet, request, &candidates, &mut self.rng);
         let server = selection.server()?;
-        let target = RetryPolicy::judge_target(&self.fleet.servers[server]);
+        let target = RetryPolicy::assess_target(&self.fleet.servers[server]);
         let load_shedder = &self.policies.load_shedder;
         let is_suitable = target == RetryTarget::Suitable
             && !load_shedder.responds_too_late(&self.fleet, request, server);
--- a/crates/balancer/src/policy/retry_budget.rs
+++ b/crates/balancer/src/policy/retry_budget.rs
@@ -16,10 +16,10 @@
 /// module; its source was not recorded.
 const TOKENS_PER_REQUEST: f64 = 0.05;
 /// Tokens that a retry costs: the unit.
-const COST: f64 = 1.0;
+const RETRY_COST: f64 = 1.0;
 /// Tokens that a retry costs where no attempt can have executed, and so the servers have spent
 /// little on it. Inherited with the first version of the module; its source was not recorded.
-const COST_IF_NEVER_EXECUTED: f64 = 0.25;
+const RETRY_COST_IF_NEVER_EXECUTED: f64 = 0.25;
 /// Most tokens saved up: they bound the burst of retries after a calm time. Inherited with the
 /// first version of the module; its source was not recorded.
 const MAX_TOKENS: f64 = 10.0;
@@ -46,8 +46,8 @@
 
     fn retry_cost(self) -> f64 {
         match self {
-            Self::Possible => COST,
-            Self::Impossible => COST_IF_NEVER_EXECUTED,
+            Self::Possible => RETRY_COST,
+            Self::Impossible => RETRY_COST_IF_NEVER_EXECUTED,
         }
     }
 }
@@ -71,7 +71,7 @@
     }
 
     /// True where there are tokens for a retry.
-    pub(crate) fn covers_retry(&self, prior: PriorExecution) -> bool {
+    pub(crate) fn allows_retry(&self, prior: PriorExecution) -> bool {
         self.tokens >= prior.retry_cost()
     }
 
--- a/crates/balancer/src/policy/retry_budget/tests.rs
+++ b/crates/balancer/src/policy/retry_budget/tests.rs
@@ -1,9 +1,9 @@
 use super::{PriorExecution, RetryBudget};
 
 /// Retries that the budget covers one after another.
-fn covered_retries(budget: &mut RetryBudget, prior: PriorExecution) -> u32 {
+fn allowed_retries(budget: &mut RetryBudget, prior: PriorExecution) -> u32 {
     let mut retries = 0;
-    while budget.covers_retry(prior) {
+    while budget.allows_retry(prior) {
         budget.on_retry(prior);
         retries += 1;
     }
@@ -11,13 +11,13 @@
 }
 
 #[test]
-fn new_budget_covers_five_retries_or_four_times_as_many_that_never_executed() {
+fn new_budget_allows_five_retries_or_four_times_as_many_that_never_executed() {
     assert_eq!(
-        covered_retries(&mut RetryBudget::new(), PriorExecution::Possible),
+        allowed_retries(&mut RetryBudget::new(), PriorExecution::Possible),
         5
     );
     assert_eq!(
-        covered_retries(&mut RetryBudget::new(), PriorExecution::Impossible),
+        allowed_retries(&mut RetryBudget::new(), PriorExecution::Impossible),
         20
     );
 }
@@ -26,13 +26,13 @@
 fn budget_is_capped_at_ten_retries_however_many_requests_arrive() {
     let mut budget = RetryBudget::new();
     (0..10_000).for_each(|_| budget.on_request_arrived());
-    assert_eq!(covered_retries(&mut budget, PriorExecution::Possible), 10);
+    assert_eq!(allowed_retries(&mut budget, PriorExecution::Possible), 10);
 }
 
 #[test]
 fn twenty_one_requests_earn_one_retry_after_the_budget_is_spent() {
     let mut budget = RetryBudget::new();
-    covered_retries(&mut budget, PriorExecution::Possible);
+    allowed_retries(&mut budget, PriorExecution::Possible);
     (0..21).for_each(|_| budget.on_request_arrived());
-    assert_eq!(covered_retries(&mut budget, PriorExecution::Possible), 1);
+    assert_eq!(allowed_retries(&mut budget, PriorExecution::Possible), 1);
 }
--- a/crates/balancer/src/policy/retry_policy.rs
+++ b/crates/balancer/src/policy/retry_policy.rs
@@ -54,9 +54,9 @@
     /// Its idempotency key may be forgotten by the time of the retry.
     DeduplicationWindowClosed,
     /// Two attempts are in flight.
-    EnoughInFlight,
+    TooManyInFlight,
     /// A response would come after the objective, where it has no value.
-    TooLateForValue,
+    TooLateForObjective,
     /// Retries would be more than the budget's share of the requests.
     BudgetExhausted,
 }
@@ -98,27 +98,27 @@
 
     /// Whether a request may be sent again now.
     pub(crate) fn decide(&self, fleet: &Fleet, request: &RequestState) -> RetryDecision {
-        match self.check(fleet, request) {
+        match self.check_all(fleet, request) {
             Ok((scope, prior)) => RetryDecision::Retry { scope, prior },
             Err(refusal) => RetryDecision::Refuse(refusal),
         }
     }
 
-    fn check(
+    fn check_all(
         &self,
         fleet: &Fleet,
         request: &RequestState,
     ) -> Result<(RetryScope, PriorExecution), RetryRefusal> {
-        check_attempts(fleet, request)?;
+        check_limits(fleet, request)?;
         let scope = safe_scope(fleet, request)?;
         if request.in_flight_count() > 1 {
-            return Err(RetryRefusal::EnoughInFlight);
+            return Err(RetryRefusal::TooManyInFlight);
         }
-        if is_too_late_for_value(fleet, request) {
-            return Err(RetryRefusal::TooLateForValue);
+        if is_too_late_for_objective(fleet, request) {
+            return Err(RetryRefusal::TooLateForObjective);
         }
         let prior = PriorExecution::of(request);
-        if self.budget.covers_retry(prior) {
+        if self.budget.allows_retry(prior) {
             Ok((scope, prior))
         } else {
             Err(RetryRefusal::BudgetExhausted)
@@ -126,7 +126,7 @@
     }
 
     /// Whether a server takes a retry.
-    pub(crate) fn judge_target(server: &ServerState) -> RetryTarget {
+    pub(crate) fn assess_target(server: &ServerState) -> RetryTarget {
         if server.is_untrusted() {
             RetryTarget::Untrusted
         } else if server.slow_start.is_active() {
@@ -141,7 +141,7 @@
     pub(crate) fn attempt_timeout(fleet: &Fleet, request: &RequestState) -> Micros {
         let class = fleet.settings.class(request.class());
         let deadline_at = request.deadline_at();
-        let until = if is_late_worthless(class) {
+        let until = if has_no_late_value(class) {
             let objective_at = request.objective_at();
             deadline_at.min(objective_at.saturating_sub(objective_margin(fleet)))
         } else {
@@ -152,7 +152,7 @@
 }
 
 /// What the request itself and the settings allow, whatever its class.
-fn check_attempts(fleet: &Fleet, request: &RequestState) -> Result<(), RetryRefusal> {
+fn check_limits(fleet: &Fleet, request: &RequestState) -> Result<(), RetryRefusal> {
     let retries = &fleet.settings.retries;
     if request.is_streaming() {
         return Err(RetryRefusal::ResponseStarted);
@@ -183,12 +183,12 @@
             if fleet.now + DEDUPLICATION_MARGIN >= known_until {
                 return Err(RetryRefusal::DeduplicationWindowClosed);
             }
-            Ok(deduplicating_servers(class, first))
+            Ok(deduplication_scope(class, first))
         }
     }
 }
 
-fn deduplicating_servers(class: &RequestClass, first: &Attempt) -> RetryScope {
+fn deduplication_scope(class: &RequestClass, first: &Attempt) -> RetryScope {
     match class.deduplication_scope {
         DeduplicationScope::All => RetryScope::Anywhere,
         DeduplicationScope::Zone => RetryScope::Zone(first.zone()),
@@ -196,12 +196,12 @@
     }
 }
 
-fn is_too_late_for_value(fleet: &Fleet, request: &RequestState) -> bool {
+fn is_too_late_for_objective(fleet: &Fleet, request: &RequestState) -> bool {
     let class = fleet.settings.class(request.class());
-    is_late_worthless(class) && fleet.now + objective_margin(fleet) >= request.objective_at()
+    has_no_late_value(class) && fleet.now + objective_margin(fleet) >= request.objective_at()
 }
 
-fn is_late_worthless(class: &RequestClass) -> bool {
+fn has_no_late_value(class: &RequestClass) -> bool {
     class.late_value == 0.0
 }
 
--- a/crates/balancer/src/policy/retry_policy/tests.rs
+++ b/crates/balancer/src/policy/retry_policy/tests.rs
@@ -87,10 +87,10 @@
 }
 
 #[test]
-fn retry_ends_two_steps_before_the_objective_or_with_the_deadline_if_late_responses_have_value() {
-    let two_steps_before = 250 * MS - 2 * MS;
+fn retries_end_two_steps_before_the_objective_or_at_the_deadline_if_late_responses_have_value() {
+    let before_objective = 250 * MS - 2 * MS;
     let table = [
-        (0.0, two_steps_before, RetryRefusal::TooLateForValue),
+        (0.0, before_objective, RetryRefusal::TooLateForObjective),
         (0.2, 600 * MS, RetryRefusal::DeadlinePassed),
     ];
     for (late_value, end, refusal) in table {
@@ -116,8 +116,8 @@
     assert_eq!(decide(&fleet, &request), disabled);
     fleet.settings.retries.hedging = true;
     send(&fleet, &mut request);
-    let enough = RetryDecision::Refuse(RetryRefusal::EnoughInFlight);
-    assert_eq!(decide(&fleet, &request), enough);
+    let too_many = RetryDecision::Refuse(RetryRefusal::TooManyInFlight);
+    assert_eq!(decide(&fleet, &request), too_many);
 }
 
 #[test]
@@ -135,10 +135,10 @@
 #[test]
 fn retry_goes_neither_to_a_suspected_server_nor_to_one_in_slow_start() {
     let mut fleet = fleet(Idempotency::Idempotent, 0.0);
-    let judge = |fleet: &Fleet| RetryPolicy::judge_target(&fleet.servers[FIRST]);
-    assert_eq!(judge(&fleet), RetryTarget::Suitable);
+    let assess = |fleet: &Fleet| RetryPolicy::assess_target(&fleet.servers[FIRST]);
+    assert_eq!(assess(&fleet), RetryTarget::Suitable);
     restart(&mut fleet, FIRST);
-    assert_eq!(judge(&fleet), RetryTarget::InSlowStart);
+    assert_eq!(assess(&fleet), RetryTarget::InSlowStart);
     eject(&mut fleet, FIRST, EjectionCause::Attempts);
-    assert_eq!(judge(&fleet), RetryTarget::Untrusted);
+    assert_eq!(assess(&fleet), RetryTarget::Untrusted);
 }
