--- a/crates/balancer/src/balancer/policies.rs
+++ b/crates/balancer/src/balancer/policies.rs
@@ -90,7 +90,7 @@
                     true
                 }
                 Admission::Admitted => true,
-                Admission::OverQuota | Admission::NotDrawn => false,
+                Admission::OverQuota | Admission::SkippedAtRandom => false,
             }
         });
         servers
--- a/crates/balancer/src/fleet.rs
+++ b/crates/balancer/src/fleet.rs
@@ -39,7 +39,7 @@
 
     /// Number of servers that this balancer uses.
     pub(crate) fn subset_size(&self) -> usize {
-        SubsetSize::servers(&self.settings, self.servers.len(), self.request_rate())
+        SubsetSize::compute(&self.settings, self.servers.len(), self.request_rate())
     }
 
     /// Whether the results of health checks are believed.
--- a/crates/balancer/src/policy/slow_start_admission.rs
+++ b/crates/balancer/src/policy/slow_start_admission.rs
@@ -29,7 +29,7 @@
     /// It has got as much work within the overload window as it may.
     OverQuota,
     /// It is in slow start, and chance leaves it out this time.
-    NotDrawn,
+    SkippedAtRandom,
 }
 
 /// Admits servers to draws; owns the measure of what a warm server gets.
@@ -61,14 +61,14 @@
         let sent = server.slow_start.work_sent_within(window, fleet.now);
         let quota = self.warm_server_quota.per_microsecond();
         let max_work = fleet.settings.slow_start.overload_factor * factor * quota * window as f64;
-        let has_room = sent == 0.0 || sent < max_work;
-        if !has_room {
+        let is_below_limit = sent == 0.0 || sent < max_work;
+        if !is_below_limit {
             return Admission::OverQuota;
         }
         if rng.f64() < factor {
             Admission::Admitted
         } else {
-            Admission::NotDrawn
+            Admission::SkippedAtRandom
         }
     }
 
--- a/crates/balancer/src/policy/subset_size.rs
+++ b/crates/balancer/src/policy/subset_size.rs
@@ -57,22 +57,22 @@
 impl SubsetSize {
     /// Servers that a balancer with this request rate, per microsecond, uses of a fleet of this
     /// size.
-    pub(crate) fn servers(settings: &Settings, fleet_size: usize, request_rate: f64) -> usize {
+    pub(crate) fn compute(settings: &Settings, fleet_size: usize, request_rate: f64) -> usize {
         let fleet_size = fleet_size as f64;
         let wanted = if settings.fees.handshake > COSTLY_HANDSHAKE_FEE {
-            Self::servers_that_keep_connections_in_use(settings, request_rate)
+            Self::servers_for_connection_reuse(settings, request_rate)
         } else {
-            Self::servers_that_connections_allow(settings, fleet_size, request_rate)
+            Self::servers_within_connection_cost(settings, fleet_size, request_rate)
         };
         wanted.min(fleet_size).ceil() as usize
     }
 
-    fn servers_that_keep_connections_in_use(settings: &Settings, request_rate: f64) -> f64 {
-        let kept = request_rate * settings.idle_timeout as f64 / REQUESTS_PER_IDLE_TIMEOUT;
-        kept.max(MIN_SERVERS_WITH_COSTLY_HANDSHAKES)
+    fn servers_for_connection_reuse(settings: &Settings, request_rate: f64) -> f64 {
+        let servers = request_rate * settings.idle_timeout as f64 / REQUESTS_PER_IDLE_TIMEOUT;
+        servers.max(MIN_SERVERS_WITH_COSTLY_HANDSHAKES)
     }
 
-    fn servers_that_connections_allow(
+    fn servers_within_connection_cost(
         settings: &Settings,
         fleet_size: f64,
         request_rate: f64,
--- a/crates/balancer/src/policy/subset_size/tests.rs
+++ b/crates/balancer/src/policy/subset_size/tests.rs
@@ -2,9 +2,9 @@
 use crate::Settings;
 
 /// One request in a hundred seconds.
-const QUIET: f64 = 1e-8;
+const LOW_RATE: f64 = 1e-8;
 /// A hundred requests per second.
-const BUSY: f64 = 1e-4;
+const HIGH_RATE: f64 = 1e-4;
 
 fn size(connection_fee: f64, handshake_fee: f64, fleet_size: usize, request_rate: f64) -> usize {
     let mut settings = Settings::default();
@@ -12,35 +12,35 @@
     settings.fees.connection = connection_fee;
     settings.fees.handshake = handshake_fee;
     settings.idle_timeout = 5_000_000;
-    SubsetSize::servers(&settings, fleet_size, request_rate)
+    SubsetSize::compute(&settings, fleet_size, request_rate)
 }
 
 #[test]
 fn free_connections_allow_24_servers_and_costly_ones_no_less_than_3() {
-    assert_eq!(size(0.0, 0.0, 64, QUIET), 24);
-    assert_eq!(size(1.0, 0.0, 64, QUIET), 3);
+    assert_eq!(size(0.0, 0.0, 64, LOW_RATE), 24);
+    assert_eq!(size(1.0, 0.0, 64, LOW_RATE), 3);
 }
 
 #[test]
 fn connection_fee_is_kept_below_its_share_if_all_balancers_choose_alike() {
     // 0.006 * 100 * 64 / (0.0201 * 320) is 5.97.
-    assert_eq!(size(0.0201, 0.0, 64, QUIET), 6);
+    assert_eq!(size(0.0201, 0.0, 64, LOW_RATE), 6);
 }
 
 #[test]
 fn busy_balancer_uses_a_server_for_each_four_requests_a_second() {
-    assert_eq!(size(1.0, 0.0, 64, BUSY), 25);
+    assert_eq!(size(1.0, 0.0, 64, HIGH_RATE), 25);
 }
 
 #[test]
 fn costly_handshakes_leave_servers_that_get_12_requests_within_the_idle_timeout() {
     // A hundred requests per second are 500 within 5 s.
-    assert_eq!(size(0.0, 0.01, 64, BUSY), 42);
-    assert_eq!(size(0.0, 0.01, 64, QUIET), 4);
+    assert_eq!(size(0.0, 0.01, 64, HIGH_RATE), 42);
+    assert_eq!(size(0.0, 0.01, 64, LOW_RATE), 4);
 }
 
 #[test]
 fn subset_is_never_larger_than_the_fleet() {
-    assert_eq!(size(0.0, 0.0, 2, BUSY), 2);
-    assert_eq!(size(0.0, 0.01, 0, BUSY), 0);
+    assert_eq!(size(0.0, 0.0, 2, HIGH_RATE), 2);
+    assert_eq!(size(0.0, 0.01, 0, HIGH_RATE), 0);
 }
