--- a/crates/balancer/src/policy/load_checker.rs
+++ b/crates/balancer/src/policy/load_checker.rs
@@ -1,12 +1,12 @@
-//! Load checks: which servers are asked for their load before a request is sent, and which reports
-//! are believed.
+//! Load checks: selects the servers to probe for their load before a request is sent, and validates
+//! the load reports that they return.
 //!
-//! A balancer's own attempts tell little of a server's load where others send to it too. So, as in
-//! Prequal, some random servers are asked (probed) for their requests in flight, and the request
-//! goes to one of the least loaded. With the utilization `u` of the fleet, `ln(0.05) / ln(u)`
-//! servers are asked, from 2 to 8: with so many, the chance that none of them is idle is one in
-//! twenty. Unlike in Prequal the checks are made for each request, and there is no pool of earlier
-//! answers.
+//! A balancer's own attempts say little about a server's load when other balancers send to it too.
+//! As in Prequal, a few random servers are therefore probed for their requests in flight, and the
+//! request goes to one of the least loaded. At fleet utilization `u`, `ln(0.05) / ln(u)` servers
+//! are probed, at least 2 and at most 8: the probability that none of them is idle is then 0.05.
+//! Unlike in Prequal, every request makes its own load checks, and results of earlier checks are
+//! not pooled.
 
 #[cfg(test)]
 mod tests;
@@ -17,58 +17,55 @@
 use crate::state::{RequestState, ServerIndex, ServerState};
 use crate::{LoadReport, Micros};
 
-/// Fewest servers that are asked: choosing among one would be no choice.
+/// Minimum number of servers to check: with one there is nothing to choose from.
 const MIN_CHECKED_SERVERS: f64 = 2.0;
-/// Most servers that are asked, however full the fleet: it bounds the cost of a request. Inherited
-/// with the first version of the module; its source was not recorded.
+/// Maximum number of servers to check at any utilization: bounds the cost of a request.
 const MAX_CHECKED_SERVERS: f64 = 8.0;
-/// Accepted probability that no server is idle among those that are asked. Lower, and more are
-/// asked. Inherited with the first version of the module; its source was not recorded.
+/// Accepted probability that none of the checked servers is idle. Lower values check more servers.
 const MAX_MISS_PROBABILITY: f64 = 0.05;
-/// Bounds of the utilization in the logarithm, whose value at 0 and at 1 is of no use.
+/// Bounds on the utilization before taking its logarithm, which is infinite at 0 and zero at 1.
 const MIN_UTILIZATION: f64 = 0.01;
 const MAX_UTILIZATION: f64 = 0.99;
-/// Share of the latency objective for which a request waits for its load checks. Longer, and a
-/// server that does not answer costs the time of the request itself. Inherited with the first
-/// version of the module; its source was not recorded.
+/// Timeout of a request's load checks, as a fraction of its latency objective. With a longer one, a
+/// server that does not answer uses up the request's own time.
 const TIMEOUT_FRACTION_OF_OBJECTIVE: f64 = 0.02;
-/// Requests by which a report may fall below the attempts that are known to be in flight and still
-/// be believed. Any value between 0 and 1 says the same of whole numbers.
+/// How far a reported number of requests may fall below the attempts known to be in flight. Counts
+/// are whole numbers, so any value between 0 and 1 has the same effect.
 const REPORT_TOLERANCE: f64 = 0.5;
-/// Servers whose load is within this of the least loaded one's count as equally loaded, in usual
-/// requests. With less, all balancers that asked the same servers choose the same one. Inherited
-/// with the first version of the module; its source was not recorded.
+/// Servers whose load exceeds the minimum by less than this, in requests of mean work, are treated
+/// as equally loaded. With a lower value, all balancers that check the same servers choose the same
+/// one.
 const EQUAL_LOAD_TOLERANCE: f64 = 0.25;
 
-/// What the load checks of a request found.
+/// Result of the load checks of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum LoadCheckResult {
-    /// No server was asked.
+    /// No server was checked.
     NotChecked,
-    /// The least loaded servers of those that answered; none where all are busy, silent or
-    /// suspected.
+    /// The least loaded of the servers that reported. Empty if none of them reported, or if all are
+    /// suspected, not ready, or too loaded.
     LeastLoaded(Vec<ServerIndex>),
 }
 
-/// What becomes of a load report.
+/// Whether a load report is used.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum ReportValidity {
-    /// The server holds this many requests.
+    /// The report is used.
     Accepted {
-        /// Requests in flight there.
+        /// Requests in flight at the server.
         in_flight: f64,
     },
-    /// It falls below what is known to be in flight: frozen or wrong.
+    /// Reports fewer requests than this balancer has in flight there: stale or wrong.
     ContradictsOwnAttempts,
-    /// It is no number of requests.
+    /// Negative or not finite.
     Malformed,
 }
 
-/// Decides about load checks and load reports.
+/// Selects servers for load checks and evaluates their reports.
 pub(crate) struct LoadChecker;
 
 impl LoadChecker {
-    /// Which of the candidates are asked for their load. Draws their order.
+    /// Selects the candidates to check, in random order. Shuffles with `rng`.
     pub(crate) fn choose_servers(
         fleet: &Fleet,
         mut candidates: Vec<ServerIndex>,
@@ -76,19 +73,19 @@
     ) -> Vec<ServerIndex> {
         rng.shuffle(&mut candidates);
         let utilization = fleet.estimators.utilization.utilization();
-        let bounded = utilization.clamp(MIN_UTILIZATION, MAX_UTILIZATION);
-        let wanted = MAX_MISS_PROBABILITY.ln() / bounded.ln();
-        candidates.truncate(wanted.clamp(MIN_CHECKED_SERVERS, MAX_CHECKED_SERVERS) as usize);
+        let utilization = utilization.clamp(MIN_UTILIZATION, MAX_UTILIZATION);
+        let count = MAX_MISS_PROBABILITY.ln() / utilization.ln();
+        candidates.truncate(count.clamp(MIN_CHECKED_SERVERS, MAX_CHECKED_SERVERS) as usize);
         candidates
     }
 
-    /// How long a request waits for its load checks, in microseconds. Goes by its own objective, as
-    /// its client may have had less time than its class says.
+    /// How long a request waits for its load checks, in microseconds. Depends on the request's own
+    /// objective, which is shorter than that of its class if its client has less time left.
     pub(crate) fn timeout(request: &RequestState) -> Micros {
         (request.objective() as f64 * TIMEOUT_FRACTION_OF_OBJECTIVE) as Micros
     }
 
-    /// The least loaded of the servers that answered since the request arrived.
+    /// Returns the least loaded of the checked servers that reported since the request arrived.
     pub(crate) fn least_loaded(fleet: &Fleet, request: &RequestState) -> LoadCheckResult {
         let checked = request.load_checked();
         if checked.is_empty() {
@@ -108,8 +105,8 @@
         LoadCheckResult::LeastLoaded(servers)
     }
 
-    /// Whether a load report of a server is believed. One that a health check brought must hold the
-    /// own attempts that were in flight when the check started.
+    /// Validates a load report. One from a health check must include this balancer's attempts that
+    /// were in flight when the check started.
     pub(crate) fn validate_report(
         source: LoadSource,
         server: &ServerState,
@@ -133,8 +130,9 @@
     is_usable && server.load.updated_at() >= since
 }
 
-/// Where health checks are unreliable, a server that reports to be idle is believed, but no other
-/// is preferred because it is silent.
+/// Upper bound on the load at which a checked server is preferred. If health checks are unreliable,
+/// only a report of an idle server is used, so that no server is preferred merely because others
+/// did not answer.
 fn max_accepted_load(fleet: &Fleet) -> f64 {
     match fleet.health_check_trust() {
         HealthCheckTrust::Trusted => f64::MAX,
@@ -142,8 +140,8 @@
     }
 }
 
-/// Own attempts that were in flight when the health check in progress started; none without a
-/// check.
+/// Number of this balancer's attempts that were in flight when the current health check started;
+/// zero if no check is in progress.
 fn in_flight_before_check(server: &ServerState) -> f64 {
     let check_started_at = server.health_check.started_at();
     server
--- a/crates/balancer/src/policy/load_checker/tests.rs
+++ b/crates/balancer/src/policy/load_checker/tests.rs
@@ -19,7 +19,7 @@
     fleet.servers[server].on_load_report(in_flight, LoadSource::LoadChecks, now);
 }
 
-/// A request for which the first three servers were asked for their load.
+/// A request with load checks of the first three servers.
 fn request_with_load_checks(fleet: &Fleet) -> RequestState {
     let mut request = request(fleet);
     request.on_load_checks_started((0..3).map(ServerId).collect());
@@ -34,28 +34,28 @@
 }
 
 #[test]
-fn fuller_fleet_is_asked_for_the_load_of_more_servers() {
+fn more_servers_are_checked_at_higher_utilization() {
     let mut fleet = fleet(settings_with_load_checks(), 20);
     let mut rng = fastrand::Rng::with_seed(1);
-    let mut asked = |fleet: &Fleet| {
+    let mut checked_count = |fleet: &Fleet| {
         let candidates = fleet.servers.indices().collect();
         LoadChecker::choose_servers(fleet, candidates, &mut rng).len()
     };
     // ln(0.05) / ln(0.5) is 4.3.
-    assert_eq!(asked(&fleet), 4);
+    assert_eq!(checked_count(&fleet), 4);
     (0..200).for_each(|_| fleet.estimators.utilization.on_load_report(0.0));
-    assert_eq!(asked(&fleet), 2);
+    assert_eq!(checked_count(&fleet), 2);
     (0..200).for_each(|_| fleet.estimators.utilization.on_load_report(1.0));
-    assert_eq!(asked(&fleet), 8);
+    assert_eq!(checked_count(&fleet), 8);
 }
 
 #[test]
-fn request_goes_to_the_least_loaded_servers_that_answered_within_a_quarter_of_a_request() {
+fn least_loaded_are_the_reporting_servers_within_a_quarter_of_a_request_of_the_minimum() {
     let mut fleet = fleet(settings_with_load_checks(), 3);
     let request = request_with_load_checks(&fleet);
     report_load(&mut fleet, FIRST, 1.2);
     report_load(&mut fleet, SECOND, 1.0);
-    // The third one was idle when it last answered, but has not answered for this request.
+    // The last report of the third server says idle, but is older than the request.
     let third = &mut fleet.servers[ServerIndex(2)];
     third.load.on_health_check_report(0.0, 0.0, 0);
     assert_eq!(least_loaded(&fleet, &request), [FIRST, SECOND]);
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn only_idle_servers_are_believed_where_most_health_checks_fail() {
+fn only_idle_servers_are_preferred_when_most_health_checks_fail() {
     let mut fleet = fleet(settings_with_load_checks(), 10);
     let request = request_with_load_checks(&fleet);
     report_load(&mut fleet, FIRST, 1.0);
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn report_below_the_attempts_in_flight_before_the_check_contradicts_them() {
+fn report_below_the_attempts_in_flight_before_the_check_is_rejected() {
     let mut fleet = fleet(settings_with_load_checks(), 1);
     send(&mut fleet, FIRST, 1);
     send(&mut fleet, FIRST, 2);
@@ -98,7 +98,7 @@
     assert_eq!(validate(LoadSource::LoadChecks, 2.0), accepted(2.0));
     let contradiction = ReportValidity::ContradictsOwnAttempts;
     assert_eq!(validate(LoadSource::LoadChecks, 1.0), contradiction);
-    // Reports in responses are of some time before.
+    // Load reports in responses are delayed, so they are not compared with attempts in flight.
     assert_eq!(validate(LoadSource::Responses, 1.0), accepted(1.0));
     for malformed in [-1.0, f64::NAN, f64::INFINITY] {
         let validity = validate(LoadSource::Responses, malformed);
