--- a/crates/balancer/src/policy/load_shedder.rs
+++ b/crates/balancer/src/policy/load_shedder.rs
@@ -1,18 +1,22 @@
-//! Which requests are shed so that others are served in time.
+//! Load shedding: rejects some requests so that others are served within their objective.
 //!
-//! On arrival, a request is shed that cannot meet its latency objective on an idle server, where a
-//! late response has no value. Once a server has been selected, the law depends on what tells of
-//! load:
+//! On arrival, a request is shed if it could not meet its latency objective even on an idle server
+//! and late responses of its class have no value. After server selection, the rule depends on the
+//! source of load information:
 //!
-//! - load checks: with the fullness `F` and the value density `v`, shed where requests wait ahead
-//!   and `expected > (1 - F * max(0, 1 - (0.6 - 0.25 * missed) * v)) * time left`;
-//! - responses: shed where the objective is expected to be missed, unless a late response still has
-//!   value, is expected before the deadline, and less than 5 % of requests miss their objective;
-//! - nothing: shed at random with the probability `2 * (saturation - 0.32) / 0.35 - rank`, where
-//!   the rank is 0 for the least and 1 for the greatest priority weight.
+//! - load checks: with the fullness `F` of the fleet and the value density `v` of the request, shed
+//!   if requests are queued ahead and
+//!   `expected > (1 - F * max(0, 1 - (0.6 - 0.25 * missed) * v)) * time left`;
+//! - load reports in responses: shed if the response is expected after the objective, unless a late
+//!   response still has value, is expected before the deadline, and less than 5 % of requests miss
+//!   their objective;
+//! - none, or load checks that are not trusted: shed at random with the probability
+//!   `2 * (saturation - 0.32) / 0.35 - rank`, where the rank is 0 for the lowest and 1 for the
+//!   highest priority weight. Classes whose late responses have value are exempt.
 //!
-//! `missed` is the share of recent requests for which no server was found in time, `saturation` the
-//! mean share of the latency objective that responses take.
+//! `expected` is the expected service time, `missed` the fraction of recent requests for which no
+//! server was expected to respond in time, and `saturation` the mean response time as a fraction of
+//! the latency objective.
 
 #[cfg(test)]
 mod tests;
@@ -26,53 +30,52 @@
 use crate::state::{RequestState, ServerIndex, ServerState};
 use crate::{IncomingRequest, Micros, RequestClass};
 
-/// Work of a request without a work hint on arrival, as a share of the mean service time: with less
-/// time left than this it is shed. Inherited with the first version of the module; its source was
-/// not recorded.
+/// Work assumed on arrival for a request without a work hint, as a fraction of the mean service
+/// time. With less time left than this, the request is shed.
 const DEFAULT_WORK_FRACTION: f64 = 0.5;
-/// Share of the time left within which a response must be expected where the fleet is full and no
-/// request misses its objective, for a request of usual value. A fleet that is full serves more by
-/// taking only what it serves for sure. Chosen by experiment over loads from 0.7 to 1.2 of
-/// capacity.
+/// Fraction of the time left within which the response to a request of mean value must be expected
+/// when the fleet is full and no request misses its objective. A full fleet serves more requests in
+/// time if it accepts only those that it can serve reliably. Best value in experiments at loads
+/// from 0.7 to 1.2 of capacity.
 const MAX_TIME_FRACTION_WHEN_FULL: f64 = 0.6;
-/// What that share loses as all requests miss their objective: 0.35 of the time left then. Chosen
-/// by experiment over loads from 0.7 to 1.2 of capacity.
+/// Reduction of that fraction when all requests miss their objective: 0.35 of the time left
+/// remains. Best value in experiments at loads from 0.7 to 1.2 of capacity.
 const TIME_FRACTION_MISS_PENALTY: f64 = 0.25;
-/// Requests ahead of a request from which there is a queue. Below, what is ahead is the rest of an
-/// estimate. Inherited with the first version of the module; its source was not recorded.
+/// Minimum number of requests ahead that counts as a queue. A lower number is a fractional
+/// remainder of the estimate.
 const MIN_REQUESTS_AHEAD: f64 = 0.5;
-/// Share of requests that find no server in time, above which late responses are not bought any
-/// more: the capacity they take is needed for responses in time. Chosen by experiment on the
+/// Fraction of requests without a server in time at which late responses are no longer accepted:
+/// the capacity they take is needed for responses in time. Determined by experiment on the
 /// testbed's deployments (docs/deployments.md).
 const MAX_MISS_RATE_FOR_LATE_RESPONSES: f64 = 0.05;
-/// Saturation above which requests of the least priority are shed. Below it, nothing is. Chosen by
-/// experiment: with 100 balancers 0.25 shed at moderate load, and 0.30 to 0.40 were tried
-/// (docs/fleet.md).
+/// Saturation above which requests of the lowest priority are shed; below it, none are. With 100
+/// balancers, 0.25 shed requests at moderate load; 0.30 to 0.40 were tried (docs/fleet.md).
 const SHEDDING_THRESHOLD: f64 = 0.32;
-/// Saturation above the threshold at which all requests are shed; a smaller span sheds more
-/// steeply. Chosen by experiment: 0.20 to 0.50 were tried (docs/fleet.md).
+/// Saturation above the threshold at which all requests are shed. A smaller range sheds more
+/// steeply; 0.20 to 0.50 were tried (docs/fleet.md).
 const SHEDDING_RANGE: f64 = 0.35;
-/// Rise of the shedding probability over the span. With 2, all requests of the least priority are
-/// shed in the middle of it, where those of the greatest begin to be. Follows from the span being
-/// for all of them.
+/// Increase of the shedding probability over the range. It follows from the range covering all
+/// priorities: with 2, all requests of the lowest priority are shed at its midpoint, where shedding
+/// of the highest priority begins.
 const PROBABILITY_GAIN: f64 = 2.0;
 
-/// Whether a request is shed, and why.
+/// Whether a request is shed, and for which reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ShedDecision {
-    /// It is not.
+    /// Not shed.
     Admit,
-    /// Its client does not wait any more.
+    /// Its client no longer waits.
     DeadlinePassed,
-    /// It would miss its objective on an idle server.
+    /// It would miss its objective even on an idle server.
     CannotMeetObjective,
-    /// The server selected would respond so late that its work is better spent on another request.
+    /// The selected server is expected to respond so late that its capacity is better used for
+    /// other requests.
     ResponseTooLate,
-    /// The fleet is saturated, and chance took this one.
+    /// The fleet is saturated, and this request was chosen at random.
     Saturated,
 }
 
-/// Sheds load; owns what tells of a full fleet where no load is reported.
+/// Decides which requests are shed; owns the estimates of missed objectives and of saturation.
 #[derive(Default)]
 pub(crate) struct LoadShedder {
     missed_objectives: MissedObjectiveRate,
@@ -80,17 +83,17 @@
 }
 
 impl LoadShedder {
-    /// A response took this share of the latency objective, from 0 to 1.
+    /// Records a response that took this fraction of the latency objective, from 0 to 1.
     pub(crate) fn on_response(&mut self, objective_share: f64, now: Micros) {
         self.saturation.on_response(objective_share, now);
     }
 
-    /// A server rejected an attempt.
+    /// Records the rejection of an attempt by a server.
     pub(crate) fn on_rejected(&mut self, now: Micros) {
         self.saturation.on_rejected(now);
     }
 
-    /// Whether a request is shed on arrival.
+    /// Decides on arrival whether a request is shed.
     pub(crate) fn decide_on_arrival(
         fleet: &Fleet,
         incoming: &IncomingRequest,
@@ -113,8 +116,8 @@
         }
     }
 
-    /// Whether a request is shed for which a server was sought. Draws a random number where nothing
-    /// tells of load.
+    /// Decides after server selection whether a request is shed. Draws a random number if the load
+    /// of servers is unknown and late responses of the class have no value.
     pub(crate) fn decide_after_selection(
         &mut self,
         fleet: &Fleet,
@@ -141,7 +144,8 @@
         }
     }
 
-    /// True where a server would respond so late that its work is better spent on another request.
+    /// True if a server is expected to respond so late that its capacity is better used for other
+    /// requests.
     pub(crate) fn responds_too_late(
         &self,
         fleet: &Fleet,
@@ -163,7 +167,8 @@
         }
     }
 
-    /// A late response is bought where there is room for it; a server in slow start has none.
+    /// Late responses are accepted if there is spare capacity for them. A server in slow start has
+    /// none.
     fn accepts_late_response(
         &self,
         class: &RequestClass,
@@ -193,8 +198,8 @@
         forecast.expected_service_time(server) > share * time_left
     }
 
-    /// Sheds as much as the saturation asks for. Queues that all balancers fill together show in
-    /// none of their own few requests, but in how long responses take.
+    /// Random shedding in proportion to the saturation. A queue that all balancers fill together
+    /// does not show in the few requests of this one, but in response times.
     fn is_shed_by_saturation(
         &self,
         fleet: &Fleet,
