--- a/crates/balancer/src/policy/load_source.rs
+++ b/crates/balancer/src/policy/load_source.rs
@@ -1,8 +1,9 @@
-//! What tells a balancer how many requests servers hold, as the settings of the deployment have it.
+//! The source of load information: how a balancer learns the number of requests in flight at each
+//! server, depending on the settings.
 //!
-//! Where health checks return load reports and cost little, servers are asked before each send.
-//! Where they are costly, what is known of queues would be seconds old; then load reports in
-//! responses are used, if there are any. Else nothing tells of queues, and response times stand in.
+//! If health checks return load reports and cost little, servers are checked before each send. If
+//! they are costly, their reports would be seconds old; load reports in responses are then used if
+//! available. Otherwise queues are unknown, and response times are used in place of reports.
 
 #[cfg(test)]
 mod tests;
@@ -10,23 +11,23 @@
 use crate::Settings;
 
 /// Highest fee for one health check per request, as a fraction of the deployment's result, at which
-/// servers are asked before each send. Above it the checks cost more than the choice gains.
-/// Inherited with the first version of the module; its source was not recorded.
+/// servers are checked before each send. Above it, the checks cost more than the better choice of
+/// servers gains.
 const MAX_LOAD_CHECK_FEE: f64 = 0.005;
 
-/// What tells of the load of servers.
+/// Source of information on the load of servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LoadSource {
-    /// Health checks that are made for each request.
+    /// Health checks made for each request.
     LoadChecks,
-    /// Responses to attempts, which were under way for some time.
+    /// Load reports in responses, each some time old when it arrives.
     Responses,
-    /// Nothing.
+    /// No source.
     Unknown,
 }
 
 impl Settings {
-    /// What tells of the load of servers.
+    /// The source of load information that the settings provide.
     pub(crate) fn load_source(&self) -> LoadSource {
         let can_check = self.host.load_reports && self.host.health_checks;
         if can_check && self.fees.health_check <= MAX_LOAD_CHECK_FEE {
--- a/crates/balancer/src/policy/load_source/tests.rs
+++ b/crates/balancer/src/policy/load_source/tests.rs
@@ -2,8 +2,8 @@
 use crate::Settings;
 
 #[test]
-fn load_checks_come_first_where_they_are_cheap_then_reports_in_responses() {
-    // Health checks, load reports of them, load reports in responses, fee.
+fn cheap_load_checks_take_precedence_over_load_reports_in_responses() {
+    // Health checks, load reports in them, load reports in responses, health check fee, expected.
     let table = [
         (true, true, true, 0.005, LoadSource::LoadChecks),
         (true, true, true, 0.006, LoadSource::Responses),
