--- a/crates/balancer/src/policy/retry_budget.rs
+++ b/crates/balancer/src/policy/retry_budget.rs
@@ -1,42 +1,41 @@
-//! The retry budget: requests earn tokens that retries use up.
+//! The retry budget: a token bucket filled by requests and spent by retries.
 //!
-//! Each request earns a twentieth of a retry, and up to ten retries are saved up; a retry of a
-//! request that cannot have executed costs a quarter. So a fleet that fails or rejects everything
-//! gets each request at most 1.05 or 1.2 times over, as with the retry budgets of Finagle and gRPC.
-//! Every request that arrives earns, also one that is shed at once; hedged requests are paid for
-//! like retries. `Balancer::retry` alone spends, once a server has been found.
+//! Each request adds a twentieth of a token, up to a maximum of ten. A retry costs one token, or a
+//! quarter if no earlier attempt can have executed. A fleet that fails every request therefore gets
+//! at most 1.05 attempts per request, and one that rejects every request at most 1.2, as with the
+//! retry budgets of Finagle and gRPC. Every request that arrives adds tokens, even if it is shed at
+//! once; hedged requests cost as much as retries. Tokens are spent only in `Balancer::retry`, once
+//! a server has been selected.
 
 #[cfg(test)]
 mod tests;
 
 use crate::state::RequestState;
 
-/// Tokens that each request earns: the share of the requests that may be retried when all fail.
-/// More would multiply the load of a fleet that is failing. Inherited with the first version of the
-/// module; its source was not recorded.
+/// Tokens added per request: the fraction of requests that may be retried when all of them fail.
+/// A higher value would multiply the load of a failing fleet.
 const TOKENS_PER_REQUEST: f64 = 0.05;
-/// Tokens that a retry costs: the unit.
+/// Cost of a retry, in tokens.
 const RETRY_COST: f64 = 1.0;
-/// Tokens that a retry costs where no attempt can have executed, and so the servers have spent
-/// little on it. Inherited with the first version of the module; its source was not recorded.
+/// Cost of a retry if no earlier attempt can have executed, so that the servers have done little
+/// work for the request.
 const RETRY_COST_IF_NEVER_EXECUTED: f64 = 0.25;
-/// Most tokens saved up: they bound the burst of retries after a calm time. Inherited with the
-/// first version of the module; its source was not recorded.
+/// Maximum number of tokens: bounds the burst of retries after a time without failures.
 const MAX_TOKENS: f64 = 10.0;
-/// Tokens at the start, when nothing has been earned yet.
+/// Initial number of tokens, before any request has added some.
 const INITIAL_TOKENS: f64 = MAX_TOKENS / 2.0;
 
 /// Whether an earlier attempt of a request may have executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PriorExecution {
-    /// One may have.
+    /// At least one attempt may have executed.
     Possible,
-    /// None can have.
+    /// No attempt can have executed.
     Impossible,
 }
 
 impl PriorExecution {
-    /// That of a request.
+    /// Derives it from the attempts of a request.
     pub(crate) fn of(request: &RequestState) -> Self {
         match request.first_possible_execution() {
             Some(_) => Self::Possible,
@@ -52,30 +51,30 @@
     }
 }
 
-/// Tokens for retries.
+/// Token bucket for retries.
 pub(crate) struct RetryBudget {
     tokens: f64,
 }
 
 impl RetryBudget {
-    /// A budget for the first retries.
+    /// Creates a budget with the initial number of tokens.
     pub(crate) fn new() -> Self {
         Self {
             tokens: INITIAL_TOKENS,
         }
     }
 
-    /// A request arrived, and earns a share of a retry.
+    /// Adds the tokens of a request that arrived.
     pub(crate) fn on_request_arrived(&mut self) {
         self.tokens = (self.tokens + TOKENS_PER_REQUEST).min(MAX_TOKENS);
     }
 
-    /// True where there are tokens for a retry.
+    /// True if there are enough tokens for a retry.
     pub(crate) fn allows_retry(&self, prior: PriorExecution) -> bool {
         self.tokens >= prior.retry_cost()
     }
 
-    /// A request was retried.
+    /// Spends the tokens of a retry.
     pub(crate) fn on_retry(&mut self, prior: PriorExecution) {
         self.tokens -= prior.retry_cost();
     }
--- a/crates/balancer/src/policy/retry_budget/tests.rs
+++ b/crates/balancer/src/policy/retry_budget/tests.rs
@@ -1,6 +1,6 @@
 use super::{PriorExecution, RetryBudget};
 
-/// Retries that the budget covers one after another.
+/// Number of consecutive retries that the budget allows.
 fn allowed_retries(budget: &mut RetryBudget, prior: PriorExecution) -> u32 {
     let mut retries = 0;
     while budget.allows_retry(prior) {
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn twenty_one_requests_earn_one_retry_after_the_budget_is_spent() {
+fn twenty_one_requests_add_enough_tokens_for_one_retry_to_an_exhausted_budget() {
     let mut budget = RetryBudget::new();
     allowed_retries(&mut budget, PriorExecution::Possible);
     (0..21).for_each(|_| budget.on_request_arrived());
