--- a/crates/balancer/src/policy/retry_policy.rs
+++ b/crates/balancer/src/policy/retry_policy.rs
@@ -1,10 +1,10 @@
-//! Whether a request is sent again, and where.
+//! Decides whether a request is retried, and on which servers.
 //!
-//! A further attempt must be safe, useful and affordable. Safe: no attempt can have executed, or
-//! the class is idempotent, or its idempotency key is still known to the servers that the retry is
-//! limited to. Useful: the response has not started, at most one attempt is in flight, and time is
-//! left for a response that has value. Affordable: the retry budget covers it ([`RetryBudget`]). A
-//! retry goes only to a server that is neither suspected, possibly draining nor in slow start.
+//! A further attempt must be safe, useful and within the retry budget. Safe: no attempt can have
+//! executed, or the class is idempotent, or the servers that the retry is limited to still remember
+//! its idempotency key. Useful: the response has not started, at most one attempt is in flight, and
+//! there is time left for a response that has value. The budget is that of [`RetryBudget`]. A retry
+//! is sent only to a server that is neither suspected, possibly draining nor in slow start.
 
 #[cfg(test)]
 mod tests;
@@ -14,57 +14,55 @@
 use crate::state::{Attempt, RequestState, RetryScope, ServerState};
 use crate::{DeduplicationScope, Idempotency, Micros, RequestClass};
 
-/// Time before the deduplication window closes in which no retry is sent any more, in microseconds:
-/// the attempt still has to reach the server. Inherited with the first version of the module; its
-/// source was not recorded.
+/// Time before the end of the deduplication window from which no more retries are sent, in
+/// microseconds: the attempt still has to reach the server.
 const DEDUPLICATION_MARGIN: Micros = 50_000;
-/// Steps ([`Settings::step`](crate::Settings::step)) before a latency objective ends at which an
-/// attempt ends that would be worthless late. With fewer, the request is answered after its
-/// objective, as a timeout is noticed up to a step late. Inherited with the first version of the
-/// module.
+/// Number of steps ([`Settings::step`](crate::Settings::step)) before the latency objective at
+/// which an attempt times out if a late response has no value. With fewer, the final response comes
+/// after the objective, as a timeout is detected up to one step late.
 const OBJECTIVE_MARGIN_STEPS: Micros = 2;
 
-/// Whether a request is sent again.
+/// Whether a request is retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RetryDecision {
-    /// It may be, to a server of this scope.
+    /// It may be retried.
     Retry {
-        /// The servers that drop a duplicate.
+        /// The servers on which a retry is safe.
         scope: RetryScope,
-        /// Whether an attempt may have executed.
+        /// Whether an earlier attempt may have executed.
         prior: PriorExecution,
     },
-    /// It is not.
+    /// It is not retried.
     Refuse(RetryRefusal),
 }
 
-/// Why a request is not sent again.
+/// Why a request is not retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RetryRefusal {
     /// Its response has started.
     ResponseStarted,
-    /// It has had as many attempts as the settings allow.
+    /// It has reached the maximum number of attempts.
     AttemptsExhausted,
-    /// Its client has given up.
+    /// Its deadline has passed.
     DeadlinePassed,
-    /// An attempt is in flight, and the deployment allows no second one.
+    /// An attempt is in flight, and the settings do not allow hedged requests.
     HedgingDisabled,
-    /// It must not execute twice, and an attempt may have executed.
+    /// It is not idempotent, and an attempt may have executed.
     NotIdempotent,
-    /// Its idempotency key may be forgotten by the time of the retry.
+    /// Servers may no longer remember its idempotency key when the retry arrives.
     DeduplicationWindowClosed,
     /// Two attempts are in flight.
     TooManyInFlight,
-    /// A response would come after the objective, where it has no value.
+    /// A response would come after the latency objective, and late responses have no value.
     TooLateForObjective,
-    /// Retries would be more than the budget's share of the requests.
+    /// The retry budget does not allow it.
     BudgetExhausted,
 }
 
-/// Whether a server takes a retry.
+/// Whether a server is suitable for a retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RetryTarget {
-    /// It does.
+    /// The server may be sent retries.
     Suitable,
     /// It is suspected, or may be draining.
     Untrusted,
@@ -72,31 +70,31 @@
     InSlowStart,
 }
 
-/// Decides about retries and hedged requests; owns the retry budget.
+/// Decides on retries and hedged requests; owns the retry budget.
 pub(crate) struct RetryPolicy {
     budget: RetryBudget,
 }
 
 impl RetryPolicy {
-    /// A policy with a budget for the first retries.
+    /// Creates a policy with the initial retry budget.
     pub(crate) fn new() -> Self {
         Self {
             budget: RetryBudget::new(),
         }
     }
 
-    /// A request arrived.
+    /// Adds to the retry budget for a request that arrived.
     pub(crate) fn on_request_arrived(&mut self) {
         self.budget.on_request_arrived();
     }
 
-    /// A request is sent again: the only spending from the budget. It is not paid back where the
-    /// host then does not send the attempt.
+    /// Charges a retry to the budget; nothing else is charged to it. There is no refund if the host
+    /// does not send the attempt.
     pub(crate) fn on_retry(&mut self, prior: PriorExecution) {
         self.budget.on_retry(prior);
     }
 
-    /// Whether a request may be sent again now.
+    /// Decides whether a request may be retried now.
     pub(crate) fn decide(&self, fleet: &Fleet, request: &RequestState) -> RetryDecision {
         match self.check_all(fleet, request) {
             Ok((scope, prior)) => RetryDecision::Retry { scope, prior },
@@ -125,7 +123,7 @@
         }
     }
 
-    /// Whether a server takes a retry.
+    /// Determines whether a server is suitable for a retry.
     pub(crate) fn assess_target(server: &ServerState) -> RetryTarget {
         if server.is_untrusted() {
             RetryTarget::Untrusted
@@ -136,22 +134,22 @@
         }
     }
 
-    /// Timeout of an attempt that is sent now, in microseconds. A late response that has no value
-    /// is not waited for, so that the request can still be answered in time.
+    /// Timeout of an attempt sent now, in microseconds. If a late response has no value, it ends
+    /// before the objective, so that the request still gets its final response in time.
     pub(crate) fn attempt_timeout(fleet: &Fleet, request: &RequestState) -> Micros {
         let class = fleet.settings.class(request.class());
         let deadline_at = request.deadline_at();
-        let until = if has_no_late_value(class) {
+        let timeout_at = if has_no_late_value(class) {
             let objective_at = request.objective_at();
             deadline_at.min(objective_at.saturating_sub(objective_margin(fleet)))
         } else {
             deadline_at
         };
-        until.saturating_sub(fleet.now).max(1)
+        timeout_at.saturating_sub(fleet.now).max(1)
     }
 }
 
-/// What the request itself and the settings allow, whatever its class.
+/// Checks the state of the request and the limits in the settings that apply to every class.
 fn check_limits(fleet: &Fleet, request: &RequestState) -> Result<(), RetryRefusal> {
     let retries = &fleet.settings.retries;
     if request.is_streaming() {
@@ -169,7 +167,8 @@
     Ok(())
 }
 
-/// The servers at which a further attempt cannot execute a second time. Nothing else decides that.
+/// Returns the servers on which a retry cannot cause a second execution. This is the only place
+/// that decides this.
 fn safe_scope(fleet: &Fleet, request: &RequestState) -> Result<RetryScope, RetryRefusal> {
     let Some(first) = request.first_possible_execution() else {
         return Ok(RetryScope::Anywhere);
@@ -179,8 +178,8 @@
         Idempotency::Idempotent => Ok(RetryScope::Anywhere),
         Idempotency::NonIdempotent => Err(RetryRefusal::NotIdempotent),
         Idempotency::IdempotencyKey => {
-            let known_until = first.sent_at() + class.deduplication_window;
-            if fleet.now + DEDUPLICATION_MARGIN >= known_until {
+            let remembered_until = first.sent_at() + class.deduplication_window;
+            if fleet.now + DEDUPLICATION_MARGIN >= remembered_until {
                 return Err(RetryRefusal::DeduplicationWindowClosed);
             }
             Ok(deduplication_scope(class, first))
--- a/crates/balancer/src/policy/retry_policy/tests.rs
+++ b/crates/balancer/src/policy/retry_policy/tests.rs
@@ -5,7 +5,7 @@
 use crate::state::{RequestState, RetryScope};
 use crate::{DeduplicationScope, EjectionCause, Endpoint, Idempotency, Outcome, ServerId};
 
-/// The first request of a fleet whose class is idempotent, or not, or has a key for 100 ms in a cell.
+/// A fleet with one request class. Idempotency keys are remembered for 100 ms within a cell.
 fn fleet(idempotency: Idempotency, late_value: f64) -> Fleet {
     let mut class = class();
     class.idempotency = idempotency;
@@ -21,7 +21,7 @@
     request.on_attempt_sent(&endpoint, fleet.now)
 }
 
-/// A request whose only attempt, at a server of cell 3, ended so.
+/// A request whose only attempt, at a server of cell 3, ended with this outcome.
 fn request_after(fleet: &Fleet, outcome: Outcome) -> RequestState {
     let mut request = request(fleet);
     let attempt = send(fleet, &mut request);
@@ -43,7 +43,7 @@
 };
 
 #[test]
-fn request_that_never_executed_may_be_retried_anywhere_whatever_its_class() {
+fn request_that_never_executed_may_be_retried_anywhere_regardless_of_its_class() {
     let fleet = fleet(Idempotency::NonIdempotent, 0.0);
     let request = request_after(&fleet, Outcome::Rejected);
     let expected = retry(RetryScope::Anywhere, PriorExecution::Impossible);
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn request_that_must_not_execute_twice_is_not_retried_once_it_may_have_executed() {
+fn non_idempotent_request_is_not_retried_once_it_may_have_executed() {
     let fleet = fleet(Idempotency::NonIdempotent, 0.0);
     let request = request_after(&fleet, Outcome::Reset);
     let refusal = RetryDecision::Refuse(RetryRefusal::NotIdempotent);
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn idempotency_key_keeps_a_retry_to_the_cell_while_it_is_remembered() {
+fn idempotency_key_limits_retries_to_the_cell_until_the_window_closes() {
     let mut fleet = fleet(Idempotency::IdempotencyKey, 0.0);
     let request = request_after(&fleet, Outcome::Reset);
     fleet.now += 49 * MS;
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn request_is_not_retried_once_its_response_has_started_or_its_attempts_are_used_up() {
+fn request_is_not_retried_after_its_response_started_or_at_the_maximum_of_attempts() {
     let fleet = fleet(Idempotency::Idempotent, 0.0);
     let mut request = request_after(&fleet, Outcome::Reset);
     for _ in 1..3 {
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn hedged_request_needs_permission_and_is_never_sent_a_third_time() {
+fn hedging_must_be_enabled_and_is_limited_to_two_attempts_in_flight() {
     let mut fleet = fleet(Idempotency::Idempotent, 0.0);
     let mut request = request(&fleet);
     send(&fleet, &mut request);
@@ -121,19 +121,19 @@
 }
 
 #[test]
-fn spent_budget_refuses_until_twenty_requests_have_earned_a_retry() {
+fn exhausted_budget_refuses_retries_until_enough_requests_have_arrived() {
     let fleet = fleet(Idempotency::Idempotent, 0.0);
     let request = request_after(&fleet, Outcome::Reset);
     let mut policy = RetryPolicy::new();
     (0..5).for_each(|_| policy.on_retry(PriorExecution::Possible));
-    let spent = RetryDecision::Refuse(RetryRefusal::BudgetExhausted);
-    assert_eq!(policy.decide(&fleet, &request), spent);
+    let exhausted = RetryDecision::Refuse(RetryRefusal::BudgetExhausted);
+    assert_eq!(policy.decide(&fleet, &request), exhausted);
     (0..21).for_each(|_| policy.on_request_arrived());
     assert_eq!(policy.decide(&fleet, &request), ANYWHERE);
 }
 
 #[test]
-fn retry_goes_neither_to_a_suspected_server_nor_to_one_in_slow_start() {
+fn retry_target_must_be_neither_suspected_nor_in_slow_start() {
     let mut fleet = fleet(Idempotency::Idempotent, 0.0);
     let assess = |fleet: &Fleet| RetryPolicy::assess_target(&fleet.servers[FIRST]);
     assert_eq!(assess(&fleet), RetryTarget::Suitable);
