--- a/crates/balancer/src/policy/server_selector.rs
+++ b/crates/balancer/src/policy/server_selector.rs
@@ -1,16 +1,16 @@
-//! Which server a request goes to.
+//! Server selection with the power of two choices.
 //!
-//! Two random choices: of two servers that are drawn from the candidates, the one with the lower
-//! load is taken. Load is the queue depth times the server's relative service time, a moving mean
-//! that decays, as with peak EWMA. Candidates that are expected to respond in time go before all
-//! others. Where no load checks are made, a server is drawn with a weight of
+//! Two servers are drawn at random from the candidates, and the one with the lower load is
+//! selected. Load is the queue depth times the server's relative service time, an exponentially
+//! decaying mean as in peak EWMA. Candidates that are expected to respond in time take precedence
+//! over all others. Without load checks, servers are drawn with the weight
 //!
 //! ```text
 //! cores * (1 - failure rate)^3 / latency factor
 //! ```
 //!
-//! so that larger and faster machines get more, and servers that fail get less than their share of
-//! successes.
+//! so that larger and faster machines receive more requests, and failing servers fewer than in
+//! proportion to their success rate.
 
 #[cfg(test)]
 mod tests;
@@ -23,47 +23,48 @@
 use crate::state::{RequestState, ServerIndex, ServerState};
 use crate::weighted_choice::weighted_choice;
 
-/// Exponent of a server's success rate in its weight: 1 would give it its share of the requests
-/// although a failure costs the whole request, and a retry. Chosen by experiment on the testbed.
+/// Exponent of a server's success rate in its weight. With 1, requests would be distributed in
+/// proportion to the success rate, although a failure costs the whole request and a retry.
 const SUCCESS_RATE_EXPONENT: i32 = 3;
-/// Share of the latency objective for which a request waits where no server is known. Longer, and
-/// there is no time left to serve it. Inherited with the first version of the module; its source
-/// was not recorded.
+/// Maximum time that a request without candidates waits for one, as a fraction of its latency
+/// objective. After a longer wait, there is no time left to serve it.
 const MAX_WAIT_FRACTION_OF_OBJECTIVE: f64 = 0.5;
-/// Time between two looks for a server, in microseconds: that of the balancer's tick.
+/// Time after which server selection is repeated if there is no candidate, in microseconds; equal
+/// to the balancer's tick interval.
 const RESELECTION_INTERVAL: Micros = 25_000;
 
-/// The servers that may get a request.
+/// The servers from which one is selected for a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Candidates {
     /// Their indices.
     pub(crate) servers: Vec<ServerIndex>,
-    /// Whether servers were asked for their load for this attempt.
+    /// Whether load checks were made for this attempt.
     pub(crate) load_status: LoadStatus,
 }
 
-/// Whether servers were asked for their load.
+/// Whether load checks were made before server selection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LoadStatus {
-    /// They were asked: also one in slow start may be taken for its low load.
+    /// Load checks were made. A server in slow start may be selected for its low load.
     Checked,
-    /// They were not: one in slow start looks idle to all balancers at once.
+    /// No load checks were made. A server in slow start looks idle to all balancers at once, and is
+    /// not preferred for its low load.
     Unchecked,
 }
 
-/// The server of an attempt.
+/// Result of server selection for an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Selection {
-    /// This one, which is expected to respond in time, or of which nothing is expected.
+    /// A server that is not expected to miss the latency objective.
     Server(ServerIndex),
-    /// No candidate is expected to respond in time; this is the best of those that were drawn.
+    /// The better of two servers drawn from candidates that are all expected to miss the objective.
     LateServer(ServerIndex),
     /// There is no candidate.
     NoCandidate,
 }
 
 impl Selection {
-    /// The server, if there is one.
+    /// The selected server, if there is one.
     pub(crate) fn server(self) -> Option<ServerIndex> {
         match self {
             Self::Server(server) | Self::LateServer(server) => Some(server),
@@ -72,12 +73,12 @@
     }
 }
 
-/// What a request does for which no server is known.
+/// How a request without candidates proceeds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ServerWait {
-    /// It looks again after so many microseconds.
+    /// Server selection is repeated after this time, in microseconds.
     WaitFor(Micros),
-    /// It has waited for as long as it may.
+    /// The maximum wait is reached, and the request is given up.
     GiveUp,
 }
 
@@ -85,7 +86,7 @@
 pub(crate) struct ServerSelector;
 
 impl ServerSelector {
-    /// Selects a server for an attempt. Draws two random numbers where there are candidates.
+    /// Selects a server for an attempt. Draws two random numbers if there are candidates.
     pub(crate) fn select(
         fleet: &Fleet,
         request: &RequestState,
@@ -106,8 +107,8 @@
         }
     }
 
-    /// What a request does for which no server is known: it waits while there is time for two
-    /// looks.
+    /// Decides whether a request without candidates waits. It does if there is time to repeat the
+    /// selection at least twice.
     pub(crate) fn wait_for_server(now: Micros, request: &RequestState) -> ServerWait {
         let max_wait = (request.objective() as f64 * MAX_WAIT_FRACTION_OF_OBJECTIVE) as Micros;
         let wait_until = request.deadline_at().min(request.arrived_at() + max_wait);
@@ -119,8 +120,8 @@
     }
 }
 
-/// Draws two servers, which may be the same one, and compares their load. One in slow start is
-/// taken where it is drawn first, never for its low load, unless loads were checked.
+/// Draws two servers with replacement and returns the less loaded one. Without load checks, a
+/// server in slow start is returned only if it is drawn first, never for its low load.
 fn better_of_two(
     fleet: &Fleet,
     servers: &[ServerIndex],
@@ -139,7 +140,8 @@
     Some(if is_second_less_loaded { second } else { first })
 }
 
-/// With load checks all servers are drawn alike: what they report says what their machines can do.
+/// Draws two servers with replacement. With load checks, all have the same weight: their reports
+/// already reflect the capacity of their machines.
 fn draw_two(
     fleet: &Fleet,
     servers: &[ServerIndex],
@@ -167,8 +169,9 @@
     capacity / estimates.latency_factor(server)
 }
 
-/// What two servers are compared by. Where nothing reports load these are the attempts in flight
-/// against the machine's cores, as its weight in the draw stands for the rest already.
+/// The load by which two servers are compared. Without a source of load information, it is that of
+/// the attempts in flight per core, without the one to be sent: the weight in the draw already
+/// accounts for the rest.
 fn load_for_comparison(estimates: &Estimates<'_>, server: &ServerState) -> f64 {
     let load = estimates.load(server);
     if estimates.settings.load_source() != LoadSource::Unknown {
--- a/crates/balancer/src/policy/server_selector/tests.rs
+++ b/crates/balancer/src/policy/server_selector/tests.rs
@@ -12,7 +12,7 @@
     }
 }
 
-/// How often each of two servers is selected in a thousand requests.
+/// Number of requests out of 1000 for which each of two servers is selected.
 fn selections(fleet: &Fleet, candidates: &Candidates) -> [u32; 2] {
     let mut rng = fastrand::Rng::with_seed(1);
     let mut counts = [0, 0];
@@ -28,25 +28,25 @@
 fn less_loaded_of_two_drawn_servers_is_selected() {
     let mut fleet = fleet(settings(), 2);
     send(&mut fleet, FIRST, 1);
-    // The loaded one is selected only where it is drawn twice: one time in four.
+    // The loaded one is selected only if it is drawn twice: one time in four.
     let [loaded, idle] = selections(&fleet, &candidates(&[FIRST, SECOND]));
     assert!((200..300).contains(&loaded), "{loaded} {idle}");
 }
 
 #[test]
-fn server_that_fails_attempts_is_drawn_less_often_than_its_share_of_successes() {
+fn failing_server_is_drawn_less_often_than_in_proportion_to_its_success_rate() {
     let mut fleet = fleet(settings(), 2);
     for _ in 0..3 {
         fleet.servers[FIRST].failures.on_failed();
     }
     let success_rate = 1.0 - fleet.servers[FIRST].failures.failure_rate();
-    let [failing, sound] = selections(&fleet, &candidates(&[FIRST, SECOND]));
-    let share = f64::from(failing) / f64::from(sound);
-    assert!(share < success_rate, "{failing} {sound}");
+    let [failing, healthy] = selections(&fleet, &candidates(&[FIRST, SECOND]));
+    let ratio = f64::from(failing) / f64::from(healthy);
+    assert!(ratio < success_rate, "{failing} {healthy}");
 }
 
 #[test]
-fn server_in_slow_start_is_taken_for_its_low_load_only_where_loads_were_checked() {
+fn server_in_slow_start_is_selected_for_its_low_load_only_after_load_checks() {
     let mut fleet = fleet(settings(), 2);
     restart(&mut fleet, FIRST);
     send(&mut fleet, SECOND, 1);
@@ -55,14 +55,14 @@
         load_status: LoadStatus::Checked,
         ..unchecked.clone()
     };
-    let [cold, _] = selections(&fleet, &unchecked);
-    assert!((450..550).contains(&cold), "{cold}");
-    let [cold, _] = selections(&fleet, &checked);
-    assert!((700..800).contains(&cold), "{cold}");
+    let [in_slow_start, _] = selections(&fleet, &unchecked);
+    assert!((450..550).contains(&in_slow_start), "{in_slow_start}");
+    let [in_slow_start, _] = selections(&fleet, &checked);
+    assert!((700..800).contains(&in_slow_start), "{in_slow_start}");
 }
 
 #[test]
-fn servers_that_are_expected_to_respond_in_time_go_before_all_others() {
+fn servers_expected_to_respond_in_time_take_precedence() {
     let mut fleet = fleet(settings_with_load_in_responses(), 2);
     (0..20).for_each(|id| send(&mut fleet, FIRST, id));
     assert_eq!(
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn request_without_a_known_server_waits_while_there_is_time_for_two_looks() {
+fn request_without_candidates_waits_while_there_is_time_for_two_more_selections() {
     let mut fleet = fleet(settings(), 0);
     let mut rng = fastrand::Rng::with_seed(1);
     let request = request(&fleet);
