--- a/crates/balancer/src/policy/slow_start_admission.rs
+++ b/crates/balancer/src/policy/slow_start_admission.rs
@@ -1,16 +1,17 @@
-//! Whether a server in slow start takes part in a draw.
+//! Admission of servers in slow start to the candidates of server selection.
 //!
-//! A server that has just started has only a share of its capacity, its slow start factor `f`, and
-//! looks idle to all balancers at once. So it takes part in a draw with the probability `f`; all
-//! balancers together then send it `f` times what a warm server gets, in the mean, without knowing
-//! of each other. A bound holds within each overload window as well, whatever the draws:
+//! A server that has just started has only a fraction of its capacity, its slow start factor `f`,
+//! and looks idle to all balancers at once. It is therefore admitted with the probability `f`: on
+//! average, all balancers together send it `f` times the work of a warm server, without
+//! coordination. In addition, the work sent to it within each overload window is limited:
 //!
 //! ```text
-//! admit if  (nothing sent in the window  or  work sent < overload factor * f * quota * window)
+//! admit if  (no work sent in the window  or  work sent < overload factor * f * quota * window)
 //!           and  random < f
 //! ```
 //!
-//! The quota is what a warm server of the subset gets from this balancer. Nothing is saved up.
+//! The quota is the rate of work that this balancer sends to a warm server of the subset. Unused
+//! quota does not carry over.
 
 #[cfg(test)]
 mod tests;
@@ -19,34 +20,34 @@
 use crate::fleet::Fleet;
 use crate::state::{ServerIndex, ServerState};
 
-/// Whether a server takes part in a draw, and why.
+/// Whether a server is admitted as a candidate, and for which reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Admission {
-    /// It has its full capacity: slow start ends, if there was one.
+    /// Admitted: the server has its full capacity, and its slow start, if any, ends.
     Warm,
-    /// It is in slow start, and takes part this time.
+    /// Admitted: the server is in slow start and was drawn.
     Admitted,
-    /// It has got as much work within the overload window as it may.
+    /// Not admitted: the server has reached its limit of work within the overload window.
     OverQuota,
-    /// It is in slow start, and chance leaves it out this time.
+    /// Not admitted: the server is in slow start and was not drawn.
     SkippedAtRandom,
 }
 
-/// Admits servers to draws; owns the measure of what a warm server gets.
+/// Admits servers as candidates; owns the estimate of a warm server's quota.
 pub(crate) struct SlowStartAdmission {
     warm_server_quota: WarmServerQuota,
 }
 
 impl SlowStartAdmission {
-    /// An admission that has seen no work.
+    /// Creates an admission without a quota estimate.
     pub(crate) fn new() -> Self {
         Self {
             warm_server_quota: WarmServerQuota::new(),
         }
     }
 
-    /// Decides about one server. Draws a random number where the server is in slow start and below
-    /// its bound.
+    /// Decides whether a server is admitted. Draws a random number if it is in slow start and
+    /// below its limit.
     pub(crate) fn admit(
         &self,
         fleet: &Fleet,
@@ -72,13 +73,13 @@
         }
     }
 
-    /// Work was sent to some server; `relative_work` is against that of a usual request.
+    /// Records work sent to any server; `relative_work` is relative to that of a mean request.
     pub(crate) fn on_work_sent(&mut self, fleet: &Fleet, relative_work: f64) {
         self.warm_server_quota
             .on_work_sent(relative_work, fleet.now);
     }
 
-    /// Measures what a warm server gets; `subset` are the servers in use.
+    /// Updates the estimate of a warm server's quota; `subset` are the servers in use.
     pub(crate) fn on_tick(&mut self, fleet: &Fleet, subset: impl Iterator<Item = ServerIndex>) {
         let factor = |index: ServerIndex| {
             let slow_start = &fleet.servers[index].slow_start;
