--- a/crates/balancer/src/policy/subset_size/tests.rs
+++ b/crates/balancer/src/policy/subset_size/tests.rs
@@ -16,25 +16,25 @@
 }
 
 #[test]
-fn free_connections_allow_24_servers_and_costly_ones_no_less_than_3() {
+fn free_connections_allow_24_servers_and_costly_ones_at_least_3() {
     assert_eq!(size(0.0, 0.0, 64, LOW_RATE), 24);
     assert_eq!(size(1.0, 0.0, 64, LOW_RATE), 3);
 }
 
 #[test]
-fn connection_fee_is_kept_below_its_share_if_all_balancers_choose_alike() {
+fn connection_cost_of_all_balancers_stays_below_its_limit() {
     // 0.006 * 100 * 64 / (0.0201 * 320) is 5.97.
     assert_eq!(size(0.0201, 0.0, 64, LOW_RATE), 6);
 }
 
 #[test]
-fn busy_balancer_uses_a_server_for_each_four_requests_a_second() {
+fn high_request_rate_gets_one_server_per_four_requests_per_second() {
     assert_eq!(size(1.0, 0.0, 64, HIGH_RATE), 25);
 }
 
 #[test]
-fn costly_handshakes_leave_servers_that_get_12_requests_within_the_idle_timeout() {
-    // A hundred requests per second are 500 within 5 s.
+fn costly_handshakes_limit_the_subset_to_12_requests_per_server_and_idle_timeout() {
+    // 100 requests per second are 500 within 5 s.
     assert_eq!(size(0.0, 0.01, 64, HIGH_RATE), 42);
     assert_eq!(size(0.0, 0.01, 64, LOW_RATE), 4);
 }
