--- a/crates/balancer/src/policy/subsetter.rs
+++ b/crates/balancer/src/policy/subsetter.rs
@@ -1,11 +1,10 @@
-//! Which servers of the fleet this balancer uses, and which of them may be drawn.
+//! Selects the subset of the fleet that this balancer uses, and the candidates for an attempt.
 //!
-//! Each balancer has a random order of its own over all servers, which stays the same while servers
-//! come and go, and in which each cell comes once before any comes twice ([`SubsetOrder`]). It uses
-//! the first so many servers of it that are ready
-//! ([`SubsetSize`](crate::policy::subset_size::SubsetSize)); where these are suspected it goes
-//! further down the order. This is random subsetting by a stable hash; that the cells take turns is
-//! a stratification.
+//! Each balancer has its own random order of all servers. The order is stable when servers are
+//! added or removed, and takes one server from each cell before a second one from any
+//! ([`SubsetOrder`]). The subset is the first ready servers in this order; their number is computed
+//! by [`SubsetSize`](crate::policy::subset_size::SubsetSize). Suspected servers are replaced by the
+//! next ones in the order. This is random subsetting by a stable hash, stratified by cell.
 
 #[cfg(test)]
 mod tests;
@@ -14,36 +13,35 @@
 use crate::fleet::Fleet;
 use crate::state::{RetryScope, ServerIndex, SubsetOrder};
 
-/// Which servers may be drawn by what is known of them.
+/// Which ready servers are candidates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CandidateFilter {
-    /// Only those that are neither suspected nor possibly draining.
+    /// Servers that are neither suspected nor possibly draining.
     TrustedOnly,
-    /// Suspected and possibly draining ones as well: the last resort.
+    /// All ready servers, including suspected and possibly draining ones: the last resort.
     AnyReady,
 }
 
-/// Owns the order in which this balancer uses the servers.
+/// Selects servers in this balancer's subset order.
 #[derive(Default)]
 pub(crate) struct Subsetter {
     order: SubsetOrder,
 }
 
 impl Subsetter {
-    /// The endpoint list changed; indices of the servers are new.
+    /// Recomputes the order after a change of the endpoint list, which invalidates server indices.
     pub(crate) fn on_endpoints_updated(&mut self, fleet: &Fleet) {
         self.order
             .on_endpoints_updated(&fleet.servers, fleet.settings.identity.index);
     }
 
-    /// The ready servers of the subset.
+    /// Returns the ready servers of the subset.
     pub(crate) fn ready_servers(&self, fleet: &Fleet) -> impl Iterator<Item = ServerIndex> {
         let is_ready = |&index: &ServerIndex| fleet.is_ready(&fleet.servers[index]);
         self.order.iter().filter(is_ready).take(fleet.subset_size())
     }
 
-    /// The servers of the subset that may be drawn for an attempt, apart from those that were
-    /// `tried`.
+    /// Returns the candidates for an attempt, without the servers that were already `tried`.
     pub(crate) fn candidates(
         &self,
         fleet: &Fleet,
--- a/crates/balancer/src/policy/subsetter/tests.rs
+++ b/crates/balancer/src/policy/subsetter/tests.rs
@@ -38,15 +38,15 @@
 #[test]
 fn retry_scope_limits_the_candidates_to_its_cell() {
     let mut fleet = fleet(settings(), 2);
-    let mut elsewhere = Endpoint::ready(ServerId(1), 1);
-    elsewhere.cell = 7;
-    fleet.servers.merge(elsewhere, NOW, 0);
+    let mut in_other_cell = Endpoint::ready(ServerId(1), 1);
+    in_other_cell.cell = 7;
+    fleet.servers.merge(in_other_cell, NOW, 0);
     let in_cell = candidates_in(&fleet, RetryScope::Cell(7), CandidateFilter::TrustedOnly);
     assert_eq!(in_cell, [SECOND]);
 }
 
 #[test]
-fn subset_goes_further_down_the_order_where_its_servers_are_suspected() {
+fn suspected_servers_are_replaced_by_the_next_ones_in_the_order() {
     let mut fleet = fleet(settings(), 40);
     let first = candidates(&fleet, CandidateFilter::TrustedOnly);
     eject(&mut fleet, first[0], EjectionCause::Attempts);
