--- a/crates/balancer/src/policy/load_checker.rs
+++ b/crates/balancer/src/policy/load_checker.rs
@@ -4,9 +4,9 @@
 //! A balancer's own attempts say little about a server's load when other balancers send to it too.
 //! As in Prequal, a few random servers are therefore probed for their requests in flight, and the
 //! request goes to one of the least loaded. At fleet utilization `u`, `ln(0.05) / ln(u)` servers
-//! are probed, at least 2 and at most 8: the probability that none of them is idle is then 0.05.
-//! Unlike in Prequal, every request makes its own load checks, and results of earlier checks are
-//! not pooled.
+//! are probed, so that the probability that none of them is idle is 0.05; the number is limited to
+//! between 2 and 8. Unlike in Prequal, every request makes its own load checks, and results of
+//! earlier checks are not pooled.
 
 #[cfg(test)]
 mod tests;
@@ -52,7 +52,7 @@
 pub(crate) enum ReportValidity {
     /// The report is used.
     Accepted {
-        /// Requests in flight at the server.
+        /// Requests in flight at the server, as reported.
         in_flight: f64,
     },
     /// Reports fewer requests than this balancer has in flight there: stale or wrong.
--- a/crates/balancer/src/policy/load_shedder.rs
+++ b/crates/balancer/src/policy/load_shedder.rs
@@ -49,7 +49,8 @@
 /// testbed's deployments (docs/deployments.md).
 const MAX_MISS_RATE_FOR_LATE_RESPONSES: f64 = 0.05;
 /// Saturation above which requests of the lowest priority are shed; below it, none are. With 100
-/// balancers, 0.25 shed requests at moderate load; 0.30 to 0.40 were tried (docs/fleet.md).
+/// balancers, a threshold of 0.25 shed requests at moderate load; 0.30 to 0.40 were tried
+/// (docs/fleet.md).
 const SHEDDING_THRESHOLD: f64 = 0.32;
 /// Saturation above the threshold at which all requests are shed. A smaller range sheds more
 /// steeply; 0.20 to 0.50 were tried (docs/fleet.md).
@@ -193,9 +194,9 @@
         let max_fraction_when_full = MAX_TIME_FRACTION_WHEN_FULL
             - TIME_FRACTION_MISS_PENALTY * self.missed_objectives.rate();
         let excess = (1.0 - max_fraction_when_full * forecast.value_density()).max(0.0);
-        let share = 1.0 - fleet.estimators.utilization.fullness() * excess;
+        let fraction = 1.0 - fleet.estimators.utilization.fullness() * excess;
         let time_left = request.objective_at().saturating_sub(fleet.now) as f64;
-        forecast.expected_service_time(server) > share * time_left
+        forecast.expected_service_time(server) > fraction * time_left
     }
 
     /// Random shedding in proportion to the saturation. A queue that all balancers fill together
