--- a/crates/balancer/src/balancer/requests.rs
+++ b/crates/balancer/src/balancer/requests.rs
@@ -2,9 +2,8 @@
 
 use crate::balancer::Balancer;
 use crate::policy::{
-    Candidates, FinalResponse, LoadCheckResult, LoadChecker, LoadKnowledge, LoadShedder,
-    LoadSource, RetryDecision, RetryPolicy, RetryTarget, Selection, ServerSelector, ServerWait,
-    ShedDecision,
+    Candidates, FinalResponse, LoadCheckResult, LoadChecker, LoadShedder, LoadSource, LoadStatus,
+    RetryDecision, RetryPolicy, RetryTarget, Selection, ServerSelector, ServerWait, ShedDecision,
 };
 use crate::state::{InFlightAttempt, RequestState, RetryScope, ServerIndex};
 use crate::{Action, Actions, AttemptEnd, IncomingRequest, RequestId, ServerId};
@@ -34,7 +33,7 @@
         let workload = &mut self.fleet.estimators.workload;
         let relative_work = workload.on_request_arrived(class, hint, now);
         let request = RequestState::new(incoming, class, relative_work, now);
-        let decision = LoadShedder::judge_arrival(&self.fleet, incoming, class, &request);
+        let decision = LoadShedder::decide_on_arrival(&self.fleet, incoming, class, &request);
         self.requests.on_request_arrived(incoming.id, request);
         self.policies.retry_policy.on_request_arrived();
         if decision != ShedDecision::Admit {
@@ -66,9 +65,9 @@
             self.dispatch(id, actions);
             return;
         }
-        let max_wait = LoadChecker::max_wait(request);
+        let timeout = LoadChecker::timeout(request);
         request.on_load_checks_started(ids);
-        self.set_request_timer(id, max_wait, actions);
+        self.set_request_timer(id, timeout, actions);
     }
 
     /// A health check ended: requests that awaited nothing else are dispatched.
@@ -90,15 +89,16 @@
         };
         let selection = ServerSelector::select(&self.fleet, request, &candidates, &mut self.rng);
         let load_shedder = &mut self.policies.load_shedder;
-        let decision = load_shedder.judge_selection(&self.fleet, request, selection, &mut self.rng);
+        let decision =
+            load_shedder.decide_after_selection(&self.fleet, request, selection, &mut self.rng);
         match selection {
-            Selection::NoneKnown => {
+            Selection::NoCandidate => {
                 match ServerSelector::wait_for_server(self.fleet.now, request) {
-                    ServerWait::LookAgainAfter(after) => self.set_request_timer(id, after, actions),
+                    ServerWait::WaitFor(after) => self.set_request_timer(id, after, actions),
                     ServerWait::GiveUp => self.give_up(id, actions),
                 }
             }
-            Selection::Server(server) | Selection::NoneInTime(server) => match decision {
+            Selection::Server(server) | Selection::LateServer(server) => match decision {
                 ShedDecision::Admit => self.send(id, server, actions),
                 _ => self.give_up(id, actions),
             },
@@ -107,16 +107,16 @@
 
     /// The servers that load checks found, else all candidates of the subset.
     fn first_candidates(&mut self, load_checks: LoadCheckResult) -> Candidates {
-        let (mut servers, load_knowledge) = match load_checks {
-            LoadCheckResult::LeastLoaded(servers) => (servers, LoadKnowledge::Checked),
-            LoadCheckResult::NotChecked => (Vec::new(), LoadKnowledge::Unchecked),
+        let (mut servers, load_status) = match load_checks {
+            LoadCheckResult::LeastLoaded(servers) => (servers, LoadStatus::Checked),
+            LoadCheckResult::NotChecked => (Vec::new(), LoadStatus::Unchecked),
         };
         if servers.is_empty() {
             servers = self.candidates(RetryScope::Anywhere, &[]);
         }
         Candidates {
             servers,
-            load_knowledge,
+            load_status,
         }
     }
 
@@ -199,15 +199,15 @@
     ) -> Option<ServerIndex> {
         let candidates = Candidates {
             servers: self.candidates(scope, tried),
-            load_knowledge: LoadKnowledge::Unchecked,
+            load_status: LoadStatus::Unchecked,
         };
         let request = self.requests.get(id)?;
         let selection = ServerSelector::select(&self.fleet, request, &candidates, &mut self.rng);
         let server = selection.server()?;
-        let target = RetryPolicy::judge_target(&self.fleet.servers[server]);
+        let target = RetryPolicy::assess_target(&self.fleet.servers[server]);
         let load_shedder = &self.policies.load_shedder;
         let is_suitable = target == RetryTarget::Suitable
-            && !load_shedder.exceeds_deadline(&self.fleet, request, server);
+            && !load_shedder.responds_too_late(&self.fleet, request, server);
         is_suitable.then_some(server)
     }
 
--- a/crates/balancer/src/policy/load_shedder.rs
+++ b/crates/balancer/src/policy/load_shedder.rs
@@ -1,18 +1,22 @@
-//! Which requests are shed so that others are served in time.
+//! Load shedding: rejects some requests so that others are served within their objective.
 //!
-//! On arrival, a request is shed that cannot meet its latency objective on an idle server, where a
-//! late response has no value. Once a server has been selected, the law depends on what tells of
-//! load:
+//! On arrival, a request is shed if it could not meet its latency objective even on an idle server
+//! and late responses of its class have no value. After server selection, the rule depends on the
+//! source of load information:
 //!
-//! - load checks: with the fullness `F` and the value density `v`, shed where requests wait ahead
-//!   and `expected > (1 - F * max(0, 1 - (0.6 - 0.25 * missed) * v)) * time left`;
-//! - responses: shed where the objective is expected to be missed, unless a late response still has
-//!   value, is expected before the deadline, and less than 5 % of requests miss their objective;
-//! - nothing: shed at random with the probability `2 * (saturation - 0.32) / 0.35 - rank`, where
-//!   the rank is 0 for the least and 1 for the greatest priority weight.
+//! - load checks: with the fullness `F` of the fleet and the value density `v` of the request, shed
+//!   if requests are queued ahead and
+//!   `expected > (1 - F * max(0, 1 - (0.6 - 0.25 * missed) * v)) * time left`;
+//! - load reports in responses: shed if the response is expected after the objective, unless a late
+//!   response still has value, is expected before the deadline, and less than 5 % of requests miss
+//!   their objective;
+//! - none, or load checks that are not trusted: shed at random with the probability
+//!   `2 * (saturation - 0.32) / 0.35 - rank`, where the rank is 0 for the lowest and 1 for the
+//!   highest priority weight. Classes whose late responses have value are exempt.
 //!
-//! `missed` is the share of recent requests for which no server was found in time, `saturation` the
-//! mean share of the latency objective that responses take.
+//! `expected` is the expected service time, `missed` the fraction of recent requests for which no
+//! server was expected to respond in time, and `saturation` the mean response time as a fraction of
+//! the latency objective.
 
 #[cfg(test)]
 mod tests;
@@ -26,53 +30,53 @@
 use crate::state::{RequestState, ServerIndex, ServerState};
 use crate::{IncomingRequest, Micros, RequestClass};
 
-/// Work of a request without a work hint on arrival, as a share of the mean service time: with less
-/// time left than this it is shed. Inherited with the first version of the module; its source was
-/// not recorded.
-const MIN_SHARE_OF_MEAN_SERVICE_TIME: f64 = 0.5;
-/// Share of the time left within which a response must be expected where the fleet is full and no
-/// request misses its objective, for a request of usual value. A fleet that is full serves more by
-/// taking only what it serves for sure. Chosen by experiment over loads from 0.7 to 1.2 of
-/// capacity.
-const MAX_DEADLINE_FRACTION_WHEN_BUSY: f64 = 0.6;
-/// What that share loses as all requests miss their objective: 0.35 of the time left then. Chosen
-/// by experiment over loads from 0.7 to 1.2 of capacity.
-const DEADLINE_FRACTION_LOST_WHEN_FULL: f64 = 0.25;
-/// Requests ahead of a request from which there is a queue. Below, what is ahead is the rest of an
-/// estimate. Inherited with the first version of the module; its source was not recorded.
+/// Work assumed on arrival for a request without a work hint, as a fraction of the mean service
+/// time. With less time left than this, the request is shed.
+const DEFAULT_WORK_FRACTION: f64 = 0.5;
+/// Fraction of the time left within which the response to a request of mean value must be expected
+/// when the fleet is full and no request misses its objective. A full fleet serves more requests in
+/// time if it accepts only those that it can serve reliably. Best value in experiments at loads
+/// from 0.7 to 1.2 of capacity.
+const MAX_TIME_FRACTION_WHEN_FULL: f64 = 0.6;
+/// Reduction of that fraction when all requests miss their objective: 0.35 of the time left
+/// remains. Best value in experiments at loads from 0.7 to 1.2 of capacity.
+const TIME_FRACTION_MISS_PENALTY: f64 = 0.25;
+/// Minimum number of requests ahead that counts as a queue. A lower number is a fractional
+/// remainder of the estimate.
 const MIN_REQUESTS_AHEAD: f64 = 0.5;
-/// Share of requests that find no server in time, above which late responses are not bought any
-/// more: the capacity they take is needed for responses in time. Chosen by experiment on the
+/// Fraction of requests without a server in time at which late responses are no longer accepted:
+/// the capacity they take is needed for responses in time. Determined by experiment on the
 /// testbed's deployments (docs/deployments.md).
-const MAX_MISSED_SHARE_FOR_LATE_RESPONSES: f64 = 0.05;
-/// Saturation above which requests of the least priority are shed. Below it, nothing is. Chosen by
-/// experiment: with 100 balancers 0.25 shed at moderate load, and 0.30 to 0.40 were tried
+const MAX_MISS_RATE_FOR_LATE_RESPONSES: f64 = 0.05;
+/// Saturation above which requests of the lowest priority are shed; below it, none are. With 100
+/// balancers, a threshold of 0.25 shed requests at moderate load; 0.30 to 0.40 were tried
 /// (docs/fleet.md).
 const SHEDDING_THRESHOLD: f64 = 0.32;
-/// Saturation above the threshold at which all requests are shed; a smaller span sheds more
-/// steeply. Chosen by experiment: 0.20 to 0.50 were tried (docs/fleet.md).
-const SHEDDING_SPAN: f64 = 0.35;
-/// Rise of the shedding probability over the span. With 2, all requests of the least priority are
-/// shed in the middle of it, where those of the greatest begin to be. Follows from the span being
-/// for all of them.
-const PROBABILITY_OVER_SPAN: f64 = 2.0;
+/// Saturation above the threshold at which all requests are shed. A smaller range sheds more
+/// steeply; 0.20 to 0.50 were tried (docs/fleet.md).
+const SHEDDING_RANGE: f64 = 0.35;
+/// Increase of the shedding probability over the range. It follows from the range covering all
+/// priorities: with 2, all requests of the lowest priority are shed at its midpoint, where shedding
+/// of the highest priority begins.
+const PROBABILITY_GAIN: f64 = 2.0;
 
-/// Whether a request is shed, and why.
+/// Whether a request is shed, and for which reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ShedDecision {
-    /// It is not.
+    /// Not shed.
     Admit,
-    /// Its client does not wait any more.
-    NoTimeLeft,
-    /// It would miss its objective on an idle server.
+    /// Its client no longer waits.
+    DeadlinePassed,
+    /// It would miss its objective even on an idle server.
     CannotMeetObjective,
-    /// The server selected would respond so late that its work is better spent on another request.
-    ExceedsDeadline,
-    /// The fleet is saturated, and chance took this one.
+    /// The selected server is expected to respond so late that its capacity is better used for
+    /// other requests.
+    ResponseTooLate,
+    /// The fleet is saturated, and this request was chosen at random.
     Saturated,
 }
 
-/// Sheds load; owns what tells of a full fleet where no load is reported.
+/// Decides which requests are shed; owns the estimates of missed objectives and of saturation.
 #[derive(Default)]
 pub(crate) struct LoadShedder {
     missed_objectives: MissedObjectiveRate,
@@ -80,18 +84,18 @@
 }
 
 impl LoadShedder {
-    /// A response took this share of the latency objective, from 0 to 1.
+    /// Records a response that took this fraction of the latency objective, from 0 to 1.
     pub(crate) fn on_response(&mut self, objective_share: f64, now: Micros) {
         self.saturation.on_response(objective_share, now);
     }
 
-    /// A server rejected an attempt.
+    /// Records the rejection of an attempt by a server.
     pub(crate) fn on_rejected(&mut self, now: Micros) {
         self.saturation.on_rejected(now);
     }
 
-    /// Whether a request is shed on arrival.
-    pub(crate) fn judge_arrival(
+    /// Decides on arrival whether a request is shed.
+    pub(crate) fn decide_on_arrival(
         fleet: &Fleet,
         incoming: &IncomingRequest,
         class: &RequestClass,
@@ -101,21 +105,21 @@
             Some(hint) if hint > 0 => hint as f64,
             _ => {
                 let mean_service_time = fleet.estimators.latency.mean_service_time();
-                mean_service_time * MIN_SHARE_OF_MEAN_SERVICE_TIME
+                mean_service_time * DEFAULT_WORK_FRACTION
             }
         };
         if class.late_value == 0.0 && work > request.objective() as f64 {
             ShedDecision::CannotMeetObjective
         } else if incoming.time_left == 0 {
-            ShedDecision::NoTimeLeft
+            ShedDecision::DeadlinePassed
         } else {
             ShedDecision::Admit
         }
     }
 
-    /// Whether a request is shed for which a server was sought. Draws a random number where nothing
-    /// tells of load.
-    pub(crate) fn judge_selection(
+    /// Decides after server selection whether a request is shed. Draws a random number if the load
+    /// of servers is unknown and late responses of the class have no value.
+    pub(crate) fn decide_after_selection(
         &mut self,
         fleet: &Fleet,
         request: &RequestState,
@@ -126,23 +130,24 @@
             self.missed_objectives.on_met();
             return ShedDecision::Admit;
         };
-        if self.exceeds_deadline(fleet, request, server) {
+        if self.responds_too_late(fleet, request, server) {
             self.missed_objectives.on_missed();
-            return ShedDecision::ExceedsDeadline;
+            return ShedDecision::ResponseTooLate;
         }
         match selection {
-            Selection::NoneInTime(_) => self.missed_objectives.on_missed(),
-            Selection::Server(_) | Selection::NoneKnown => self.missed_objectives.on_met(),
+            Selection::LateServer(_) => self.missed_objectives.on_missed(),
+            Selection::Server(_) | Selection::NoCandidate => self.missed_objectives.on_met(),
         }
-        if self.is_shed_at_random(fleet, request, rng) {
+        if self.is_shed_by_saturation(fleet, request, rng) {
             ShedDecision::Saturated
         } else {
             ShedDecision::Admit
         }
     }
 
-    /// True where a server would respond so late that its work is better spent on another request.
-    pub(crate) fn exceeds_deadline(
+    /// True if a server is expected to respond so late that its capacity is better used for other
+    /// requests.
+    pub(crate) fn responds_too_late(
         &self,
         fleet: &Fleet,
         request: &RequestState,
@@ -154,28 +159,29 @@
         match fleet.settings.load_source() {
             LoadSource::Responses => {
                 forecast.misses_objective(server)
-                    && !self.buys_late_response(class, &forecast, server)
+                    && !self.accepts_late_response(class, &forecast, server)
             }
             LoadSource::LoadChecks if class.late_value == 0.0 && fleet.load_reports_trusted() => {
-                self.waits_too_long(fleet, &forecast, request, server)
+                self.exceeds_time_budget(fleet, &forecast, request, server)
             }
             LoadSource::LoadChecks | LoadSource::Unknown => false,
         }
     }
 
-    /// A late response is bought where there is room for it; a server in slow start has none.
-    fn buys_late_response(
+    /// Late responses are accepted if there is spare capacity for them. A server in slow start has
+    /// none.
+    fn accepts_late_response(
         &self,
         class: &RequestClass,
         forecast: &ResponseForecast<'_>,
         server: &ServerState,
     ) -> bool {
-        let has_room = !server.slow_start.is_active()
-            && self.missed_objectives.rate() < MAX_MISSED_SHARE_FOR_LATE_RESPONSES;
-        class.late_value > 0.0 && has_room && !forecast.misses_deadline(server)
+        let has_spare_capacity = !server.slow_start.is_active()
+            && self.missed_objectives.rate() < MAX_MISS_RATE_FOR_LATE_RESPONSES;
+        class.late_value > 0.0 && has_spare_capacity && !forecast.misses_deadline(server)
     }
 
-    fn waits_too_long(
+    fn exceeds_time_budget(
         &self,
         fleet: &Fleet,
         forecast: &ResponseForecast<'_>,
@@ -185,17 +191,17 @@
         if forecast.requests_ahead(server) < MIN_REQUESTS_AHEAD {
             return false;
         }
-        let sure_share = MAX_DEADLINE_FRACTION_WHEN_BUSY
-            - DEADLINE_FRACTION_LOST_WHEN_FULL * self.missed_objectives.rate();
-        let excess = (1.0 - sure_share * forecast.value_density()).max(0.0);
-        let share = 1.0 - fleet.estimators.utilization.fullness() * excess;
+        let max_fraction_when_full = MAX_TIME_FRACTION_WHEN_FULL
+            - TIME_FRACTION_MISS_PENALTY * self.missed_objectives.rate();
+        let excess = (1.0 - max_fraction_when_full * forecast.value_density()).max(0.0);
+        let fraction = 1.0 - fleet.estimators.utilization.fullness() * excess;
         let time_left = request.objective_at().saturating_sub(fleet.now) as f64;
-        forecast.expected_service_time(server) > share * time_left
+        forecast.expected_service_time(server) > fraction * time_left
     }
 
-    /// Sheds as much as the saturation asks for. Queues that all balancers fill together show in
-    /// none of their own few requests, but in how long responses take.
-    fn is_shed_at_random(
+    /// Random shedding in proportion to the saturation. A queue that all balancers fill together
+    /// does not show in the few requests of this one, but in response times.
+    fn is_shed_by_saturation(
         &self,
         fleet: &Fleet,
         request: &RequestState,
@@ -207,6 +213,6 @@
         }
         let rank = fleet.settings.priority_rank(class);
         let excess = self.saturation.saturation(fleet.now) - SHEDDING_THRESHOLD;
-        rng.f64() < PROBABILITY_OVER_SPAN * excess / SHEDDING_SPAN - rank
+        rng.f64() < PROBABILITY_GAIN * excess / SHEDDING_RANGE - rank
     }
 }
