--- a/crates/control/src/list_freshness/mod.rs
+++ b/crates/control/src/list_freshness/mod.rs
@@ -1,152 +1,154 @@
-//! How long the endpoint list may be trusted: until when an attempt may be sent although the list
-//! may hide that its server is draining. Owns that one instant; the endpoints themselves are owned
-//! by the balancer, the watch and its time-outs by the sidecar's discovery.
+//! Expiry of the endpoint list: until when an attempt may be sent to a server although the list may
+//! be missing that the server is draining. This module computes only that time. The balancer owns
+//! the endpoints; the sidecar's discovery client owns the watch and its timeouts.
 //!
-//! A drain counts as notified at a time that the platform states, whether or not the notification
-//! arrived. From then on the server accepts requests for the drain grace only, of which attempts
-//! may use the slack. With the bounds of [`StalenessBounds`] the law is
+//! The platform defines when a drain counts as notified, whether or not the notification arrived.
+//! From that time on the server accepts requests only for the drain grace period. Attempts may use
+//! the part of it called the slack. With the bounds of [`StalenessBounds`]:
 //!
 //! ```text
-//! trusted until   = max(min(silent from, unanswered from), last served attempt's begin + slack)
+//! trusted until  = max(min(silence expiry, poll expiry), start of last served attempt + slack)
 //!
-//! silent from     = last event   + watch silence     + slack   the watch fell silent
-//!                 = relocation   + relocation delay  + slack   discovery was relocated
-//!                                                              (the earlier, where both hold)
-//! unanswered from = known until                      + slack   lists are pushed, a poll pending
-//!                 = poll's begin + max poll interval + slack   lists are polled, a poll pending
+//! silence expiry = last event    + silence notice delay    + slack   the watch was silent
+//!                = relocation    + relocation notice delay + slack   discovery was relocated
+//!                                                                    (minimum if both apply)
+//! poll expiry    = complete until                          + slack   push mode, poll pending
+//!                = start of poll + max poll interval       + slack   poll mode, poll pending
 //! ```
 //!
-//! A term whose condition does not hold is absent; without both of the first two the list is what
-//! discovery has and is trusted without bound. A watch event clears both.
+//! A term whose condition does not apply is absent. If both the silence expiry and the poll expiry
+//! are absent, the list is current and is trusted without limit. A watch event clears both.
 
 use arrowstand_balancer::Micros;
 
-/// The bounds that follow from the settings; all in microseconds.
+/// Limits on the age of the endpoint list, derived from the settings. Times are in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StalenessBounds {
-    /// Discovery pushes its changes: a change counts as notified whether or not a watch is open.
-    pub pushed: bool,
-    /// Without a push, a list is valid for this long from the last poll.
+    /// Discovery pushes changes: a change counts as notified whether or not a watch is open.
+    pub push_mode: bool,
+    /// In poll mode, how long a list is valid after the last poll.
     pub max_poll_interval: Micros,
-    /// What a silent watch misses counts as notified this long after its last event.
-    pub watch_silence: Micros,
-    /// What a relocated discovery has to say counts as notified this long after the relocation was
-    /// configured.
-    pub relocation_delay: Micros,
-    /// The part of the drain grace that may pass before an attempt's first byte; the rest is for
-    /// bytes that are on their way.
+    /// Delay after a silent watch's last event at which the changes it missed count as notified.
+    pub silence_notice_delay: Micros,
+    /// Delay after the configured relocation of discovery at which changes at the new address
+    /// count as notified.
+    pub relocation_notice_delay: Micros,
+    /// Part of the drain grace period that may pass before an attempt's first byte is sent. The
+    /// rest covers bytes in transit.
     pub drain_slack: Micros,
 }
 
-/// Follows the state of the watch on discovery. Each event carries its time; times never fall.
+/// Tracks the watch on discovery and computes when its endpoint list expires. The times passed in
+/// must not decrease.
 #[derive(Clone, Copy, Debug)]
 pub struct ListFreshness {
     bounds: StalenessBounds,
-    /// Where lists are pushed: until then only what the list shows counts as notified.
-    known_until: Micros,
-    /// Set when a watch falls silent or discovery is relocated, cleared by the next watch event:
-    /// the earliest time at which a drain that the list hides may forbid attempts.
-    silent_from: Option<Micros>,
-    /// The same for a poll that is not answered yet.
-    unanswered_from: Option<Micros>,
-    /// Discovery was relocated, and nothing has come from the new address yet: until then a refused
-    /// connection means that nothing listens there.
+    /// In push mode, no drain that is missing from the list counts as notified before this time.
+    complete_until: Micros,
+    /// Earliest time at which a drain missing from the list may forbid attempts, after a silent
+    /// watch or a relocation of discovery. Cleared by the next watch event.
+    silence_expiry: Option<Micros>,
+    /// The same for a pending poll.
+    poll_expiry: Option<Micros>,
+    /// Discovery was relocated and the new address has not sent an event yet. Until it does, a
+    /// refused connection means that no process listens there.
     relocated: bool,
 }
 
 impl ListFreshness {
-    /// The state at the start of the program, with a list of unknown age.
+    /// Creates the state at process start, with a list of unknown age.
     pub fn new(bounds: StalenessBounds, now: Micros) -> Self {
         Self {
             bounds,
-            known_until: now,
-            silent_from: None,
-            unanswered_from: None,
+            complete_until: now,
+            silence_expiry: None,
+            poll_expiry: None,
             relocated: false,
         }
     }
 
-    /// An event or a heartbeat came on the watch: the list is now what discovery has.
+    /// Records an event or a heartbeat on the watch, which makes the list current.
     pub fn on_watch_event(&mut self) {
-        self.silent_from = None;
-        self.unanswered_from = None;
+        self.silence_expiry = None;
+        self.poll_expiry = None;
         self.relocated = false;
     }
 
-    /// A call that opens a watch begins.
+    /// Records the start of a call that opens a watch.
     pub fn on_poll_started(&mut self, now: Micros) {
-        let valid_until = if self.bounds.pushed {
-            self.known_until
+        let valid_until = if self.bounds.push_mode {
+            self.complete_until
         } else {
             now + self.bounds.max_poll_interval
         };
-        self.unanswered_from
+        self.poll_expiry
             .get_or_insert(valid_until + self.bounds.drain_slack);
     }
 
-    /// A watch or a call ended, other than by silence.
+    /// Records that a watch or a call ended for a reason other than silence.
     pub fn on_watch_ended(&mut self, now: Micros) {
-        // A call that fails at once shows that discovery is down, and then there is nothing to be
-        // notified of: an outage of discovery must not stop all service. One that failed after its
-        // time shows that discovery is there and overloaded. Where lists are polled, a failed call
-        // keeps the old list valid for four times as long (`safety.ask-every-ms`).
-        if !self.bounds.pushed || self.unanswered_from.is_some_and(|from| now < from) {
-            self.unanswered_from = None;
+        // A call that fails before its expiry shows that discovery is down and cannot notify
+        // changes: an outage of discovery must not stop all traffic. A call that fails after its
+        // expiry shows that discovery is up but overloaded. In poll mode, a failed call keeps the
+        // old list valid for four times as long (`safety.ask-every-ms`).
+        if !self.bounds.push_mode || self.poll_expiry.is_some_and(|expiry| now < expiry) {
+            self.poll_expiry = None;
         }
-        self.known_until = self.known_until.max(now);
+        self.complete_until = self.complete_until.max(now);
     }
 
-    /// A call was abandoned unanswered. Where lists are pushed that proves nothing: discovery may
-    /// be there.
+    /// Records that a call was abandoned without a response. In push mode the poll expiry stays,
+    /// because discovery may be up.
     pub fn on_poll_abandoned(&mut self) {
-        if !self.bounds.pushed {
-            self.unanswered_from = None;
+        if !self.bounds.push_mode {
+            self.poll_expiry = None;
         }
     }
 
-    /// A watch ended because nothing came after `last_event_at`.
+    /// Records that a watch was closed because no event came after `last_event_at`.
     pub fn on_watch_silent(&mut self, last_event_at: Micros, now: Micros) {
-        let from = last_event_at + self.bounds.watch_silence + self.bounds.drain_slack;
-        self.limit_silence(from);
+        let bounds = &self.bounds;
+        let expiry = last_event_at + bounds.silence_notice_delay + bounds.drain_slack;
+        self.lower_silence_expiry(expiry);
         self.on_watch_ended(now);
     }
 
-    /// A new configuration names another address for discovery.
+    /// Records that a new configuration changed the address of discovery.
     pub fn on_discovery_relocated(&mut self, now: Micros) {
         self.relocated = true;
-        self.known_until = now + self.bounds.relocation_delay;
-        self.unanswered_from = None;
-        self.limit_silence(self.known_until + self.bounds.drain_slack);
+        self.complete_until = now + self.bounds.relocation_notice_delay;
+        self.poll_expiry = None;
+        self.lower_silence_expiry(self.complete_until + self.bounds.drain_slack);
     }
 
-    /// The connection to discovery was refused: a process that is absent after a relocation has
-    /// nothing to say.
+    /// Records that discovery refused the connection. After a relocation this means that no process
+    /// is running at the new address, so the list cannot be missing a notified change.
     pub fn on_poll_refused(&mut self, now: Micros) {
         if self.relocated {
-            self.silent_from = None;
+            self.silence_expiry = None;
         }
         self.on_watch_ended(now);
     }
 
-    /// True while the list may hide a drain, now or later: polls are then repeated without the
-    /// balancer's backoff.
+    /// True while the list may be missing a drain, now or later. Polls then skip the balancer's
+    /// backoff.
     pub fn needs_immediate_poll(&self) -> bool {
-        self.bounds.pushed || self.silent_from.is_some()
+        self.bounds.push_mode || self.silence_expiry.is_some()
     }
 
-    /// The time from which no attempt may be sent to a server, or `None` while the list is what
-    /// discovery has. `last_served_begin` is when the latest attempt began that the server served,
-    /// which proves that it was not draining then.
-    pub fn trusted_until(&self, last_served_begin: Option<Micros>) -> Option<Micros> {
-        let from = [self.silent_from, self.unanswered_from]
+    /// Time from which no attempt may be sent to a server, or `None` while the list is current.
+    /// `last_served_start` is the start of the server's latest served attempt, which proves that
+    /// the server was not draining at that time.
+    pub fn trusted_until(&self, last_served_start: Option<Micros>) -> Option<Micros> {
+        let expiry = [self.silence_expiry, self.poll_expiry]
             .into_iter()
             .flatten()
             .min()?;
-        Some(last_served_begin.map_or(from, |begin| from.max(begin + self.bounds.drain_slack)))
+        Some(last_served_start.map_or(expiry, |start| expiry.max(start + self.bounds.drain_slack)))
     }
 
-    fn limit_silence(&mut self, from: Micros) {
-        self.silent_from = Some(self.silent_from.map_or(from, |earlier| earlier.min(from)));
+    fn lower_silence_expiry(&mut self, expiry: Micros) {
+        self.silence_expiry = Some(self.silence_expiry.map_or(expiry, |old| old.min(expiry)));
     }
 }
 
--- a/crates/control/src/list_freshness/tests.rs
+++ b/crates/control/src/list_freshness/tests.rs
@@ -3,74 +3,73 @@
 
 use super::{ListFreshness, StalenessBounds};
 
-/// What may happen to a watch; each step follows some time after the one before.
+/// Input of the property test: an event of a watch, applied some time after the previous one.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// An event or a heartbeat comes.
+    /// An event or a heartbeat arrives.
     Event,
     /// The watch or the call ends.
     Ended,
-    /// Nothing more comes on the watch: noticed [`SILENCE_TIMEOUT`] later.
+    /// The watch stops delivering events, which is detected [`SILENCE_TIMEOUT`] later.
     Silent,
-    /// A call is abandoned.
+    /// A call is abandoned without a response.
     Abandoned,
-    /// A new configuration names another address for discovery.
+    /// A new configuration changes the address of discovery.
     Relocated,
 }
 
 const SILENCE_TIMEOUT: Micros = 3_000_000;
 
-/// The platform's protocol page on when a drain counts as notified, written down a second time: a
-/// reference model that shares nothing with the code under test.
+/// Reference model of when a drain counts as notified. It follows the platform's protocol page and
+/// shares no code with the module under test.
 struct ReferenceModel {
     bounds: StalenessBounds,
-    /// Since when nothing has come, and why.
-    blind: Option<(Micros, BlindReason)>,
-    /// When calls to discovery began.
-    calls: Vec<Micros>,
+    /// Since when no events have arrived, and why; `None` while a watch is delivering them.
+    outage: Option<(Micros, OutageCause)>,
+    /// Start times of the calls to discovery.
+    call_starts: Vec<Micros>,
 }
 
 #[derive(Clone, Copy, PartialEq)]
-enum BlindReason {
+enum OutageCause {
     Silent,
     Relocated,
     Lost,
 }
 
 impl ReferenceModel {
-    /// When a drain that began at `drained_at`, unseen, counts as notified at the earliest; `None`
-    /// where the page names no time.
+    /// Earliest time at which an unobserved drain that started at `drained_at` counts as notified;
+    /// `None` where the protocol page defines no time.
     fn notified_at(&self, drained_at: Micros) -> Option<Micros> {
-        let (since, reason) = self.blind?;
-        let last_call = self.calls.last().copied().filter(|&at| at >= since);
-        Some(match (reason, self.bounds.pushed) {
-            (BlindReason::Silent, _) => drained_at.max(since + self.bounds.watch_silence),
-            (BlindReason::Relocated, _) => drained_at.max(since + self.bounds.relocation_delay),
-            (BlindReason::Lost, true) => drained_at.max(since),
-            (BlindReason::Lost, false) => {
-                drained_at.max(last_call?) + self.bounds.max_poll_interval
-            }
+        let bounds = &self.bounds;
+        let (since, cause) = self.outage?;
+        let last_call = self.call_starts.last().copied().filter(|&at| at >= since);
+        Some(match (cause, bounds.push_mode) {
+            (OutageCause::Silent, _) => drained_at.max(since + bounds.silence_notice_delay),
+            (OutageCause::Relocated, _) => drained_at.max(since + bounds.relocation_notice_delay),
+            (OutageCause::Lost, true) => drained_at.max(since),
+            (OutageCause::Lost, false) => drained_at.max(last_call?) + bounds.max_poll_interval,
         })
     }
 }
 
-/// The code under test and the reference model after the same steps.
-struct History {
+/// The code under test and the reference model, driven by the same steps.
+struct WatchHarness {
     now: Micros,
     freshness: ListFreshness,
     reference: ReferenceModel,
 }
 
-impl History {
-    /// The start of the program: the first call begins, with a list of unknown age.
+impl WatchHarness {
+    /// Starts the first call with a list of unknown age, as at process start.
     fn new(bounds: StalenessBounds) -> Self {
         let now = 100_000_000;
         let mut freshness = ListFreshness::new(bounds, now);
         freshness.on_poll_started(now);
         let reference = ReferenceModel {
             bounds,
-            blind: Some((now, BlindReason::Lost)),
-            calls: vec![now],
+            outage: Some((now, OutageCause::Lost)),
+            call_starts: vec![now],
         };
         Self {
             now,
@@ -79,30 +78,33 @@
         }
     }
 
-    /// Plays a step; what ends a watch or a call is followed by the next call.
-    fn play(&mut self, step: Step) {
+    /// Applies a step. A step that ends a watch or a call is followed by the next call.
+    fn apply(&mut self, step: Step) {
         match step {
             Step::Event => {
                 self.freshness.on_watch_event();
-                self.reference.blind = None;
+                self.reference.outage = None;
                 return;
             }
             Step::Ended => self.end_watch(),
-            Step::Silent if self.reference.blind.is_none() => self.fall_silent(),
-            Step::Abandoned if self.reference.blind.is_some() => self.freshness.on_poll_abandoned(),
+            Step::Silent if self.reference.outage.is_none() => self.fall_silent(),
+            Step::Abandoned if self.reference.outage.is_some() => {
+                self.freshness.on_poll_abandoned();
+            }
             Step::Silent | Step::Abandoned => return,
             Step::Relocated => self.relocate(),
         }
         self.freshness.on_poll_started(self.now);
-        self.reference.calls.push(self.now);
+        self.reference.call_starts.push(self.now);
     }
 
     fn end_watch(&mut self) {
         self.freshness.on_watch_ended(self.now);
-        // A call that fails while blind shows that discovery is down, or replaces the last call.
-        let blind = self.reference.blind;
-        if blind.is_none_or(|(_, reason)| reason == BlindReason::Lost) {
-            self.reference.blind = Some((self.now, BlindReason::Lost));
+        // A call that fails while no watch delivers events shows that discovery is down, or
+        // replaces the last call.
+        let outage = self.reference.outage;
+        if outage.is_none_or(|(_, cause)| cause == OutageCause::Lost) {
+            self.reference.outage = Some((self.now, OutageCause::Lost));
         }
     }
 
@@ -110,29 +112,29 @@
         let last_event_at = self.now;
         self.now += SILENCE_TIMEOUT;
         self.freshness.on_watch_silent(last_event_at, self.now);
-        self.reference.blind = Some((last_event_at, BlindReason::Silent));
+        self.reference.outage = Some((last_event_at, OutageCause::Silent));
     }
 
     fn relocate(&mut self) {
         self.freshness.on_discovery_relocated(self.now);
-        // Whichever of silence and relocation makes a drain count as notified earlier still does.
+        // Of silence and relocation, the one that gives the earlier notification time applies.
         let bounds = &self.reference.bounds;
-        let head_start = bounds.watch_silence - bounds.relocation_delay;
-        let blind = self.reference.blind;
-        if blind.is_none_or(|(since, reason)| {
-            reason == BlindReason::Lost || since + head_start > self.now
+        let delay_difference = bounds.silence_notice_delay - bounds.relocation_notice_delay;
+        let outage = self.reference.outage;
+        if outage.is_none_or(|(since, cause)| {
+            cause == OutageCause::Lost || since + delay_difference > self.now
         }) {
-            self.reference.blind = Some((self.now, BlindReason::Relocated));
+            self.reference.outage = Some((self.now, OutageCause::Relocated));
         }
     }
 }
 
-fn bounds(pushed: bool, max_poll_interval: Micros, drain_slack: Micros) -> StalenessBounds {
+fn bounds(push_mode: bool, max_poll_interval: Micros, drain_slack: Micros) -> StalenessBounds {
     StalenessBounds {
-        pushed,
+        push_mode,
         max_poll_interval,
-        watch_silence: 6_000_000,
-        relocation_delay: 4_000_000,
+        silence_notice_delay: 6_000_000,
+        relocation_notice_delay: 4_000_000,
         drain_slack,
     }
 }
@@ -150,26 +152,26 @@
 }
 
 proptest! {
-    /// Whatever happens to the watch: with a call pending that nobody answers, no attempt begins
-    /// later than the drain grace after the drain counts as notified, in both modes, at any grace
-    /// and any poll interval.
+    /// After any sequence of watch events, with a call pending that never gets a response: no
+    /// attempt starts later than the drain grace period after the drain counts as notified, in both
+    /// modes and for any grace period and poll interval.
     #[test]
-    fn no_attempt_begins_after_the_grace_of_a_hidden_drain(
-        pushed in any::<bool>(),
+    fn no_attempt_starts_after_the_grace_period_of_an_unobserved_drain(
+        push_mode in any::<bool>(),
         poll_interval in 500_000..20_000_000_u64,
         grace in 500_000..10_000_000_u64,
         steps in steps(),
         drained_after in 0..20_000_000_u64,
         served_before in prop::option::of(0..1_000_000_u64),
     ) {
-        let mut history = History::new(bounds(pushed, poll_interval, grace / 2));
+        let mut harness = WatchHarness::new(bounds(push_mode, poll_interval, grace / 2));
         for (step, after) in steps {
-            history.now += after;
-            history.play(step);
+            harness.now += after;
+            harness.apply(step);
         }
-        let History { freshness, reference, .. } = history;
-        let Some((since, _)) = reference.blind else {
-            prop_assert_eq!(freshness.trusted_until(None), None, "the list is what discovery has");
+        let WatchHarness { freshness, reference, .. } = harness;
+        let Some((since, _)) = reference.outage else {
+            prop_assert_eq!(freshness.trusted_until(None), None, "the list is current");
             return Ok(());
         };
         let drained_at = since + drained_after;
@@ -180,13 +182,13 @@
         let until = freshness.trusted_until(served);
         prop_assert!(
             until.is_some_and(|until| until <= notified_at + grace),
-            "drained at {drained_at}, notified at {notified_at}, bound at {until:?}, {freshness:?}"
+            "drained {drained_at}, notified {notified_at}, trusted until {until:?}, {freshness:?}"
         );
     }
 }
 
 #[test]
-fn an_outage_keeps_the_list_trusted_and_an_overloaded_discovery_does_not() {
+fn the_list_stays_trusted_in_an_outage_of_discovery_but_not_under_its_overload() {
     let mut freshness = ListFreshness::new(bounds(true, 10_000_000, 250_000), 0);
     for call in (0..8_000_000).step_by(200_000) {
         freshness.on_poll_started(call);
@@ -196,18 +198,18 @@
 
     freshness.on_poll_started(8_000_000);
 
-    let from = freshness.trusted_until(None);
+    let expiry = freshness.trusted_until(None);
     assert!(
-        from.is_some_and(|from| from < 8_250_000),
-        "waiting: {from:?}"
+        expiry.is_some_and(|expiry| expiry < 8_250_000),
+        "while the call is pending: {expiry:?}"
     );
 
     freshness.on_watch_ended(9_000_000);
 
     assert_eq!(
         freshness.trusted_until(None),
-        from,
-        "it waited and failed: discovery is there"
+        expiry,
+        "the call failed after its expiry: discovery is up"
     );
 
     freshness.on_watch_event();
@@ -216,7 +218,7 @@
 }
 
 #[test]
-fn only_an_attempt_served_recently_extends_the_trust_in_a_server() {
+fn only_a_recently_served_attempt_extends_the_trust_in_a_server() {
     let mut freshness = ListFreshness::new(bounds(false, 10_000_000, 500_000), 0);
 
     freshness.on_watch_silent(1_000_000, 4_000_000);
@@ -226,13 +228,13 @@
     assert_eq!(
         freshness.trusted_until(Some(4_500_000)),
         Some(7_500_000),
-        "a response from before the drain counts proves nothing"
+        "a response from before the notification does not extend the trust"
     );
     assert_eq!(freshness.trusted_until(Some(9_000_000)), Some(9_500_000));
 }
 
 #[test]
-fn a_relocated_discovery_that_refuses_connections_has_nothing_to_hide() {
+fn a_refused_connection_after_a_relocation_clears_the_expiry() {
     let mut freshness = ListFreshness::new(bounds(false, 10_000_000, 500_000), 0);
     freshness.on_watch_silent(1_000_000, 4_000_000);
 
@@ -242,6 +244,6 @@
     assert_eq!(
         freshness.trusted_until(None),
         None,
-        "nothing listens there after a relocation"
+        "no process listens at the new address"
     );
 }
--- a/crates/sidecar/src/limits/discovery.rs
+++ b/crates/sidecar/src/limits/discovery.rs
@@ -58,10 +58,10 @@
             watch_silence_timeout: WATCH_SILENCE_TIMEOUT,
             poll_retry_delay: (inputs.drain_grace / 4).clamp(min_delay, max_delay),
             staleness: StalenessBounds {
-                pushed: inputs.pushed,
+                push_mode: inputs.pushed,
                 max_poll_interval: micros(inputs.max_poll_interval),
-                watch_silence: micros(CHANGE_NOTIFIED_AFTER),
-                relocation_delay: micros(RELOCATION_NOTIFIED_AFTER),
+                silence_notice_delay: micros(CHANGE_NOTIFIED_AFTER),
+                relocation_notice_delay: micros(RELOCATION_NOTIFIED_AFTER),
                 drain_slack: micros(inputs.drain_grace / 2),
             },
         }
