--- a/crates/control/src/work_aware_balancer.rs
+++ b/crates/control/src/work_aware_balancer.rs
@@ -1,18 +1,18 @@
-//! The balancer together with the work estimator. Every host (sidecar, adapter, testbed) runs this
-//! type in place of a bare [`Balancer`], so that all of them run the same code.
+//! Combines the balancer with the work estimator. Every host (sidecar, adapter, testbed) runs this
+//! type instead of [`Balancer`] itself, so that all of them run the same code.
 //!
-//! An arriving request that brings no work hint of its own gets
+//! A request that arrives without a work hint gets
 //!
 //! ```text
 //! work hint = max(1 us, WORK_HINT_FRACTION * expected work of its class)
 //! ```
 //!
-//! and none while the estimator knows no expected work. Each attempt that the balancer sends takes
-//! a sample of its server's queue, and each attempt that was served hands its sample and its
-//! response time to the estimator. A request is forgotten with its final response.
+//! or none while the estimator has no expected work. For each attempt that the balancer sends, the
+//! state of the server is saved, and for each served attempt it is passed to the estimator together
+//! with the response time. A request is removed with its final response.
 //!
-//! Owns the link between requests, their attempts and the samples; the estimates are owned by
-//! [`WorkEstimator`], the decisions by [`Balancer`].
+//! This module links requests and their attempts to the saved states. [`WorkEstimator`] owns the
+//! estimates and [`Balancer`] the decisions.
 
 use std::collections::BTreeMap;
 
@@ -22,28 +22,29 @@
 };
 
 use crate::convert::{f64_from_micros, truncate_to_micros};
-use crate::work_estimator::{SendSample, WorkEstimator};
+use crate::work_estimator::{SendContext, WorkEstimator};
 
-/// Fraction of the mean work of a class that becomes the work hint of a request; no unit.
+/// Work hint of a request as a fraction of the mean work of its class; dimensionless.
 ///
-/// Hints are compared with each other, so the fraction changes only one decision: the balancer
-/// rejects a request at once whose hint exceeds its time left. With 1, requests with little time
-/// left were rejected of which many would have been served, as most works lie far below the mean;
-/// of exponential works a fifth lie below a quarter of it. Smaller fractions send requests that
-/// cannot be served in time. Source: `docs/losses.md`, on clients with little time.
+/// Hints are otherwise only compared with each other, so the fraction affects a single decision:
+/// the balancer immediately rejects a request whose hint exceeds its remaining time. A fraction of
+/// 1 rejected many requests with little time left that would have been served in time, because most
+/// requests need far less work than the mean; with exponentially distributed work, a fifth need
+/// less than a quarter of the mean. A smaller fraction sends requests that cannot be served in
+/// time. Source: `docs/losses.md`, on clients with little time.
 const WORK_HINT_FRACTION: f64 = 0.25;
 
-/// A request without a final response: its class, and a sample for each attempt in the order of the
-/// sends.
+/// A request without a final response.
 struct OpenRequest {
     class: ClassId,
-    attempts: Vec<SendSample>,
+    /// State of the server at each attempt, in the order in which the attempts were sent.
+    attempts: Vec<SendContext>,
 }
 
-/// A balancer whose requests carry the expected work of their class.
+/// A balancer that derives missing work hints from the estimated work of the request class.
 pub struct WorkAwareBalancer {
     balancer: Balancer,
-    work: WorkEstimator,
+    work_estimator: WorkEstimator,
     open_requests: BTreeMap<RequestId, OpenRequest>,
 }
 
@@ -51,28 +52,27 @@
     /// Creates a balancer as [`Balancer::new`] does.
     ///
     /// # Errors
-    /// Names the first setting that is out of range.
+    /// Returns the first setting that is out of range.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
-        let work = WorkEstimator::new(settings.classes.len());
+        let work_estimator = WorkEstimator::new(settings.classes.len());
         Ok(Self {
             balancer: Balancer::new(settings, seed)?,
-            work,
+            work_estimator,
             open_requests: BTreeMap::new(),
         })
     }
 
-    /// Handles one event and appends the resulting actions. `now` never falls from one call to the
-    /// next.
+    /// Handles one event and appends the resulting actions. `now` must not decrease between calls.
     pub fn handle(&mut self, now: Micros, mut event: Event, actions: &mut Vec<Action>) {
-        self.before_balancer(now, &mut event);
-        let already_there = actions.len();
+        self.prepare_event(now, &mut event);
+        let previous_actions = actions.len();
         self.balancer.handle(now, event, actions);
-        for action in actions.iter().skip(already_there) {
-            self.on_action(now, action);
+        for action in actions.iter().skip(previous_actions) {
+            self.observe_action(now, action);
         }
     }
 
-    fn before_balancer(&mut self, now: Micros, event: &mut Event) {
+    fn prepare_event(&mut self, now: Micros, event: &mut Event) {
         match event {
             Event::RequestArrived(request) => self.on_request_arrived(request),
             Event::AttemptEnded(end) => self.on_attempt_ended(end),
@@ -83,13 +83,13 @@
                 server,
                 load_report: Some(report),
                 ..
-            } => self.work.on_load_report(now, *server, *report),
+            } => self.work_estimator.on_load_report(now, *server, *report),
             _ => {}
         }
     }
 
     fn on_request_arrived(&mut self, request: &mut IncomingRequest) {
-        let expected = self.work.expected_work(request.class);
+        let expected = self.work_estimator.expected_work(request.class);
         // A hint from the client takes precedence over the estimate.
         request.work_hint = request.work_hint.or(expected.map(hint_from_expected_work));
         self.open_requests.insert(
@@ -104,23 +104,24 @@
     fn on_attempt_ended(&mut self, end: &AttemptEnd) {
         if end.outcome == Outcome::Served
             && let Some(open) = self.open_requests.get(&end.request)
-            && let Some(sent) = sample_of_attempt(open, end.attempt)
+            && let Some(context) = send_context(open, end.attempt)
         {
-            self.work.on_attempt_served(open.class, sent, end.elapsed);
+            self.work_estimator
+                .on_attempt_served(open.class, context, end.elapsed);
         }
         if end.finished {
             self.open_requests.remove(&end.request);
         }
     }
 
-    fn on_action(&mut self, now: Micros, action: &Action) {
+    fn observe_action(&mut self, now: Micros, action: &Action) {
         match action {
             Action::Send {
                 request, server, ..
             } => {
                 if let Some(open) = self.open_requests.get_mut(request) {
-                    let sample = self.work.on_attempt_started(now, *server);
-                    open.attempts.push(sample);
+                    let context = self.work_estimator.on_attempt_started(now, *server);
+                    open.attempts.push(context);
                 }
             }
             Action::Reject { request, .. } | Action::Fail { request } => {
@@ -131,18 +132,18 @@
     }
 
     /// The estimates of work and latency.
-    pub fn work(&self) -> &WorkEstimator {
-        &self.work
+    pub fn work_estimator(&self) -> &WorkEstimator {
+        &self.work_estimator
     }
 }
 
-/// The hint of a request whose class takes that much work on average; never zero.
-fn hint_from_expected_work(work: Micros) -> Micros {
-    truncate_to_micros(f64_from_micros(work) * WORK_HINT_FRACTION).max(1)
+/// Work hint of a request whose class has the given expected work; at least 1 us.
+fn hint_from_expected_work(expected_work: Micros) -> Micros {
+    truncate_to_micros(f64_from_micros(expected_work) * WORK_HINT_FRACTION).max(1)
 }
 
-/// What was known as an attempt of a request was sent; attempts are numbered from 0.
-fn sample_of_attempt(request: &OpenRequest, attempt: u32) -> Option<&SendSample> {
+/// State of the server when an attempt was sent; attempts are numbered from 0.
+fn send_context(request: &OpenRequest, attempt: u32) -> Option<&SendContext> {
     let index = usize::try_from(attempt).ok()?;
     request.attempts.get(index)
 }
--- a/crates/control/src/work_aware_balancer/tests.rs
+++ b/crates/control/src/work_aware_balancer/tests.rs
@@ -22,24 +22,24 @@
     }
 }
 
-/// Response time of every request in the training, in microseconds.
+/// Response time of every training request, in microseconds.
 const TRAINED_WORK: Micros = 30_000;
-/// Time that a client waits who is in no hurry, in microseconds.
-const AMPLE_TIME: Micros = 600_000;
-/// Requests in the training: more than an estimate needs.
+/// Remaining time of a request with a distant deadline, in microseconds.
+const AMPLE_TIME_LEFT: Micros = 600_000;
+/// Number of training requests; more than an estimate needs.
 const TRAINING_REQUESTS: u64 = 60;
-/// Time between two requests of the training, in microseconds.
+/// Idle time before each training request, in microseconds.
 const TRAINING_PAUSE: Micros = 100_000;
 
-/// A balancer that has learnt that its requests take [`TRAINED_WORK`], and the time.
+/// Returns a balancer trained on requests that take [`TRAINED_WORK`], and the current time.
 fn trained_balancer() -> (WorkAwareBalancer, Micros) {
     let mut balancer = WorkAwareBalancer::new(settings_with_load_checks(), 7).expect("valid");
     list_one_server(&mut balancer);
     let mut now = 0;
     for id in 0..TRAINING_REQUESTS {
         now += TRAINING_PAUSE;
-        let sent = is_sent(&mut balancer, now, id, AMPLE_TIME);
-        assert!(sent, "request {id} goes out");
+        let sent = send_request(&mut balancer, now, id, AMPLE_TIME_LEFT);
+        assert!(sent, "request {id} is sent");
         now += TRAINED_WORK;
         serve(&mut balancer, now, id);
     }
@@ -55,7 +55,7 @@
     balancer.handle(0, update, &mut Vec::new());
 }
 
-/// The server serves the first attempt of a request, after [`TRAINED_WORK`].
+/// Reports that the server served the first attempt of a request after [`TRAINED_WORK`].
 fn serve(balancer: &mut WorkAwareBalancer, now: Micros, id: u64) {
     let end = AttemptEnd {
         request: RequestId(id),
@@ -69,9 +69,9 @@
     balancer.handle(now, Event::AttemptEnded(end), &mut Vec::new());
 }
 
-/// Lets a request arrive, answers the health checks with an idle server, and returns whether the
-/// request was sent.
-fn is_sent(balancer: &mut WorkAwareBalancer, now: Micros, id: u64, time_left: Micros) -> bool {
+/// Passes in a new request and a health check with the load report of an idle server, and returns
+/// whether the request was sent.
+fn send_request(balancer: &mut WorkAwareBalancer, now: Micros, id: u64, time_left: Micros) -> bool {
     let mut actions = Vec::new();
     let request = IncomingRequest {
         id: RequestId(id),
@@ -96,25 +96,25 @@
 }
 
 #[test]
-fn the_work_of_a_class_is_learnt_from_the_events() {
+fn the_work_of_a_class_is_estimated_from_events() {
     let (balancer, _) = trained_balancer();
 
-    let work = balancer.work().expected_work(ClassId(0));
+    let work = balancer.work_estimator().expected_work(ClassId(0));
 
     assert!(work.is_some_and(|work| (29_000..31_000).contains(&work)));
 }
 
 #[test]
-fn a_request_with_little_time_left_is_sent_unless_it_is_next_to_none() {
+fn a_request_with_little_time_left_is_sent_unless_below_its_work_hint() {
     let (mut balancer, now) = trained_balancer();
 
-    let sent_with_little_time = is_sent(&mut balancer, now, 1_000, 20_000);
-    let sent_with_next_to_none = is_sent(&mut balancer, now + 1_000_000, 1_001, 5_000);
+    let sent_with_little_time = send_request(&mut balancer, now, 1_000, 20_000);
+    let sent_below_work_hint = send_request(&mut balancer, now + 1_000_000, 1_001, 5_000);
 
     assert!(sent_with_little_time);
-    assert!(!sent_with_next_to_none);
+    assert!(!sent_below_work_hint);
     assert!(
         balancer.open_requests.len() <= 1,
-        "a rejected request is forgotten"
+        "a rejected request is removed"
     );
 }
