--- a/crates/control/src/convert/tests.rs
+++ b/crates/control/src/convert/tests.rs
@@ -1,12 +1,12 @@
 use super::{f64_from_count, f64_from_micros, truncate_to_micros};
 
 #[test]
-fn a_fraction_of_a_microsecond_is_cut_off() {
+fn a_fraction_of_a_microsecond_is_truncated() {
     assert_eq!(truncate_to_micros(1.999), 1);
 }
 
 #[test]
-fn what_is_no_time_becomes_the_nearest_end_of_the_range() {
+fn numbers_out_of_range_become_the_nearest_limit() {
     for (microseconds, expected) in [
         (f64::NAN, 0),
         (-1.0, 0),
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,8 +1,8 @@
-//! Control decisions outside the balancer: work estimates, machine types and the freshness of the
+//! Control logic outside the balancer: work estimates, machine types and the freshness of the
 //! endpoint list.
 //!
-//! Owns what is learnt and judged beside the balancer's own decisions. No I/O and no clock: events
-//! and times are passed in, and verdicts are returned. Nothing here depends on a protocol.
+//! The crate performs no I/O and reads no clock: callers pass events and times in and get results
+//! back. Nothing in it depends on a protocol.
 
 mod convert;
 pub mod list_freshness;
@@ -17,8 +17,8 @@
 pub use machine_catalogue::MachineCatalogue;
 pub use work_aware_balancer::WorkAwareBalancer;
 
-/// Hash of a server's name that every instance computes alike, whatever its version: 64-bit FNV-1a
-/// of the UTF-8 bytes. It identifies servers in gossip, so it must never change.
+/// Hash of a server's name that is the same in every instance and version: 64-bit FNV-1a of the
+/// UTF-8 bytes. It identifies servers in gossip, so it must never change.
 pub fn stable_hash(text: &str) -> u64 {
     let mut hasher = FnvHasher::default();
     hasher.write(text.as_bytes());
--- a/crates/control/src/machine_catalogue.rs
+++ b/crates/control/src/machine_catalogue.rs
@@ -1,36 +1,37 @@
 //! The machine types of the fleet and their capacity.
 //!
-//! A type in the operator's table has the capacity stated there. Any other type counts as the mean
-//! of the table, or as the balancer's default without a table. Each name has an id of its own, in
-//! the order in which names are first seen, so that what is learnt of one machine applies to all of
-//! its type; an empty name, and one that comes after `MAX_MACHINE_TYPES` others, has none.
+//! A type in the operator's table has the capacity stated there. Any other type has the mean
+//! capacity of the table, or the balancer's default if there is no table. Each model name gets its
+//! own id, in the order of first use, so that estimates for one machine apply to all machines of
+//! its type. An empty name, and any name after the first `MAX_MACHINE_TYPES`, gets no own id.
 //!
-//! Owns the numbering of the types; the format of the operator's table is read by the sidecar, and
-//! what is learnt by type is kept by the balancer.
+//! This module assigns the ids. The sidecar parses the operator's table, and the balancer owns the
+//! estimates by machine type.
 
 use arrowstand_balancer::MachineType;
 
 use crate::convert::f64_from_count;
 
-/// Machine types that get an id of their own. Endpoint lists come from the network, and a list that
-/// invented names would otherwise fill the memory; types beyond the bound share the id of machines
-/// without one. A fleet has a handful of types, so the bound is far above any real one.
+/// Maximum number of machine types with their own id; further types share [`UNTYPED_ID`]. Endpoint
+/// lists come from the network, so a list of invented names would otherwise exhaust the memory. A
+/// fleet has only a handful of types.
 const MAX_MACHINE_TYPES: usize = 256;
-/// Id of machines without a type of their own.
-const NO_TYPE_ID: u32 = 0;
+/// Id shared by all machines whose type has no id of its own.
+const UNTYPED_ID: u32 = 0;
 
 /// The known machine types, by the platform's model names.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MachineCatalogue {
     types: Vec<(String, MachineType)>,
-    /// What a type counts as that the operator's table does not name.
-    unlisted: MachineType,
+    /// Capacity of a type that is not in the operator's table.
+    default_type: MachineType,
 }
 
 impl MachineCatalogue {
-    /// Builds the catalogue from the operator's table: model name, cores (requests that run at a
-    /// time) and speed (work per time of one core, relative to an average one), both above zero. A
-    /// type that the table does not name counts as the mean of the table.
+    /// Builds the catalogue from the operator's table. Its columns are the model name, the number
+    /// of cores (concurrently executing requests) and the speed of a core (work per unit of time,
+    /// relative to an average core). Both numbers must be above zero. A type that is not in the
+    /// table has the table's mean capacity.
     pub fn from_table(table: impl IntoIterator<Item = (String, f64, f64)>) -> Self {
         let mut catalogue = Self::default();
         for (model, cores, speed) in table {
@@ -42,8 +43,8 @@
             catalogue.add(model, capacity);
         }
         if !catalogue.types.is_empty() {
-            catalogue.unlisted = MachineType {
-                id: NO_TYPE_ID,
+            catalogue.default_type = MachineType {
+                id: UNTYPED_ID,
                 cores: catalogue.mean(|machine| machine.cores),
                 speed: catalogue.mean(|machine| machine.speed),
             };
@@ -51,34 +52,34 @@
         catalogue
     }
 
-    fn mean(&self, of: fn(&MachineType) -> f64) -> f64 {
+    fn mean(&self, quantity: fn(&MachineType) -> f64) -> f64 {
         let count = f64_from_count(self.types.len());
         self.types
             .iter()
-            .map(|(_, machine)| of(machine))
+            .map(|(_, machine)| quantity(machine))
             .sum::<f64>()
             / count
     }
 
-    /// Adds a type under the next id; [`NO_TYPE_ID`] is never given out.
+    /// Adds a type under the next id. Ids start at 1; [`UNTYPED_ID`] is reserved.
     fn add(&mut self, model: String, capacity: MachineType) -> MachineType {
-        let types_before = u32::try_from(self.types.len()).unwrap_or(u32::MAX);
+        let type_count = u32::try_from(self.types.len()).unwrap_or(u32::MAX);
         let machine = MachineType {
-            id: types_before.saturating_add(1),
+            id: type_count.saturating_add(1),
             ..capacity
         };
         self.types.push((model, machine));
         machine
     }
 
-    /// The machine type of a model name. An unknown name becomes a type of its own, up to a bound;
-    /// an empty name has none.
+    /// Returns the machine type of a model name. An unknown name is added as a new type, up to
+    /// [`MAX_MACHINE_TYPES`]; an empty name is never added.
     pub fn lookup(&mut self, model: &str) -> MachineType {
         let known = self.types.iter().find(|(name, _)| name == model);
         match known {
             Some((_, machine)) => *machine,
-            None if model.is_empty() || self.types.len() >= MAX_MACHINE_TYPES => self.unlisted,
-            None => self.add(model.to_owned(), self.unlisted),
+            None if model.is_empty() || self.types.len() >= MAX_MACHINE_TYPES => self.default_type,
+            None => self.add(model.to_owned(), self.default_type),
         }
     }
 }
--- a/crates/control/src/machine_catalogue/tests.rs
+++ b/crates/control/src/machine_catalogue/tests.rs
@@ -3,14 +3,14 @@
 
 use super::{MAX_MACHINE_TYPES, MachineCatalogue};
 
-/// A table of two types: 3 cores and a speed of 1 in the mean.
-fn two_types() -> MachineCatalogue {
+/// Returns a catalogue of two types with a mean of 3 cores and a mean speed of 1.
+fn catalogue_of_two_types() -> MachineCatalogue {
     MachineCatalogue::from_table([("a".to_owned(), 2.0, 1.5), ("b".to_owned(), 4.0, 0.5)])
 }
 
 #[test]
-fn a_type_of_the_table_has_its_capacity() {
-    let machine = two_types().lookup("b");
+fn a_type_in_the_table_has_the_stated_capacity() {
+    let machine = catalogue_of_two_types().lookup("b");
 
     let expected = MachineType {
         id: 2,
@@ -21,8 +21,8 @@
 }
 
 #[test]
-fn a_type_missing_from_the_table_counts_as_the_mean_under_its_own_id() {
-    let mut catalogue = two_types();
+fn a_type_missing_from_the_table_has_the_mean_capacity_and_its_own_id() {
+    let mut catalogue = catalogue_of_two_types();
 
     let first = catalogue.lookup("c");
     let second = catalogue.lookup("d");
@@ -40,7 +40,7 @@
 
 #[test]
 fn a_machine_without_a_type_has_no_id_of_its_own() {
-    let mut catalogue = two_types();
+    let mut catalogue = catalogue_of_two_types();
     catalogue.lookup("c");
 
     let machine = catalogue.lookup("");
@@ -60,9 +60,9 @@
 }
 
 proptest! {
-    /// Whatever names an endpoint list has, a name keeps its type and the catalogue is bounded.
+    /// For any sequence of names: a name always has the same type, and the catalogue is bounded.
     #[test]
-    fn a_name_keeps_its_type(names in prop::collection::vec("[a-z]{0,3}", 0..600)) {
+    fn a_name_always_has_the_same_type(names in prop::collection::vec("[a-z]{0,3}", 0..600)) {
         let mut catalogue = MachineCatalogue::default();
         let first: Vec<MachineType> = names.iter().map(|name| catalogue.lookup(name)).collect();
         let again: Vec<MachineType> = names.iter().map(|name| catalogue.lookup(name)).collect();
--- a/crates/control/src/tests.rs
+++ b/crates/control/src/tests.rs
@@ -1,7 +1,7 @@
 use super::stable_hash;
 
-/// Instances of different versions compare these numbers: they were computed by the FNV-1a that was
-/// written out here before the `fnv` crate took its place.
+/// Hashes that instances of different versions exchange. The expected values come from the FNV-1a
+/// implementation that preceded the `fnv` crate.
 const HASHES: [(&str, u64); 5] = [
     ("", 0xcbf2_9ce4_8422_2325),
     ("a", 0xaf63_dc4c_8601_ec8c),
@@ -11,7 +11,7 @@
 ];
 
 #[test]
-fn stable_hash_is_the_same_number_in_every_version() {
+fn stable_hash_does_not_change_between_versions() {
     for (text, expected) in HASHES {
         assert_eq!(stable_hash(text), expected, "{text:?}");
     }
