--- a/crates/adapter/src/error.rs
+++ b/crates/adapter/src/error.rs
@@ -1,7 +1,7 @@
-//! Why the adapter stops. Each message is one line, and names a field as the simulator spells it.
+//! Errors that stop the adapter. Each message is a single line and refers to a field by its name in
+//! the line protocol.
 //!
-//! Owns the wording of the adapter's own errors; that of settings is owned by `arrowstand-platform`
-//! and `arrowstand-balancer`.
+//! Errors in settings are defined by `arrowstand-platform` and `arrowstand-balancer`.
 
 use std::io;
 
@@ -9,13 +9,13 @@
 use arrowstand_platform::KeyError;
 use thiserror::Error;
 
-/// Why the adapter stops before its input ends.
+/// An error that stops the adapter before the end of its input.
 #[derive(Debug, Error)]
 pub(crate) enum AdapterError {
     /// The input cannot be read.
     #[error("cannot read: {0}")]
     Read(#[source] io::Error),
-    /// A line is no batch of events.
+    /// A line is not a valid batch of events.
     #[error("bad batch: {0}")]
     Batch(#[source] serde_json::Error),
     /// An event cannot be handled.
@@ -26,63 +26,63 @@
     Write(#[source] io::Error),
 }
 
-/// Why an event cannot be handled.
+/// An error in handling an event.
 #[derive(Debug, Error)]
 pub(crate) enum HostError {
     /// The event itself is malformed.
     #[error(transparent)]
     Event(#[from] EventError),
-    /// The event is for an instance that is not attached.
+    /// The event names an instance that is not attached.
     #[error("unknown instance {0:?}")]
     UnknownInstance(String),
-    /// The value of a key in an instance's settings cannot be used.
+    /// A key in the settings of an instance has an invalid value.
     #[error("attach: conf: {0}")]
     SettingsKey(#[from] KeyError),
-    /// A setting of an instance is out of range.
+    /// The settings of an instance are rejected by the balancer.
     #[error(transparent)]
     Settings(#[from] SettingsError),
 }
 
-/// What is wrong with an event.
+/// An error in the content of an event.
 #[derive(Debug, Error)]
 pub(crate) enum EventError {
-    /// A field is absent that its kind of event needs.
-    #[error("{message}: field {field} is missing")]
+    /// A field that this kind of event requires is missing.
+    #[error("{event_kind}: field {field} is missing")]
     MissingField {
         /// The kind of event.
-        message: String,
-        /// The field.
+        event_kind: String,
+        /// The name of the field.
         field: &'static str,
     },
-    /// A field has none of its known values.
-    #[error("{message}: unknown {field} {value:?}")]
+    /// The value of a field is not one of the known values.
+    #[error("{event_kind}: unknown {field} {value:?}")]
     UnknownValue {
         /// The kind of event.
-        message: String,
-        /// The field.
+        event_kind: String,
+        /// The name of the field.
         field: &'static str,
-        /// Its value.
+        /// The value of the field.
         value: String,
     },
-    /// The outcome of an attempt or a health check is none of the known ones.
+    /// The outcome of an attempt or a health check is unknown.
     #[error("unknown rc {0:?}")]
     UnknownOutcome(String),
-    /// There is no such kind of event.
+    /// The kind of event is unknown.
     #[error("unknown message {0:?}")]
-    UnknownMessage(String),
-    /// A request id is no hexadecimal number.
-    #[error("{message}: txn {text:?} is not a request id")]
+    UnknownEventKind(String),
+    /// A request id is not a hexadecimal number.
+    #[error("{event_kind}: txn {text:?} is not a request id")]
     InvalidRequestId {
         /// The kind of event.
-        message: String,
-        /// The text in place of the id.
+        event_kind: String,
+        /// The value of the field.
         text: String,
     },
-    /// An endpoint table is named that was never sent.
-    #[error("{message}: no roster {number}")]
+    /// The event refers to an endpoint table that has not been sent.
+    #[error("{event_kind}: no roster {number}")]
     UnknownTable {
         /// The kind of event.
-        message: String,
+        event_kind: String,
         /// The number of the table.
         number: usize,
     },
--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -1,7 +1,7 @@
 //! Hosts the balancers of many simulated sidecars in one process.
 //!
-//! Owns the attached instances and the endpoint tables that they share. The fields of events and
-//! actions are known by the decoder and the encoder, the decisions by the balancers.
+//! The host owns the attached instances and the endpoint tables that they share. It leaves the
+//! fields of events and actions to the decoder and the encoder.
 
 mod action_encoder;
 mod endpoint_table;
@@ -20,37 +20,41 @@
 use endpoint_table::EndpointTables;
 use instance::Instance;
 
-/// Everything that one process hosts.
+/// The instances and endpoint tables of this process.
 #[derive(Default)]
 pub(crate) struct Host {
     instances: HashMap<String, Instance>,
     tables: EndpointTables,
-    /// Actions of one event; kept for its buffer.
+    /// Actions of the current event; a field so that its allocation is reused.
     actions: Vec<Action>,
 }
 
 impl Host {
-    /// Passes each event of a batch to its instance and writes the actions into the reply.
+    /// Passes each event of a batch to its instance and appends the actions to the reply.
     ///
     /// # Errors
-    /// Stops at the first event that cannot be handled.
-    pub(crate) fn run(&mut self, batch: &Batch, reply: &mut Reply) -> Result<(), HostError> {
+    /// Returns the error of the first event that cannot be handled; later events are not handled.
+    pub(crate) fn handle_batch(
+        &mut self,
+        batch: &Batch,
+        reply: &mut Reply,
+    ) -> Result<(), HostError> {
         let now = micros_from_ms(batch.clock_ms);
         for event in &batch.events {
             if event.kind == "roster" {
-                self.tables.on_table(event)?;
+                self.tables.insert(event)?;
                 continue;
             }
-            let name = event.required(event.instance, "i")?;
+            let instance_name = event.required(event.instance, "i")?;
             match event.kind {
                 "attach" => {
                     let instance = Instance::attach(event)?;
-                    self.instances.insert(name.to_owned(), instance);
+                    self.instances.insert(instance_name.to_owned(), instance);
                 }
                 "exit" => {
-                    self.instances.remove(name);
+                    self.instances.remove(instance_name);
                 }
-                _ => self.handle_event(now, name, event, reply)?,
+                _ => self.handle_event(now, instance_name, event, reply)?,
             }
         }
         Ok(())
@@ -59,20 +63,20 @@
     fn handle_event(
         &mut self,
         now: Micros,
-        name: &str,
+        instance_name: &str,
         event: &EventMessage,
         reply: &mut Reply,
     ) -> Result<(), HostError> {
         let instance = self
             .instances
-            .get_mut(name)
-            .ok_or_else(|| HostError::UnknownInstance(name.to_owned()))?;
+            .get_mut(instance_name)
+            .ok_or_else(|| HostError::UnknownInstance(instance_name.to_owned()))?;
         let names = &mut instance.names;
         let event = event_decoder::decode(event, names, &self.tables)?;
         self.actions.clear();
         instance.balancer.handle(now, event, &mut self.actions);
         for action in &self.actions {
-            action_encoder::encode(action, name, names, reply);
+            action_encoder::encode(action, instance_name, names, reply);
         }
         Ok(())
     }
--- a/crates/adapter/src/host/action_encoder.rs
+++ b/crates/adapter/src/host/action_encoder.rs
@@ -1,25 +1,25 @@
-//! Writes the balancer's actions in the simulator's form.
+//! Encodes the balancer's actions in the simulator's line protocol.
 //!
-//! Owns the names of the actions, of their fields and of the events in the simulator's journal; the
-//! syntax is owned by [`Reply`].
+//! This module defines the protocol names of the actions, their fields and the events in the
+//! simulator's journal; [`Reply`] defines the syntax.
 
 use arrowstand_balancer::{Action, EjectionCause, ServerEvent, StateChange};
 
-use super::instance::Names;
+use super::instance::NameInterner;
 use crate::reply::Reply;
 
-/// The receiver of a gossip message that is for all peers, in place of a balancer's number.
+/// Recipient of a gossip message to all peers, used in place of a balancer's number.
 const ALL_PEERS: i64 = -1;
 
-/// Appends an action of the instance of that name to the reply.
-pub(super) fn encode(action: &Action, instance: &str, names: &Names, reply: &mut Reply) {
-    reply.begin(message(action), instance);
+/// Appends an action of the named instance to the reply.
+pub(super) fn encode(action: &Action, instance: &str, names: &NameInterner, reply: &mut Reply) {
+    reply.begin_action(action_name(action), instance);
     encode_fields(action, names, reply);
-    reply.end();
+    reply.end_action();
 }
 
-/// The simulator's name for the kind of action.
-fn message(action: &Action) -> &'static str {
+/// Protocol name of an action.
+fn action_name(action: &Action) -> &'static str {
     match action {
         Action::Send { .. } => "transmit",
         Action::Cancel { .. } => "revoke",
@@ -33,62 +33,62 @@
     }
 }
 
-/// Writes what an action carries. A table with an arm for each action, and so longer than other
-/// functions here.
-fn encode_fields(action: &Action, names: &Names, reply: &mut Reply) {
+/// Appends the fields of an action. The function is longer than others because it has an arm for
+/// each action.
+fn encode_fields(action: &Action, names: &NameInterner, reply: &mut Reply) {
     match action {
         Action::Send {
             request,
             server,
             timeout,
         } => {
-            reply.id(request.0);
-            reply.text("server", names.server_name(*server));
+            reply.request_id(request.0);
+            reply.string("server", names.server_name(*server));
             reply.optional_millis("within-ms", *timeout);
         }
         Action::Cancel { request, attempt } => {
-            reply.id(request.0).number("n", attempt);
+            reply.request_id(request.0).scalar("n", attempt);
         }
         Action::Reject {
             request,
             retry_after,
         } => {
-            reply.id(request.0);
+            reply.request_id(request.0);
             reply.optional_millis("pause-ms", *retry_after);
         }
         Action::Fail { request } => {
-            reply.id(request.0);
+            reply.request_id(request.0);
         }
         Action::SetTimer { token, after } => {
-            reply.number("cookie", token).millis("from-now-ms", *after);
+            reply.scalar("cookie", token).millis("from-now-ms", *after);
         }
         Action::HealthCheck { server } => {
-            reply.text("server", names.server_name(*server));
+            reply.string("server", names.server_name(*server));
         }
         Action::SendGossip { to, message } => {
             let to = to.map_or(ALL_PEERS, i64::from);
-            reply.number("to", to).payload(message);
+            reply.scalar("to", to).payload(message);
         }
         Action::PollEndpoints => {
-            reply.number("want", true);
+            reply.scalar("want", true);
         }
         Action::Record(change) => encode_state_change(*change, names, reply),
     }
 }
 
-/// A line of the simulator's journal: what happened, and the name of the server where it is known.
-fn encode_state_change(change: StateChange, names: &Names, reply: &mut Reply) {
+/// Appends a line of the simulator's journal: the event, and the name of the server if it is known.
+fn encode_state_change(change: StateChange, names: &NameInterner, reply: &mut Reply) {
     let line = match change {
         StateChange::EndpointListLost => "list lost".to_owned(),
         StateChange::Server { server, event } => {
-            let text = server_event_text(event);
-            format!("{text} {}", names.server_name(server))
+            let description = describe_server_event(event);
+            format!("{description} {}", names.server_name(server))
         }
     };
-    reply.text("what", line.trim_end());
+    reply.string("what", line.trim_end());
 }
 
-fn server_event_text(event: ServerEvent) -> &'static str {
+fn describe_server_event(event: ServerEvent) -> &'static str {
     match event {
         ServerEvent::Ejected { cause } => match cause {
             EjectionCause::HealthChecks => "suspected: probes fail",
--- a/crates/adapter/src/host/action_encoder/tests.rs
+++ b/crates/adapter/src/host/action_encoder/tests.rs
@@ -1,20 +1,21 @@
 use arrowstand_balancer::{Action, EjectionCause, RequestId, ServerEvent, ServerId, StateChange};
 
 use super::encode;
-use crate::host::instance::Names;
+use crate::host::instance::NameInterner;
 use crate::reply::Reply;
 
 const REQUEST: RequestId = RequestId(0xab);
 const SERVER: ServerId = ServerId(0);
 
-/// Checks what is written of an action, without the braces of its reply.
+/// Asserts that an action is encoded as expected. `expected` omits the braces and the reply around
+/// the action.
 fn assert_encoded(action: &Action, expected: &str) {
-    let mut names = Names::default();
+    let mut names = NameInterner::default();
     names.server_id("10.0.0.1:80");
     let mut reply = Reply::new();
     encode(action, "sidecar/0", &names, &mut reply);
     let expected = format!("{{\"out\":[{{{expected}}}]}}\n");
-    assert_eq!(reply.line(), expected);
+    assert_eq!(reply.finish(), expected);
 }
 
 fn send(timeout: Option<u64>) -> Action {
@@ -26,7 +27,7 @@
 }
 
 #[test]
-fn a_send_carries_request_server_and_timeout_if_any() {
+fn a_send_has_the_request_the_server_and_an_optional_timeout() {
     let sent =
         r#""msg":"transmit","i":"sidecar/0","txn":"00000000000000ab","server":"10.0.0.1:80""#;
     let sent_with_timeout = format!("{sent},\"within-ms\":1234.005");
@@ -36,7 +37,7 @@
 }
 
 #[test]
-fn a_cancel_carries_the_number_of_the_attempt() {
+fn a_cancel_has_the_number_of_the_attempt() {
     let action = Action::Cancel {
         request: REQUEST,
         attempt: 2,
@@ -46,7 +47,7 @@
 }
 
 #[test]
-fn a_final_action_carries_the_request_and_a_rejection_its_retry_after_if_any() {
+fn a_final_action_has_the_request_and_a_rejection_an_optional_retry_after() {
     let reject = |retry_after| Action::Reject {
         request: REQUEST,
         retry_after,
@@ -61,7 +62,7 @@
 }
 
 #[test]
-fn timers_health_checks_and_polls_carry_their_fields() {
+fn timers_health_checks_and_polls_have_their_fields() {
     let timer = Action::SetTimer {
         token: 9,
         after: 5_000,
@@ -77,7 +78,7 @@
 }
 
 #[test]
-fn gossip_carries_its_receiver_and_its_payload_in_base64() {
+fn gossip_has_its_recipient_and_its_payload_in_base64() {
     let gossip = |to, message| Action::SendGossip { to, message };
 
     let to_all = r#""msg":"share","i":"sidecar/0","to":-1,"contents":"AQI=""#;
@@ -88,7 +89,7 @@
 }
 
 #[test]
-fn a_journal_line_ends_with_the_server_if_it_is_known() {
+fn a_journal_line_ends_with_the_name_of_the_server_if_known() {
     let readmitted = |server| {
         let event = ServerEvent::Readmitted;
         Action::Record(StateChange::Server { server, event })
@@ -102,7 +103,7 @@
 }
 
 #[test]
-fn a_lost_endpoint_list_has_its_journal_line() {
+fn a_lost_endpoint_list_has_a_journal_line() {
     let action = Action::Record(StateChange::EndpointListLost);
     let expected = r#""msg":"journal-line","i":"sidecar/0","what":"list lost""#;
     assert_encoded(&action, expected);
@@ -112,8 +113,8 @@
     ServerEvent::Ejected { cause }
 }
 
-/// The events of a server, and what the simulator's journal says of them.
-const JOURNAL_TEXTS: [(ServerEvent, &str); 5] = [
+/// The events of a server and their descriptions in the simulator's journal.
+const EVENT_DESCRIPTIONS: [(ServerEvent, &str); 5] = [
     (
         ejected(EjectionCause::HealthChecks),
         "suspected: probes fail",
@@ -128,11 +129,12 @@
 ];
 
 #[test]
-fn every_event_of_a_server_has_its_journal_line() {
-    for (event, text) in JOURNAL_TEXTS {
+fn every_server_event_has_a_journal_line() {
+    for (event, description) in EVENT_DESCRIPTIONS {
         let server = SERVER;
         let action = Action::Record(StateChange::Server { server, event });
-        let line = format!(r#""msg":"journal-line","i":"sidecar/0","what":"{text} 10.0.0.1:80""#);
+        let line =
+            format!(r#""msg":"journal-line","i":"sidecar/0","what":"{description} 10.0.0.1:80""#);
         assert_encoded(&action, &line);
     }
 }
--- a/crates/adapter/src/host/endpoint_table.rs
+++ b/crates/adapter/src/host/endpoint_table.rs
@@ -1,8 +1,7 @@
-//! The endpoint tables of the simulator: lists that are sent once and then named by number, as all
-//! instances share them.
+//! The endpoint tables of the simulator: endpoint lists that are sent once and then referred to by
+//! number, because all instances share them.
 //!
-//! Owns the tables by number and the words for a server's status. Which instance has seen which
-//! table is not known here.
+//! This module also defines the protocol names of a server's status.
 
 use std::collections::HashMap;
 
@@ -16,35 +15,35 @@
 pub(super) struct TableEntry {
     pub(super) server: String,
     pub(super) status: EndpointStatus,
-    /// Time of the latest start; `None` if long ago.
+    /// Time of the latest start; `None` if it is long past.
     pub(super) started_at: Option<Micros>,
     pub(super) cell: u32,
     pub(super) zone: String,
     pub(super) machine_type: String,
 }
 
-/// The tables by number; a table is kept until its number is used again.
+/// The tables by number. A table is replaced when its number is used again.
 #[derive(Default)]
 pub(super) struct EndpointTables(HashMap<usize, Vec<TableEntry>>);
 
 impl EndpointTables {
-    /// Keeps the table that an event brings.
-    pub(super) fn on_table(&mut self, event: &EventMessage) -> Result<(), EventError> {
+    /// Stores the table of a `roster` event.
+    pub(super) fn insert(&mut self, event: &EventMessage) -> Result<(), EventError> {
         let number = event.required(event.table, "table")?;
         let rows = event.required(event.rows.as_ref(), "members-list")?;
         let table: Result<Vec<TableEntry>, EventError> =
-            rows.iter().map(|row| read_entry(event, row)).collect();
+            rows.iter().map(|row| parse_entry(event, row)).collect();
         self.0.insert(number, table?);
         Ok(())
     }
 
-    /// The table of that number, if there is one.
+    /// Returns the table with the given number.
     pub(super) fn get(&self, number: usize) -> Option<&[TableEntry]> {
         self.0.get(&number).map(Vec::as_slice)
     }
 }
 
-fn read_entry(event: &EventMessage, row: &TableRow) -> Result<TableEntry, EventError> {
+fn parse_entry(event: &EventMessage, row: &TableRow) -> Result<TableEntry, EventError> {
     let status = match row.status {
         "in_service" => EndpointStatus::Ready,
         "terminating" => EndpointStatus::Draining,
--- a/crates/adapter/src/host/event_decoder.rs
+++ b/crates/adapter/src/host/event_decoder.rs
@@ -1,7 +1,7 @@
-//! Turns the simulator's events into the balancer's.
+//! Decodes the simulator's events into events of the balancer.
 //!
-//! Owns the names of the kinds of events and of their values; the names of the fields are owned by
-//! [`wire`](crate::wire).
+//! This module defines the protocol names of the kinds of events and of their values;
+//! [`wire`](crate::wire) defines the names of the fields.
 
 use arrowstand_balancer::{
     AttemptEnd, Event, IncomingRequest, Outcome, RequestId, ServerId, UpdateKind,
@@ -11,20 +11,20 @@
 use base64::engine::general_purpose::STANDARD;
 
 use super::endpoint_table::EndpointTables;
-use super::instance::Names;
+use super::instance::NameInterner;
 use crate::error::EventError;
 use crate::wire::EventMessage;
 
-/// Base of the digits of a request id.
+/// Radix of a request id.
 const REQUEST_ID_RADIX: u32 = 16;
 
-/// Decodes an event of an instance; names that it brings are interned.
+/// Decodes an event of an instance and interns the names in it.
 ///
 /// # Errors
-/// The kind is unknown, a field that it needs is absent, or a value is unknown.
+/// Returns an error if the kind or a value is unknown or invalid, or a required field is missing.
 pub(super) fn decode(
     event: &EventMessage,
-    names: &mut Names,
+    names: &mut NameInterner,
     tables: &EndpointTables,
 ) -> Result<Event, EventError> {
     match event.kind {
@@ -49,13 +49,13 @@
             from: event.required(event.sender, "by")?,
             message: STANDARD.decode(event.required(event.payload, "contents")?)?,
         }),
-        other => Err(EventError::UnknownMessage(other.to_owned())),
+        other => Err(EventError::UnknownEventKind(other.to_owned())),
     }
 }
 
 fn endpoints_updated(
     event: &EventMessage,
-    names: &mut Names,
+    names: &mut NameInterner,
     tables: &EndpointTables,
 ) -> Result<Event, EventError> {
     let kind = match event.required(event.update_kind, "kind")? {
@@ -69,7 +69,7 @@
     if kind != UpdateKind::Lost {
         let number = event.required(event.table, "table")?;
         let table = tables.get(number).ok_or_else(|| EventError::UnknownTable {
-            message: event.kind.to_owned(),
+            event_kind: event.kind.to_owned(),
             number,
         })?;
         endpoints.extend(table.iter().map(|entry| names.endpoint(entry)));
@@ -81,7 +81,7 @@
     })
 }
 
-fn request_arrived(event: &EventMessage, names: &Names) -> Result<Event, EventError> {
+fn request_arrived(event: &EventMessage, names: &NameInterner) -> Result<Event, EventError> {
     let class_name = event.required(event.class, "grade")?;
     let class = names
         .class_id(class_name)
@@ -94,7 +94,7 @@
     }))
 }
 
-fn attempt_ended(event: &EventMessage, names: &mut Names) -> Result<Event, EventError> {
+fn attempt_ended(event: &EventMessage, names: &mut NameInterner) -> Result<Event, EventError> {
     Ok(Event::AttemptEnded(AttemptEnd {
         request: request_id(event)?,
         attempt: event.required(event.attempt, "n")?,
@@ -111,12 +111,12 @@
     u64::from_str_radix(text, REQUEST_ID_RADIX)
         .map(RequestId)
         .map_err(|_| EventError::InvalidRequestId {
-            message: event.kind.to_owned(),
+            event_kind: event.kind.to_owned(),
             text: text.to_owned(),
         })
 }
 
-fn server_id(event: &EventMessage, names: &mut Names) -> Result<ServerId, EventError> {
+fn server_id(event: &EventMessage, names: &mut NameInterner) -> Result<ServerId, EventError> {
     Ok(names.server_id(event.required(event.server, "server")?))
 }
 
--- a/crates/adapter/src/host/event_decoder/tests.rs
+++ b/crates/adapter/src/host/event_decoder/tests.rs
@@ -2,15 +2,15 @@
 
 use super::decode;
 use crate::host::endpoint_table::EndpointTables;
-use crate::host::instance::Names;
+use crate::host::instance::NameInterner;
 use crate::wire::EventMessage;
 
-fn decoded(text: &str, names: &mut Names, tables: &EndpointTables) -> Event {
+fn decode_json(text: &str, names: &mut NameInterner, tables: &EndpointTables) -> Event {
     let event: EventMessage = serde_json::from_str(text).expect("an event");
     decode(&event, names, tables).expect("valid")
 }
 
-/// The outcomes of attempts and health checks, by the simulator's word for each.
+/// The outcomes of attempts and health checks by their protocol name.
 const OUTCOMES: [(&str, Outcome); 8] = [
     ("served", Outcome::Served),
     ("server_error", Outcome::ServerError),
@@ -23,11 +23,15 @@
 ];
 
 #[test]
-fn every_outcome_has_its_code() {
-    for (code, expected) in OUTCOMES {
-        let text = format!(r#"{{"msg": "health", "server": "s", "rc": "{code}"}}"#);
+fn every_outcome_is_decoded_from_its_protocol_name() {
+    for (name, expected) in OUTCOMES {
+        let text = format!(r#"{{"msg": "health", "server": "s", "rc": "{name}"}}"#);
 
-        let event = decoded(&text, &mut Names::default(), &EndpointTables::default());
+        let event = decode_json(
+            &text,
+            &mut NameInterner::default(),
+            &EndpointTables::default(),
+        );
 
         let Event::HealthCheckEnded { outcome, .. } = event else {
             panic!("{event:?}");
@@ -36,14 +40,14 @@
     }
 }
 
-/// Table 3 with two servers.
-fn tables() -> EndpointTables {
+/// Returns tables with table 3, which has two servers.
+fn tables_with_two_servers() -> EndpointTables {
     let mut tables = EndpointTables::default();
     let table = r#"{"msg": "roster", "table": 3, "members-list": [
         {"launched-ms": 1.5, "condition": "terminating", "server": "a", "pod": 2, "area": "z"},
         {"launched-ms": 0, "condition": "terminated", "server": "b"}]}"#;
     let event = serde_json::from_str(table).expect("an event");
-    tables.on_table(&event).expect("valid");
+    tables.insert(&event).expect("valid");
     tables
 }
 
@@ -51,7 +55,11 @@
 fn an_update_has_the_endpoints_of_its_table() {
     let text = r#"{"msg": "roster-change", "kind": "total", "table": 3, "gen": 8}"#;
 
-    let event = decoded(text, &mut Names::default(), &tables());
+    let event = decode_json(
+        text,
+        &mut NameInterner::default(),
+        &tables_with_two_servers(),
+    );
 
     let Event::EndpointsUpdated {
         kind,
@@ -79,10 +87,14 @@
 }
 
 #[test]
-fn an_update_that_was_lost_has_no_endpoints() {
+fn the_update_of_a_lost_list_has_no_endpoints() {
     let text = r#"{"msg": "roster-change", "kind": "lost"}"#;
 
-    let event = decoded(text, &mut Names::default(), &tables());
+    let event = decode_json(
+        text,
+        &mut NameInterner::default(),
+        &tables_with_two_servers(),
+    );
 
     let Event::EndpointsUpdated {
         kind, endpoints, ..
--- a/crates/adapter/src/host/instance.rs
+++ b/crates/adapter/src/host/instance.rs
@@ -1,7 +1,7 @@
-//! One simulated sidecar: its balancer, and the names behind the balancer's numbers.
+//! One simulated sidecar: its balancer, and the names behind the balancer's ids.
 //!
-//! Owns the numbering of servers, classes and zones in one instance. No numbering outlives its
-//! instance, as instances share nothing; endpoint tables are kept by the host.
+//! Ids of servers, classes and zones are local to an instance, because instances share nothing but
+//! the endpoint tables, which the host owns.
 
 use std::collections::HashMap;
 
@@ -17,41 +17,41 @@
 /// One simulated sidecar.
 pub(super) struct Instance {
     pub(super) balancer: WorkAwareBalancer,
-    pub(super) names: Names,
+    pub(super) names: NameInterner,
 }
 
 impl Instance {
-    /// Creates an instance from the settings and the seed of an event.
+    /// Creates an instance from the settings and the seed in an `attach` event.
     pub(super) fn attach(event: &EventMessage) -> Result<Self, HostError> {
-        let conf = event.required(event.settings.as_ref(), "conf")?;
+        let settings = event.required(event.settings.as_ref(), "conf")?;
         let seed = event.required(event.seed, "random-seed")?;
-        let platform = settings::read(conf)?;
+        let platform = settings::parse(settings)?;
         Ok(Self {
             balancer: WorkAwareBalancer::new(platform.balancer, seed)?,
-            names: Names {
+            names: NameInterner {
                 classes: platform.class_names,
                 zones: platform.zones,
-                load_report: platform.load_report,
-                ..Names::default()
+                load_report_layout: platform.load_report,
+                ..NameInterner::default()
             },
         })
     }
 }
 
-/// Names of servers, classes and zones, interned in the order in which they are first seen.
+/// Maps the names of servers, classes and zones to ids, in the order of first use.
 #[derive(Default)]
-pub(super) struct Names {
+pub(super) struct NameInterner {
     server_ids: HashMap<String, u32>,
     servers: Vec<String>,
     classes: Vec<String>,
     zones: Vec<String>,
-    /// The simulator states no capacity: machine types get their ids, and their capacity is learnt.
+    /// Ids of the machine types. The simulator states no capacity; the balancer estimates it.
     machines: MachineCatalogue,
-    load_report: LoadReportLayout,
+    load_report_layout: LoadReportLayout,
 }
 
-impl Names {
-    /// The id of a server; a new name gets the next one.
+impl NameInterner {
+    /// Returns the id of a server; a new name gets the next id.
     pub(super) fn server_id(&mut self, name: &str) -> ServerId {
         if let Some(&id) = self.server_ids.get(name) {
             return ServerId(id);
@@ -62,20 +62,20 @@
         ServerId(id)
     }
 
-    /// The name of a server; empty for an id that was never given out.
+    /// Returns the name of a server, or an empty string for an unassigned id.
     pub(super) fn server_name(&self, id: ServerId) -> &str {
         let index = usize::try_from(id.0).ok();
         let name = index.and_then(|index| self.servers.get(index));
         name.map_or("", String::as_str)
     }
 
-    /// The id of a request class of the settings.
+    /// Returns the id of a request class in the settings.
     pub(super) fn class_id(&self, name: &str) -> Option<ClassId> {
         let index = self.classes.iter().position(|class| class == name)?;
         u16::try_from(index).ok().map(ClassId)
     }
 
-    /// An entry of an endpoint table with names interned.
+    /// Converts an entry of an endpoint table and interns its names.
     pub(super) fn endpoint(&mut self, entry: &TableEntry) -> Endpoint {
         Endpoint {
             server: self.server_id(&entry.server),
@@ -97,13 +97,13 @@
         id_from_index(index)
     }
 
-    /// A load report from its row of numbers.
+    /// Reads a load report from its row of numbers.
     pub(super) fn load_report(&self, row: Option<&[Option<f64>]>) -> Option<LoadReport> {
-        self.load_report.extract(row?)
+        self.load_report_layout.extract(row?)
     }
 }
 
-/// The id of the name at an index. Names fill the memory long before their ids end.
+/// Id of the name at an index. Names exhaust the memory long before the ids are used up.
 fn id_from_index(index: usize) -> u32 {
     u32::try_from(index).unwrap_or(u32::MAX)
 }
--- a/crates/adapter/src/host/settings.rs
+++ b/crates/adapter/src/host/settings.rs
@@ -1,7 +1,7 @@
 //! The settings of an instance, from the event that attaches it.
 //!
-//! Owns the conversion between the two JSON libraries and what holds in the simulator alone; keys
-//! and defaults are owned by `arrowstand-platform`.
+//! This module converts between the two JSON libraries and applies the settings that exist only in
+//! the simulator. `arrowstand-platform` defines the keys and the defaults.
 
 use std::collections::HashMap;
 
@@ -11,15 +11,15 @@
 use serde_json::Value;
 use tinyjson::JsonValue;
 
-/// Longest Retry-After in microseconds where the settings name none: simulated clients then wait
-/// for no time at all.
+/// Maximum Retry-After in microseconds if the settings have none. Simulated clients then do not
+/// wait at all.
 const DEFAULT_MAX_RETRY_AFTER: Micros = 0;
 
-/// Reads the settings object.
+/// Parses the settings object.
 ///
 /// # Errors
-/// Names the first key whose value cannot be used.
-pub(super) fn read(conf: &Value) -> Result<PlatformSettings, KeyError> {
+/// Returns the first key with an invalid value.
+pub(super) fn parse(conf: &Value) -> Result<PlatformSettings, KeyError> {
     let value = to_tinyjson(conf);
     let conf = Node::root(&value);
     let mut platform = PlatformSettings::read(&conf, DEFAULT_MAX_RETRY_AFTER)?;
@@ -27,9 +27,9 @@
     Ok(platform)
 }
 
-/// The form that `arrowstand-platform` reads. A line is parsed as a whole by `serde_json`; the
-/// settings are converted and not parsed a second time, as the two parsers may round the last digit
-/// of a number differently.
+/// Converts to the type that `arrowstand-platform` reads. `serde_json` parses a line as a whole.
+/// The settings are converted instead of being parsed again because the two parsers may round the
+/// last digit of a number differently.
 fn to_tinyjson(value: &Value) -> JsonValue {
     match value {
         Value::Null => JsonValue::Null,
--- a/crates/adapter/src/host/settings/tests.rs
+++ b/crates/adapter/src/host/settings/tests.rs
@@ -3,7 +3,7 @@
     RequestClass, RetrySettings, Settings, SlowStartSettings,
 };
 
-/// Settings with every key that the balancer knows, and one that it does not know.
+/// Settings with every known key and one unknown key.
 const EVERY_KEY: &str = r#"{"az": "z1", "zones": ["z0", "z1"], "step-ms": 4.5, "membership-mode": "on_request",
   "my-number": 3, "balancers": 7, "worth-by": "work", "unheard-of": {"x": [1]},
   "request-classes": [
@@ -19,13 +19,13 @@
 const ONE_CLASS: &str = r#"{"request-classes": [
    {"name": "look", "semantics": "side_effect", "objective-ms": 150, "deadline-ms": 600}]}"#;
 
-fn read_settings(text: &str) -> Settings {
+fn parse_settings(text: &str) -> Settings {
     let conf = serde_json::from_str(text).expect("JSON");
-    super::read(&conf).expect("settings").balancer
+    super::parse(&conf).expect("settings").balancer
 }
 
 fn assert_settings(text: &str, expected: &Settings) {
-    let settings = read_settings(text);
+    let settings = parse_settings(text);
     assert_eq!(format!("{settings:#?}"), format!("{expected:#?}"));
 }
 
@@ -86,12 +86,12 @@
 }
 
 #[test]
-fn every_key_reaches_its_setting() {
+fn every_key_sets_its_setting() {
     let expected = every_settings_key();
 
     assert_settings(EVERY_KEY, &expected);
 
-    // These are on by default, and would be off without their keys.
+    // On in `Settings::default()`, but off in the simulator unless their keys are set.
     assert!(expected.host.cancellation);
     assert!(expected.host.health_checks);
     assert!(expected.host.retry_after);
@@ -132,8 +132,8 @@
     assert_settings(ONE_CLASS, &settings_with_one_class());
 }
 
-/// A part of [`ONE_CLASS`], what stands in its place, and the message on it.
-const BAD_KEYS: [(&str, &str, &str); 2] = [
+/// A part of [`ONE_CLASS`], its invalid replacement, and the expected error message.
+const INVALID_KEYS: [(&str, &str, &str); 2] = [
     (
         "\"side_effect\"",
         "\"tidy\"",
@@ -147,12 +147,12 @@
 ];
 
 #[test]
-fn a_bad_key_is_named_by_its_path() {
-    for (good, bad, expected) in BAD_KEYS {
-        let text = ONE_CLASS.replace(good, bad);
+fn the_error_has_the_path_of_an_invalid_key() {
+    for (valid, invalid, expected) in INVALID_KEYS {
+        let text = ONE_CLASS.replace(valid, invalid);
         let conf = serde_json::from_str(&text).expect("JSON");
 
-        let error = super::read(&conf).expect_err("a bad key");
+        let error = super::parse(&conf).expect_err("an invalid key");
 
         assert_eq!(error.to_string(), expected);
     }
--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -1,8 +1,7 @@
-//! Runs the balancers of simulated sidecars on the simulator's line protocol: one batch of events
-//! in, one reply of actions out, until the input ends.
+//! Runs the balancers of simulated sidecars on the simulator's line protocol: reads one batch of
+//! events per line and writes one reply with the resulting actions, until the end of the input.
 //!
-//! Owns standard input and output and the exit code. The form of a line is known by `wire` and
-//! `reply`, what it means by `host`.
+//! `wire` defines the input format, `reply` the output format, and `host` handles the events.
 
 mod error;
 mod host;
@@ -17,7 +16,7 @@
 use reply::Reply;
 use wire::Batch;
 
-fn run() -> Result<(), AdapterError> {
+fn serve_stdin() -> Result<(), AdapterError> {
     let mut input = io::stdin().lock();
     let mut output = io::stdout().lock();
     let mut host = Host::default();
@@ -33,16 +32,16 @@
         }
         let batch: Batch = serde_json::from_slice(&line).map_err(AdapterError::Batch)?;
         reply.clear();
-        host.run(&batch, &mut reply)?;
+        host.handle_batch(&batch, &mut reply)?;
         output
-            .write_all(reply.line().as_bytes())
+            .write_all(reply.finish().as_bytes())
             .and_then(|()| output.flush())
             .map_err(AdapterError::Write)?;
     }
 }
 
 fn main() -> ExitCode {
-    match run() {
+    match serve_stdin() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("arrowstand-adapter: {error}");
--- a/crates/adapter/src/reply.rs
+++ b/crates/adapter/src/reply.rs
@@ -1,7 +1,7 @@
-//! The output of the line protocol: the actions of one reply, written as JSON into one reused
-//! buffer.
+//! The output of the line protocol: a reply is one line of JSON with a list of actions, written
+//! into a reused buffer.
 //!
-//! Owns the syntax; the fields of each action are known by the host's encoder.
+//! This module owns the syntax; the host's encoder chooses the fields of each action.
 
 use std::fmt::{Display, Write as _};
 
@@ -9,73 +9,74 @@
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
 
-/// What every reply begins with.
-const OPENING: &str = "{\"out\":[";
-/// What every reply ends with: a reply is one line.
-const CLOSING: &str = "]}\n";
-/// Microseconds in a millisecond, the simulator's unit of time.
+/// Start of every reply.
+const PREFIX: &str = "{\"out\":[";
+/// End of every reply, including the line break.
+const SUFFIX: &str = "]}\n";
+/// Microseconds per millisecond, the simulator's unit of time.
 const MICROS_PER_MILLISECOND: Micros = 1_000;
 
-/// Collects the actions of one reply.
+/// Builder of one reply.
 pub(crate) struct Reply {
-    text: String,
+    buffer: String,
 }
 
 impl Reply {
-    /// An empty reply.
+    /// Creates an empty reply.
     pub(crate) fn new() -> Self {
         Self {
-            text: String::from(OPENING),
+            buffer: String::from(PREFIX),
         }
     }
 
-    /// Drops all actions and keeps the buffer.
+    /// Removes all actions and keeps the allocation.
     pub(crate) fn clear(&mut self) {
-        self.text.truncate(OPENING.len());
+        self.buffer.truncate(PREFIX.len());
     }
 
-    /// Closes the reply and returns its line. [`clear`](Self::clear) comes next.
-    pub(crate) fn line(&mut self) -> &str {
-        if self.text.ends_with(',') {
-            self.text.pop();
+    /// Completes the reply and returns its line. Call [`clear`](Self::clear) before adding further
+    /// actions.
+    pub(crate) fn finish(&mut self) -> &str {
+        if self.buffer.ends_with(',') {
+            self.buffer.pop();
         }
-        self.text.push_str(CLOSING);
-        &self.text
+        self.buffer.push_str(SUFFIX);
+        &self.buffer
     }
 
-    /// Begins an action; its further fields follow, then [`end`](Self::end).
-    pub(crate) fn begin(&mut self, msg: &str, instance: &str) -> &mut Self {
-        let _ = write!(self.text, "{{\"msg\":\"{msg}\",\"i\":\"{instance}\"");
+    /// Starts an action. Add its other fields, then call [`end_action`](Self::end_action).
+    pub(crate) fn begin_action(&mut self, action: &str, instance: &str) -> &mut Self {
+        let _ = write!(self.buffer, "{{\"msg\":\"{action}\",\"i\":\"{instance}\"");
         self
     }
 
-    /// Adds a field whose text needs no escaping.
-    pub(crate) fn text(&mut self, name: &str, value: &str) -> &mut Self {
-        let _ = write!(self.text, ",\"{name}\":\"{value}\"");
+    /// Adds a string field. The value must not need escaping.
+    pub(crate) fn string(&mut self, name: &str, value: &str) -> &mut Self {
+        let _ = write!(self.buffer, ",\"{name}\":\"{value}\"");
         self
     }
 
     /// Adds a request id.
-    pub(crate) fn id(&mut self, id: u64) -> &mut Self {
-        let _ = write!(self.text, ",\"txn\":\"{id:016x}\"");
+    pub(crate) fn request_id(&mut self, id: u64) -> &mut Self {
+        let _ = write!(self.buffer, ",\"txn\":\"{id:016x}\"");
         self
     }
 
-    /// Adds a field whose value is a number or a boolean.
-    pub(crate) fn number(&mut self, name: &str, value: impl Display) -> &mut Self {
-        let _ = write!(self.text, ",\"{name}\":{value}");
+    /// Adds a field with a number or a boolean.
+    pub(crate) fn scalar(&mut self, name: &str, value: impl Display) -> &mut Self {
+        let _ = write!(self.buffer, ",\"{name}\":{value}");
         self
     }
 
-    /// Adds a time in milliseconds, with three decimals.
+    /// Adds a time in milliseconds with three decimals.
     pub(crate) fn millis(&mut self, name: &str, value: Micros) -> &mut Self {
         let whole = value / MICROS_PER_MILLISECOND;
         let fraction = value % MICROS_PER_MILLISECOND;
-        let _ = write!(self.text, ",\"{name}\":{whole}.{fraction:03}");
+        let _ = write!(self.buffer, ",\"{name}\":{whole}.{fraction:03}");
         self
     }
 
-    /// Adds a time as [`millis`](Self::millis) does, or nothing.
+    /// Adds a time as [`millis`](Self::millis) does, if there is one.
     pub(crate) fn optional_millis(&mut self, name: &str, value: Option<Micros>) -> &mut Self {
         if let Some(value) = value {
             self.millis(name, value);
@@ -85,14 +86,14 @@
 
     /// Adds the payload of a gossip message.
     pub(crate) fn payload(&mut self, bytes: &[u8]) -> &mut Self {
-        self.text.push_str(",\"contents\":\"");
-        STANDARD.encode_string(bytes, &mut self.text);
-        self.text.push('"');
+        self.buffer.push_str(",\"contents\":\"");
+        STANDARD.encode_string(bytes, &mut self.buffer);
+        self.buffer.push('"');
         self
     }
 
     /// Ends an action.
-    pub(crate) fn end(&mut self) {
-        self.text.push_str("},");
+    pub(crate) fn end_action(&mut self) {
+        self.buffer.push_str("},");
     }
 }
--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -1,8 +1,7 @@
-//! The input of the line protocol: batches of events, borrowed from their line.
+//! The input of the line protocol: batches of events that borrow from their line.
 //!
-//! Owns the names of the fields: each has the field's usual term here and the simulator's spelling
-//! in its attribute. What an event means is known by the host; the settings of an instance are read
-//! by `arrowstand-platform`.
+//! Each field has a descriptive name here and its protocol name in the attribute. The host
+//! interprets the events; `arrowstand-platform` reads the settings of an instance.
 
 use serde::Deserialize;
 
@@ -14,22 +13,22 @@
     /// Time of the events in milliseconds.
     #[serde(rename = "clock-ms")]
     pub(crate) clock_ms: f64,
-    /// The events in their order.
+    /// The events in order.
     #[serde(borrow, rename = "arrivals")]
     pub(crate) events: Vec<EventMessage<'a>>,
 }
 
-/// One event. All kinds share this shape, since a tagged enum would copy each event first: of the
-/// fields after the kind, each kind has its own.
+/// One event. All kinds of event share this struct because deserializing a tagged enum would copy
+/// each event first. Each kind uses its own subset of the optional fields.
 #[derive(Deserialize)]
 pub(crate) struct EventMessage<'a> {
     /// The kind of event.
     #[serde(rename = "msg")]
     pub(crate) kind: &'a str,
-    /// Name of the instance that it is for.
+    /// Name of the target instance.
     #[serde(rename = "i")]
     pub(crate) instance: Option<&'a str>,
-    /// Seed of an instance's random draws.
+    /// Seed of an instance's random number generator.
     #[serde(rename = "random-seed")]
     pub(crate) seed: Option<u64>,
     /// Settings of an instance.
@@ -40,13 +39,13 @@
     /// Servers of an endpoint table.
     #[serde(borrow, rename = "members-list")]
     pub(crate) rows: Option<Vec<TableRow<'a>>>,
-    /// Whether an endpoint table is whole, a change or cached.
+    /// Whether an endpoint table is full, incremental or cached, or the endpoint list was lost.
     #[serde(rename = "kind")]
     pub(crate) update_kind: Option<&'a str>,
     /// Version of the endpoint list.
     #[serde(rename = "gen")]
     pub(crate) version: Option<u64>,
-    /// Id of a request, in hexadecimal digits.
+    /// Id of a request in hexadecimal.
     #[serde(rename = "txn")]
     pub(crate) request: Option<&'a str>,
     /// Name of a request class.
@@ -58,7 +57,7 @@
     /// Expected work of a request, in milliseconds on an average core.
     #[serde(rename = "size-hint-ms")]
     pub(crate) work_hint_ms: Option<f64>,
-    /// Number of an attempt, in the order of the sends.
+    /// Number of an attempt, from 0 in the order in which attempts are sent.
     #[serde(rename = "n")]
     pub(crate) attempt: Option<u32>,
     /// Name of a server.
@@ -66,12 +65,12 @@
     /// Outcome of an attempt or a health check.
     #[serde(rename = "rc")]
     pub(crate) outcome: Option<&'a str>,
-    /// The request has its final response.
+    /// Whether the request has its final response.
     pub(crate) finished: Option<bool>,
     /// Time since an attempt was sent, in milliseconds.
     #[serde(rename = "time-taken-ms")]
     pub(crate) elapsed_ms: Option<f64>,
-    /// Load report of a server; the settings say what stands where.
+    /// Load report of a server; the settings define the order of its columns.
     #[serde(rename = "stats")]
     pub(crate) load_report: Option<Vec<Option<f64>>>,
     /// Token of a timer.
@@ -86,25 +85,25 @@
 }
 
 impl EventMessage<'_> {
-    /// The value of a field that this kind of event needs.
+    /// Returns the value of a field that this kind of event requires.
     ///
     /// # Errors
-    /// The field is absent.
+    /// Returns an error if the field is missing.
     pub(crate) fn required<T>(
         &self,
         value: Option<T>,
         field: &'static str,
     ) -> Result<T, EventError> {
         value.ok_or_else(|| EventError::MissingField {
-            message: self.kind.to_owned(),
+            event_kind: self.kind.to_owned(),
             field,
         })
     }
 
-    /// The error on a field whose value is unknown.
+    /// Creates the error for a field with an unknown value.
     pub(crate) fn unknown_value(&self, field: &'static str, value: &str) -> EventError {
         EventError::UnknownValue {
-            message: self.kind.to_owned(),
+            event_kind: self.kind.to_owned(),
             field,
             value: value.to_owned(),
         }
@@ -114,10 +113,10 @@
 /// One server of an endpoint table.
 #[derive(Deserialize)]
 pub(crate) struct TableRow<'a> {
-    /// Time of the server's latest start in milliseconds; absent or 0 if long ago.
+    /// Time of the server's latest start in milliseconds; absent or 0 if it is long past.
     #[serde(rename = "launched-ms")]
     pub(crate) started_at_ms: Option<f64>,
-    /// Whether the server may be sent requests.
+    /// Whether the server is in service, draining or removed.
     #[serde(rename = "condition")]
     pub(crate) status: &'a str,
     /// Name of the server.
@@ -128,7 +127,7 @@
     /// Name of its zone.
     #[serde(rename = "area")]
     pub(crate) zone: Option<&'a str>,
-    /// The platform's name for its machine type.
+    /// Model name of its machine type.
     #[serde(rename = "model")]
     pub(crate) machine_type: Option<&'a str>,
 }
--- a/crates/adapter/tests/wire.rs
+++ b/crates/adapter/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The adapter end to end on hand-written lines.
+//! End-to-end tests of the adapter with hand-written input lines.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -14,7 +14,7 @@
     )
 }
 
-fn run(input: &str) -> Output {
+fn run_adapter(input: &str) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_arrowstand-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -22,14 +22,14 @@
         .spawn()
         .expect("adapter starts");
     let mut stdin = child.stdin.take().expect("piped");
-    // An adapter that has already stopped at a bad line closes its end.
+    // The write fails if the adapter has already exited because of an invalid line.
     let _ = stdin.write_all(input.as_bytes());
     drop(stdin);
     child.wait_with_output().expect("adapter ends")
 }
 
 #[test]
-fn a_request_is_sent_and_every_batch_gets_one_line() {
+fn a_request_is_sent_and_every_batch_gets_a_one_line_reply() {
     let served = r#"{"msg":"response","i":"sidecar/0","txn":"445f20855d3a91c4","finished":true,"server":"10.0.0.1:80","rc":"served","n":0,"time-taken-ms":18.5,"stats":null}"#;
     let exit = r#"{"msg":"exit","i":"sidecar/0"}"#;
     let input = batch(1.0, &[])
@@ -37,7 +37,7 @@
         + &batch(3.5, &[REQUEST])
         + &batch(22.0, &[served, exit]);
 
-    let output = run(&input);
+    let output = run_adapter(&input);
 
     assert!(
         output.status.success(),
@@ -58,8 +58,8 @@
     );
 }
 
-/// Events of an attached instance that cannot be handled, and the message on each.
-const BAD_EVENTS: [(&str, &str); 16] = [
+/// Events that cannot be handled and the expected error messages.
+const INVALID_EVENTS: [(&str, &str); 16] = [
     (
         r#"{"msg":"sing","i":"sidecar/1"}"#,
         r#"unknown instance "sidecar/1""#,
@@ -123,9 +123,9 @@
     ),
 ];
 
-/// The only line on the standard error.
-fn error_of(input: &str) -> String {
-    let output = run(input);
+/// Runs the adapter and returns the message of the only line on standard error.
+fn error_message(input: &str) -> String {
+    let output = run_adapter(input);
     let errors = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(!output.status.success(), "{input}");
     assert_eq!(errors.lines().count(), 1, "{errors}");
@@ -134,35 +134,35 @@
 }
 
 #[test]
-fn a_bad_event_gets_one_plain_line_and_a_failure() {
-    for (event, expected) in BAD_EVENTS {
-        assert_eq!(error_of(&batch(1.0, &[ATTACH, event])), expected);
+fn an_invalid_event_ends_with_a_one_line_error_and_a_failure_status() {
+    for (event, expected) in INVALID_EVENTS {
+        assert_eq!(error_message(&batch(1.0, &[ATTACH, event])), expected);
     }
 }
 
 #[test]
-fn a_bad_batch_gets_one_plain_line_and_a_failure() {
-    let error = error_of("not json\n");
+fn an_invalid_batch_ends_with_a_one_line_error_and_a_failure_status() {
+    let error = error_message("not json\n");
     assert_eq!(error, "bad batch: expected ident at line 1 column 2");
 }
 
 #[test]
 fn an_attach_without_settings_or_seed_is_an_error() {
     let without_settings = r#"{"msg":"attach","i":"sidecar/0","random-seed":1}"#;
-    let error = error_of(&batch(1.0, &[without_settings]));
+    let error = error_message(&batch(1.0, &[without_settings]));
     assert_eq!(error, "attach: field conf is missing");
 
     let without_seed = r#"{"msg":"attach","i":"sidecar/0","conf":{"request-classes":[]}}"#;
-    let error = error_of(&batch(1.0, &[without_seed]));
+    let error = error_message(&batch(1.0, &[without_seed]));
     assert_eq!(error, "attach: field random-seed is missing");
 }
 
 #[test]
-fn invalid_settings_are_named() {
+fn the_error_has_the_invalid_setting() {
     let attach =
         r#"{"msg":"attach","i":"sidecar/0","random-seed":3,"conf":{"request-classes":[]}}"#;
 
-    let error = error_of(&batch(1.0, &[attach]));
+    let error = error_message(&batch(1.0, &[attach]));
 
     assert_eq!(error, "setting classes: at least one class is needed");
 }
