--- a/crates/platform/src/endpoint_list.rs
+++ b/crates/platform/src/endpoint_list.rs
@@ -105,19 +105,22 @@
     fn read(node: &Node) -> Result<Self, KeyError> {
         // The order of the reads decides which error of a bad entry is reported.
         let address_node = node.at(endpoint::ADDRESS);
-        let address_text = address_node.text()?;
+        let address_text = address_node.string()?;
         let started_at = read_start(&node.at(endpoint::STARTED_AT_MS))?;
-        let id = node.at(endpoint::ID).text()?;
+        let id = node.at(endpoint::ID).string()?;
         let address = address_text
             .parse()
             .map_err(|_| address_node.error(KeyProblem::NotAnAddress))?;
         Ok(Self {
             id,
             address,
-            zone: node.at(endpoint::ZONE).optional_text()?.unwrap_or_default(),
+            zone: node
+                .at(endpoint::ZONE)
+                .optional_string()?
+                .unwrap_or_default(),
             machine_type: node
                 .at(endpoint::MACHINE_TYPE)
-                .optional_text()?
+                .optional_string()?
                 .unwrap_or_default(),
             cell: truncate_to_u32(node.at(endpoint::CELL).optional_number()?.unwrap_or(0.0)),
             status: read_status(&node.at(endpoint::STATUS))?,
@@ -127,7 +130,7 @@
 }
 
 fn read_list_kind(all: &Node) -> Result<ListKind, KeyError> {
-    Ok(match all.optional_flag()? {
+    Ok(match all.optional_boolean()? {
         Some(true) => ListKind::Full,
         Some(false) | None => ListKind::Delta,
     })
@@ -136,7 +139,7 @@
 fn read_start(node: &Node) -> Result<Option<Micros>, KeyError> {
     let start_ms = node.optional_number()?.unwrap_or(UNKNOWN_START_MS);
     if start_ms > MAX_START_MS {
-        return Err(node.error(KeyProblem::NotATime));
+        return Err(node.error(KeyProblem::InvalidTimestamp));
     }
     let is_known = start_ms > UNKNOWN_START_MS;
     Ok(is_known.then(|| micros_from_start_ms(start_ms)))
@@ -148,7 +151,7 @@
 }
 
 fn read_status(node: &Node) -> Result<EndpointStatus, KeyError> {
-    match node.text()?.as_str() {
+    match node.string()?.as_str() {
         READY => Ok(EndpointStatus::Ready),
         DRAINING => Ok(EndpointStatus::Draining),
         REMOVED => Ok(EndpointStatus::Removed),
--- a/crates/platform/src/error.rs
+++ b/crates/platform/src/error.rs
@@ -39,10 +39,10 @@
     NotANumber,
     /// A string is expected.
     #[error("must be a text")]
-    NotAText,
+    NotAString,
     /// A boolean is expected.
     #[error("must be true or false")]
-    NotAFlag,
+    NotABoolean,
     /// An array is expected.
     #[error("must be an array")]
     NotAnArray,
@@ -66,10 +66,10 @@
     },
     /// The number is too large for a point in time.
     #[error("is no time")]
-    NotATime,
+    InvalidTimestamp,
     /// The text is not a hexadecimal number.
     #[error("must be hex digits")]
-    NotHex,
+    NotHexadecimal,
     /// The text is none of the known values.
     #[error("unknown value {0:?}")]
     UnknownValue(String),
@@ -78,7 +78,7 @@
     NotAnAddress,
     /// The text must be a name that no other entry has.
     #[error("{0:?} is empty or there twice")]
-    EmptyOrDuplicate(String),
+    EmptyOrDuplicateName(String),
 }
 
 /// A text cannot be read: it is not JSON, or one of its keys cannot be used.
--- a/crates/platform/src/json.rs
+++ b/crates/platform/src/json.rs
@@ -119,24 +119,24 @@
     ///
     /// # Errors
     /// The value is of another type.
-    pub fn optional_text(&self) -> Result<Option<String>, KeyError> {
-        self.optional::<String>(KeyProblem::NotAText)
+    pub fn optional_string(&self) -> Result<Option<String>, KeyError> {
+        self.optional::<String>(KeyProblem::NotAString)
     }
 
-    /// A required [`optional_text`](Self::optional_text).
+    /// A required [`optional_string`](Self::optional_string).
     ///
     /// # Errors
     /// As there, or the value is absent.
-    pub fn text(&self) -> Result<String, KeyError> {
-        self.required(self.optional_text()?)
+    pub fn string(&self) -> Result<String, KeyError> {
+        self.required(self.optional_string()?)
     }
 
     /// A boolean.
     ///
     /// # Errors
     /// The value is of another type.
-    pub fn optional_flag(&self) -> Result<Option<bool>, KeyError> {
-        self.optional::<bool>(KeyProblem::NotAFlag)
+    pub fn optional_boolean(&self) -> Result<Option<bool>, KeyError> {
+        self.optional::<bool>(KeyProblem::NotABoolean)
     }
 
     /// The elements of an array; none where the value is absent.
--- a/crates/platform/src/json/tests.rs
+++ b/crates/platform/src/json/tests.rs
@@ -12,9 +12,9 @@
     let errors = [
         item.at("b-c").number().expect_err("a text"),
         item.at("n").number().expect_err("a negative number"),
-        root.at("a").text().expect_err("an array"),
-        root.at("a").optional_flag().expect_err("an array"),
-        root.at("z").text().expect_err("null"),
+        root.at("a").string().expect_err("an array"),
+        root.at("a").optional_boolean().expect_err("an array"),
+        root.at("z").string().expect_err("null"),
     ];
 
     let messages = errors.map(|error| error.to_string());
--- a/crates/platform/src/load_report.rs
+++ b/crates/platform/src/load_report.rs
@@ -102,7 +102,7 @@
     pub fn read(fields: &Node) -> Result<Self, KeyError> {
         let mut layout = Self::default();
         for (position, field) in fields.items()?.iter().enumerate() {
-            let slot = match field.text()?.as_str() {
+            let slot = match field.string()?.as_str() {
                 IN_FLIGHT_IN_SETTINGS => &mut layout.in_flight,
                 QUEUED_IN_SETTINGS => &mut layout.queued,
                 _ => continue,
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -68,7 +68,7 @@
     pub fn read(conf: &Node, default_max_retry_after: Micros) -> Result<Self, KeyError> {
         let (class_names, classes) = read_request_classes(conf)?;
         let zones = read_zones(conf)?;
-        let own_zone = conf.at(keys::settings::ZONE).optional_text()?;
+        let own_zone = conf.at(keys::settings::ZONE).optional_string()?;
         let report = ReportSettings::read(&conf.at(keys::settings::REPORT))?;
         let base = Settings {
             classes,
@@ -101,7 +101,7 @@
     let read = |node: &Node| {
         // The order of the reads decides which of two bad keys is reported.
         let class = read_request_class(node)?;
-        let name = node.at(keys::request_class::NAME).text()?;
+        let name = node.at(keys::request_class::NAME).string()?;
         Ok((name, class))
     };
     let classes = conf.at(keys::settings::REQUEST_CLASSES).items()?;
@@ -110,7 +110,7 @@
 
 fn read_zones(conf: &Node) -> Result<Vec<String>, KeyError> {
     let zones = conf.at(keys::settings::ZONES).items()?;
-    zones.iter().map(Node::text).collect()
+    zones.iter().map(Node::string).collect()
 }
 
 /// Number of the balancer's own zone among the zones.
@@ -131,7 +131,7 @@
 impl ReportSettings {
     fn read(report: &Node) -> Result<Self, KeyError> {
         let layout = LoadReportLayout::read(&report.at(keys::report::FIELDS))?;
-        let source = report.at(keys::report::SOURCE).optional_text()?;
+        let source = report.at(keys::report::SOURCE).optional_string()?;
         Ok(Self {
             layout,
             in_health_checks: layout.in_flight.is_some() && source.as_deref() != Some(NO_REPORTS),
--- a/crates/platform/src/settings/balancer.rs
+++ b/crates/platform/src/settings/balancer.rs
@@ -42,7 +42,7 @@
         connection: number_or(&fees.at(keys::fees::CONNECTION), NO_FEE)?,
         cross_zone: number_or(&fees.at(keys::fees::CROSS_ZONE), NO_FEE)?,
     };
-    let weight_basis = conf.at(keys::settings::WEIGHT_BASIS).optional_text()?;
+    let weight_basis = conf.at(keys::settings::WEIGHT_BASIS).optional_string()?;
     Ok(Settings {
         identity,
         step,
--- a/crates/platform/src/settings/request_class.rs
+++ b/crates/platform/src/settings/request_class.rs
@@ -47,7 +47,7 @@
 }
 
 fn read_idempotency(node: &Node) -> Result<Idempotency, KeyError> {
-    match node.text()?.as_str() {
+    match node.string()?.as_str() {
         IDEMPOTENT => Ok(Idempotency::Idempotent),
         IDEMPOTENCY_KEY => Ok(Idempotency::IdempotencyKey),
         NON_IDEMPOTENT => Ok(Idempotency::NonIdempotent),
@@ -56,7 +56,7 @@
 }
 
 fn read_deduplication_scope(node: &Node) -> Result<DeduplicationScope, KeyError> {
-    match node.optional_text()?.as_deref() {
+    match node.optional_string()?.as_deref() {
         None | Some(ALL_SERVERS) => Ok(DeduplicationScope::All),
         Some(SAME_ZONE) => Ok(DeduplicationScope::Zone),
         Some(SAME_CELL) => Ok(DeduplicationScope::Cell),
--- a/crates/platform/src/settings/transport.rs
+++ b/crates/platform/src/settings/transport.rs
@@ -45,7 +45,7 @@
         Ok(
             match conf
                 .at(keys::settings::MEMBERSHIP_MODE)
-                .optional_text()?
+                .optional_string()?
                 .as_deref()
             {
                 Some(ON_REQUEST) => Self::OnRequest,
--- a/crates/platform/src/settings/values.rs
+++ b/crates/platform/src/settings/values.rs
@@ -13,7 +13,7 @@
 
 /// A boolean that is false where the key is absent.
 pub(super) fn flag(node: &Node) -> Result<bool, KeyError> {
-    Ok(node.optional_flag()?.unwrap_or(false))
+    Ok(node.optional_boolean()?.unwrap_or(false))
 }
 
 /// A number.
--- a/crates/sidecar/src/config.rs
+++ b/crates/sidecar/src/config.rs
@@ -87,7 +87,7 @@
         let root = Node::root(&value);
         let name = match variable("NODE_NAME") {
             Some(name) => name,
-            None => root.at("name").text()?,
+            None => root.at("name").string()?,
         };
         let seed = read_seed(&root.at("seed"))?;
         let conf = root.at("settings");
@@ -119,7 +119,8 @@
 }
 
 fn read_seed(node: &Node) -> Result<u64, KeyError> {
-    u64::from_str_radix(&node.text()?, SEED_RADIX).map_err(|_| node.error(KeyProblem::NotHex))
+    u64::from_str_radix(&node.string()?, SEED_RADIX)
+        .map_err(|_| node.error(KeyProblem::NotHexadecimal))
 }
 
 fn read_settings(conf: &Node) -> Result<PlatformSettings, ConfigError> {
@@ -186,7 +187,7 @@
             text,
         });
     }
-    let text = node.text()?;
+    let text = node.string()?;
     text.parse().map_err(|_| ConfigError::Address {
         name: node.path().to_owned(),
         text,
--- a/crates/sidecar/src/machine_table.rs
+++ b/crates/sidecar/src/machine_table.rs
@@ -62,11 +62,13 @@
     let mut table: Vec<(String, f64, f64)> = Vec::new();
     for entry in machines.items()? {
         let model_node = entry.at("model");
-        let model = model_node.text()?;
+        let model = model_node.string()?;
         let cores = read_capacity(&entry.at("cores"))?;
         let speed = read_capacity(&entry.at("speed"))?;
         if model.is_empty() || table.iter().any(|(name, ..)| *name == model) {
-            return Err(model_node.error(KeyProblem::EmptyOrDuplicate(model)).into());
+            return Err(model_node
+                .error(KeyProblem::EmptyOrDuplicateName(model))
+                .into());
         }
         table.push((model, cores, speed));
     }
