--- a/crates/adapter/src/host/instance.rs
+++ b/crates/adapter/src/host/instance.rs
@@ -99,7 +99,7 @@
 
     /// A load report from its row of numbers.
     pub(super) fn load_report(&self, row: Option<&[Option<f64>]>) -> Option<LoadReport> {
-        self.load_report.extract(row?)
+        self.load_report.decode_row(row?)
     }
 }
 
--- a/crates/platform/src/json.rs
+++ b/crates/platform/src/json.rs
@@ -11,7 +11,7 @@
 use crate::error::{JsonError, KeyError, KeyProblem};
 
 /// Depth of open brackets and braces after each byte of the text.
-fn depths(text: &[u8]) -> impl Iterator<Item = usize> {
+fn nesting_depths(text: &[u8]) -> impl Iterator<Item = usize> {
     let mut depth = 0_usize;
     let mut in_string = false;
     let mut escaped = false;
@@ -29,8 +29,8 @@
 }
 
 /// Number of brackets and braces that are still open at the end of the text.
-pub fn nesting_depth(text: &[u8]) -> usize {
-    depths(text).last().unwrap_or_default()
+pub fn nesting_depth_at_end(text: &[u8]) -> usize {
+    nesting_depths(text).last().unwrap_or_default()
 }
 
 /// Parses a text whose nesting is at most `max_depth`. tinyjson recurses once for each level, so a
@@ -39,7 +39,7 @@
 /// # Errors
 /// The text is nested deeper, or is not JSON.
 pub fn parse(text: &str, max_depth: usize) -> Result<JsonValue, JsonError> {
-    if depths(text.as_bytes()).any(|depth| depth > max_depth) {
+    if nesting_depths(text.as_bytes()).any(|depth| depth > max_depth) {
         return Err(JsonError::TooDeep { max_depth });
     }
     Ok(text.parse::<JsonValue>()?)
--- a/crates/platform/src/json/tests.rs
+++ b/crates/platform/src/json/tests.rs
@@ -1,4 +1,4 @@
-use super::{Node, nesting_depth, parse};
+use super::{Node, nesting_depth_at_end, parse};
 
 /// A document in which each value is of a type that its reader does not want.
 const DOCUMENT: &str = r#"{"a": [{"b-c": "x", "n": -1}], "z": null}"#;
@@ -50,7 +50,7 @@
 
 #[test]
 fn the_nesting_depth_is_that_of_the_end() {
-    assert_eq!(nesting_depth(br#"{"a": ["#), 2);
-    assert_eq!(nesting_depth(br#"{"a": "[{"}"#), 0);
-    assert_eq!(nesting_depth(b"}"), 0);
+    assert_eq!(nesting_depth_at_end(br#"{"a": ["#), 2);
+    assert_eq!(nesting_depth_at_end(br#"{"a": "[{"}"#), 0);
+    assert_eq!(nesting_depth_at_end(b"}"), 0);
 }
--- a/crates/platform/src/load_report.rs
+++ b/crates/platform/src/load_report.rs
@@ -26,7 +26,7 @@
 
 /// Reads a report such as `inflight=7,queue=2,eps=0.5`; `None` where a part cannot be read or the
 /// requests in flight are absent. Unknown fields are skipped, and an absent queue counts as empty.
-pub fn read_report(text: &str) -> Option<LoadReport> {
+pub fn parse_load_report(text: &str) -> Option<LoadReport> {
     let mut in_flight = None;
     let mut queued = 0.0;
     for part in text.trim().split(',') {
@@ -61,7 +61,7 @@
 }
 
 impl From<LoadReport> for ServerLoad {
-    /// [`read_report`] gives the same report again.
+    /// [`parse_load_report`] gives the same report again.
     fn from(report: LoadReport) -> Self {
         Self {
             in_flight: report.in_flight,
@@ -123,9 +123,9 @@
         (0..self.row_length()).map(name).collect()
     }
 
-    /// A report as a row of numbers, from which [`extract`](Self::extract) gives the same report as
+    /// A report as a row of numbers, from which [`decode_row`](Self::decode_row) gives the same report as
     /// far as the layout has its values. A position that holds no known field stays empty.
-    pub fn row(&self, report: &LoadReport) -> Vec<Option<f64>> {
+    pub fn encode_row(&self, report: &LoadReport) -> Vec<Option<f64>> {
         let value = |position| match Some(position) {
             position if position == self.in_flight => Some(report.in_flight),
             position if position == self.queued => Some(report.queued),
@@ -142,7 +142,7 @@
 
     /// Extracts a report from a row; `None` where it has no requests in flight. An absent queue
     /// counts as empty.
-    pub fn extract(&self, row: &[Option<f64>]) -> Option<LoadReport> {
+    pub fn decode_row(&self, row: &[Option<f64>]) -> Option<LoadReport> {
         let at = |position: Option<usize>| row.get(position?).copied().flatten();
         Some(LoadReport {
             in_flight: at(self.in_flight)?,
--- a/crates/platform/src/load_report/tests.rs
+++ b/crates/platform/src/load_report/tests.rs
@@ -1,7 +1,7 @@
 use arrowstand_balancer::LoadReport;
 use proptest::prelude::*;
 
-use super::{LoadReportLayout, ServerLoad, read_report};
+use super::{LoadReportLayout, ServerLoad, parse_load_report};
 use crate::json::{Node, parse};
 
 const fn report(in_flight: f64, queued: f64) -> LoadReport {
@@ -21,16 +21,16 @@
 #[test]
 fn a_header_is_read_unless_a_part_is_malformed() {
     assert_eq!(
-        read_report("inflight=7,queue=2,eps=0.5"),
+        parse_load_report("inflight=7,queue=2,eps=0.5"),
         Some(report(7.0, 2.0))
     );
     assert_eq!(
-        read_report(" active = 3 , waiting=1 \n"),
+        parse_load_report(" active = 3 , waiting=1 \n"),
         Some(report(3.0, 1.0))
     );
-    assert_eq!(read_report("inflight=7"), Some(report(7.0, 0.0)));
+    assert_eq!(parse_load_report("inflight=7"), Some(report(7.0, 0.0)));
     for text in MALFORMED_REPORTS {
-        assert_eq!(read_report(text), None, "{text:?}");
+        assert_eq!(parse_load_report(text), None, "{text:?}");
     }
 }
 
@@ -39,14 +39,14 @@
     let fields = parse(r#"["eps", "waiting", "active", "active"]"#, 2).expect("JSON");
     let layout = LoadReportLayout::read(&Node::root(&fields)).expect("texts");
 
-    let with_both = layout.extract(&[None, Some(2.0), Some(7.0)]);
-    let without_queue = layout.extract(&[None, None, Some(7.0)]);
-    let without_in_flight = layout.extract(&[None, Some(2.0)]);
+    let with_both = layout.decode_row(&[None, Some(2.0), Some(7.0)]);
+    let without_queue = layout.decode_row(&[None, None, Some(7.0)]);
+    let without_in_flight = layout.decode_row(&[None, Some(2.0)]);
 
     assert_eq!(with_both, Some(report(7.0, 2.0)));
     assert_eq!(without_queue, Some(report(7.0, 0.0)));
     assert_eq!(without_in_flight, None);
-    assert_eq!(LoadReportLayout::default().extract(&[Some(1.0)]), None);
+    assert_eq!(LoadReportLayout::default().decode_row(&[Some(1.0)]), None);
 }
 
 #[test]
@@ -97,7 +97,7 @@
     ) {
         let load = ServerLoad { error_rate, ..ServerLoad::from(written) };
 
-        prop_assert_eq!(read_report(&load.to_string()), Some(written));
+        prop_assert_eq!(parse_load_report(&load.to_string()), Some(written));
     }
 
     #[test]
@@ -109,16 +109,16 @@
     }
 
     #[test]
-    fn extracting_a_report_from_its_row_gives_the_same_report(
+    fn decoding_an_encoded_row_gives_the_same_report(
         layout in any_layout(),
         written in any_report(),
     ) {
-        let row = layout.row(&written);
+        let row = layout.encode_row(&written);
 
         let expected = layout.in_flight.map(|_| LoadReport {
             queued: layout.queued.map_or(0.0, |_| written.queued),
             ..written
         });
-        prop_assert_eq!(layout.extract(&row), expected);
+        prop_assert_eq!(layout.decode_row(&row), expected);
     }
 }
--- a/crates/sidecar/src/discovery/line_decoder.rs
+++ b/crates/sidecar/src/discovery/line_decoder.rs
@@ -4,7 +4,7 @@
 
 use bytes::BytesMut;
 
-use arrowstand_platform::json::nesting_depth;
+use arrowstand_platform::json::nesting_depth_at_end;
 
 /// Cuts a watch's bytes into objects and empty lines, however they were split over chunks.
 pub(super) struct LineDecoder {
@@ -43,7 +43,7 @@
             }
             let line = self.undecoded.split_to(line_end + 1);
             self.open_object.extend_from_slice(&line);
-            let depth = nesting_depth(&self.open_object);
+            let depth = nesting_depth_at_end(&self.open_object);
             // What is nested too deep cannot be read, whatever follows.
             if depth == 0 || depth > self.max_json_depth {
                 return Some(std::mem::take(&mut self.open_object));
--- a/crates/sidecar/src/upstream/attempt.rs
+++ b/crates/sidecar/src/upstream/attempt.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use arrowstand_balancer::{LoadReport, Outcome};
-use arrowstand_platform::load_report::read_report;
+use arrowstand_platform::load_report::parse_load_report;
 use awc::ClientRequest;
 use awc::http::StatusCode;
 use awc::http::header::{HeaderName, HeaderValue};
@@ -96,7 +96,7 @@
     }
 
     fn on_response(&self, response: CompleteResponse, progress: &WriteProgress) -> AttemptResult {
-        let load_report = response.header(SERVER_LOAD).and_then(read_report);
+        let load_report = response.header(SERVER_LOAD).and_then(parse_load_report);
         let not_processed = response.header(NOT_PROCESSED) == Some(NOT_PROCESSED_TRUE);
         match response.status {
             StatusCode::OK => self.on_served(response, load_report, progress),
--- a/crates/sidecar/src/upstream/health_check.rs
+++ b/crates/sidecar/src/upstream/health_check.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use arrowstand_balancer::{LoadReport, Outcome, ServerId};
-use arrowstand_platform::load_report::read_report;
+use arrowstand_platform::load_report::parse_load_report;
 use awc::http::StatusCode;
 use bytes::Bytes;
 use tokio::sync::mpsc;
@@ -105,7 +105,7 @@
 
     fn on_response(&self, response: &CompleteResponse) -> HealthCheckResult {
         let text = std::str::from_utf8(&response.body).unwrap_or_default();
-        let load_report = read_report(text);
+        let load_report = parse_load_report(text);
         if load_report.is_none() && !text.trim().is_empty() {
             self.counters.load_reports_skipped.add();
         }
