--- a/crates/platform/src/endpoint_list.rs
+++ b/crates/platform/src/endpoint_list.rs
@@ -17,10 +17,10 @@
 
 /// The latest start that is accepted, in Unix milliseconds: the year 5138. An entry with a later
 /// one is skipped, as its microseconds could overflow once a duration is added to them.
-const MAX_START_MS: f64 = 1e14;
+const MAX_START_TIME_MS: f64 = 1e14;
 /// The start, in Unix milliseconds, of a server that started long ago or at an unknown time: the
 /// wire page's 0. Later ones are known.
-const UNKNOWN_START_MS: f64 = 0.0;
+const UNKNOWN_START_TIME_MS: f64 = 0.0;
 
 /// The list's word for [`EndpointStatus::Ready`].
 const READY: &str = "ready";
@@ -106,7 +106,7 @@
         // The order of the reads decides which error of a bad entry is reported.
         let address_node = node.at(endpoint::ADDRESS);
         let address_text = address_node.string()?;
-        let started_at = read_start(&node.at(endpoint::STARTED_AT_MS))?;
+        let started_at = read_start_time(&node.at(endpoint::STARTED_AT_MS))?;
         let id = node.at(endpoint::ID).string()?;
         let address = address_text
             .parse()
@@ -136,18 +136,18 @@
     })
 }
 
-fn read_start(node: &Node) -> Result<Option<Micros>, KeyError> {
-    let start_ms = node.optional_number()?.unwrap_or(UNKNOWN_START_MS);
-    if start_ms > MAX_START_MS {
+fn read_start_time(node: &Node) -> Result<Option<Micros>, KeyError> {
+    let start_time_ms = node.optional_number()?.unwrap_or(UNKNOWN_START_TIME_MS);
+    if start_time_ms > MAX_START_TIME_MS {
         return Err(node.error(KeyProblem::InvalidTimestamp));
     }
-    let is_known = start_ms > UNKNOWN_START_MS;
-    Ok(is_known.then(|| micros_from_start_ms(start_ms)))
+    let is_known = start_time_ms > UNKNOWN_START_TIME_MS;
+    Ok(is_known.then(|| micros_from_start_time_ms(start_time_ms)))
 }
 
 /// Cuts off what is below a microsecond, unlike [`micros_from_ms`](crate::micros_from_ms).
-fn micros_from_start_ms(start_ms: f64) -> Micros {
-    truncate_to_u64(start_ms * MICROS_PER_MS)
+fn micros_from_start_time_ms(start_time_ms: f64) -> Micros {
+    truncate_to_u64(start_time_ms * MICROS_PER_MS)
 }
 
 fn read_status(node: &Node) -> Result<EndpointStatus, KeyError> {
--- a/crates/platform/src/endpoint_list/tests.rs
+++ b/crates/platform/src/endpoint_list/tests.rs
@@ -22,7 +22,7 @@
         status: EndpointStatus::Draining,
         started_at: Some(5_500),
     };
-    let required_keys_alone = ListedEndpoint {
+    let required_keys_only = ListedEndpoint {
         id: "s4".to_owned(),
         address: "127.0.0.1:81".parse().expect("an address"),
         zone: String::new(),
@@ -31,11 +31,11 @@
         status: EndpointStatus::Removed,
         started_at: None,
     };
-    [every_key, required_keys_alone]
+    [every_key, required_keys_only]
 }
 
 #[test]
-fn a_bad_entry_is_skipped_with_a_message_and_the_others_are_read() {
+fn invalid_entry_is_skipped_with_a_message_and_the_others_are_read() {
     let list = EndpointList::parse(LIST_WITH_BAD_ENTRIES, 8).expect("a list");
 
     let messages: Vec<String> = list.skipped.iter().map(ToString::to_string).collect();
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_list_without_a_revision_is_an_error() {
+fn list_without_a_revision_is_rejected() {
     let error = EndpointList::parse("{}", 8).expect_err("no revision");
     assert_eq!(error.to_string(), "rev: is missing");
 }
--- a/crates/platform/src/endpoint_list/writer.rs
+++ b/crates/platform/src/endpoint_list/writer.rs
@@ -4,8 +4,8 @@
 use serde_json::{Value, json};
 
 use super::{
-    DRAINING, EndpointList, ListKind, ListedEndpoint, READY, REMOVED, UNKNOWN_START_MS,
-    micros_from_start_ms,
+    DRAINING, EndpointList, ListKind, ListedEndpoint, READY, REMOVED, UNKNOWN_START_TIME_MS,
+    micros_from_start_time_ms,
 };
 use crate::keys::{endpoint, endpoint_list};
 use crate::number::nearest_f64;
@@ -42,7 +42,9 @@
             endpoint::CELL: self.cell,
             endpoint::STATUS: status_name(self.status),
             endpoint::CAPACITY_HINT: CAPACITY_HINT,
-            endpoint::STARTED_AT_MS: self.started_at.map_or(UNKNOWN_START_MS, start_ms_from_micros),
+            endpoint::STARTED_AT_MS: self
+                .started_at
+                .map_or(UNKNOWN_START_TIME_MS, start_time_ms_from_micros),
         })
     }
 }
@@ -58,9 +60,9 @@
 /// The milliseconds that are read as these microseconds. The reader cuts off what is below a
 /// microsecond; where the nearest number of milliseconds is read as an earlier microsecond, the
 /// next larger number is taken.
-fn start_ms_from_micros(started_at: Micros) -> f64 {
+fn start_time_ms_from_micros(started_at: Micros) -> f64 {
     let nearest_ms = nearest_f64(started_at) / MICROS_PER_MS;
-    if micros_from_start_ms(nearest_ms) < started_at {
+    if micros_from_start_time_ms(nearest_ms) < started_at {
         f64::from_bits(nearest_ms.to_bits() + 1)
     } else {
         nearest_ms
--- a/crates/platform/src/endpoint_list/writer/tests.rs
+++ b/crates/platform/src/endpoint_list/writer/tests.rs
@@ -10,7 +10,7 @@
 /// Revisions up to this one are exact as floating-point numbers.
 const MAX_EXACT_REVISION: u64 = 1 << 53;
 /// Starts before this one, in the year 2109, are less than a microsecond apart as milliseconds.
-const EXACT_STARTS_END: Micros = 1_000 << 42;
+const EXACT_START_TIMES_END: Micros = 1_000 << 42;
 /// The nesting of a list's JSON: the list, its array and an entry.
 const DEPTH: usize = 3;
 
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_list_is_written_in_the_form_of_the_wire_page_with_sorted_keys() {
+fn list_is_written_in_the_documented_form_with_sorted_keys() {
     let list = EndpointList {
         revision: 41,
         kind: ListKind::Full,
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_start_whose_milliseconds_are_rounded_down_is_read_as_the_same_microsecond() {
+fn start_time_whose_milliseconds_round_down_is_read_as_the_same_microsecond() {
     // 1.001 * 1000 is 1000.9999999999999 in the arithmetic of the reader.
     let started = ListedEndpoint {
         started_at: Some(1_001),
@@ -75,11 +75,11 @@
 }
 
 /// Starts of which the list knows are above 0.
-fn any_start() -> impl Strategy<Value = Option<Micros>> {
+fn any_start_time() -> impl Strategy<Value = Option<Micros>> {
     prop::option::of(prop_oneof![
         1..1_000_000_u64,
         1_700_000_000_000_000..1_800_000_000_000_000_u64,
-        1..EXACT_STARTS_END,
+        1..EXACT_START_TIMES_END,
     ])
 }
 
@@ -96,7 +96,7 @@
         cell in any::<u32>(),
         machine_type in any::<String>(),
         status in any_status(),
-        started_at in any_start(),
+        started_at in any_start_time(),
     ) -> ListedEndpoint {
         ListedEndpoint { id, address, zone, cell, machine_type, status, started_at }
     }
--- a/crates/platform/src/json/tests.rs
+++ b/crates/platform/src/json/tests.rs
@@ -4,7 +4,7 @@
 const DOCUMENT: &str = r#"{"a": [{"b-c": "x", "n": -1}], "z": null}"#;
 
 #[test]
-fn an_error_names_the_path_of_the_key() {
+fn error_names_the_path_of_the_key() {
     let value = parse(DOCUMENT, 8).expect("JSON");
     let root = Node::root(&value);
     let item = &root.at("a").items().expect("an array")[0];
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn an_absent_array_has_no_items_and_an_object_is_no_array() {
+fn absent_array_has_no_items_and_an_object_is_rejected() {
     let value = parse(DOCUMENT, 8).expect("JSON");
     let root = Node::root(&value);
     let object = &root.at("a").items().expect("an array")[0];
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_text_nested_deeper_than_allowed_is_an_error() {
+fn text_nested_deeper_than_allowed_is_rejected() {
     assert!(parse("[[1]]", 2).is_ok());
     let error = parse("[[[1]]]", 2).expect_err("too deep");
     assert_eq!(error.to_string(), "nested deeper than 2");
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn the_nesting_depth_is_that_of_the_end() {
+fn nesting_depth_counts_the_brackets_left_open_at_the_end() {
     assert_eq!(nesting_depth_at_end(br#"{"a": ["#), 2);
     assert_eq!(nesting_depth_at_end(br#"{"a": "[{"}"#), 0);
     assert_eq!(nesting_depth_at_end(b"}"), 0);
--- a/crates/platform/src/load_report.rs
+++ b/crates/platform/src/load_report.rs
@@ -18,11 +18,11 @@
 /// Field of a report as the servers write it: errors per second. Written and never read.
 const ERROR_RATE: &str = "eps";
 /// The settings' name for [`IN_FLIGHT`]; servers may use it too.
-const IN_FLIGHT_IN_SETTINGS: &str = "active";
+const IN_FLIGHT_SETTINGS_NAME: &str = "active";
 /// The settings' name for [`QUEUED`]; servers may use it too.
-const QUEUED_IN_SETTINGS: &str = "waiting";
+const QUEUED_SETTINGS_NAME: &str = "waiting";
 /// The settings' name for [`ERROR_RATE`]. It stands for any position of a row that is not read.
-const ERROR_RATE_IN_SETTINGS: &str = "err_rps";
+const ERROR_RATE_SETTINGS_NAME: &str = "err_rps";
 
 /// Reads a report such as `inflight=7,queue=2,eps=0.5`; `None` where a part cannot be read or the
 /// requests in flight are absent. Unknown fields are skipped, and an absent queue counts as empty.
@@ -37,8 +37,8 @@
             .ok()
             .filter(|number: &f64| number.is_finite() && *number >= 0.0)?;
         match name.trim() {
-            IN_FLIGHT | IN_FLIGHT_IN_SETTINGS => in_flight = Some(value),
-            QUEUED | QUEUED_IN_SETTINGS => queued = value,
+            IN_FLIGHT | IN_FLIGHT_SETTINGS_NAME => in_flight = Some(value),
+            QUEUED | QUEUED_SETTINGS_NAME => queued = value,
             _ => {}
         }
     }
@@ -103,8 +103,8 @@
         let mut layout = Self::default();
         for (position, field) in fields.items()?.iter().enumerate() {
             let slot = match field.string()?.as_str() {
-                IN_FLIGHT_IN_SETTINGS => &mut layout.in_flight,
-                QUEUED_IN_SETTINGS => &mut layout.queued,
+                IN_FLIGHT_SETTINGS_NAME => &mut layout.in_flight,
+                QUEUED_SETTINGS_NAME => &mut layout.queued,
                 _ => continue,
             };
             slot.get_or_insert(position);
@@ -116,15 +116,15 @@
     /// position that holds no known field is named after the error rate, which is not read.
     pub fn field_names(&self) -> Vec<&'static str> {
         let name = |position| match Some(position) {
-            position if position == self.in_flight => IN_FLIGHT_IN_SETTINGS,
-            position if position == self.queued => QUEUED_IN_SETTINGS,
-            _ => ERROR_RATE_IN_SETTINGS,
+            position if position == self.in_flight => IN_FLIGHT_SETTINGS_NAME,
+            position if position == self.queued => QUEUED_SETTINGS_NAME,
+            _ => ERROR_RATE_SETTINGS_NAME,
         };
         (0..self.row_length()).map(name).collect()
     }
 
-    /// A report as a row of numbers, from which [`decode_row`](Self::decode_row) gives the same report as
-    /// far as the layout has its values. A position that holds no known field stays empty.
+    /// A report as a row of numbers. [`decode_row`](Self::decode_row) returns the same report, as
+    /// far as the layout has its fields. Positions without a known field are `None`.
     pub fn encode_row(&self, report: &LoadReport) -> Vec<Option<f64>> {
         let value = |position| match Some(position) {
             position if position == self.in_flight => Some(report.in_flight),
--- a/crates/platform/src/load_report/tests.rs
+++ b/crates/platform/src/load_report/tests.rs
@@ -19,7 +19,7 @@
 ];
 
 #[test]
-fn a_header_is_read_unless_a_part_is_malformed() {
+fn load_report_text_is_parsed_unless_a_part_is_malformed() {
     assert_eq!(
         parse_load_report("inflight=7,queue=2,eps=0.5"),
         Some(report(7.0, 2.0))
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_row_is_read_at_the_positions_of_the_settings() {
+fn row_is_decoded_at_the_positions_given_by_the_settings() {
     let fields = parse(r#"["eps", "waiting", "active", "active"]"#, 2).expect("JSON");
     let layout = LoadReportLayout::read(&Node::root(&fields)).expect("texts");
 
@@ -50,20 +50,20 @@
 }
 
 #[test]
-fn a_report_is_written_as_servers_write_it() {
+fn load_report_is_written_in_the_format_of_the_servers() {
     let full = ServerLoad {
         in_flight: 7.0,
         error_rate: Some(0.5),
         queued: Some(2.0),
     };
-    let in_flight_alone = ServerLoad {
+    let in_flight_only = ServerLoad {
         error_rate: None,
         queued: None,
         ..full
     };
 
     assert_eq!(full.to_string(), "inflight=7,eps=0.50,queue=2");
-    assert_eq!(in_flight_alone.to_string(), "inflight=7");
+    assert_eq!(in_flight_only.to_string(), "inflight=7");
 }
 
 /// Finite and not negative.
@@ -91,7 +91,7 @@
 
 proptest! {
     #[test]
-    fn reading_a_written_report_gives_the_same_report(
+    fn parsing_a_written_report_gives_the_same_report(
         written in any_report(),
         error_rate in prop::option::of(0.0..1e6),
     ) {
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -65,11 +65,11 @@
     ///
     /// # Errors
     /// Names the first key whose value cannot be used. Ranges are left to [`Settings::validate`].
-    pub fn read(conf: &Node, default_max_retry_after: Micros) -> Result<Self, KeyError> {
-        let (class_names, classes) = read_request_classes(conf)?;
-        let zones = read_zones(conf)?;
-        let own_zone = conf.at(keys::settings::ZONE).optional_string()?;
-        let report = ReportSettings::read(&conf.at(keys::settings::REPORT))?;
+    pub fn read(settings_node: &Node, default_max_retry_after: Micros) -> Result<Self, KeyError> {
+        let (class_names, classes) = read_request_classes(settings_node)?;
+        let zones = read_zones(settings_node)?;
+        let own_zone = settings_node.at(keys::settings::ZONE).optional_string()?;
+        let report = ReportSettings::read(&settings_node.at(keys::settings::REPORT))?;
         let base = Settings {
             classes,
             identity: BalancerIdentity {
@@ -88,7 +88,7 @@
             ..Settings::default()
         };
         Ok(Self {
-            balancer: read_balancer_settings(conf, base)?,
+            balancer: read_balancer_settings(settings_node, base)?,
             class_names,
             zones,
             load_report: report.layout,
@@ -97,19 +97,21 @@
 }
 
 /// The request classes and their names, in the order of the settings.
-fn read_request_classes(conf: &Node) -> Result<(Vec<String>, Vec<RequestClass>), KeyError> {
+fn read_request_classes(
+    settings_node: &Node,
+) -> Result<(Vec<String>, Vec<RequestClass>), KeyError> {
     let read = |node: &Node| {
         // The order of the reads decides which of two bad keys is reported.
         let class = read_request_class(node)?;
         let name = node.at(keys::request_class::NAME).string()?;
         Ok((name, class))
     };
-    let classes = conf.at(keys::settings::REQUEST_CLASSES).items()?;
+    let classes = settings_node.at(keys::settings::REQUEST_CLASSES).items()?;
     classes.iter().map(read).collect()
 }
 
-fn read_zones(conf: &Node) -> Result<Vec<String>, KeyError> {
-    let zones = conf.at(keys::settings::ZONES).items()?;
+fn read_zones(settings_node: &Node) -> Result<Vec<String>, KeyError> {
+    let zones = settings_node.at(keys::settings::ZONES).items()?;
     zones.iter().map(Node::string).collect()
 }
 
--- a/crates/platform/src/settings/balancer.rs
+++ b/crates/platform/src/settings/balancer.rs
@@ -9,40 +9,45 @@
 };
 
 use super::WEIGHT_BY_WORK;
-use super::transport::idle_timeout_key;
-use super::values::{count_or, flag, number_or, time_or};
+use super::transport::idle_timeout_node;
+use super::values::{boolean_or_false, count_or, micros_or, number_or};
 use crate::error::KeyError;
 use crate::json::Node;
 use crate::keys;
 
 /// Share of the deployment's result that an action costs where the settings name no fee for it.
-const NO_FEE: f64 = 0.0;
+const DEFAULT_FEE: f64 = 0.0;
 /// Number of the balancer where the settings name none.
-const FIRST_INDEX: u32 = 0;
+const DEFAULT_BALANCER_INDEX: u32 = 0;
 /// Number of balancers where the settings name none.
-const LONE_BALANCER: u32 = 1;
+const DEFAULT_BALANCER_COUNT: u32 = 1;
 
 /// Fills the single values; `base` has the defaults and all that is no single value.
 ///
 /// The order of the reads decides which of several bad keys is reported.
-pub(super) fn read_balancer_settings(conf: &Node, base: Settings) -> Result<Settings, KeyError> {
-    let permissions = conf.at(keys::settings::PERMISSIONS);
-    let safety = conf.at(keys::settings::SAFETY);
-    let fees = conf.at(keys::settings::FEES);
-    let identity = read_identity(conf, base.identity)?;
-    let step = time_or(&conf.at(keys::settings::STEP_MS), base.step)?;
+pub(super) fn read_balancer_settings(
+    settings_node: &Node,
+    base: Settings,
+) -> Result<Settings, KeyError> {
+    let permissions = settings_node.at(keys::settings::PERMISSIONS);
+    let safety = settings_node.at(keys::settings::SAFETY);
+    let fees = settings_node.at(keys::settings::FEES);
+    let identity = read_identity(settings_node, base.identity)?;
+    let step = micros_or(&settings_node.at(keys::settings::STEP_MS), base.step)?;
     let host = read_host_capabilities(&permissions, base.host)?;
     let retries = read_retry_settings(&permissions, base.retries)?;
-    let health_check = number_or(&fees.at(keys::fees::HEALTH_CHECK), NO_FEE)?;
-    let handshake = number_or(&fees.at(keys::fees::HANDSHAKE), NO_FEE)?;
-    let idle_timeout = time_or(&idle_timeout_key(conf), base.idle_timeout)?;
+    let health_check = number_or(&fees.at(keys::fees::HEALTH_CHECK), DEFAULT_FEE)?;
+    let handshake = number_or(&fees.at(keys::fees::HANDSHAKE), DEFAULT_FEE)?;
+    let idle_timeout = micros_or(&idle_timeout_node(settings_node), base.idle_timeout)?;
     let fees = Fees {
         health_check,
         handshake,
-        connection: number_or(&fees.at(keys::fees::CONNECTION), NO_FEE)?,
-        cross_zone: number_or(&fees.at(keys::fees::CROSS_ZONE), NO_FEE)?,
+        connection: number_or(&fees.at(keys::fees::CONNECTION), DEFAULT_FEE)?,
+        cross_zone: number_or(&fees.at(keys::fees::CROSS_ZONE), DEFAULT_FEE)?,
     };
-    let weight_basis = conf.at(keys::settings::WEIGHT_BASIS).optional_string()?;
+    let weight_basis = settings_node
+        .at(keys::settings::WEIGHT_BASIS)
+        .optional_string()?;
     Ok(Settings {
         identity,
         step,
@@ -52,18 +57,21 @@
         idle_timeout,
         weight_by_work: weight_basis.as_deref() == Some(WEIGHT_BY_WORK),
         polling: read_polling_settings(&safety, base.polling)?,
-        only_draining_binds: flag(&safety.at(keys::safety::ONLY_DRAINING_BINDS))?,
+        only_draining_binds: boolean_or_false(&safety.at(keys::safety::ONLY_DRAINING_BINDS))?,
         slow_start: read_slow_start_settings(&safety, base.slow_start)?,
         ..base
     })
 }
 
-fn read_identity(conf: &Node, base: BalancerIdentity) -> Result<BalancerIdentity, KeyError> {
-    let index = conf.at(keys::settings::BALANCER_INDEX);
-    let count = conf.at(keys::settings::BALANCER_COUNT);
+fn read_identity(
+    settings_node: &Node,
+    base: BalancerIdentity,
+) -> Result<BalancerIdentity, KeyError> {
+    let index = settings_node.at(keys::settings::BALANCER_INDEX);
+    let count = settings_node.at(keys::settings::BALANCER_COUNT);
     Ok(BalancerIdentity {
-        index: count_or(&index, FIRST_INDEX)?,
-        count: count_or(&count, LONE_BALANCER)?,
+        index: count_or(&index, DEFAULT_BALANCER_INDEX)?,
+        count: count_or(&count, DEFAULT_BALANCER_COUNT)?,
         ..base
     })
 }
@@ -73,8 +81,8 @@
     base: HostCapabilities,
 ) -> Result<HostCapabilities, KeyError> {
     Ok(HostCapabilities {
-        cancellation: flag(&permissions.at(keys::permissions::CANCELLATION))?,
-        health_checks: flag(&permissions.at(keys::permissions::HEALTH_CHECKS))?,
+        cancellation: boolean_or_false(&permissions.at(keys::permissions::CANCELLATION))?,
+        health_checks: boolean_or_false(&permissions.at(keys::permissions::HEALTH_CHECKS))?,
         gossip: false,
         retry_after: false,
         ..base
@@ -85,8 +93,8 @@
     let max_retry_after = permissions.at(keys::permissions::MAX_RETRY_AFTER_MS);
     let max_attempts = permissions.at(keys::permissions::MAX_ATTEMPTS);
     Ok(RetrySettings {
-        hedging: flag(&permissions.at(keys::permissions::HEDGING))?,
-        max_retry_after: time_or(&max_retry_after, base.max_retry_after)?,
+        hedging: boolean_or_false(&permissions.at(keys::permissions::HEDGING))?,
+        max_retry_after: micros_or(&max_retry_after, base.max_retry_after)?,
         max_attempts: count_or(&max_attempts, base.max_attempts)?,
     })
 }
@@ -97,7 +105,7 @@
 ) -> Result<PollingSettings, KeyError> {
     Ok(PollingSettings {
         required: false,
-        max_interval: time_or(
+        max_interval: micros_or(
             &safety.at(keys::safety::MAX_POLL_INTERVAL_MS),
             base.max_interval,
         )?,
@@ -113,12 +121,12 @@
             &safety.at(keys::safety::INITIAL_CAPACITY),
             base.initial_capacity,
         )?,
-        duration: time_or(&safety.at(keys::safety::SLOW_START_MS), base.duration)?,
+        duration: micros_or(&safety.at(keys::safety::SLOW_START_MS), base.duration)?,
         overload_factor: number_or(
             &safety.at(keys::safety::OVERLOAD_FACTOR),
             base.overload_factor,
         )?,
-        overload_window: time_or(
+        overload_window: micros_or(
             &safety.at(keys::safety::OVERLOAD_WINDOW_MS),
             base.overload_window,
         )?,
--- a/crates/platform/src/settings/document/tests.rs
+++ b/crates/platform/src/settings/document/tests.rs
@@ -8,7 +8,7 @@
 use super::SettingsDocument;
 use crate::json::{Node, parse};
 use crate::{PlatformSettings, SimulatorFeatures, TransportSettings};
-use strategies::any_parts;
+use strategies::any_settings_parts;
 
 /// The nesting of the settings: the object, the array of classes and a class.
 const DEPTH: usize = 3;
@@ -17,21 +17,21 @@
 
 /// The three parts of one settings object.
 #[derive(Debug)]
-struct Parts {
+struct SettingsParts {
     platform: PlatformSettings,
     transport: TransportSettings,
     features: SimulatorFeatures,
 }
 
-impl Parts {
+impl SettingsParts {
     fn read(text: &str) -> Self {
         let value = parse(text, DEPTH).expect("JSON");
-        let conf = Node::root(&value);
-        let platform = PlatformSettings::read(&conf, DEFAULT_MAX_RETRY_AFTER);
+        let settings_node = Node::root(&value);
+        let platform = PlatformSettings::read(&settings_node, DEFAULT_MAX_RETRY_AFTER);
         Self {
             platform: platform.expect("settings"),
-            transport: TransportSettings::read(&conf).expect("transport"),
-            features: SimulatorFeatures::read(&conf).expect("features"),
+            transport: TransportSettings::read(&settings_node).expect("transport"),
+            features: SimulatorFeatures::read(&settings_node).expect("features"),
         }
     }
 
@@ -46,7 +46,7 @@
 }
 
 /// Every key that a deployment's settings have, in the order of the writer.
-const USUAL_KEYS: &str = concat!(
+const COMMON_KEYS: &str = concat!(
     r#"{"az":"kumamoto","balancers":5,"#,
     r#""fees":{"cross-zone":0.015,"handshake":0.0,"probe":0.0021},"#,
     r#""membership-mode":"on_request","my-number":1,"#,
@@ -63,15 +63,15 @@
 );
 
 #[test]
-fn settings_in_the_usual_form_are_written_as_they_were_read() {
-    let parts = Parts::read(USUAL_KEYS);
+fn settings_with_the_common_keys_are_written_as_they_were_read() {
+    let parts = SettingsParts::read(COMMON_KEYS);
 
-    assert_eq!(parts.written(), USUAL_KEYS);
+    assert_eq!(parts.written(), COMMON_KEYS);
 }
 
 #[test]
-fn keys_that_not_every_deployment_has_are_written_where_they_say_something() {
-    let mut parts = Parts::read(USUAL_KEYS);
+fn optional_keys_are_written_where_they_differ_from_their_defaults() {
+    let mut parts = SettingsParts::read(COMMON_KEYS);
     parts.platform.balancer.fees.connection = 0.03;
     parts.platform.balancer.only_draining_binds = true;
     parts.platform.balancer.classes[0].objective_per_work = 1.5;
@@ -91,8 +91,8 @@
     /// Compared as they print, since the balancer's settings do not compare: floating-point numbers
     /// print with all their digits.
     #[test]
-    fn reading_written_settings_gives_the_same_settings(parts in any_parts()) {
-        let read = Parts::read(&parts.written());
+    fn reading_written_settings_gives_the_same_settings(parts in any_settings_parts()) {
+        let read = SettingsParts::read(&parts.written());
 
         prop_assert_eq!(format!("{read:#?}"), format!("{parts:#?}"));
     }
--- a/crates/platform/src/settings/simulator.rs
+++ b/crates/platform/src/settings/simulator.rs
@@ -5,7 +5,7 @@
 use arrowstand_balancer::Settings;
 
 use super::transport::MembershipMode;
-use super::values::flag;
+use super::values::boolean_or_false;
 use crate::error::KeyError;
 use crate::json::Node;
 use crate::keys;
@@ -28,17 +28,17 @@
     ///
     /// # Errors
     /// Names the first key whose value has the wrong type.
-    pub fn read(conf: &Node) -> Result<Self, KeyError> {
-        let permissions = conf.at(keys::settings::PERMISSIONS);
-        let classes = conf.at(keys::settings::REQUEST_CLASSES).items()?;
+    pub fn read(settings_node: &Node) -> Result<Self, KeyError> {
+        let permissions = settings_node.at(keys::settings::PERMISSIONS);
+        let classes = settings_node.at(keys::settings::REQUEST_CLASSES).items()?;
         let streamed: Result<Vec<bool>, KeyError> = classes
             .iter()
-            .map(|class| flag(&class.at(keys::request_class::STREAMED)))
+            .map(|class| boolean_or_false(&class.at(keys::request_class::STREAMED)))
             .collect();
         Ok(Self {
-            gossip: flag(&permissions.at(keys::permissions::GOSSIP))?,
-            retry_after: flag(&permissions.at(keys::permissions::RETRY_AFTER))?,
-            poll_endpoints: MembershipMode::read(conf)? == MembershipMode::OnRequest,
+            gossip: boolean_or_false(&permissions.at(keys::permissions::GOSSIP))?,
+            retry_after: boolean_or_false(&permissions.at(keys::permissions::RETRY_AFTER))?,
+            poll_endpoints: MembershipMode::read(settings_node)? == MembershipMode::OnRequest,
             streamed: streamed?,
         })
     }
--- a/crates/platform/src/settings/simulator/tests.rs
+++ b/crates/platform/src/settings/simulator/tests.rs
@@ -3,14 +3,14 @@
 use crate::json::{Node, parse};
 
 #[test]
-fn keys_of_the_simulator_are_ignored_by_the_common_reader() {
+fn simulator_keys_are_ignored_by_the_platform_settings_reader() {
     let text = r#"{"membership-mode": 1, "permissions": {"peers": "no", "retry-after": 1},
         "request-classes": [{"name": "a", "semantics": "pure", "objective-ms": 1, "deadline-ms": 1, "streamed": 0}]}"#;
     let value = parse(text, 8).expect("JSON");
-    let conf = Node::root(&value);
+    let settings_node = Node::root(&value);
 
-    let platform = PlatformSettings::read(&conf, 0);
-    let features = SimulatorFeatures::read(&conf);
+    let platform = PlatformSettings::read(&settings_node, 0);
+    let features = SimulatorFeatures::read(&settings_node);
 
     assert!(platform.is_ok());
     assert_eq!(
--- a/crates/platform/src/settings/tests.rs
+++ b/crates/platform/src/settings/tests.rs
@@ -28,28 +28,28 @@
    "only-draining-binds": true, "drain-grace-ms": 1500.0}}"#;
 
 /// What the three readers make of one settings object.
-struct AllSettings {
+struct SettingsParts {
     platform: PlatformSettings,
     features: SimulatorFeatures,
     transport: TransportSettings,
 }
 
-impl AllSettings {
+impl SettingsParts {
     fn read(text: &str) -> Self {
         let value = parse(text, 8).expect("JSON");
-        let conf = Node::root(&value);
-        let platform = PlatformSettings::read(&conf, DEFAULT_MAX_RETRY_AFTER);
+        let settings_node = Node::root(&value);
+        let platform = PlatformSettings::read(&settings_node, DEFAULT_MAX_RETRY_AFTER);
         Self {
             platform: platform.expect("settings"),
-            features: SimulatorFeatures::read(&conf).expect("features"),
-            transport: TransportSettings::read(&conf).expect("transport"),
+            features: SimulatorFeatures::read(&settings_node).expect("features"),
+            transport: TransportSettings::read(&settings_node).expect("transport"),
         }
     }
 }
 
 #[test]
 fn names_zones_and_numbers_of_the_deployment_are_read() {
-    let platform = AllSettings::read(EVERY_KEY).platform;
+    let platform = SettingsParts::read(EVERY_KEY).platform;
 
     let identity = BalancerIdentity {
         zone: 1,
@@ -69,8 +69,8 @@
 }
 
 #[test]
-fn features_of_the_simulator_are_read() {
-    let features = AllSettings::read(EVERY_KEY).features;
+fn simulator_features_are_read() {
+    let features = SettingsParts::read(EVERY_KEY).features;
 
     let expected = SimulatorFeatures {
         gossip: true,
@@ -83,7 +83,7 @@
 
 #[test]
 fn permissions_and_fees_are_read() {
-    let settings = AllSettings::read(EVERY_KEY).platform.balancer;
+    let settings = SettingsParts::read(EVERY_KEY).platform.balancer;
 
     let retries = RetrySettings {
         max_attempts: 5,
@@ -105,12 +105,12 @@
 }
 
 #[test]
-fn safety_rules_and_connection_times_are_read() {
-    let AllSettings {
+fn safety_rules_and_transport_settings_are_read() {
+    let SettingsParts {
         platform,
         transport,
         ..
-    } = AllSettings::read(EVERY_KEY);
+    } = SettingsParts::read(EVERY_KEY);
 
     let settings = &platform.balancer;
     let slow_start = SlowStartSettings {
@@ -133,8 +133,8 @@
 }
 
 #[test]
-fn every_key_of_a_class_reaches_its_setting() {
-    let settings = AllSettings::read(EVERY_KEY).platform.balancer;
+fn every_key_of_a_request_class_is_read() {
+    let settings = SettingsParts::read(EVERY_KEY).platform.balancer;
 
     let [look, pay, book] = &settings.classes[..] else {
         panic!("three classes");
@@ -182,10 +182,10 @@
 }
 
 #[test]
-fn missing_keys_get_the_balancers_defaults_and_turn_permissions_off() {
-    let AllSettings {
+fn missing_keys_take_the_defaults_and_turn_permissions_off() {
+    let SettingsParts {
         platform, features, ..
-    } = AllSettings::read("{}");
+    } = SettingsParts::read("{}");
 
     let expected = settings_without_keys();
     assert_eq!(format!("{:?}", platform.balancer), format!("{expected:?}"));
@@ -194,10 +194,10 @@
 }
 
 #[test]
-fn features_are_off_until_they_are_applied() {
-    let AllSettings {
+fn simulator_features_are_off_until_they_are_applied() {
+    let SettingsParts {
         platform, features, ..
-    } = AllSettings::read(EVERY_KEY);
+    } = SettingsParts::read(EVERY_KEY);
     let mut settings = platform.balancer;
     assert!(!settings.host.gossip);
     assert!(!settings.host.retry_after);
@@ -227,11 +227,11 @@
 ];
 
 #[test]
-fn a_report_without_requests_in_flight_or_without_a_source_is_no_load_report() {
+fn health_checks_carry_reports_given_a_requests_in_flight_field_and_a_source() {
     for (report, in_health_checks, in_responses) in REPORT_SOURCES {
         let text = format!(r#"{{"report": {report}}}"#);
 
-        let host = AllSettings::read(&text).platform.balancer.host;
+        let host = SettingsParts::read(&text).platform.balancer.host;
 
         assert_eq!(host.load_reports, in_health_checks, "{report}");
         assert_eq!(host.load_reports_in_responses, in_responses, "{report}");
--- a/crates/platform/src/settings/transport.rs
+++ b/crates/platform/src/settings/transport.rs
@@ -41,9 +41,9 @@
     ///
     /// # Errors
     /// The value is not a text.
-    pub fn read(conf: &Node) -> Result<Self, KeyError> {
+    pub fn read(settings_node: &Node) -> Result<Self, KeyError> {
         Ok(
-            match conf
+            match settings_node
                 .at(keys::settings::MEMBERSHIP_MODE)
                 .optional_string()?
                 .as_deref()
@@ -83,42 +83,47 @@
     ///
     /// # Errors
     /// Names the first key whose value cannot be used.
-    pub fn read(conf: &Node) -> Result<Self, KeyError> {
-        let drain_grace = conf
+    pub fn read(settings_node: &Node) -> Result<Self, KeyError> {
+        let drain_grace = settings_node
             .at(keys::settings::SAFETY)
             .at(keys::safety::DRAIN_GRACE_MS);
         Ok(Self {
-            connect_timeout: duration_or(&connect_timeout_key(conf), DEFAULT_CONNECT_TIMEOUT_MS)?,
-            idle_timeout: duration_or(&idle_timeout_key(conf), DEFAULT_IDLE_TIMEOUT_MS)?,
+            connect_timeout: duration_or(
+                &connect_timeout_node(settings_node),
+                DEFAULT_CONNECT_TIMEOUT_MS,
+            )?,
+            idle_timeout: duration_or(&idle_timeout_node(settings_node), DEFAULT_IDLE_TIMEOUT_MS)?,
             drain_grace: duration_or(&drain_grace, DEFAULT_DRAIN_GRACE_MS)?,
-            membership: MembershipMode::read(conf)?,
+            membership: MembershipMode::read(settings_node)?,
         })
     }
 
-    /// Checks that no timeout is zero. `conf` is the object that was read, for the path in the
-    /// error.
+    /// Checks that no timeout is zero. `settings_node` is the object that was read; it gives the
+    /// path in the error.
     ///
     /// # Errors
     /// Names the first key whose value is zero.
-    pub fn check_timeouts(&self, conf: &Node) -> Result<(), KeyError> {
+    pub fn check_timeouts(&self, settings_node: &Node) -> Result<(), KeyError> {
         if self.connect_timeout.is_zero() {
-            return Err(connect_timeout_key(conf).error(KeyProblem::Zero));
+            return Err(connect_timeout_node(settings_node).error(KeyProblem::Zero));
         }
         if self.idle_timeout.is_zero() {
-            return Err(idle_timeout_key(conf).error(KeyProblem::Zero));
+            return Err(idle_timeout_node(settings_node).error(KeyProblem::Zero));
         }
         Ok(())
     }
 }
 
-fn connect_timeout_key<'a>(conf: &Node<'a>) -> Node<'a> {
-    conf.at(keys::settings::PERMISSIONS)
+fn connect_timeout_node<'a>(settings_node: &Node<'a>) -> Node<'a> {
+    settings_node
+        .at(keys::settings::PERMISSIONS)
         .at(keys::permissions::CONNECT_TIMEOUT_MS)
 }
 
 /// The key of the idle timeout, which the balancer's settings hold too.
-pub(super) fn idle_timeout_key<'a>(conf: &Node<'a>) -> Node<'a> {
-    conf.at(keys::settings::PERMISSIONS)
+pub(super) fn idle_timeout_node<'a>(settings_node: &Node<'a>) -> Node<'a> {
+    settings_node
+        .at(keys::settings::PERMISSIONS)
         .at(keys::permissions::IDLE_TIMEOUT_MS)
 }
 
--- a/crates/platform/src/settings/transport/tests.rs
+++ b/crates/platform/src/settings/transport/tests.rs
@@ -5,12 +5,12 @@
 use crate::json::{Node, parse};
 
 #[test]
-fn missing_times_of_connections_get_their_defaults() {
+fn missing_transport_times_take_their_defaults() {
     let value = parse("{}", 1).expect("JSON");
-    let conf = Node::root(&value);
+    let settings_node = Node::root(&value);
 
-    let transport = TransportSettings::read(&conf).expect("transport");
-    let platform = PlatformSettings::read(&conf, 0).expect("settings");
+    let transport = TransportSettings::read(&settings_node).expect("transport");
+    let platform = PlatformSettings::read(&settings_node, 0).expect("settings");
 
     let expected = TransportSettings {
         connect_timeout: Duration::from_millis(200),
@@ -24,17 +24,17 @@
 }
 
 #[test]
-fn a_timeout_of_zero_is_named() {
+fn zero_timeout_is_rejected_with_its_key() {
     for (key, other) in [
         ("connect-timeout-ms", "idle-close-ms"),
         ("idle-close-ms", "connect-timeout-ms"),
     ] {
         let text = format!(r#"{{"permissions": {{"{key}": 0, "{other}": 1}}}}"#);
         let value = parse(&text, 8).expect("JSON");
-        let conf = Node::root(&value);
-        let transport = TransportSettings::read(&conf).expect("transport");
+        let settings_node = Node::root(&value);
+        let transport = TransportSettings::read(&settings_node).expect("transport");
 
-        let error = transport.check_timeouts(&conf).expect_err("zero");
+        let error = transport.check_timeouts(&settings_node).expect_err("zero");
 
         let expected = format!("permissions.{key}: must be above zero");
         assert_eq!(error.to_string(), expected);
--- a/crates/platform/src/settings/values.rs
+++ b/crates/platform/src/settings/values.rs
@@ -12,7 +12,7 @@
 use crate::units::{duration_from_ms, micros_from_ms};
 
 /// A boolean that is false where the key is absent.
-pub(super) fn flag(node: &Node) -> Result<bool, KeyError> {
+pub(super) fn boolean_or_false(node: &Node) -> Result<bool, KeyError> {
     Ok(node.optional_boolean()?.unwrap_or(false))
 }
 
@@ -27,7 +27,7 @@
 }
 
 /// A time in milliseconds; the default is in microseconds.
-pub(super) fn time_or(node: &Node, default: Micros) -> Result<Micros, KeyError> {
+pub(super) fn micros_or(node: &Node, default: Micros) -> Result<Micros, KeyError> {
     Ok(node.optional_number()?.map_or(default, micros_from_ms))
 }
 
