--- a/crates/platform/src/endpoint_list/tests.rs
+++ b/crates/platform/src/endpoint_list/tests.rs
@@ -42,7 +42,7 @@
     let expected_messages = [
         "targets[1].endpoint: is not an address and port",
         "targets[2].state: unknown value \"tidy\"",
-        "targets[3].boot_ms: is no time",
+        "targets[3].boot_ms: is too large for a timestamp",
     ];
     assert_eq!(list.revision, 9);
     assert_eq!(list.kind, ListKind::Full);
--- a/crates/platform/src/error.rs
+++ b/crates/platform/src/error.rs
@@ -7,7 +7,7 @@
 #[derive(Debug, Error)]
 pub enum JsonError {
     /// Brackets and braces are nested deeper than the reader allows.
-    #[error("nested deeper than {max_depth}")]
+    #[error("nested deeper than {max_depth} levels")]
     TooDeep {
         /// The allowed depth.
         max_depth: usize,
@@ -38,7 +38,7 @@
     #[error("must be a number")]
     NotANumber,
     /// A string is expected.
-    #[error("must be a text")]
+    #[error("must be a string")]
     NotAString,
     /// A boolean is expected.
     #[error("must be true or false")]
@@ -47,8 +47,8 @@
     #[error("must be an array")]
     NotAnArray,
     /// The number is negative or not finite.
-    #[error("must not be negative")]
-    Negative,
+    #[error("must be finite and not negative")]
+    NegativeOrNotFinite,
     /// The number must not be zero.
     #[error("must be above zero")]
     Zero,
@@ -65,10 +65,10 @@
         bound: f64,
     },
     /// The number is too large for a point in time.
-    #[error("is no time")]
+    #[error("is too large for a timestamp")]
     InvalidTimestamp,
     /// The text is not a hexadecimal number.
-    #[error("must be hex digits")]
+    #[error("must be a hexadecimal number")]
     NotHexadecimal,
     /// The text is none of the known values.
     #[error("unknown value {0:?}")]
@@ -77,7 +77,7 @@
     #[error("is not an address and port")]
     NotAnAddress,
     /// The text must be a name that no other entry has.
-    #[error("{0:?} is empty or there twice")]
+    #[error("{0:?} is empty or duplicated")]
     EmptyOrDuplicateName(String),
 }
 
--- a/crates/platform/src/json.rs
+++ b/crates/platform/src/json.rs
@@ -101,7 +101,7 @@
     pub fn optional_number(&self) -> Result<Option<f64>, KeyError> {
         match self.optional::<f64>(KeyProblem::NotANumber)? {
             Some(number) if !number.is_finite() || number < 0.0 => {
-                Err(self.error(KeyProblem::Negative))
+                Err(self.error(KeyProblem::NegativeOrNotFinite))
             }
             number => Ok(number),
         }
--- a/crates/platform/src/json/tests.rs
+++ b/crates/platform/src/json/tests.rs
@@ -20,8 +20,8 @@
     let messages = errors.map(|error| error.to_string());
     let expected = [
         "a[0].b-c: must be a number",
-        "a[0].n: must not be negative",
-        "a: must be a text",
+        "a[0].n: must be finite and not negative",
+        "a: must be a string",
         "a: must be true or false",
         "z: is missing",
     ];
@@ -44,7 +44,7 @@
 fn text_nested_deeper_than_allowed_is_rejected() {
     assert!(parse("[[1]]", 2).is_ok());
     let error = parse("[[[1]]]", 2).expect_err("too deep");
-    assert_eq!(error.to_string(), "nested deeper than 2");
+    assert_eq!(error.to_string(), "nested deeper than 2 levels");
     assert!(parse(r#"["[[[\"["]"#, 1).is_ok(), "brackets in a string");
 }
 
--- a/crates/sidecar/src/machine_table/tests.rs
+++ b/crates/sidecar/src/machine_table/tests.rs
@@ -21,7 +21,7 @@
         ),
         (
             format!(r#"{{"machines": [{line}, {line}]}}"#),
-            "machines[1].model: \"a\" is empty or there twice",
+            "machines[1].model: \"a\" is empty or duplicated",
         ),
         (r#"{"machine": []}"#.to_owned(), "machines: is missing"),
     ] {
