--- a/crates/platform/src/endpoint_list.rs
+++ b/crates/platform/src/endpoint_list.rs
@@ -1,7 +1,8 @@
-//! The endpoint list of discovery: the servers with address, zone and state, whole or as a change.
+//! The endpoint list from discovery: the servers with their address, zone and status, either all of
+//! them or only the changed ones.
 //!
-//! Owns the format, its reader and its writer; the calls to discovery belong to the sidecar, the
-//! merged table to its server registry.
+//! Contains the format, its reader and its writer. The sidecar implements the calls to discovery,
+//! and its server registry merges the lists.
 
 mod writer;
 
@@ -15,64 +16,64 @@
 use crate::number::{truncate_to_u32, truncate_to_u64};
 use crate::units::MICROS_PER_MS;
 
-/// The latest start that is accepted, in Unix milliseconds: the year 5138. An entry with a later
-/// one is skipped, as its microseconds could overflow once a duration is added to them.
+/// The latest start time that is accepted, in Unix milliseconds: the year 5138. An entry with a
+/// later one is skipped, because adding a duration to it in microseconds could overflow.
 const MAX_START_TIME_MS: f64 = 1e14;
-/// The start, in Unix milliseconds, of a server that started long ago or at an unknown time: the
-/// wire page's 0. Later ones are known.
+/// The start time, in Unix milliseconds, that the wire format defines for a server that started
+/// long ago or at an unknown time. Any larger value is a known start time.
 const UNKNOWN_START_TIME_MS: f64 = 0.0;
 
-/// The list's word for [`EndpointStatus::Ready`].
+/// The value of the status key for [`EndpointStatus::Ready`].
 const READY: &str = "ready";
-/// The list's word for [`EndpointStatus::Draining`].
+/// The value of the status key for [`EndpointStatus::Draining`].
 const DRAINING: &str = "draining";
-/// The list's word for [`EndpointStatus::Removed`].
+/// The value of the status key for [`EndpointStatus::Removed`].
 const REMOVED: &str = "gone";
 
 /// One server in an endpoint list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedEndpoint {
-    /// Name of the server, unique among all and stable over its restarts.
+    /// Name of the server, unique among all servers and unchanged by restarts.
     pub id: String,
-    /// Where it accepts requests.
+    /// Address at which it accepts requests.
     pub address: SocketAddr,
-    /// Name of its zone; empty where the list names none.
+    /// Name of its zone; empty if the list has none.
     pub zone: String,
     /// Number of its deployment cell.
     pub cell: u32,
-    /// The platform's name for its machine type; empty where the list names none.
+    /// The platform's name for its machine type; empty if the list has none.
     pub machine_type: String,
-    /// Whether it may be sent requests.
+    /// Whether it accepts requests.
     pub status: EndpointStatus,
-    /// Unix time of the latest start in microseconds; `None` where the list knows none.
+    /// Unix time of the latest start in microseconds; `None` if unknown.
     pub started_at: Option<Micros>,
 }
 
-/// What a list tells of the servers that it does not name.
+/// What the absence of a server from a list means.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ListKind {
-    /// Every server is listed: what is not named has been removed.
+    /// The list has every server: an absent server has been removed.
     Full,
-    /// Only changes are listed: what is not named is as before.
+    /// The list has only changed servers: an absent server is unchanged.
     #[default]
     Delta,
 }
 
-/// The whole list or a change to it.
+/// The full list of servers, or a change to it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EndpointList {
-    /// Revision of the list in discovery's numbering.
+    /// Revision of the list, assigned by discovery.
     pub revision: u64,
-    /// Whether every server is listed, or those that changed.
+    /// Whether the list has every server or only the changed ones.
     pub kind: ListKind,
-    /// The servers.
+    /// The entries that could be read.
     pub endpoints: Vec<ListedEndpoint>,
-    /// Why entries were skipped that could not be read.
+    /// One error for each entry that was skipped because it could not be read.
     pub skipped: Vec<KeyError>,
 }
 
 impl EndpointList {
-    /// Reads a list. An entry that cannot be read is skipped, and the others are kept.
+    /// Reads a list. Entries that cannot be read are skipped; the others are kept.
     ///
     /// # Errors
     /// The revision is missing, or a value outside the entries has the wrong type.
@@ -94,7 +95,7 @@
     /// Parses and reads the text of a list.
     ///
     /// # Errors
-    /// The text is not JSON or nested deeper than `max_depth`, or as for [`read`](Self::read).
+    /// The text is not JSON, or is nested deeper than `max_depth`, or [`read`](Self::read) fails.
     pub fn parse(text: &str, max_depth: usize) -> Result<Self, ReadError> {
         let value = json::parse(text, max_depth)?;
         Ok(Self::read(&Node::root(&value))?)
@@ -103,7 +104,7 @@
 
 impl ListedEndpoint {
     fn read(node: &Node) -> Result<Self, KeyError> {
-        // The order of the reads decides which error of a bad entry is reported.
+        // The order of the reads decides which error is reported for an entry with several.
         let address_node = node.at(endpoint::ADDRESS);
         let address_text = address_node.string()?;
         let started_at = read_start_time(&node.at(endpoint::STARTED_AT_MS))?;
@@ -129,8 +130,8 @@
     }
 }
 
-fn read_list_kind(all: &Node) -> Result<ListKind, KeyError> {
-    Ok(match all.optional_boolean()? {
+fn read_list_kind(is_full: &Node) -> Result<ListKind, KeyError> {
+    Ok(match is_full.optional_boolean()? {
         Some(true) => ListKind::Full,
         Some(false) | None => ListKind::Delta,
     })
@@ -145,7 +146,7 @@
     Ok(is_known.then(|| micros_from_start_time_ms(start_time_ms)))
 }
 
-/// Cuts off what is below a microsecond, unlike [`micros_from_ms`](crate::micros_from_ms).
+/// Truncates to whole microseconds, unlike [`micros_from_ms`](crate::micros_from_ms), which rounds.
 fn micros_from_start_time_ms(start_time_ms: f64) -> Micros {
     truncate_to_u64(start_time_ms * MICROS_PER_MS)
 }
--- a/crates/platform/src/endpoint_list/tests.rs
+++ b/crates/platform/src/endpoint_list/tests.rs
@@ -2,8 +2,8 @@
 
 use super::{EndpointList, ListKind, ListedEndpoint};
 
-/// Entries 1, 2 and 3 cannot be read.
-const LIST_WITH_BAD_ENTRIES: &str = r#"{"rev": 9, "all": true, "targets": [
+/// A list whose entries 1, 2 and 3 are invalid.
+const LIST_WITH_INVALID_ENTRIES: &str = r#"{"rev": 9, "all": true, "targets": [
     {"uid": "s0", "endpoint": "127.0.0.1:80", "az": "z1", "pod_group": 3, "state": "draining", "boot_ms": 5.5,
      "model": "std-3"},
     {"uid": "s1", "endpoint": "here", "state": "ready"},
@@ -11,7 +11,7 @@
     {"uid": "s3", "endpoint": "127.0.0.1:80", "state": "ready", "boot_ms": 1e15},
     {"uid": "s4", "endpoint": "127.0.0.1:81", "state": "gone"}]}"#;
 
-/// What is read of the first and of the last entry of [`LIST_WITH_BAD_ENTRIES`].
+/// The first and the last entry of [`LIST_WITH_INVALID_ENTRIES`], as they are read.
 fn readable_entries() -> [ListedEndpoint; 2] {
     let every_key = ListedEndpoint {
         id: "s0".to_owned(),
@@ -36,7 +36,7 @@
 
 #[test]
 fn invalid_entry_is_skipped_with_a_message_and_the_others_are_read() {
-    let list = EndpointList::parse(LIST_WITH_BAD_ENTRIES, 8).expect("a list");
+    let list = EndpointList::parse(LIST_WITH_INVALID_ENTRIES, 8).expect("a list");
 
     let messages: Vec<String> = list.skipped.iter().map(ToString::to_string).collect();
     let expected_messages = [
--- a/crates/platform/src/endpoint_list/writer.rs
+++ b/crates/platform/src/endpoint_list/writer.rs
@@ -1,4 +1,4 @@
-//! Writes the endpoint list as discovery sends it and as a sidecar's configuration caches it.
+//! Writes endpoint lists in the format that discovery sends and a sidecar's configuration caches.
 
 use arrowstand_balancer::{EndpointStatus, Micros};
 use serde_json::{Value, json};
@@ -11,16 +11,16 @@
 use crate::number::nearest_f64;
 use crate::units::MICROS_PER_MS;
 
-/// The size that every server is listed with, which says that all are alike. No reader uses it.
+/// The relative capacity written for every server: all are equal. No reader uses it.
 const CAPACITY_HINT: f64 = 1.0;
 
 impl EndpointList {
-    /// The list in the form that [`read`](Self::read) accepts, which gives the same list again but
-    /// for [`skipped`](Self::skipped), which is not written. The keys are sorted.
+    /// The list as JSON with sorted keys. [`read`](Self::read) returns the same list, except for
+    /// [`skipped`](Self::skipped), which is not written.
     ///
-    /// Exact for revisions up to 2^53, for starts before the year 2109, after which neighbouring
-    /// floating-point milliseconds are about a microsecond apart, and for addresses without an IPv6
-    /// flow label, which has no text form.
+    /// The round trip is exact for revisions up to 2^53, for start times before the year 2109, and
+    /// for addresses without an IPv6 flow label, which has no text form. From 2109 on, adjacent
+    /// floating-point milliseconds are about a microsecond apart.
     pub fn to_json(&self) -> Value {
         let endpoints: Vec<Value> = self.endpoints.iter().map(ListedEndpoint::to_json).collect();
         json!({
@@ -32,7 +32,7 @@
 }
 
 impl ListedEndpoint {
-    /// The server as an entry of a list. An unknown start is written as 0.
+    /// The server as an entry of a list. An unknown start time is written as 0.
     pub fn to_json(&self) -> Value {
         json!({
             endpoint::ID: self.id,
@@ -57,9 +57,9 @@
     }
 }
 
-/// The milliseconds that are read as these microseconds. The reader cuts off what is below a
-/// microsecond; where the nearest number of milliseconds is read as an earlier microsecond, the
-/// next larger number is taken.
+/// Converts microseconds to the milliseconds that are read back as the same microseconds. The
+/// reader truncates to whole microseconds, so if the nearest `f64` would be read as the previous
+/// microsecond, the next larger `f64` is used.
 fn start_time_ms_from_micros(started_at: Micros) -> f64 {
     let nearest_ms = nearest_f64(started_at) / MICROS_PER_MS;
     if micros_from_start_time_ms(nearest_ms) < started_at {
--- a/crates/platform/src/endpoint_list/writer/tests.rs
+++ b/crates/platform/src/endpoint_list/writer/tests.rs
@@ -1,4 +1,4 @@
-//! Reading a list that was written gives the same list, and its text is the one on the wire page.
+//! Reading a written list returns the same list, and its text has the documented wire format.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -9,10 +9,11 @@
 
 /// Revisions up to this one are exact as floating-point numbers.
 const MAX_EXACT_REVISION: u64 = 1 << 53;
-/// Starts before this one, in the year 2109, are less than a microsecond apart as milliseconds.
+/// Start times before this one, in the year 2109, are exact to the microsecond as floating-point
+/// milliseconds: adjacent values are less than a microsecond apart.
 const EXACT_START_TIMES_END: Micros = 1_000 << 42;
-/// The nesting of a list's JSON: the list, its array and an entry.
-const DEPTH: usize = 3;
+/// The nesting depth of a list's JSON: the list, its array and an entry.
+const MAX_DEPTH: usize = 3;
 
 fn endpoint() -> ListedEndpoint {
     ListedEndpoint {
@@ -26,7 +27,7 @@
     }
 }
 
-fn written(list: &EndpointList) -> String {
+fn to_text(list: &EndpointList) -> String {
     list.to_json().to_string()
 }
 
@@ -39,7 +40,7 @@
         skipped: Vec::new(),
     };
 
-    let text = written(&list);
+    let text = to_text(&list);
 
     let expected = concat!(
         r#"{"all":true,"rev":41,"targets":[{"az":"a","boot_ms":0.0,"capacity_hint":1.0,"#,
@@ -51,7 +52,7 @@
 
 #[test]
 fn start_time_whose_milliseconds_round_down_is_read_as_the_same_microsecond() {
-    // 1.001 * 1000 is 1000.9999999999999 in the arithmetic of the reader.
+    // The reader computes 1.001 * 1000 as 1000.9999999999999.
     let started = ListedEndpoint {
         started_at: Some(1_001),
         ..endpoint()
@@ -61,7 +62,7 @@
         ..EndpointList::default()
     };
 
-    let read = EndpointList::parse(&written(&list), DEPTH).expect("a list");
+    let read = EndpointList::parse(&to_text(&list), MAX_DEPTH).expect("a list");
 
     assert_eq!(read, list);
 }
@@ -74,7 +75,7 @@
     ]
 }
 
-/// Starts of which the list knows are above 0.
+/// Known start times are greater than 0.
 fn any_start_time() -> impl Strategy<Value = Option<Micros>> {
     prop::option::of(prop_oneof![
         1..1_000_000_u64,
@@ -83,7 +84,7 @@
     ])
 }
 
-/// IPv6 addresses have neither flow label nor scope: the former has no text form.
+/// IPv6 addresses are generated without flow label and scope: a flow label has no text form.
 fn any_address() -> impl Strategy<Value = SocketAddr> {
     (any::<IpAddr>(), any::<u16>()).prop_map(SocketAddr::from)
 }
@@ -119,7 +120,7 @@
 proptest! {
     #[test]
     fn reading_a_written_list_gives_the_same_list(list in any_list()) {
-        let read = EndpointList::parse(&written(&list), DEPTH).expect("a list");
+        let read = EndpointList::parse(&to_text(&list), MAX_DEPTH).expect("a list");
 
         prop_assert_eq!(read, list);
     }
--- a/crates/platform/src/error.rs
+++ b/crates/platform/src/error.rs
@@ -1,15 +1,15 @@
-//! Errors of the readers. Their messages are one line and name the key, so that an operator can
-//! mend the file.
+//! Errors of the readers. Each message is a single line that names the key, so that an operator can
+//! correct the file.
 
 use thiserror::Error;
 
-/// The text is not JSON that can be read.
+/// The text cannot be parsed as JSON.
 #[derive(Debug, Error)]
 pub enum JsonError {
-    /// Brackets and braces are nested deeper than the reader allows.
+    /// Arrays and objects are nested deeper than the reader allows.
     #[error("nested deeper than {max_depth} levels")]
     TooDeep {
-        /// The allowed depth.
+        /// The largest allowed depth.
         max_depth: usize,
     },
     /// The text violates JSON's syntax.
@@ -17,11 +17,11 @@
     Syntax(#[from] tinyjson::JsonParseError),
 }
 
-/// The value of one key cannot be used.
+/// The value of a key is missing or invalid.
 #[derive(Clone, Debug, PartialEq, Error)]
 #[error("{path}: {problem}")]
 pub struct KeyError {
-    /// Where the key stands, such as `settings.request-classes[0].objective-ms`.
+    /// Path of the key, such as `settings.request-classes[0].objective-ms`.
     pub path: String,
     /// What is wrong with its value.
     #[source]
@@ -49,45 +49,45 @@
     /// The number is negative or not finite.
     #[error("must be finite and not negative")]
     NegativeOrNotFinite,
-    /// The number must not be zero.
+    /// The number is zero.
     #[error("must be above zero")]
     Zero,
     /// The number is below a lower bound.
     #[error("must be {min} or more")]
     TooSmall {
-        /// The smallest number allowed.
+        /// The smallest allowed number.
         min: usize,
     },
     /// The number is zero or reaches an upper bound.
     #[error("must be above zero and below {bound}")]
     OutOfRange {
-        /// The smallest number that is too large.
+        /// The exclusive upper bound.
         bound: f64,
     },
-    /// The number is too large for a point in time.
+    /// The number is too large for a timestamp.
     #[error("is too large for a timestamp")]
     InvalidTimestamp,
-    /// The text is not a hexadecimal number.
+    /// The string is not a hexadecimal number.
     #[error("must be a hexadecimal number")]
     NotHexadecimal,
-    /// The text is none of the known values.
+    /// The string is none of the known values.
     #[error("unknown value {0:?}")]
     UnknownValue(String),
-    /// The text is not a socket address.
+    /// The string is not a socket address.
     #[error("is not an address and port")]
     NotAnAddress,
-    /// The text must be a name that no other entry has.
+    /// The string must be a non-empty name that no other entry has.
     #[error("{0:?} is empty or duplicated")]
     EmptyOrDuplicateName(String),
 }
 
-/// A text cannot be read: it is not JSON, or one of its keys cannot be used.
+/// A document cannot be read: it is not JSON, or the value of a key is missing or invalid.
 #[derive(Debug, Error)]
 pub enum ReadError {
-    /// The text is not JSON.
+    /// The document is not JSON.
     #[error(transparent)]
     Json(#[from] JsonError),
-    /// The value of a key cannot be used.
+    /// The value of a key is missing or invalid.
     #[error(transparent)]
     Key(#[from] KeyError),
 }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,10 +1,11 @@
-//! The platform's formats: the settings of a deployment, the endpoint list of discovery and the
-//! load reports of servers. Each format is read and written here and nowhere else, for the sidecar,
-//! the simulator's adapter and the testbed alike: reading what was written gives the same value.
+//! Readers and writers of the platform's formats: the settings of a deployment, the endpoint list
+//! from discovery and the load reports of servers. The sidecar, the simulator's adapter and the
+//! testbed share them, so each format has a single implementation. Reading a written value returns
+//! the same value.
 //!
-//! Owns the names of the keys, the defaults of missing ones and the messages on bad ones. No I/O:
-//! callers pass text or parsed JSON and get JSON or text. What a host does in spite of its settings
-//! is the host's own matter.
+//! This crate defines the names of the keys, the defaults of missing keys and the error messages
+//! for invalid values. It does no I/O: callers pass text or parsed JSON and receive JSON or text.
+//! Where a host deviates from its settings, the host implements that itself.
 
 pub mod endpoint_list;
 mod error;
