--- a/crates/platform/src/json.rs
+++ b/crates/platform/src/json.rs
@@ -1,8 +1,8 @@
-//! JSON by tinyjson: a parser with a bound on nesting, and typed access to keys with errors that
-//! name the key.
+//! JSON parsing with tinyjson: a parser that limits the nesting depth, and typed access to values
+//! with errors that name the key.
 //!
-//! Owns the types of values and the paths in errors. Which keys there are, and what their values
-//! mean, is known by the readers of each document.
+//! This module checks the types of values and builds the paths in errors. The reader of each
+//! document knows its keys and what their values mean.
 
 use std::collections::HashMap;
 
@@ -10,7 +10,7 @@
 
 use crate::error::{JsonError, KeyError, KeyProblem};
 
-/// Depth of open brackets and braces after each byte of the text.
+/// Number of open brackets and braces after each byte of the text.
 fn nesting_depths(text: &[u8]) -> impl Iterator<Item = usize> {
     let mut depth = 0_usize;
     let mut in_string = false;
@@ -33,11 +33,11 @@
     nesting_depths(text).last().unwrap_or_default()
 }
 
-/// Parses a text whose nesting is at most `max_depth`. tinyjson recurses once for each level, so a
-/// deeper text from the network could overflow the stack.
+/// Parses a text whose nesting depth is at most `max_depth`. tinyjson recurses once for each level,
+/// so a deeper text from the network could overflow the stack.
 ///
 /// # Errors
-/// The text is nested deeper, or is not JSON.
+/// The text is nested deeper than `max_depth`, or is not JSON.
 pub fn parse(text: &str, max_depth: usize) -> Result<JsonValue, JsonError> {
     if nesting_depths(text.as_bytes()).any(|depth| depth > max_depth) {
         return Err(JsonError::TooDeep { max_depth });
@@ -45,7 +45,8 @@
     Ok(text.parse::<JsonValue>()?)
 }
 
-/// A place in a JSON document: its path, and the value found there if any. `null` counts as absent.
+/// A location in a JSON document: its path, and the value there, if any. A `null` member counts as
+/// absent.
 #[derive(Clone)]
 pub struct Node<'a> {
     path: String,
@@ -53,7 +54,7 @@
 }
 
 impl<'a> Node<'a> {
-    /// The top of a document; its path is empty.
+    /// The root of a document; its path is empty.
     pub fn root(value: &'a JsonValue) -> Self {
         Self {
             path: String::new(),
@@ -61,7 +62,7 @@
         }
     }
 
-    /// The member of that name, present or not.
+    /// The member with this key, present or absent.
     pub fn at(&self, key: &str) -> Self {
         let object = self
             .value
@@ -76,17 +77,17 @@
         }
     }
 
-    /// True where there is a value other than `null`.
+    /// Whether there is a value.
     pub fn is_present(&self) -> bool {
         self.value.is_some()
     }
 
-    /// Where this place is, such as `settings.request-classes[0].objective-ms`.
+    /// The path of this node, such as `settings.request-classes[0].objective-ms`.
     pub fn path(&self) -> &str {
         &self.path
     }
 
-    /// An error at this place.
+    /// An error with the path of this node.
     pub fn error(&self, problem: KeyProblem) -> KeyError {
         KeyError {
             path: self.path.clone(),
@@ -107,10 +108,10 @@
         }
     }
 
-    /// A required [`optional_number`](Self::optional_number).
+    /// Like [`optional_number`](Self::optional_number), but the value is required.
     ///
     /// # Errors
-    /// As there, or the value is absent.
+    /// The value is absent, of another type, negative or not finite.
     pub fn number(&self) -> Result<f64, KeyError> {
         self.required(self.optional_number()?)
     }
@@ -123,10 +124,10 @@
         self.optional::<String>(KeyProblem::NotAString)
     }
 
-    /// A required [`optional_string`](Self::optional_string).
+    /// Like [`optional_string`](Self::optional_string), but the value is required.
     ///
     /// # Errors
-    /// As there, or the value is absent.
+    /// The value is absent or of another type.
     pub fn string(&self) -> Result<String, KeyError> {
         self.required(self.optional_string()?)
     }
@@ -139,7 +140,7 @@
         self.optional::<bool>(KeyProblem::NotABoolean)
     }
 
-    /// The elements of an array; none where the value is absent.
+    /// The elements of an array; empty if the value is absent.
     ///
     /// # Errors
     /// The value is of another type.
--- a/crates/platform/src/json/tests.rs
+++ b/crates/platform/src/json/tests.rs
@@ -1,6 +1,6 @@
 use super::{Node, nesting_depth_at_end, parse};
 
-/// A document in which each value is of a type that its reader does not want.
+/// A document whose values have types that the tests do not read them as.
 const DOCUMENT: &str = r#"{"a": [{"b-c": "x", "n": -1}], "z": null}"#;
 
 #[test]
--- a/crates/platform/src/load_report.rs
+++ b/crates/platform/src/load_report.rs
@@ -1,8 +1,8 @@
-//! The load reports of servers, in the two forms that the platform has: a header or body of a
-//! server's response, and a row of numbers in the simulator.
+//! The load reports of servers, in the platform's two formats: the text of a response header or
+//! body, and a row of numbers in the simulator.
 //!
-//! Owns the names of the fields, the readers and the writers. When a report was taken and what
-//! follows from it is not known here.
+//! Contains the field names, the readers and the writers. The callers track the age of a report and
+//! act on it.
 
 use std::fmt;
 
@@ -11,21 +11,22 @@
 use crate::error::KeyError;
 use crate::json::Node;
 
-/// Field of a report as the servers write it: requests in flight, queued ones included.
+/// Field name in servers' reports: requests in flight, including queued ones.
 const IN_FLIGHT: &str = "inflight";
-/// Field of a report as the servers write it: queued requests.
+/// Field name in servers' reports: queued requests.
 const QUEUED: &str = "queue";
-/// Field of a report as the servers write it: errors per second. Written and never read.
+/// Field name in servers' reports: errors per second. Written but never read.
 const ERROR_RATE: &str = "eps";
-/// The settings' name for [`IN_FLIGHT`]; servers may use it too.
+/// Name of [`IN_FLIGHT`] in the settings. Servers may use it in their reports, too.
 const IN_FLIGHT_SETTINGS_NAME: &str = "active";
-/// The settings' name for [`QUEUED`]; servers may use it too.
+/// Name of [`QUEUED`] in the settings. Servers may use it in their reports, too.
 const QUEUED_SETTINGS_NAME: &str = "waiting";
-/// The settings' name for [`ERROR_RATE`]. It stands for any position of a row that is not read.
+/// Name of [`ERROR_RATE`] in the settings. Written for every position of a row that is not read.
 const ERROR_RATE_SETTINGS_NAME: &str = "err_rps";
 
-/// Reads a report such as `inflight=7,queue=2,eps=0.5`; `None` where a part cannot be read or the
-/// requests in flight are absent. Unknown fields are skipped, and an absent queue counts as empty.
+/// Parses a report such as `inflight=7,queue=2,eps=0.5`. Returns `None` if a field is malformed or
+/// the requests in flight are absent. Unknown fields are skipped. Absent queued requests count as
+/// 0.
 pub fn parse_load_report(text: &str) -> Option<LoadReport> {
     let mut in_flight = None;
     let mut queued = 0.0;
@@ -48,20 +49,20 @@
     })
 }
 
-/// A load report as a server writes it: its [`Display`](fmt::Display) form is the value of the
-/// header or the body of the response, such as `inflight=7,eps=0.50,queue=2`.
+/// A load report as a server writes it. Its [`Display`](fmt::Display) output is the header value or
+/// the body of the response, such as `inflight=7,eps=0.50,queue=2`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerLoad {
-    /// Requests in flight, queued ones included; finite and not negative.
+    /// Requests in flight, including queued ones; finite and not negative.
     pub in_flight: f64,
-    /// Errors per second, written with two decimals; `None` leaves the field out.
+    /// Errors per second, written with two decimals; `None` omits the field.
     pub error_rate: Option<f64>,
-    /// Queued requests; `None` leaves the field out, and readers take it for an empty queue.
+    /// Queued requests; `None` omits the field, which readers take as 0.
     pub queued: Option<f64>,
 }
 
 impl From<LoadReport> for ServerLoad {
-    /// [`parse_load_report`] gives the same report again.
+    /// [`parse_load_report`] returns the same report from the written text.
     fn from(report: LoadReport) -> Self {
         Self {
             in_flight: report.in_flight,
@@ -84,7 +85,7 @@
     }
 }
 
-/// Positions of the known fields in a report that is a row of numbers.
+/// Positions of the known fields in a load report encoded as a row of numbers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoadReportLayout {
     /// Position of the requests in flight.
@@ -94,26 +95,26 @@
 }
 
 impl LoadReportLayout {
-    /// Reads the settings' list of field names. Unknown names are skipped; of one that is there
-    /// twice the first counts.
+    /// Reads the list of field names from the settings. Unknown names are skipped; if a name is
+    /// repeated, its first position is used.
     ///
     /// # Errors
-    /// The value is not an array of texts.
+    /// The value is not an array of strings.
     pub fn read(fields: &Node) -> Result<Self, KeyError> {
         let mut layout = Self::default();
         for (position, field) in fields.items()?.iter().enumerate() {
-            let slot = match field.string()?.as_str() {
+            let known_position = match field.string()?.as_str() {
                 IN_FLIGHT_SETTINGS_NAME => &mut layout.in_flight,
                 QUEUED_SETTINGS_NAME => &mut layout.queued,
                 _ => continue,
             };
-            slot.get_or_insert(position);
+            known_position.get_or_insert(position);
         }
         Ok(layout)
     }
 
-    /// The settings' list of field names, from which [`read`](Self::read) gives the same layout. A
-    /// position that holds no known field is named after the error rate, which is not read.
+    /// The list of field names for the settings, from which [`read`](Self::read) returns the same
+    /// layout. A position without a known field gets the name of the error rate, which is not read.
     pub fn field_names(&self) -> Vec<&'static str> {
         let name = |position| match Some(position) {
             position if position == self.in_flight => IN_FLIGHT_SETTINGS_NAME,
@@ -134,14 +135,14 @@
         (0..self.row_length()).map(value).collect()
     }
 
-    /// Number of positions up to the last one that is known.
+    /// Number of positions up to the last known field.
     fn row_length(&self) -> usize {
         let last = self.in_flight.max(self.queued);
         last.map_or(0, |position| position + 1)
     }
 
-    /// Extracts a report from a row; `None` where it has no requests in flight. An absent queue
-    /// counts as empty.
+    /// Decodes a report from a row. Returns `None` if the row has no requests in flight; absent
+    /// queued requests count as 0.
     pub fn decode_row(&self, row: &[Option<f64>]) -> Option<LoadReport> {
         let at = |position: Option<usize>| row.get(position?).copied().flatten();
         Some(LoadReport {
--- a/crates/platform/src/load_report/tests.rs
+++ b/crates/platform/src/load_report/tests.rs
@@ -8,7 +8,7 @@
     LoadReport { in_flight, queued }
 }
 
-/// Texts of which one part is malformed, or that name no requests in flight.
+/// Reports with a malformed field or without the requests in flight.
 const MALFORMED_REPORTS: [&str; 6] = [
     "",
     "queue=2",
@@ -66,7 +66,7 @@
     assert_eq!(in_flight_only.to_string(), "inflight=7");
 }
 
-/// Finite and not negative.
+/// Finite numbers that are not negative.
 fn any_number() -> impl Strategy<Value = f64> {
     use prop::num::f64::{NORMAL, POSITIVE, SUBNORMAL, ZERO};
     POSITIVE | NORMAL | SUBNORMAL | ZERO
@@ -79,7 +79,7 @@
 }
 
 prop_compose! {
-    /// Two known values never stand at one position.
+    /// The two known fields never share a position.
     fn any_layout()(
         in_flight in prop::option::of(0..6_usize),
         queued in prop::option::of(0..6_usize),
--- a/crates/platform/src/number.rs
+++ b/crates/platform/src/number.rs
@@ -1,7 +1,8 @@
-//! Conversions between floating-point numbers, which are all that JSON's reader has, and integers.
-//! Owns what happens to a number that does not fit; units are known by [`units`](crate::units).
+//! Conversions between integers and floating-point numbers, the only numbers that the JSON parser
+//! returns. Unit conversions are in [`units`](crate::units).
 
-/// Cuts off the fraction. NaN and negative numbers become 0, numbers above the range the largest.
+/// Truncates to an integer. NaN and negative numbers become 0; numbers above the range
+/// become [`u32::MAX`].
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
@@ -11,7 +12,8 @@
     number as u32
 }
 
-/// Cuts off the fraction. NaN and negative numbers become 0, numbers above the range the largest.
+/// Truncates to an integer. NaN and negative numbers become 0; numbers above the range
+/// become [`u64::MAX`].
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
@@ -21,7 +23,7 @@
     number as u64
 }
 
-/// The nearest floating-point number; equal up to 2^53.
+/// The nearest floating-point number; exact up to 2^53.
 #[expect(
     clippy::cast_precision_loss,
     reason = "rounds to the nearest, as documented"
--- a/crates/platform/src/units.rs
+++ b/crates/platform/src/units.rs
@@ -1,5 +1,5 @@
-//! The platform's milliseconds and the program's microseconds, each converted into the other. Owns
-//! the rounding; what a time bounds is known by its reader.
+//! Conversions between the milliseconds of the platform's formats and the microseconds used
+//! internally.
 
 use std::time::Duration;
 
@@ -10,24 +10,25 @@
 /// Microseconds in a millisecond.
 pub(crate) const MICROS_PER_MS: f64 = 1_000.0;
 
-/// Milliseconds, possibly fractional, as whole microseconds, rounded. Negative numbers and NaN
-/// become zero, numbers that do not fit become the largest time.
+/// Converts milliseconds, possibly fractional, to microseconds, rounded to the nearest. Negative
+/// numbers and NaN become 0; numbers above the range become [`Micros::MAX`].
 pub fn micros_from_ms(milliseconds: f64) -> Micros {
     truncate_to_u64((milliseconds * MICROS_PER_MS).round())
 }
 
-/// Microseconds as milliseconds; [`micros_from_ms`] gives the same microseconds again up to 2^51.
+/// Converts microseconds to milliseconds. Up to 2^51, [`micros_from_ms`] returns the same
+/// microseconds.
 pub(crate) fn ms_from_micros(micros: Micros) -> f64 {
     nearest_f64(micros) / MICROS_PER_MS
 }
 
-/// The whole microseconds of a duration as milliseconds; what does not fit becomes the largest
-/// time.
+/// Converts a duration, truncated to whole microseconds, to milliseconds. Microseconds above the
+/// range of [`Micros`] become [`Micros::MAX`].
 pub(crate) fn ms_from_duration(duration: Duration) -> f64 {
     ms_from_micros(Micros::try_from(duration.as_micros()).unwrap_or(Micros::MAX))
 }
 
-/// Milliseconds as a [`Duration`], rounded as [`micros_from_ms`] does.
+/// Converts milliseconds to a [`Duration`], rounded as by [`micros_from_ms`].
 pub fn duration_from_ms(milliseconds: f64) -> Duration {
     Duration::from_micros(micros_from_ms(milliseconds))
 }
