--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -1,11 +1,11 @@
-//! The settings of a deployment: what the balancer is configured with, and the names behind its
-//! numbers.
+//! The settings of a deployment: the balancer's settings, and the names of the classes and zones
+//! that the balancer refers to by number.
 //!
-//! Owns the defaults and the units of the keys. The keys come in three groups, as hosts differ in
-//! what they can do: [`PlatformSettings`] is read by every host, [`TransportSettings`] by those
-//! that open connections, and [`SimulatorFeatures`] by those in the simulator. A host ignores the
-//! keys of a group that it does not read, whatever their values. [`SettingsDocument`] writes all
-//! three.
+//! This module defines the defaults and the units of the keys. The keys form three groups, since
+//! hosts differ in their capabilities: [`PlatformSettings`] is read by every host,
+//! [`TransportSettings`] by hosts that open connections, and [`SimulatorFeatures`] by hosts in the
+//! simulator. A host ignores the keys of the groups that it does not read, even if their values are
+//! invalid. [`SettingsDocument`] writes all three groups.
 
 mod balancer;
 mod document;
@@ -29,42 +29,42 @@
 pub use simulator::SimulatorFeatures;
 pub use transport::{MembershipMode, TransportSettings};
 
-/// The zone of a balancer that is in none of the settings' zones. Zones are numbered from 0 in the
-/// order in which they are named, so no server's zone has this number.
+/// The zone number of a balancer whose zone is not in the settings' list of zones. Zones are
+/// numbered from 0 in the order of that list, so no server's zone has this number.
 const UNKNOWN_ZONE: u32 = u32::MAX;
 
-/// The value of a request counts for each unit of its work.
+/// The priority weight applies to each unit of a request's work.
 const WEIGHT_BY_WORK: &str = "work";
-/// The value of a request counts for the request.
+/// The priority weight applies to the request as a whole.
 const WEIGHT_BY_REQUEST: &str = "request";
 
-/// Load reports come in responses and in the results of health checks.
+/// Load reports are delivered in responses and in health check results.
 const REPORTS_IN_RESPONSES: &str = "answers";
-/// Load reports come in the results of health checks.
+/// Load reports are delivered in health check results.
 const REPORTS_IN_HEALTH_CHECKS: &str = "probe";
-/// There are no load reports.
+/// Load reports are not delivered.
 const NO_REPORTS: &str = "none";
 
 /// The settings that every host reads.
 #[derive(Clone, Debug)]
 pub struct PlatformSettings {
-    /// The balancer's settings, not validated yet. What [`SimulatorFeatures`] holds is off.
+    /// The balancer's settings, not validated yet. The features in [`SimulatorFeatures`] are off.
     pub balancer: Settings,
     /// Names of the request classes, in the order of [`Settings::classes`].
     pub class_names: Vec<String>,
-    /// Names of the zones, in the numbering of [`BalancerIdentity::zone`].
+    /// Names of the zones; [`BalancerIdentity::zone`] is an index into them.
     pub zones: Vec<String>,
-    /// Where the known values stand in the simulator's load reports.
+    /// Positions of the known fields in the simulator's load reports.
     pub load_report: LoadReportLayout,
 }
 
 impl PlatformSettings {
-    /// Reads the settings object. `default_max_retry_after` applies where the settings name no
-    /// longest Retry-After, in which hosts differ: in the simulator such a client waits for no time
-    /// at all.
+    /// Reads the settings object. `default_max_retry_after` is used if the settings have no longest
+    /// Retry-After. Hosts differ in this default: in the simulator, clients then do not wait at
+    /// all.
     ///
     /// # Errors
-    /// Names the first key whose value cannot be used. Ranges are left to [`Settings::validate`].
+    /// Names the first key whose value is invalid. [`Settings::validate`] checks the ranges.
     pub fn read(settings_node: &Node, default_max_retry_after: Micros) -> Result<Self, KeyError> {
         let (class_names, classes) = read_request_classes(settings_node)?;
         let zones = read_zones(settings_node)?;
@@ -96,12 +96,12 @@
     }
 }
 
-/// The request classes and their names, in the order of the settings.
+/// The names of the request classes and the classes, both in the order of the settings.
 fn read_request_classes(
     settings_node: &Node,
 ) -> Result<(Vec<String>, Vec<RequestClass>), KeyError> {
     let read = |node: &Node| {
-        // The order of the reads decides which of two bad keys is reported.
+        // The order of the reads decides which of two invalid keys is reported.
         let class = read_request_class(node)?;
         let name = node.at(keys::request_class::NAME).string()?;
         Ok((name, class))
@@ -115,7 +115,7 @@
     zones.iter().map(Node::string).collect()
 }
 
-/// Number of the balancer's own zone among the zones.
+/// Index of the balancer's own zone in the list of zones, or [`UNKNOWN_ZONE`].
 fn zone_index(zones: &[String], own: Option<&str>) -> u32 {
     let index = zones.iter().position(|zone| Some(zone.as_str()) == own);
     index
@@ -123,7 +123,7 @@
         .unwrap_or(UNKNOWN_ZONE)
 }
 
-/// What the settings say on load reports.
+/// The settings for load reports.
 struct ReportSettings {
     layout: LoadReportLayout,
     in_health_checks: bool,
--- a/crates/platform/src/settings/balancer.rs
+++ b/crates/platform/src/settings/balancer.rs
@@ -1,7 +1,7 @@
-//! The single values of the balancer's settings: numbers, times and flags.
+//! The scalar values of the balancer's settings: numbers, times and booleans.
 //!
-//! Owns the order in which they are read and the fees' default; classes, zones and the source of
-//! load reports are read by [`PlatformSettings`](super::PlatformSettings).
+//! [`PlatformSettings`](super::PlatformSettings) reads the classes, the zones and the source of
+//! load reports.
 
 use arrowstand_balancer::{
     BalancerIdentity, Fees, HostCapabilities, PollingSettings, RetrySettings, Settings,
@@ -15,16 +15,16 @@
 use crate::json::Node;
 use crate::keys;
 
-/// Share of the deployment's result that an action costs where the settings name no fee for it.
+/// Fee of an action if the settings have none, as a fraction of the deployment's result.
 const DEFAULT_FEE: f64 = 0.0;
-/// Number of the balancer where the settings name none.
+/// Number of the balancer if the settings have none.
 const DEFAULT_BALANCER_INDEX: u32 = 0;
-/// Number of balancers where the settings name none.
+/// Number of balancers if the settings have none.
 const DEFAULT_BALANCER_COUNT: u32 = 1;
 
-/// Fills the single values; `base` has the defaults and all that is no single value.
+/// Reads the scalar values. `base` has their defaults, and all other values.
 ///
-/// The order of the reads decides which of several bad keys is reported.
+/// The order of the reads decides which of several invalid keys is reported.
 pub(super) fn read_balancer_settings(
     settings_node: &Node,
     base: Settings,
--- a/crates/platform/src/settings/document.rs
+++ b/crates/platform/src/settings/document.rs
@@ -1,4 +1,4 @@
-//! Writes the settings object: the inverse of the three readers beside it.
+//! Writes the settings object: the inverse of the readers of its three groups.
 
 use arrowstand_balancer::Settings;
 use serde_json::{Value, json};
@@ -12,29 +12,28 @@
 use crate::keys;
 use crate::units::{ms_from_duration, ms_from_micros};
 
-/// All that one settings object says, as its three readers give it.
+/// The contents of a settings object, as returned by the readers of its three groups.
 ///
-/// Two values stand in two of the parts under one key. The transport's is written: its idle timeout
-/// for the balancer's too, and its membership mode for the features' polling. The balancer's
-/// settings hold no features (see [`PlatformSettings::balancer`]), so they are written from
-/// [`SimulatorFeatures`] alone.
+/// Two keys are read into two groups each. The value of the transport settings is written: their
+/// idle timeout, which the balancer's settings have too, and their membership mode, which decides
+/// whether the features include polling. The features are off in the balancer's settings (see
+/// [`PlatformSettings::balancer`]), so they are written from [`SimulatorFeatures`] alone.
 #[derive(Clone, Copy, Debug)]
 pub struct SettingsDocument<'a> {
-    /// What every host reads.
+    /// The settings that every host reads.
     pub platform: &'a PlatformSettings,
-    /// What hosts read that open connections.
+    /// The settings that hosts that open connections read.
     pub transport: &'a TransportSettings,
-    /// What hosts read in the simulator.
+    /// The settings that hosts in the simulator read.
     pub features: &'a SimulatorFeatures,
 }
 
 impl SettingsDocument<'_> {
-    /// The object that the readers accept, with sorted keys and times in milliseconds. Reading it
-    /// gives the same values, if times are below 2^51 microseconds, numbers are finite and zone
-    /// names differ.
+    /// The settings object, with sorted keys and times in milliseconds. Reading it returns the same
+    /// values if times are below 2^51 microseconds, numbers are finite and zone names are distinct.
     ///
-    /// Three keys that not every deployment's settings have are left out where they would say what
-    /// their absence says: `aim-stretch`, `connection` and `only-draining-binds`.
+    /// Three keys that not every deployment's settings have are omitted if their value is the
+    /// default: `aim-stretch`, `connection` and `only-draining-binds`.
     pub fn to_json(&self) -> Value {
         let settings = &self.platform.balancer;
         json!({
@@ -53,7 +52,7 @@
         })
     }
 
-    /// Name of the balancer's zone; `None` where it is in none of the zones.
+    /// Name of the balancer's zone; `None` if it is in none of the zones.
     fn own_zone(&self) -> Option<&String> {
         let index = usize::try_from(self.platform.balancer.identity.zone).ok()?;
         self.platform.zones.get(index)
--- a/crates/platform/src/settings/document/tests.rs
+++ b/crates/platform/src/settings/document/tests.rs
@@ -1,4 +1,5 @@
-//! Reading a settings object that was written gives the same values, and the other way about.
+//! Reading a written settings object returns the same values, and writing what was read returns the
+//! same text.
 
 mod strategies;
 
@@ -10,12 +11,12 @@
 use crate::{PlatformSettings, SimulatorFeatures, TransportSettings};
 use strategies::any_settings_parts;
 
-/// The nesting of the settings: the object, the array of classes and a class.
-const DEPTH: usize = 3;
-/// What the reader takes an absent longest Retry-After for. It is always written.
+/// The nesting depth of the settings: the object, the array of classes and a class.
+const MAX_DEPTH: usize = 3;
+/// The longest Retry-After if it is absent, which written settings never leave out.
 const DEFAULT_MAX_RETRY_AFTER: Micros = 77_000;
 
-/// The three parts of one settings object.
+/// The three groups of a settings object.
 #[derive(Debug)]
 struct SettingsParts {
     platform: PlatformSettings,
@@ -25,7 +26,7 @@
 
 impl SettingsParts {
     fn read(text: &str) -> Self {
-        let value = parse(text, DEPTH).expect("JSON");
+        let value = parse(text, MAX_DEPTH).expect("JSON");
         let settings_node = Node::root(&value);
         let platform = PlatformSettings::read(&settings_node, DEFAULT_MAX_RETRY_AFTER);
         Self {
@@ -35,7 +36,7 @@
         }
     }
 
-    fn written(&self) -> String {
+    fn to_text(&self) -> String {
         let document = SettingsDocument {
             platform: &self.platform,
             transport: &self.transport,
@@ -45,7 +46,7 @@
     }
 }
 
-/// Every key that a deployment's settings have, in the order of the writer.
+/// The keys that every deployment's settings have, in the order of the writer.
 const COMMON_KEYS: &str = concat!(
     r#"{"az":"kumamoto","balancers":5,"#,
     r#""fees":{"cross-zone":0.015,"handshake":0.0,"probe":0.0021},"#,
@@ -66,7 +67,7 @@
 fn settings_with_the_common_keys_are_written_as_they_were_read() {
     let parts = SettingsParts::read(COMMON_KEYS);
 
-    assert_eq!(parts.written(), COMMON_KEYS);
+    assert_eq!(parts.to_text(), COMMON_KEYS);
 }
 
 #[test]
@@ -76,7 +77,7 @@
     parts.platform.balancer.only_draining_binds = true;
     parts.platform.balancer.classes[0].objective_per_work = 1.5;
 
-    let text = parts.written();
+    let text = parts.to_text();
 
     for key in [
         r#""connection":0.03"#,
@@ -88,11 +89,11 @@
 }
 
 proptest! {
-    /// Compared as they print, since the balancer's settings do not compare: floating-point numbers
-    /// print with all their digits.
+    /// Compares the `Debug` output, as the balancer's settings do not implement `PartialEq`. The
+    /// output has all digits of floating-point numbers.
     #[test]
     fn reading_written_settings_gives_the_same_settings(parts in any_settings_parts()) {
-        let read = SettingsParts::read(&parts.written());
+        let read = SettingsParts::read(&parts.to_text());
 
         prop_assert_eq!(format!("{read:#?}"), format!("{parts:#?}"));
     }
--- a/crates/platform/src/settings/document/tests/strategies.rs
+++ b/crates/platform/src/settings/document/tests/strategies.rs
@@ -1,4 +1,4 @@
-//! Settings that a document can hold, at random.
+//! Strategies for random settings that a settings object can represent.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -15,7 +15,7 @@
     LoadReportLayout, MembershipMode, PlatformSettings, SimulatorFeatures, TransportSettings,
 };
 
-/// Times that are exact as fractional milliseconds: up to 35 years.
+/// Upper bound of times that are exact as fractional milliseconds: 35 years.
 const MAX_EXACT_TIME: Micros = 1 << 50;
 
 fn any_time() -> impl Strategy<Value = Micros> {
@@ -26,7 +26,7 @@
     any_time().prop_map(Duration::from_micros)
 }
 
-/// Finite and not negative.
+/// Finite numbers that are not negative.
 fn any_number() -> impl Strategy<Value = f64> {
     use prop::num::f64::{NORMAL, POSITIVE, SUBNORMAL, ZERO};
     POSITIVE | NORMAL | SUBNORMAL | ZERO
@@ -81,7 +81,7 @@
     }
 }
 
-/// Zones and the balancer's own, which may be none of them.
+/// The names of the zones and the number of the balancer's own zone, which may be unknown.
 fn any_zones() -> impl Strategy<Value = (Vec<String>, u32)> {
     prop::collection::btree_set(any::<String>(), 0..4)
         .prop_flat_map(|names: BTreeSet<String>| {
@@ -96,7 +96,7 @@
 }
 
 prop_compose! {
-    /// Two known values never stand at one position.
+    /// The two known fields never share a position.
     fn any_layout()(
         in_flight in prop::option::of(0..4_usize),
         queued in prop::option::of(0..4_usize),
@@ -106,8 +106,8 @@
     }
 }
 
-/// What one source of load reports lets the host do.
-fn any_host() -> impl Strategy<Value = (LoadReportLayout, HostCapabilities)> {
+/// A layout of load reports and the host capabilities that follow from their source.
+fn any_layout_and_host() -> impl Strategy<Value = (LoadReportLayout, HostCapabilities)> {
     (any_layout(), 0..3_u8, any::<bool>(), any::<bool>()).prop_map(
         |(layout, source, cancellation, health_checks)| {
             let has_source = source > 0;
@@ -197,7 +197,7 @@
 prop_compose! {
     pub(super) fn any_settings_parts()(
         balancer in any_balancer(),
-        (load_report, host) in any_host(),
+        (load_report, host) in any_layout_and_host(),
         (zones, zone) in any_zones(),
         transport in any_transport(),
         (gossip, retry_after) in any::<(bool, bool)>(),
--- a/crates/platform/src/settings/request_class.rs
+++ b/crates/platform/src/settings/request_class.rs
@@ -1,4 +1,4 @@
-//! One request class of the settings, read and written.
+//! Reader and writer of a request class in the settings.
 
 use arrowstand_balancer::{DeduplicationScope, Idempotency, RequestClass};
 use serde_json::{Value, json};
@@ -9,21 +9,21 @@
 use crate::keys::request_class as keys;
 use crate::units::{micros_from_ms, ms_from_micros};
 
-/// The settings' word for [`Idempotency::Idempotent`].
+/// The settings value for [`Idempotency::Idempotent`].
 const IDEMPOTENT: &str = "pure";
-/// The settings' word for [`Idempotency::IdempotencyKey`].
+/// The settings value for [`Idempotency::IdempotencyKey`].
 const IDEMPOTENCY_KEY: &str = "token";
-/// The settings' word for [`Idempotency::NonIdempotent`].
+/// The settings value for [`Idempotency::NonIdempotent`].
 const NON_IDEMPOTENT: &str = "side_effect";
 
-/// The settings' word for [`DeduplicationScope::All`], which holds where none is named.
+/// The settings value for [`DeduplicationScope::All`], which is the default.
 const ALL_SERVERS: &str = "all";
-/// The settings' word for [`DeduplicationScope::Zone`].
+/// The settings value for [`DeduplicationScope::Zone`].
 const SAME_ZONE: &str = "zone";
-/// The settings' word for [`DeduplicationScope::Cell`].
+/// The settings value for [`DeduplicationScope::Cell`].
 const SAME_CELL: &str = "cell";
 
-/// Reads all of a class but its name. Whether its responses are streamed is left to
+/// Reads a class without its name. Whether its responses are streamed is read by
 /// [`SimulatorFeatures`](super::SimulatorFeatures).
 pub(super) fn read_request_class(node: &Node) -> Result<RequestClass, KeyError> {
     let idempotency = read_idempotency(&node.at(keys::IDEMPOTENCY))?;
@@ -64,7 +64,7 @@
     }
 }
 
-/// Writes a class under its name; `streamed` is that of the
+/// Writes a class and its name; `streamed` comes from
 /// [`SimulatorFeatures`](super::SimulatorFeatures).
 pub(super) fn write_request_class(name: &str, class: &RequestClass, streamed: bool) -> Value {
     let mut object = json!({
--- a/crates/platform/src/settings/simulator.rs
+++ b/crates/platform/src/settings/simulator.rs
@@ -1,6 +1,7 @@
-//! The settings that only the simulator can honour: channels that sockets do not have.
+//! The settings that only the simulator supports. They describe ways of communication that hosts
+//! with network connections do not have.
 //!
-//! Owns these keys; the balancer's settings hold none of them until they are applied.
+//! They are off in the balancer's settings until [`SimulatorFeatures::apply`] copies them there.
 
 use arrowstand_balancer::Settings;
 
@@ -10,16 +11,16 @@
 use crate::json::Node;
 use crate::keys;
 
-/// What the simulator's channels offer to a balancer.
+/// What the simulator offers to a balancer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SimulatorFeatures {
-    /// Balancers can message each other.
+    /// Balancers can send each other messages.
     pub gossip: bool,
     /// Clients receive the Retry-After of a rejection.
     pub retry_after: bool,
     /// The endpoint list must be polled.
     pub poll_endpoints: bool,
-    /// For each request class: a response may start before it ends.
+    /// For each request class, whether its responses are streamed: they may start before they end.
     pub streamed: Vec<bool>,
 }
 
--- a/crates/platform/src/settings/tests.rs
+++ b/crates/platform/src/settings/tests.rs
@@ -9,7 +9,7 @@
 use crate::json::{Node, parse};
 use crate::load_report::LoadReportLayout;
 
-/// Differs from the default of [`Settings`].
+/// Differs from the default in [`Settings`].
 const DEFAULT_MAX_RETRY_AFTER: u64 = 77_000;
 
 const EVERY_KEY: &str = r#"{"az": "z1", "zones": ["z0", "z1"], "step-ms": 5.0, "membership-mode": "on_request",
@@ -27,7 +27,7 @@
   "safety": {"ask-every-ms": 20000.0, "cold-from": 0.13, "cold-ms": 24000.0, "overload-factor": 3.5, "fall-ms": 900,
    "only-draining-binds": true, "drain-grace-ms": 1500.0}}"#;
 
-/// What the three readers make of one settings object.
+/// The three groups of a settings object.
 struct SettingsParts {
     platform: PlatformSettings,
     features: SimulatorFeatures,
@@ -155,7 +155,7 @@
     assert_eq!(book.idempotency, Idempotency::NonIdempotent);
 }
 
-/// The balancer's settings of a deployment that names no key at all.
+/// The balancer's settings that are read from an empty settings object.
 fn settings_without_keys() -> Settings {
     Settings {
         identity: BalancerIdentity {
@@ -213,7 +213,7 @@
     assert!(!settings.classes[1].streamed);
 }
 
-/// What a deployment says of load reports, and whether health checks and responses carry them then.
+/// Settings for load reports, and whether health checks and responses carry reports with them.
 const REPORT_SOURCES: [(&str, bool, bool); 5] = [
     (r#"{"fields": ["active"]}"#, true, false),
     (r#"{"fields": ["active"], "source": "probes"}"#, true, false),
--- a/crates/platform/src/settings/transport.rs
+++ b/crates/platform/src/settings/transport.rs
@@ -1,7 +1,5 @@
-//! The settings of a host that opens connections: time-outs, the drain grace and the way in which
-//! the endpoint list arrives.
-//!
-//! Owns these keys, their defaults and the check of time-outs; the connections belong to the host.
+//! The settings of hosts that open connections: timeouts, the drain grace period and how the
+//! endpoint list is received.
 
 use std::time::Duration;
 
@@ -10,29 +8,31 @@
 use crate::json::Node;
 use crate::keys;
 
-/// Milliseconds for a connection to be established, where the settings name none; an attempt that
-/// takes longer has failed to connect. The value in the wire page's example.
+/// Time for establishing a connection if the settings have none, in milliseconds; an attempt that
+/// takes longer has failed to connect. The value in the example of the wire format's documentation.
 const DEFAULT_CONNECT_TIMEOUT_MS: f64 = 200.0;
-/// Milliseconds after which servers close an idle connection, where the settings name none; from
-/// then on a request written to it ends as a reset. The value in the wire page's example.
+/// Time after which servers close an idle connection if the settings have none, in milliseconds;
+/// a request that is written to it later fails with a reset. The value in the example of the wire
+/// format's documentation.
 const DEFAULT_IDLE_TIMEOUT_MS: f64 = 5_000.0;
-/// Milliseconds for which a draining server still accepts requests, where the settings name none; a
-/// request sent later breaks the rule on draining. The value in the wire page's example.
+/// How long a draining server still accepts requests if the settings have none, in milliseconds; a
+/// request sent later breaks the rule on draining. The value in the example of the wire format's
+/// documentation.
 const DEFAULT_DRAIN_GRACE_MS: f64 = 2_000.0;
 
-/// The settings' word for [`MembershipMode::OnRequest`].
+/// The settings value for [`MembershipMode::OnRequest`].
 const ON_REQUEST: &str = "on_request";
-/// The settings' word for [`MembershipMode::Pushed`].
+/// The settings value for [`MembershipMode::Pushed`].
 const PUSHED: &str = "pushed";
 
 /// How changes of the endpoint list reach a balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MembershipMode {
-    /// Discovery answers only when polled.
+    /// Discovery sends the list only in response to a poll.
     OnRequest,
-    /// Discovery pushes its changes: they count as notified whether or not a watch is open.
+    /// Discovery pushes changes: the balancer counts as notified even if no watch is open.
     Pushed,
-    /// The settings name no mode, or one that has no meaning here.
+    /// The settings have no mode, or an unknown one.
     Unspecified,
 }
 
@@ -40,7 +40,7 @@
     /// Reads the mode from the settings object.
     ///
     /// # Errors
-    /// The value is not a text.
+    /// The value is not a string.
     pub fn read(settings_node: &Node) -> Result<Self, KeyError> {
         Ok(
             match settings_node
@@ -55,7 +55,7 @@
         )
     }
 
-    /// The settings' word for the mode; `None` where no mode is named.
+    /// The settings' word for the mode; `None` if no mode is specified.
     pub(super) fn name(self) -> Option<&'static str> {
         match self {
             Self::OnRequest => Some(ON_REQUEST),
@@ -65,16 +65,16 @@
     }
 }
 
-/// Times and modes of connections to servers and to discovery.
+/// Settings of the connections to servers and to discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TransportSettings {
-    /// Time for a connection to be established.
+    /// Time allowed for establishing a connection.
     pub connect_timeout: Duration,
     /// Time after which servers close an idle connection.
     pub idle_timeout: Duration,
-    /// Time for which a draining server still accepts requests.
+    /// How long a draining server still accepts requests.
     pub drain_grace: Duration,
-    /// How changes of the endpoint list arrive.
+    /// How the balancer learns of changes to the endpoint list.
     pub membership: MembershipMode,
 }
 
@@ -82,7 +82,7 @@
     /// Reads the settings object.
     ///
     /// # Errors
-    /// Names the first key whose value cannot be used.
+    /// Names the first key whose value is invalid.
     pub fn read(settings_node: &Node) -> Result<Self, KeyError> {
         let drain_grace = settings_node
             .at(keys::settings::SAFETY)
@@ -120,7 +120,7 @@
         .at(keys::permissions::CONNECT_TIMEOUT_MS)
 }
 
-/// The key of the idle timeout, which the balancer's settings hold too.
+/// The idle timeout, which the balancer's settings have too.
 pub(super) fn idle_timeout_node<'a>(settings_node: &Node<'a>) -> Node<'a> {
     settings_node
         .at(keys::settings::PERMISSIONS)
--- a/crates/platform/src/settings/transport/tests.rs
+++ b/crates/platform/src/settings/transport/tests.rs
@@ -20,7 +20,10 @@
     };
     let idle_timeout = Duration::from_micros(platform.balancer.idle_timeout);
     assert_eq!(transport, expected);
-    assert_eq!(idle_timeout, transport.idle_timeout, "one default for both");
+    assert_eq!(
+        idle_timeout, transport.idle_timeout,
+        "both groups have the same default"
+    );
 }
 
 #[test]
