--- a/crates/platform/src/settings/transport.rs
+++ b/crates/platform/src/settings/transport.rs
@@ -55,7 +55,7 @@
         )
     }
 
-    /// The settings' word for the mode; `None` if no mode is specified.
+    /// The settings value for the mode; `None` if no mode is specified.
     pub(super) fn name(self) -> Option<&'static str> {
         match self {
             Self::OnRequest => Some(ON_REQUEST),
