--- a/crates/adapter/src/host/instance.rs
+++ b/crates/adapter/src/host/instance.rs
@@ -99,7 +99,7 @@
 
     /// Reads a load report from its row of numbers.
     pub(super) fn load_report(&self, row: Option<&[Option<f64>]>) -> Option<LoadReport> {
-        self.load_report_layout.extract(row?)
+        self.load_report_layout.decode_row(row?)
     }
 }
 
--- a/crates/control/src/machine_catalogue.rs
+++ b/crates/control/src/machine_catalogue.rs
@@ -73,7 +73,7 @@
     }
 
     /// Returns the machine type of a model name. An unknown name is added as a new type, up to
-    /// [`MAX_MACHINE_TYPES`]; an empty name is never added.
+    /// `MAX_MACHINE_TYPES`; an empty name is never added.
     pub fn lookup(&mut self, model: &str) -> MachineType {
         let known = self.types.iter().find(|(name, _)| name == model);
         match known {
--- a/crates/platform/src/endpoint_list/tests.rs
+++ b/crates/platform/src/endpoint_list/tests.rs
@@ -2,8 +2,8 @@
 
 use super::{EndpointList, ListKind, ListedEndpoint};
 
-/// Entries 1, 2 and 3 cannot be read.
-const LIST_WITH_BAD_ENTRIES: &str = r#"{"rev": 9, "all": true, "targets": [
+/// A list whose entries 1, 2 and 3 are invalid.
+const LIST_WITH_INVALID_ENTRIES: &str = r#"{"rev": 9, "all": true, "targets": [
     {"uid": "s0", "endpoint": "127.0.0.1:80", "az": "z1", "pod_group": 3, "state": "draining", "boot_ms": 5.5,
      "model": "std-3"},
     {"uid": "s1", "endpoint": "here", "state": "ready"},
@@ -11,7 +11,7 @@
     {"uid": "s3", "endpoint": "127.0.0.1:80", "state": "ready", "boot_ms": 1e15},
     {"uid": "s4", "endpoint": "127.0.0.1:81", "state": "gone"}]}"#;
 
-/// What is read of the first and of the last entry of [`LIST_WITH_BAD_ENTRIES`].
+/// The first and the last entry of [`LIST_WITH_INVALID_ENTRIES`], as they are read.
 fn readable_entries() -> [ListedEndpoint; 2] {
     let every_key = ListedEndpoint {
         id: "s0".to_owned(),
@@ -22,7 +22,7 @@
         status: EndpointStatus::Draining,
         started_at: Some(5_500),
     };
-    let required_keys_alone = ListedEndpoint {
+    let required_keys_only = ListedEndpoint {
         id: "s4".to_owned(),
         address: "127.0.0.1:81".parse().expect("an address"),
         zone: String::new(),
@@ -31,18 +31,18 @@
         status: EndpointStatus::Removed,
         started_at: None,
     };
-    [every_key, required_keys_alone]
+    [every_key, required_keys_only]
 }
 
 #[test]
-fn a_bad_entry_is_skipped_with_a_message_and_the_others_are_read() {
-    let list = EndpointList::parse(LIST_WITH_BAD_ENTRIES, 8).expect("a list");
+fn invalid_entry_is_skipped_with_a_message_and_the_others_are_read() {
+    let list = EndpointList::parse(LIST_WITH_INVALID_ENTRIES, 8).expect("a list");
 
     let messages: Vec<String> = list.skipped.iter().map(ToString::to_string).collect();
     let expected_messages = [
         "targets[1].endpoint: is not an address and port",
         "targets[2].state: unknown value \"tidy\"",
-        "targets[3].boot_ms: is no time",
+        "targets[3].boot_ms: is too large for a timestamp",
     ];
     assert_eq!(list.revision, 9);
     assert_eq!(list.kind, ListKind::Full);
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_list_without_a_revision_is_an_error() {
+fn list_without_a_revision_is_rejected() {
     let error = EndpointList::parse("{}", 8).expect_err("no revision");
     assert_eq!(error.to_string(), "rev: is missing");
 }
--- a/crates/platform/src/json/tests.rs
+++ b/crates/platform/src/json/tests.rs
@@ -1,10 +1,10 @@
-use super::{Node, nesting_depth, parse};
+use super::{Node, nesting_depth_at_end, parse};
 
-/// A document in which each value is of a type that its reader does not want.
+/// A document whose values have types that the tests do not read them as.
 const DOCUMENT: &str = r#"{"a": [{"b-c": "x", "n": -1}], "z": null}"#;
 
 #[test]
-fn an_error_names_the_path_of_the_key() {
+fn error_names_the_path_of_the_key() {
     let value = parse(DOCUMENT, 8).expect("JSON");
     let root = Node::root(&value);
     let item = &root.at("a").items().expect("an array")[0];
@@ -12,16 +12,16 @@
     let errors = [
         item.at("b-c").number().expect_err("a text"),
         item.at("n").number().expect_err("a negative number"),
-        root.at("a").text().expect_err("an array"),
-        root.at("a").optional_flag().expect_err("an array"),
-        root.at("z").text().expect_err("null"),
+        root.at("a").string().expect_err("an array"),
+        root.at("a").optional_boolean().expect_err("an array"),
+        root.at("z").string().expect_err("null"),
     ];
 
     let messages = errors.map(|error| error.to_string());
     let expected = [
         "a[0].b-c: must be a number",
-        "a[0].n: must not be negative",
-        "a: must be a text",
+        "a[0].n: must be finite and not negative",
+        "a: must be a string",
         "a: must be true or false",
         "z: is missing",
     ];
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn an_absent_array_has_no_items_and_an_object_is_no_array() {
+fn absent_array_has_no_items_and_an_object_is_rejected() {
     let value = parse(DOCUMENT, 8).expect("JSON");
     let root = Node::root(&value);
     let object = &root.at("a").items().expect("an array")[0];
@@ -41,16 +41,16 @@
 }
 
 #[test]
-fn a_text_nested_deeper_than_allowed_is_an_error() {
+fn text_nested_deeper_than_allowed_is_rejected() {
     assert!(parse("[[1]]", 2).is_ok());
     let error = parse("[[[1]]]", 2).expect_err("too deep");
-    assert_eq!(error.to_string(), "nested deeper than 2");
+    assert_eq!(error.to_string(), "nested deeper than 2 levels");
     assert!(parse(r#"["[[[\"["]"#, 1).is_ok(), "brackets in a string");
 }
 
 #[test]
-fn the_nesting_depth_is_that_of_the_end() {
-    assert_eq!(nesting_depth(br#"{"a": ["#), 2);
-    assert_eq!(nesting_depth(br#"{"a": "[{"}"#), 0);
-    assert_eq!(nesting_depth(b"}"), 0);
+fn nesting_depth_counts_the_brackets_left_open_at_the_end() {
+    assert_eq!(nesting_depth_at_end(br#"{"a": ["#), 2);
+    assert_eq!(nesting_depth_at_end(br#"{"a": "[{"}"#), 0);
+    assert_eq!(nesting_depth_at_end(b"}"), 0);
 }
--- a/crates/platform/src/load_report/tests.rs
+++ b/crates/platform/src/load_report/tests.rs
@@ -1,14 +1,14 @@
 use arrowstand_balancer::LoadReport;
 use proptest::prelude::*;
 
-use super::{LoadReportLayout, ServerLoad, read_report};
+use super::{LoadReportLayout, ServerLoad, parse_load_report};
 use crate::json::{Node, parse};
 
 const fn report(in_flight: f64, queued: f64) -> LoadReport {
     LoadReport { in_flight, queued }
 }
 
-/// Texts of which one part is malformed, or that name no requests in flight.
+/// Reports with a malformed field or without the requests in flight.
 const MALFORMED_REPORTS: [&str; 6] = [
     "",
     "queue=2",
@@ -19,54 +19,54 @@
 ];
 
 #[test]
-fn a_header_is_read_unless_a_part_is_malformed() {
+fn load_report_text_is_parsed_unless_a_part_is_malformed() {
     assert_eq!(
-        read_report("inflight=7,queue=2,eps=0.5"),
+        parse_load_report("inflight=7,queue=2,eps=0.5"),
         Some(report(7.0, 2.0))
     );
     assert_eq!(
-        read_report(" active = 3 , waiting=1 \n"),
+        parse_load_report(" active = 3 , waiting=1 \n"),
         Some(report(3.0, 1.0))
     );
-    assert_eq!(read_report("inflight=7"), Some(report(7.0, 0.0)));
+    assert_eq!(parse_load_report("inflight=7"), Some(report(7.0, 0.0)));
     for text in MALFORMED_REPORTS {
-        assert_eq!(read_report(text), None, "{text:?}");
+        assert_eq!(parse_load_report(text), None, "{text:?}");
     }
 }
 
 #[test]
-fn a_row_is_read_at_the_positions_of_the_settings() {
+fn row_is_decoded_at_the_positions_given_by_the_settings() {
     let fields = parse(r#"["eps", "waiting", "active", "active"]"#, 2).expect("JSON");
     let layout = LoadReportLayout::read(&Node::root(&fields)).expect("texts");
 
-    let with_both = layout.extract(&[None, Some(2.0), Some(7.0)]);
-    let without_queue = layout.extract(&[None, None, Some(7.0)]);
-    let without_in_flight = layout.extract(&[None, Some(2.0)]);
+    let with_both = layout.decode_row(&[None, Some(2.0), Some(7.0)]);
+    let without_queue = layout.decode_row(&[None, None, Some(7.0)]);
+    let without_in_flight = layout.decode_row(&[None, Some(2.0)]);
 
     assert_eq!(with_both, Some(report(7.0, 2.0)));
     assert_eq!(without_queue, Some(report(7.0, 0.0)));
     assert_eq!(without_in_flight, None);
-    assert_eq!(LoadReportLayout::default().extract(&[Some(1.0)]), None);
+    assert_eq!(LoadReportLayout::default().decode_row(&[Some(1.0)]), None);
 }
 
 #[test]
-fn a_report_is_written_as_servers_write_it() {
+fn load_report_is_written_in_the_format_of_the_servers() {
     let full = ServerLoad {
         in_flight: 7.0,
         error_rate: Some(0.5),
         queued: Some(2.0),
     };
-    let in_flight_alone = ServerLoad {
+    let in_flight_only = ServerLoad {
         error_rate: None,
         queued: None,
         ..full
     };
 
     assert_eq!(full.to_string(), "inflight=7,eps=0.50,queue=2");
-    assert_eq!(in_flight_alone.to_string(), "inflight=7");
+    assert_eq!(in_flight_only.to_string(), "inflight=7");
 }
 
-/// Finite and not negative.
+/// Finite numbers that are not negative.
 fn any_number() -> impl Strategy<Value = f64> {
     use prop::num::f64::{NORMAL, POSITIVE, SUBNORMAL, ZERO};
     POSITIVE | NORMAL | SUBNORMAL | ZERO
@@ -79,7 +79,7 @@
 }
 
 prop_compose! {
-    /// Two known values never stand at one position.
+    /// The two known fields never share a position.
     fn any_layout()(
         in_flight in prop::option::of(0..6_usize),
         queued in prop::option::of(0..6_usize),
@@ -91,13 +91,13 @@
 
 proptest! {
     #[test]
-    fn reading_a_written_report_gives_the_same_report(
+    fn parsing_a_written_report_gives_the_same_report(
         written in any_report(),
         error_rate in prop::option::of(0.0..1e6),
     ) {
         let load = ServerLoad { error_rate, ..ServerLoad::from(written) };
 
-        prop_assert_eq!(read_report(&load.to_string()), Some(written));
+        prop_assert_eq!(parse_load_report(&load.to_string()), Some(written));
     }
 
     #[test]
@@ -109,16 +109,16 @@
     }
 
     #[test]
-    fn extracting_a_report_from_its_row_gives_the_same_report(
+    fn decoding_an_encoded_row_gives_the_same_report(
         layout in any_layout(),
         written in any_report(),
     ) {
-        let row = layout.row(&written);
+        let row = layout.encode_row(&written);
 
         let expected = layout.in_flight.map(|_| LoadReport {
             queued: layout.queued.map_or(0.0, |_| written.queued),
             ..written
         });
-        prop_assert_eq!(layout.extract(&row), expected);
+        prop_assert_eq!(layout.decode_row(&row), expected);
     }
 }
--- a/crates/platform/src/settings/simulator.rs
+++ b/crates/platform/src/settings/simulator.rs
@@ -1,25 +1,26 @@
-//! The settings that only the simulator can honour: channels that sockets do not have.
+//! The settings that only the simulator supports. They describe ways of communication that hosts
+//! with network connections do not have.
 //!
-//! Owns these keys; the balancer's settings hold none of them until they are applied.
+//! They are off in the balancer's settings until [`SimulatorFeatures::apply`] copies them there.
 
 use arrowstand_balancer::Settings;
 
 use super::transport::MembershipMode;
-use super::values::flag;
+use super::values::boolean_or_false;
 use crate::error::KeyError;
 use crate::json::Node;
 use crate::keys;
 
-/// What the simulator's channels offer to a balancer.
+/// What the simulator offers to a balancer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SimulatorFeatures {
-    /// Balancers can message each other.
+    /// Balancers can send each other messages.
     pub gossip: bool,
     /// Clients receive the Retry-After of a rejection.
     pub retry_after: bool,
     /// The endpoint list must be polled.
     pub poll_endpoints: bool,
-    /// For each request class: a response may start before it ends.
+    /// For each request class, whether its responses are streamed: they may start before they end.
     pub streamed: Vec<bool>,
 }
 
@@ -28,17 +29,17 @@
     ///
     /// # Errors
     /// Names the first key whose value has the wrong type.
-    pub fn read(conf: &Node) -> Result<Self, KeyError> {
-        let permissions = conf.at(keys::settings::PERMISSIONS);
-        let classes = conf.at(keys::settings::REQUEST_CLASSES).items()?;
+    pub fn read(settings_node: &Node) -> Result<Self, KeyError> {
+        let permissions = settings_node.at(keys::settings::PERMISSIONS);
+        let classes = settings_node.at(keys::settings::REQUEST_CLASSES).items()?;
         let streamed: Result<Vec<bool>, KeyError> = classes
             .iter()
-            .map(|class| flag(&class.at(keys::request_class::STREAMED)))
+            .map(|class| boolean_or_false(&class.at(keys::request_class::STREAMED)))
             .collect();
         Ok(Self {
-            gossip: flag(&permissions.at(keys::permissions::GOSSIP))?,
-            retry_after: flag(&permissions.at(keys::permissions::RETRY_AFTER))?,
-            poll_endpoints: MembershipMode::read(conf)? == MembershipMode::OnRequest,
+            gossip: boolean_or_false(&permissions.at(keys::permissions::GOSSIP))?,
+            retry_after: boolean_or_false(&permissions.at(keys::permissions::RETRY_AFTER))?,
+            poll_endpoints: MembershipMode::read(settings_node)? == MembershipMode::OnRequest,
             streamed: streamed?,
         })
     }
