--- a/crates/sidecar/src/downstream/bounded_stream.rs
+++ b/crates/sidecar/src/downstream/bounded_stream.rs
@@ -203,7 +203,7 @@
     ) -> Poll<io::Result<()>> {
         // A request behind the last response would get no response, so the protocol sees the end of
         // file instead.
-        if self.client.close_state().sent_last_response() {
+        if self.client.close_state().is_last_response_ready() {
             return Poll::Ready(Ok(()));
         }
         if self.client.is_pipeline_full(&self.limits) {
--- a/crates/sidecar/src/downstream/client_permits.rs
+++ b/crates/sidecar/src/downstream/client_permits.rs
@@ -62,7 +62,7 @@
         let Some(client) = idlest.and_then(|(_, number)| permitted.remove(&number)) else {
             return false;
         };
-        client.close_state().begin();
+        client.close_state().request_close();
         true
     }
 
@@ -72,7 +72,7 @@
             .borrow()
             .values()
             .filter(|client| client.idle_rank().is_some())
-            .for_each(|client| client.close_state().begin());
+            .for_each(|client| client.close_state().request_close());
     }
 
     /// Waits for the next connection that closes.
--- a/crates/sidecar/src/downstream/connection.rs
+++ b/crates/sidecar/src/downstream/connection.rs
@@ -24,7 +24,7 @@
 use lifecycle::Lifecycle;
 use socket_slot::SocketSlot;
 
-pub(super) use close_state::AfterResponse;
+pub(super) use close_state::Persistence;
 pub(super) use socket_slot::peek;
 
 /// What is known of a client, shared by its connection and by the requests on it.
@@ -111,10 +111,10 @@
     }
 
     /// A response was made.
-    pub(super) fn on_response_made(&self, then: AfterResponse) {
+    pub(super) fn on_response_ready(&self, persistence: Persistence) {
         self.lifecycle.set(Lifecycle::idle_now());
         self.has_had_response.set(true);
-        self.close_state.on_response_made(then);
+        self.close_state.on_response_ready(persistence);
         if self.input.is_discarded() {
             self.close_state.close_after_response();
         }
@@ -136,7 +136,7 @@
     /// chosen for closing.
     pub(super) fn has_unread_request(&self) -> bool {
         self.idle_rank().is_some()
-            && !self.close_state.sent_last_response()
+            && !self.close_state.is_last_response_ready()
             && !self.presence.is_disconnected()
             && self.socket.has_unread_bytes()
     }
--- a/crates/sidecar/src/downstream/connection/close_state.rs
+++ b/crates/sidecar/src/downstream/connection/close_state.rs
@@ -9,9 +9,9 @@
 
 /// What becomes of a connection behind a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(in crate::downstream) enum AfterResponse {
+pub(in crate::downstream) enum Persistence {
     /// It may carry further requests.
-    KeepOpen,
+    KeepAlive,
     /// The response is its last.
     Close,
 }
@@ -24,22 +24,22 @@
     /// The next response is the last, and the connection closes once nothing is unwritten.
     is_closing: Cell<bool>,
     /// The last response was made: nothing more is read for the protocol.
-    sent_last_response: Cell<bool>,
+    is_last_response_ready: Cell<bool>,
     close_requested: Notify,
 }
 
 impl CloseState {
     /// The connection is to close as soon as no request is in flight and nothing is unwritten.
-    pub(in crate::downstream) fn begin(&self) {
+    pub(in crate::downstream) fn request_close(&self) {
         self.is_closing.set(true);
         self.close_requested.notify_one();
     }
 
     /// A response was made, and this becomes of the connection behind it.
-    pub(super) fn on_response_made(&self, then: AfterResponse) {
+    pub(super) fn on_response_ready(&self, persistence: Persistence) {
         self.response_unwritten.set(true);
-        if then == AfterResponse::Close {
-            self.sent_last_response.set(true);
+        if persistence == Persistence::Close {
+            self.is_last_response_ready.set(true);
         }
     }
 
@@ -57,7 +57,7 @@
     }
 
     /// Waits until the connection may be able to close.
-    pub(in crate::downstream) async fn requested(&self) {
+    pub(in crate::downstream) async fn wait_for_close_request(&self) {
         self.close_requested.notified().await;
     }
 
@@ -72,7 +72,7 @@
     }
 
     /// True once the last response was made.
-    pub(in crate::downstream) fn sent_last_response(&self) -> bool {
-        self.sent_last_response.get()
+    pub(in crate::downstream) fn is_last_response_ready(&self) -> bool {
+        self.is_last_response_ready.get()
     }
 }
--- a/crates/sidecar/src/downstream/connection/tests.rs
+++ b/crates/sidecar/src/downstream/connection/tests.rs
@@ -36,15 +36,19 @@
         Step::Received => client.on_received(RECEIVED_BYTES),
         Step::InputDrained => client.input().on_drained(),
         Step::RequestRead => request_complete = client.on_request_read(limits).now_or_never(),
-        Step::ResponseMade { last: true } => client.on_response_made(AfterResponse::Close),
-        Step::ResponseMade { last: false } => client.on_response_made(AfterResponse::KeepOpen),
+        Step::ResponseReady { last: true } => client.on_response_ready(Persistence::Close),
+        Step::ResponseReady { last: false } => client.on_response_ready(Persistence::KeepAlive),
         Step::ResponseWritten => client.close_state().on_response_written(),
-        Step::BeginClose => client.close_state().begin(),
+        Step::CloseRequested => client.close_state().request_close(),
         Step::Disconnected => client.presence().mark_disconnected(),
     }
     Effect {
         request_complete,
-        close_requested: client.close_state().requested().now_or_never().is_some(),
+        close_requested: client
+            .close_state()
+            .wait_for_close_request()
+            .now_or_never()
+            .is_some(),
     }
 }
 
@@ -65,8 +69,8 @@
     );
     assert_eq!(client.close_state().is_closing(), model.closing);
     assert_eq!(
-        client.close_state().sent_last_response(),
-        model.sent_last_response
+        client.close_state().is_last_response_ready(),
+        model.is_last_response_ready
     );
     assert_eq!(
         client.input().announced_body_bytes(),
@@ -158,21 +162,25 @@
 fn unwritten_response_goes_with_idle_and_reading_and_in_flight() {
     let limits = limits();
     let client = ClientConnection::new(None);
-    client.on_response_made(AfterResponse::KeepOpen);
+    client.on_response_ready(Persistence::KeepAlive);
     assert!(client.idle_rank().is_none(), "idle, its response unwritten");
     client.on_received(RECEIVED_BYTES);
     assert!(client.deadline(&limits).is_some(), "reading");
     client.input().on_drained();
     assert_eq!(client.on_request_read(&limits).now_or_never(), Some(true));
     assert!(client.deadline(&limits).is_none(), "in flight");
-    client.close_state().begin();
-    let _ = client.close_state().requested().now_or_never();
+    client.close_state().request_close();
+    let _ = client.close_state().wait_for_close_request().now_or_never();
     client.close_state().on_response_written();
     assert!(
-        client.close_state().requested().now_or_never().is_some(),
+        client
+            .close_state()
+            .wait_for_close_request()
+            .now_or_never()
+            .is_some(),
         "its earlier response was unwritten until now"
     );
-    assert!(client.close_state().is_closing() && !client.close_state().sent_last_response());
+    assert!(client.close_state().is_closing() && !client.close_state().is_last_response_ready());
 }
 
 /// True where the connection is to end within a moment.
@@ -189,9 +197,9 @@
         ..Default::default()
     });
     let client = ClientConnection::new(None);
-    client.close_state().begin();
+    client.close_state().request_close();
     assert!(times_out(&client, &limits).await, "idle");
-    client.close_state().begin();
+    client.close_state().request_close();
     client.on_received(1);
     assert!(!times_out(&client, &limits).await, "a request has begun");
     client.input().on_drained();
@@ -199,10 +207,10 @@
         client.on_request_read(&limits).await,
         "nothing more is to be read"
     );
-    client.close_state().begin();
+    client.close_state().request_close();
     assert!(!times_out(&client, &limits).await, "a request is in flight");
-    client.on_response_made(AfterResponse::KeepOpen);
-    client.close_state().begin();
+    client.on_response_ready(Persistence::KeepAlive);
+    client.close_state().request_close();
     assert!(
         !times_out(&client, &limits).await,
         "its response is not written"
--- a/crates/sidecar/src/downstream/connection/tests/model.rs
+++ b/crates/sidecar/src/downstream/connection/tests/model.rs
@@ -14,9 +14,9 @@
     Received,
     InputDrained,
     RequestRead,
-    ResponseMade { last: bool },
+    ResponseReady { last: bool },
     ResponseWritten,
-    BeginClose,
+    CloseRequested,
     Disconnected,
 }
 
@@ -25,10 +25,10 @@
     Step::Received,
     Step::InputDrained,
     Step::RequestRead,
-    Step::ResponseMade { last: false },
-    Step::ResponseMade { last: true },
+    Step::ResponseReady { last: false },
+    Step::ResponseReady { last: true },
     Step::ResponseWritten,
-    Step::BeginClose,
+    Step::CloseRequested,
     Step::Disconnected,
 ];
 
@@ -41,7 +41,7 @@
     pub has_had_response: bool,
     pub response_unwritten: bool,
     pub closing: bool,
-    pub sent_last_response: bool,
+    pub is_last_response_ready: bool,
     pipelined_bytes: usize,
     discarded_input: bool,
     burst_bytes: usize,
@@ -74,7 +74,7 @@
         has_had_response: false,
         response_unwritten: false,
         closing: false,
-        sent_last_response: false,
+        is_last_response_ready: false,
         pipelined_bytes: 0,
         discarded_input: false,
         burst_bytes: 0,
@@ -86,7 +86,7 @@
     /// request is begun only where bytes came since the last response and no other is in flight.
     pub(super) fn allows(&self, step: Step) -> bool {
         match step {
-            Step::Received => !self.sent_last_response,
+            Step::Received => !self.is_last_response_ready,
             Step::RequestRead => self.received_since_response && self.idle_since.is_some(),
             _ => true,
         }
@@ -102,12 +102,12 @@
             Step::Received => self.on_received(number),
             Step::InputDrained => self.burst_bytes = 0,
             Step::RequestRead => effect.request_complete = self.on_request_read(limits),
-            Step::ResponseMade { last } => self.on_response_made(last, number),
+            Step::ResponseReady { last } => self.on_response_ready(last, number),
             Step::ResponseWritten => {
                 effect.close_requested = self.response_unwritten && self.closing;
                 self.response_unwritten = false;
             }
-            Step::BeginClose => {
+            Step::CloseRequested => {
                 self.closing = true;
                 effect.close_requested = true;
             }
@@ -137,13 +137,13 @@
         }
     }
 
-    fn on_response_made(&mut self, last: bool, number: usize) {
+    fn on_response_ready(&mut self, last: bool, number: usize) {
         self.idle_since = Some(number);
         self.request_started = None;
         self.received_since_response = false;
         self.has_had_response = true;
         self.response_unwritten = true;
-        self.sent_last_response |= last;
+        self.is_last_response_ready |= last;
         self.closing |= self.discarded_input;
     }
 
--- a/crates/sidecar/src/downstream/connection_timeout.rs
+++ b/crates/sidecar/src/downstream/connection_timeout.rs
@@ -20,7 +20,7 @@
             .unwrap_or_else(|| Instant::now() + recheck);
         tokio::select! {
             () = sleep_until(wake_at) => {}
-            () = client.close_state().requested() => if is_still_idle(client).await { return },
+            () = client.close_state().wait_for_close_request() => if is_still_idle(client).await { return },
         }
         if is_past_deadline(client, limits) {
             return;
--- a/crates/sidecar/src/downstream/listener.rs
+++ b/crates/sidecar/src/downstream/listener.rs
@@ -33,7 +33,7 @@
     permits: Rc<ClientPermits>,
     /// Descriptors of connections that linger are wanted.
     descriptor_wanted: Notify,
-    shutdown_begun: Notify,
+    shutdown_started: Notify,
 }
 
 /// What serves a connection, by whether it has a permit.
@@ -46,7 +46,7 @@
 enum Accepted {
     Connection(TcpStream),
     Failed(io::Error),
-    ShutdownBegun,
+    ShutdownStarted,
     /// The shutdown has begun, and the operating system has accepted no further connection.
     Drained,
 }
@@ -60,7 +60,7 @@
             handler: RequestHandler::new(context, proxy),
             permits: Rc::default(),
             descriptor_wanted: Notify::new(),
-            shutdown_begun: Notify::new(),
+            shutdown_started: Notify::new(),
         })
     }
 
@@ -87,7 +87,7 @@
                     }
                     tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 }
-                Accepted::ShutdownBegun => {}
+                Accepted::ShutdownStarted => {}
                 Accepted::Drained => return,
             }
         }
@@ -106,7 +106,7 @@
             self.descriptor_wanted.notify_one();
             tokio::select! {
                 () = self.permits.connection_closed() => {}
-                () = self.shutdown_begun.notified() => {}
+                () = self.shutdown_started.notified() => {}
             }
         }
         true
@@ -122,7 +122,7 @@
                 Ok((stream, _)) => Accepted::Connection(stream),
                 Err(error) => Accepted::Failed(error),
             },
-            () = self.shutdown_begun.notified(), if !is_shutting_down => Accepted::ShutdownBegun,
+            () = self.shutdown_started.notified(), if !is_shutting_down => Accepted::ShutdownStarted,
             () = tokio::task::yield_now(), if is_shutting_down => Accepted::Drained,
         }
     }
@@ -190,7 +190,7 @@
     /// their responses.
     pub(crate) async fn close(&self, accept: JoinHandle<()>) {
         self.handler.on_shutdown();
-        self.shutdown_begun.notify_one();
+        self.shutdown_started.notify_one();
         let _ = accept.await;
         self.permits.close_idle();
         self.closed().await;
--- a/crates/sidecar/src/downstream/request_handler.rs
+++ b/crates/sidecar/src/downstream/request_handler.rs
@@ -6,7 +6,7 @@
 
 use actix_http::{ConnectionType, Request, StatusCode};
 
-use super::connection::{AfterResponse, ClientConnection};
+use super::connection::{ClientConnection, Persistence};
 use super::malformed_request::MalformedRequest;
 use super::request::read_request;
 use super::response::{self, ClientResponse, plain_text};
@@ -47,11 +47,11 @@
         if self.is_shutting_down() || client.close_state().is_closing() {
             response = response::last_on_connection(response);
         }
-        let then = match response.head().connection_type() {
-            ConnectionType::Close => AfterResponse::Close,
-            ConnectionType::KeepAlive | ConnectionType::Upgrade => AfterResponse::KeepOpen,
+        let persistence = match response.head().connection_type() {
+            ConnectionType::Close => Persistence::Close,
+            ConnectionType::KeepAlive | ConnectionType::Upgrade => Persistence::KeepAlive,
         };
-        client.on_response_made(then);
+        client.on_response_ready(persistence);
         response
     }
 
@@ -61,7 +61,7 @@
         self.context.counters().requests_over_capacity.add();
         let response = response::over_capacity(self.context.limits().default_retry_after);
         if let Some(client) = connection(request) {
-            client.on_response_made(AfterResponse::Close);
+            client.on_response_ready(Persistence::Close);
         }
         response
     }
