--- a/crates/sidecar/src/downstream/bounded_stream.rs
+++ b/crates/sidecar/src/downstream/bounded_stream.rs
@@ -57,9 +57,12 @@
 
 impl BoundedStream {
     /// Takes the client's socket for the protocol; none where the connection is at its end.
-    pub(super) fn take(client: &Rc<ClientConnection>, limits: &Rc<Limits>) -> Option<Self> {
+    pub(super) fn from_connection(
+        client: &Rc<ClientConnection>,
+        limits: &Rc<Limits>,
+    ) -> Option<Self> {
         Some(Self {
-            socket: Some(client.socket().take()?),
+            socket: Some(client.socket_slot().take()?),
             client: Rc::clone(client),
             limits: Rc::clone(limits),
             chunk_bytes: 0,
@@ -74,7 +77,7 @@
 
     /// Waits for the first byte, or the end. The protocol allocates its buffers as soon as it runs,
     /// so it does not for clients that send nothing.
-    pub(super) async fn first_byte(&self) {
+    pub(super) async fn wait_for_first_byte(&self) {
         if let Some(socket) = &self.socket {
             let _ = socket.readable().await;
             let _ = socket.set_nodelay(true);
@@ -92,7 +95,7 @@
     fn poll_chunk(&mut self, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         if self.chunk_bytes == 0 {
             let limits = &self.limits.client;
-            let body_bytes = self.client.input().announced_body_bytes();
+            let body_bytes = self.client.input().remaining_body_bytes();
             self.max_chunk_bytes =
                 limits.read_chunk_bytes + body_bytes.min(limits.body_chunk_bytes);
         }
@@ -191,7 +194,7 @@
 
 impl Drop for BoundedStream {
     fn drop(&mut self) {
-        self.client.socket().put_back(self.socket.take());
+        self.client.socket_slot().put_back(self.socket.take());
     }
 }
 
--- a/crates/sidecar/src/downstream/client_permits.rs
+++ b/crates/sidecar/src/downstream/client_permits.rs
@@ -16,13 +16,13 @@
     open_connections: Cell<usize>,
     /// Those with a permit, by the order in which they came.
     permitted: RefCell<BTreeMap<u64, Rc<ClientConnection>>>,
-    next_number: Cell<u64>,
+    next_connection_id: Cell<u64>,
     connection_closed: Notify,
 }
 
 impl ClientPermits {
     /// True where no further connection is to be accepted until one closes.
-    pub(super) fn is_accept_bound_reached(&self, limits: &ClientLimits) -> bool {
+    pub(super) fn is_accept_limit_reached(&self, limits: &ClientLimits) -> bool {
         self.open_connections.get() >= limits.max_accepted_connections
     }
 
@@ -32,34 +32,35 @@
         client: &Rc<ClientConnection>,
         limits: &ClientLimits,
     ) -> ClientPermit {
-        let is_permitted = self.make_room(limits);
-        let number = self.next_number.get();
-        self.next_number.set(number + 1);
+        let is_permitted = self.ensure_free_permit(limits);
+        let connection_id = self.next_connection_id.get();
+        self.next_connection_id.set(connection_id + 1);
         self.open_connections.set(self.open_connections.get() + 1);
         if is_permitted {
             self.permitted
                 .borrow_mut()
-                .insert(number, Rc::clone(client));
+                .insert(connection_id, Rc::clone(client));
         }
         ClientPermit {
             permits: Rc::clone(self),
-            number,
+            connection_id,
             is_permitted,
         }
     }
 
     /// True where a new client gets a permit. Where silent clients hold them all, it gets that of
     /// the idlest, which is closed.
-    fn make_room(&self, limits: &ClientLimits) -> bool {
+    fn ensure_free_permit(&self, limits: &ClientLimits) -> bool {
         let mut permitted = self.permitted.borrow_mut();
         if permitted.len() < limits.max_connections {
             return true;
         }
         let idlest = permitted
             .iter()
-            .filter_map(|(&number, client)| Some((client.idle_rank()?, number)))
+            .filter_map(|(&connection_id, client)| Some((client.idle_rank()?, connection_id)))
             .min();
-        let Some(client) = idlest.and_then(|(_, number)| permitted.remove(&number)) else {
+        let Some(client) = idlest.and_then(|(_, connection_id)| permitted.remove(&connection_id))
+        else {
             return false;
         };
         client.close_state().request_close();
@@ -76,14 +77,14 @@
     }
 
     /// Waits for the next connection that closes.
-    pub(super) async fn connection_closed(&self) {
+    pub(super) async fn wait_for_close(&self) {
         self.connection_closed.notified().await;
     }
 
     /// Waits until no connection is open.
-    pub(super) async fn all_closed(&self) {
+    pub(super) async fn wait_until_all_closed(&self) {
         while self.open_connections.get() > 0 {
-            self.connection_closed().await;
+            self.wait_for_close().await;
         }
     }
 }
@@ -91,7 +92,7 @@
 /// One client connection within the bounds; its descriptor counts until this is dropped.
 pub(super) struct ClientPermit {
     permits: Rc<ClientPermits>,
-    number: u64,
+    connection_id: u64,
     is_permitted: bool,
 }
 
@@ -102,14 +103,17 @@
     }
 
     /// The connection takes no more requests: another client may get its permit.
-    pub(super) fn on_served(&self) {
-        self.permits.permitted.borrow_mut().remove(&self.number);
+    pub(super) fn release(&self) {
+        self.permits
+            .permitted
+            .borrow_mut()
+            .remove(&self.connection_id);
     }
 }
 
 impl Drop for ClientPermit {
     fn drop(&mut self) {
-        self.on_served();
+        self.release();
         let open_connections = &self.permits.open_connections;
         open_connections.set(open_connections.get() - 1);
         self.permits.connection_closed.notify_waiters();
--- a/crates/sidecar/src/downstream/connection.rs
+++ b/crates/sidecar/src/downstream/connection.rs
@@ -31,7 +31,7 @@
 pub(super) struct ClientConnection {
     lifecycle: Cell<Lifecycle>,
     /// A response was made on this connection before.
-    has_had_response: Cell<bool>,
+    has_responded: Cell<bool>,
     input: InputAccounting,
     close_state: CloseState,
     presence: ClientPresence,
@@ -56,7 +56,7 @@
     pub(super) fn new(socket: Option<TcpStream>) -> Rc<Self> {
         Rc::new(Self {
             lifecycle: Cell::new(Lifecycle::idle_now()),
-            has_had_response: Cell::new(false),
+            has_responded: Cell::new(false),
             input: InputAccounting::default(),
             close_state: CloseState::default(),
             presence: ClientPresence::default(),
@@ -65,7 +65,7 @@
     }
 
     /// Where the socket is while the protocol does not use it.
-    pub(super) fn socket(&self) -> &SocketSlot {
+    pub(super) fn socket_slot(&self) -> &SocketSlot {
         &self.socket
     }
 
@@ -113,9 +113,9 @@
     /// A response was made.
     pub(super) fn on_response_ready(&self, persistence: Persistence) {
         self.lifecycle.set(Lifecycle::idle_now());
-        self.has_had_response.set(true);
+        self.has_responded.set(true);
         self.close_state.on_response_ready(persistence);
-        if self.input.is_discarded() {
+        if self.input.has_discarded() {
             self.close_state.close_after_response();
         }
     }
@@ -146,7 +146,7 @@
         match self.lifecycle.get() {
             Lifecycle::Idle { since } if !self.close_state.is_response_unwritten() => {
                 Some(IdleRank {
-                    awaits_first_request: !self.has_had_response.get(),
+                    awaits_first_request: !self.has_responded.get(),
                     idle_since: since,
                 })
             }
@@ -158,7 +158,7 @@
     pub(super) fn deadline(&self, limits: &Limits) -> Option<Instant> {
         self.lifecycle
             .get()
-            .deadline(self.has_had_response.get(), &limits.client)
+            .deadline(self.has_responded.get(), &limits.client)
     }
 }
 
--- a/crates/sidecar/src/downstream/connection/input_accounting.rs
+++ b/crates/sidecar/src/downstream/connection/input_accounting.rs
@@ -10,17 +10,17 @@
     /// Bytes that came behind the request in flight.
     pipelined_bytes: Cell<usize>,
     /// Bytes of a body that are announced and have not come.
-    announced_body_bytes: Cell<usize>,
+    remaining_body_bytes: Cell<usize>,
     /// Some input was discarded, so what follows it cannot be read.
-    is_discarded: Cell<bool>,
+    has_discarded: Cell<bool>,
 }
 
 impl InputAccounting {
     /// Bytes came.
     pub(super) fn on_received(&self, bytes: usize) {
         self.burst_bytes.set(self.burst_bytes.get() + bytes);
-        self.announced_body_bytes
-            .set(self.announced_body_bytes.get().saturating_sub(bytes));
+        self.remaining_body_bytes
+            .set(self.remaining_body_bytes.get().saturating_sub(bytes));
     }
 
     /// So many of the bytes received came behind the request in flight.
@@ -39,19 +39,19 @@
     }
 
     /// A request's head announced a body of so many bytes.
-    pub(in crate::downstream) fn on_body_announced(&self, bytes: usize) {
-        self.announced_body_bytes.set(bytes);
+    pub(in crate::downstream) fn on_body_length(&self, bytes: usize) {
+        self.remaining_body_bytes.set(bytes);
     }
 
     /// A request was read to its end: what comes now is pipelined behind it.
     pub(super) fn on_request_read(&self) {
         self.pipelined_bytes.set(0);
-        self.announced_body_bytes.set(0);
+        self.remaining_body_bytes.set(0);
     }
 
     /// Input is thrown away.
     pub(in crate::downstream) fn on_discarded(&self) {
-        self.is_discarded.set(true);
+        self.has_discarded.set(true);
     }
 
     /// Bytes since there was last nothing to read.
@@ -65,12 +65,12 @@
     }
 
     /// Bytes of a body that are announced and have not come.
-    pub(in crate::downstream) fn announced_body_bytes(&self) -> usize {
-        self.announced_body_bytes.get()
+    pub(in crate::downstream) fn remaining_body_bytes(&self) -> usize {
+        self.remaining_body_bytes.get()
     }
 
     /// True once input was thrown away.
-    pub(super) fn is_discarded(&self) -> bool {
-        self.is_discarded.get()
+    pub(super) fn has_discarded(&self) -> bool {
+        self.has_discarded.get()
     }
 }
--- a/crates/sidecar/src/downstream/connection/lifecycle.rs
+++ b/crates/sidecar/src/downstream/connection/lifecycle.rs
@@ -53,7 +53,7 @@
     }
 
     /// When the connection times out; never while a request is in flight.
-    pub(super) fn deadline(self, has_had_response: bool, limits: &ClientLimits) -> Option<Instant> {
+    pub(super) fn deadline(self, has_responded: bool, limits: &ClientLimits) -> Option<Instant> {
         match self {
             Self::Idle { since } => Some(since + limits.idle_timeout),
             Self::Reading {
@@ -62,7 +62,7 @@
             } => {
                 // A client's first request has a bound of its own: it counts against the time since
                 // the connect.
-                let read_timeout = if has_had_response {
+                let read_timeout = if has_responded {
                     limits.request_read_timeout
                 } else {
                     limits.first_request_timeout
--- a/crates/sidecar/src/downstream/connection/tests.rs
+++ b/crates/sidecar/src/downstream/connection/tests.rs
@@ -10,7 +10,7 @@
 
 use model::{BODY_BYTES, Combination, Effect, Model, RECEIVED_BYTES, STEPS, Step};
 
-use super::super::connection_timeout::timed_out;
+use super::super::connection_timeout::wait_for_timeout_or_close;
 use super::*;
 use crate::limits::LimitInputs;
 
@@ -73,8 +73,8 @@
         model.is_last_response_ready
     );
     assert_eq!(
-        client.input().announced_body_bytes(),
-        model.announced_body_bytes
+        client.input().remaining_body_bytes(),
+        model.remaining_body_bytes
     );
     assert_eq!(client.presence().is_disconnected(), model.disconnected);
     let free = model.request_started.is_none() && !model.response_unwritten;
@@ -86,10 +86,10 @@
         Duration::ZERO,
         times,
     );
-    assert!(rank.is_none_or(|rank| rank.awaits_first_request != model.has_had_response));
+    assert!(rank.is_none_or(|rank| rank.awaits_first_request != model.has_responded));
     let (set_by, timeout) = match model.request_started {
         None => (model.idle_since, limits.client.idle_timeout),
-        started if model.has_had_response => (started, limits.client.request_read_timeout),
+        started if model.has_responded => (started, limits.client.request_read_timeout),
         started => (started, limits.client.first_request_timeout),
     };
     let deadline_step = model.idle_since.and(set_by);
@@ -106,7 +106,7 @@
     let mut times = Times::new();
     let before = Instant::now();
     let client = ClientConnection::new(None);
-    client.input().on_body_announced(BODY_BYTES);
+    client.input().on_body_length(BODY_BYTES);
     times.push((before, Instant::now()));
     let mut model = Model::NEW;
     assert_same(&client, &mut model, limits, &times);
@@ -185,9 +185,12 @@
 
 /// True where the connection is to end within a moment.
 async fn times_out(client: &ClientConnection, limits: &Limits) -> bool {
-    tokio::time::timeout(Duration::from_millis(50), timed_out(client, limits))
-        .await
-        .is_ok()
+    tokio::time::timeout(
+        Duration::from_millis(50),
+        wait_for_timeout_or_close(client, limits),
+    )
+    .await
+    .is_ok()
 }
 
 #[tokio::test(flavor = "current_thread")]
--- a/crates/sidecar/src/downstream/connection/tests/model.rs
+++ b/crates/sidecar/src/downstream/connection/tests/model.rs
@@ -38,14 +38,14 @@
     pub idle_since: Option<usize>,
     pub request_started: Option<usize>,
     pub received_since_response: bool,
-    pub has_had_response: bool,
+    pub has_responded: bool,
     pub response_unwritten: bool,
     pub closing: bool,
     pub is_last_response_ready: bool,
     pipelined_bytes: usize,
     discarded_input: bool,
     burst_bytes: usize,
-    pub announced_body_bytes: usize,
+    pub remaining_body_bytes: usize,
     pub disconnected: bool,
 }
 
@@ -71,14 +71,14 @@
         idle_since: Some(0),
         request_started: None,
         received_since_response: false,
-        has_had_response: false,
+        has_responded: false,
         response_unwritten: false,
         closing: false,
         is_last_response_ready: false,
         pipelined_bytes: 0,
         discarded_input: false,
         burst_bytes: 0,
-        announced_body_bytes: BODY_BYTES,
+        remaining_body_bytes: BODY_BYTES,
         disconnected: false,
     };
 
@@ -119,7 +119,7 @@
     fn on_received(&mut self, number: usize) {
         self.received_since_response = true;
         self.burst_bytes += RECEIVED_BYTES;
-        self.announced_body_bytes = self.announced_body_bytes.saturating_sub(RECEIVED_BYTES);
+        self.remaining_body_bytes = self.remaining_body_bytes.saturating_sub(RECEIVED_BYTES);
         if self.idle_since.is_none() {
             self.pipelined_bytes += RECEIVED_BYTES;
         }
@@ -129,7 +129,7 @@
     fn on_request_read(&mut self, limits: &Limits) -> Option<bool> {
         self.idle_since = None;
         self.pipelined_bytes = 0;
-        self.announced_body_bytes = 0;
+        self.remaining_body_bytes = 0;
         match self.burst_bytes {
             0 => Some(true),
             bytes if bytes >= limits.client.max_burst_bytes => Some(false),
@@ -141,7 +141,7 @@
         self.idle_since = Some(number);
         self.request_started = None;
         self.received_since_response = false;
-        self.has_had_response = true;
+        self.has_responded = true;
         self.response_unwritten = true;
         self.is_last_response_ready |= last;
         self.closing |= self.discarded_input;
--- a/crates/sidecar/src/downstream/connection_timeout.rs
+++ b/crates/sidecar/src/downstream/connection_timeout.rs
@@ -12,7 +12,7 @@
 /// Waits until the connection is to end: its deadline has passed, or it is closing and idle.
 /// Without this a client that sends nothing, or never ends what it sends, would hold its permit for
 /// ever.
-pub(super) async fn timed_out(client: &ClientConnection, limits: &Limits) {
+pub(super) async fn wait_for_timeout_or_close(client: &ClientConnection, limits: &Limits) {
     let recheck = limits.client.idle_timeout / DEADLINE_CHECKS_PER_IDLE_TIMEOUT;
     loop {
         let wake_at = client
--- a/crates/sidecar/src/downstream/listener.rs
+++ b/crates/sidecar/src/downstream/listener.rs
@@ -15,7 +15,7 @@
 use super::bounded_stream::BoundedStream;
 use super::client_permits::ClientPermits;
 use super::connection::ClientConnection;
-use super::connection_timeout::timed_out;
+use super::connection_timeout::wait_for_timeout_or_close;
 use super::http::{ConnectionService, over_capacity_service, permitted_service};
 use super::lingering_close::lingering_close;
 use super::request_handler::RequestHandler;
@@ -43,7 +43,7 @@
 }
 
 /// How one look for a new connection ended.
-enum Accepted {
+enum AcceptOutcome {
     Connection(TcpStream),
     Failed(io::Error),
     ShutdownStarted,
@@ -79,16 +79,16 @@
         });
         while self.wait_for_descriptor().await {
             match self.accept_next(&listener).await {
-                Accepted::Connection(stream) => self.spawn_connection(stream, &services),
-                Accepted::Failed(error) => {
+                AcceptOutcome::Connection(stream) => self.spawn_connection(stream, &services),
+                AcceptOutcome::Failed(error) => {
                     tracing::warn!(%error, "client not accepted");
                     if self.handler.is_shutting_down() {
                         return;
                     }
                     tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 }
-                Accepted::ShutdownStarted => {}
-                Accepted::Drained => return,
+                AcceptOutcome::ShutdownStarted => {}
+                AcceptOutcome::Drained => return,
             }
         }
     }
@@ -97,7 +97,7 @@
     async fn wait_for_descriptor(&self) -> bool {
         while self
             .permits
-            .is_accept_bound_reached(&self.context.limits().client)
+            .is_accept_limit_reached(&self.context.limits().client)
         {
             // At the shutdown the descriptors are left to the requests in flight.
             if self.handler.is_shutting_down() {
@@ -105,7 +105,7 @@
             }
             self.descriptor_wanted.notify_one();
             tokio::select! {
-                () = self.permits.connection_closed() => {}
+                () = self.permits.wait_for_close() => {}
                 () = self.shutdown_started.notified() => {}
             }
         }
@@ -114,16 +114,16 @@
 
     /// Waits for a connection. At the shutdown the operating system may have accepted some that
     /// this program has not, with requests on them: they are accepted before the listener goes.
-    async fn accept_next(&self, listener: &TcpListener) -> Accepted {
+    async fn accept_next(&self, listener: &TcpListener) -> AcceptOutcome {
         let is_shutting_down = self.handler.is_shutting_down();
         tokio::select! {
             biased;
             accepted = listener.accept() => match accepted {
-                Ok((stream, _)) => Accepted::Connection(stream),
-                Err(error) => Accepted::Failed(error),
+                Ok((stream, _)) => AcceptOutcome::Connection(stream),
+                Err(error) => AcceptOutcome::Failed(error),
             },
-            () = self.shutdown_started.notified(), if !is_shutting_down => Accepted::ShutdownStarted,
-            () = tokio::task::yield_now(), if is_shutting_down => Accepted::Drained,
+            () = self.shutdown_started.notified(), if !is_shutting_down => AcceptOutcome::ShutdownStarted,
+            () = tokio::task::yield_now(), if is_shutting_down => AcceptOutcome::Drained,
         }
     }
 
@@ -146,8 +146,8 @@
             } else {
                 listener.serve(&services.over_capacity, &client).await;
             }
-            permit.on_served();
-            if let Some(socket) = client.socket().take() {
+            permit.release();
+            if let Some(socket) = client.socket_slot().take() {
                 lingering_close(
                     socket,
                     listener.context.limits(),
@@ -161,9 +161,9 @@
     /// Serves one client until its connection is to end, and leaves its socket open for that.
     async fn serve(&self, service: &impl ConnectionService, client: &Rc<ClientConnection>) {
         let counters = self.context.counters();
-        while let Some(stream) = BoundedStream::take(client, self.context.limits()) {
+        while let Some(stream) = BoundedStream::from_connection(client, self.context.limits()) {
             let served = async {
-                stream.first_byte().await;
+                stream.wait_for_first_byte().await;
                 service.call((stream, None)).await
             };
             // What has come already is served: a permit is only taken from a client that is silent.
@@ -175,7 +175,7 @@
                     }
                     return;
                 }
-                () = timed_out(client, self.context.limits()) => {}
+                () = wait_for_timeout_or_close(client, self.context.limits()) => {}
             }
             // A request may have come as its connection was chosen for closing. Nothing of it was
             // read, so the protocol starts again and serves it.
@@ -193,11 +193,11 @@
         self.shutdown_started.notify_one();
         let _ = accept.await;
         self.permits.close_idle();
-        self.closed().await;
+        self.wait_until_closed().await;
     }
 
     /// Waits until no connection is open.
-    pub(crate) async fn closed(&self) {
-        self.permits.all_closed().await;
+    pub(crate) async fn wait_until_closed(&self) {
+        self.permits.wait_until_all_closed().await;
     }
 }
--- a/crates/sidecar/src/downstream/request.rs
+++ b/crates/sidecar/src/downstream/request.rs
@@ -19,7 +19,7 @@
     method: String,
     target: String,
     /// The body's length as announced, 0 if it is not.
-    announced_bytes: usize,
+    body_length: usize,
     /// The headers that go to the server with the body.
     forwarded: Vec<(&'static str, String)>,
 }
@@ -61,8 +61,8 @@
     }
     let head = read_head(context, &request)?;
     let max_bytes = limits.max_body_bytes;
-    client.input().on_body_announced(head.announced_bytes);
-    let body = read_body(request.take_payload(), head.announced_bytes, max_bytes).await?;
+    client.input().on_body_length(head.body_length);
+    let body = read_body(request.take_payload(), head.body_length, max_bytes).await?;
     if !client.on_request_read(limits).await {
         return Err(MalformedRequest::Pipelined);
     }
@@ -76,7 +76,7 @@
         headers: RequestHeaders::parse(context, request.headers())?,
         method: method(request)?,
         target: target(request, limits.client.max_target_chars)?,
-        announced_bytes: announced_body_bytes(request, limits.max_body_bytes)?,
+        body_length: body_length(request, limits.max_body_bytes)?,
         forwarded: forwarded_headers(request.headers()),
     })
 }
@@ -106,7 +106,7 @@
 
 /// The body's length as announced, 0 if it is not. A body that is too large is rejected before any
 /// of it is read.
-fn announced_body_bytes(request: &Request, max_bytes: usize) -> Result<usize, MalformedRequest> {
+fn body_length(request: &Request, max_bytes: usize) -> Result<usize, MalformedRequest> {
     let bytes = content_length(request.headers()).unwrap_or_default();
     usize::try_from(bytes)
         .ok()
@@ -116,10 +116,10 @@
 
 async fn read_body(
     mut stream: BodyStream,
-    announced_bytes: usize,
+    body_length: usize,
     max_bytes: usize,
 ) -> Result<Bytes, MalformedRequest> {
-    let mut body = BytesMut::with_capacity(announced_bytes);
+    let mut body = BytesMut::with_capacity(body_length);
     while let Some(chunk) = stream.next().await {
         let chunk = chunk.map_err(MalformedRequest::BodyUnreadable)?;
         if body.len() + chunk.len() > max_bytes {
--- a/crates/sidecar/src/downstream/request_handler.rs
+++ b/crates/sidecar/src/downstream/request_handler.rs
@@ -42,7 +42,7 @@
 
     /// Responds to a request of a client that holds a permit.
     pub(super) async fn handle(&self, request: Request) -> ClientResponse {
-        let client = connection(&request).unwrap_or_else(|| ClientConnection::new(None));
+        let client = client_connection(&request).unwrap_or_else(|| ClientConnection::new(None));
         let mut response = self.respond(request, &client).await;
         if self.is_shutting_down() || client.close_state().is_closing() {
             response = response::last_on_connection(response);
@@ -60,7 +60,7 @@
     pub(super) fn reject_over_capacity(&self, request: &Request) -> ClientResponse {
         self.context.counters().requests_over_capacity.add();
         let response = response::over_capacity(self.context.limits().default_retry_after);
-        if let Some(client) = connection(request) {
+        if let Some(client) = client_connection(request) {
             client.on_response_ready(Persistence::Close);
         }
         response
@@ -104,6 +104,6 @@
 }
 
 /// The connection that a request came by, as `http` attached it.
-fn connection(request: &Request) -> Option<Rc<ClientConnection>> {
+fn client_connection(request: &Request) -> Option<Rc<ClientConnection>> {
     request.conn_data::<Rc<ClientConnection>>().cloned()
 }
--- a/crates/sidecar/src/downstream/request_headers.rs
+++ b/crates/sidecar/src/downstream/request_headers.rs
@@ -19,7 +19,7 @@
 const MICROS_PER_MILLISECOND: f64 = 1_000.0;
 /// The work that is believed, in microseconds: up to a minute. What is beyond that is no estimate
 /// of a request whose response takes seconds.
-const WORK_HINT_MICROS: RangeInclusive<f64> = 1.0..=6e7;
+const WORK_HINT_RANGE_MICROS: RangeInclusive<f64> = 1.0..=6e7;
 
 /// A request's headers, beside those that are forwarded.
 pub(super) struct RequestHeaders {
@@ -46,10 +46,10 @@
     ) -> Result<Self, MalformedRequest> {
         let classes = context.classes();
         let max_chars = context.limits().client.max_token_chars;
-        let id =
-            token(headers, REQUEST_ID, max_chars)?.ok_or(MalformedRequest::RequestIdMissing)?;
-        let idempotency_key = token(headers, IDEMPOTENCY_KEY, max_chars)?;
-        let class = token(headers, PRIORITY_CLASS, max_chars)?
+        let id = parse_token(headers, REQUEST_ID, max_chars)?
+            .ok_or(MalformedRequest::RequestIdMissing)?;
+        let idempotency_key = parse_token(headers, IDEMPOTENCY_KEY, max_chars)?;
+        let class = parse_token(headers, PRIORITY_CLASS, max_chars)?
             .and_then(|name| classes.id(&name))
             .ok_or(MalformedRequest::PriorityClassUnknown)?;
         let client_timeout = client_timeout(context, headers, class);
@@ -77,14 +77,14 @@
 pub(super) fn forwarded_headers(headers: &HeaderMap) -> Vec<(&'static str, String)> {
     FORWARDED_HEADERS
         .into_iter()
-        .filter_map(|name| Some((name, text(headers, name)?.to_owned())))
+        .filter_map(|name| Some((name, header_text(headers, name)?.to_owned())))
         .collect()
 }
 
 /// How long the client waits. The header only helps, so one that cannot be read counts as absent
 /// and does not cost the client its request.
 fn client_timeout(context: &ServiceContext, headers: &HeaderMap, class: ClassId) -> Duration {
-    match text(headers, TIMEOUT).and_then(parse_timeout) {
+    match header_text(headers, TIMEOUT).and_then(parse_timeout) {
         Some(timeout) => timeout.min(context.limits().client.max_timeout),
         None => {
             context.counters().timeout_headers_skipped.add();
@@ -94,19 +94,19 @@
 }
 
 fn work_hint(context: &ServiceContext, headers: &HeaderMap) -> Option<Duration> {
-    let work_hint = text(headers, COST).and_then(parse_work_hint);
+    let work_hint = header_text(headers, COST).and_then(parse_work_hint);
     if work_hint.is_none() && headers.contains_key(COST) {
         context.counters().cost_headers_skipped.add();
     }
     work_hint
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
 /// A header that names something; none where it is absent.
-fn token(
+fn parse_token(
     headers: &HeaderMap,
     name: &str,
     max_chars: usize,
@@ -126,19 +126,19 @@
         Some(number) => number.parse::<f64>().ok()?,
         None => text.strip_suffix('m')?.parse::<f64>().ok()? * MICROS_PER_MILLISECOND,
     };
-    (micros.is_finite() && micros >= 0.0).then(|| whole_micros(micros))
+    (micros.is_finite() && micros >= 0.0).then(|| duration_from_micros(micros))
 }
 
 /// Microseconds, with or without a fraction, within the bounds.
 fn parse_work_hint(text: &str) -> Option<Duration> {
     let micros = text.trim().parse::<f64>().ok()?;
-    WORK_HINT_MICROS
+    WORK_HINT_RANGE_MICROS
         .contains(&micros)
-        .then(|| whole_micros(micros))
+        .then(|| duration_from_micros(micros))
 }
 
 /// A number of microseconds that is not negative, without its fraction.
-fn whole_micros(micros: f64) -> Duration {
+fn duration_from_micros(micros: f64) -> Duration {
     Duration::from_micros(micros as u64)
 }
 
--- a/crates/sidecar/src/downstream/request_headers/tests.rs
+++ b/crates/sidecar/src/downstream/request_headers/tests.rs
@@ -37,12 +37,14 @@
 fn token_that_is_empty_or_too_long_is_rejected() {
     let headers = headers(&[("short", "abc"), ("long", "abcd"), ("empty", "")]);
     assert_eq!(
-        token(&headers, "short", 3).expect("readable").as_deref(),
+        parse_token(&headers, "short", 3)
+            .expect("readable")
+            .as_deref(),
         Some("abc")
     );
-    assert!(token(&headers, "absent", 3).is_ok_and(|token| token.is_none()));
+    assert!(parse_token(&headers, "absent", 3).is_ok_and(|token| token.is_none()));
     for name in ["long", "empty"] {
-        let error = token(&headers, name, 3).expect_err(name);
+        let error = parse_token(&headers, name, 3).expect_err(name);
         assert!(matches!(error, MalformedRequest::HeaderUnreadable));
     }
 }
--- a/crates/sidecar/src/downstream/response.rs
+++ b/crates/sidecar/src/downstream/response.rs
@@ -19,7 +19,7 @@
 /// If the proxy did nothing, since a request of the same id is in flight.
 pub(super) fn from_proxy(response: ProxyResponse) -> Result<ClientResponse, MalformedRequest> {
     match response {
-        ProxyResponse::Served(payload) => Ok(served(payload)),
+        ProxyResponse::Served(payload) => Ok(payload_response(payload)),
         ProxyResponse::Rejected { retry_after } => {
             Ok(retry_later(StatusCode::SERVICE_UNAVAILABLE, retry_after))
         }
@@ -58,7 +58,7 @@
 }
 
 /// A server's payload, unchanged.
-fn served(payload: Payload) -> ClientResponse {
+fn payload_response(payload: Payload) -> ClientResponse {
     let mut response = Response::build(StatusCode::OK);
     for header in payload.headers {
         response.insert_header(header);
--- a/crates/sidecar/src/shutdown.rs
+++ b/crates/sidecar/src/shutdown.rs
@@ -36,5 +36,5 @@
         () = listener.close(accept) => return,
         () = sleep_until(respond_by) => proxy.force_shutdown(),
     }
-    listener.closed().await;
+    listener.wait_until_closed().await;
 }
