--- a/crates/sidecar/src/downstream/connection/tests.rs
+++ b/crates/sidecar/src/downstream/connection/tests.rs
@@ -1,5 +1,5 @@
-//! Plays all short orders of events against a connection and a model of independent fields, and
-//! lists the combinations of those fields that occur.
+//! Applies every short sequence of events to a connection and to a reference model with independent
+//! fields, compares the two, and collects the combinations of those fields that occur.
 
 mod model;
 
@@ -8,14 +8,14 @@
 
 use futures_util::FutureExt as _;
 
-use model::{BODY_BYTES, Combination, Effect, Model, RECEIVED_BYTES, STEPS, Step};
+use model::{BODY_BYTES, Combination, EVENTS, Effect, Event, Model, RECEIVED_BYTES};
 
 use super::super::connection_timeout::wait_for_timeout_or_close;
 use super::*;
 use crate::limits::LimitInputs;
 
-/// Steps of an order: enough to reach each combination, and few enough to play all orders.
-const ORDER_LENGTH: usize = 6;
+/// Events per sequence: enough to reach each combination, and few enough to run all sequences.
+const SEQUENCE_LENGTH: usize = 6;
 
 fn limits() -> Limits {
     let mut limits = Limits::derive(&LimitInputs {
@@ -30,17 +30,17 @@
     limits
 }
 
-fn take(client: &ClientConnection, step: Step, limits: &Limits) -> Effect {
+fn apply(client: &ClientConnection, event: Event, limits: &Limits) -> Effect {
     let mut request_complete = None;
-    match step {
-        Step::Received => client.on_received(RECEIVED_BYTES),
-        Step::InputDrained => client.input().on_drained(),
-        Step::RequestRead => request_complete = client.on_request_read(limits).now_or_never(),
-        Step::ResponseReady { last: true } => client.on_response_ready(Persistence::Close),
-        Step::ResponseReady { last: false } => client.on_response_ready(Persistence::KeepAlive),
-        Step::ResponseWritten => client.close_state().on_response_written(),
-        Step::CloseRequested => client.close_state().request_close(),
-        Step::Disconnected => client.presence().mark_disconnected(),
+    match event {
+        Event::Received => client.on_received(RECEIVED_BYTES),
+        Event::InputDrained => client.input().on_drained(),
+        Event::RequestRead => request_complete = client.on_request_read(limits).now_or_never(),
+        Event::ResponseReady { last: true } => client.on_response_ready(Persistence::Close),
+        Event::ResponseReady { last: false } => client.on_response_ready(Persistence::KeepAlive),
+        Event::ResponseWritten => client.close_state().on_response_written(),
+        Event::CloseRequested => client.close_state().request_close(),
+        Event::Disconnected => client.presence().mark_disconnected(),
     }
     Effect {
         request_complete,
@@ -52,17 +52,29 @@
     }
 }
 
-/// The begin and the end of each step.
-type Times = Vec<(Instant, Instant)>;
-
-fn assert_set_at(found: Option<Instant>, step: Option<usize>, added: Duration, times: &Times) {
-    assert_eq!(found.is_some(), step.is_some());
-    if let (Some(found), Some(step)) = (found, step) {
-        assert!(times[step].0 + added <= found && found <= times[step].1 + added);
+/// Instants just before and just after each event.
+type EventTimes = Vec<(Instant, Instant)>;
+
+/// Asserts that `found` is the instant of the given event plus `added`, or unset without an event.
+/// Asserts that `found` is the instant of the given event plus `added`, or unset without an event.
+fn assert_set_by(
+    found: Option<Instant>,
+    event: Option<usize>,
+    added: Duration,
+    times: &EventTimes,
+) {
+    assert_eq!(found.is_some(), event.is_some());
+    if let (Some(found), Some(event)) = (found, event) {
+        assert!(times[event].0 + added <= found && found <= times[event].1 + added);
     }
 }
 
-fn assert_same(client: &ClientConnection, model: &mut Model, limits: &Limits, times: &Times) {
+fn assert_matches_model(
+    client: &ClientConnection,
+    model: &mut Model,
+    limits: &Limits,
+    times: &EventTimes,
+) {
     assert_eq!(
         client.has_received_since_response(),
         model.received_since_response
@@ -79,10 +91,10 @@
     assert_eq!(client.presence().is_disconnected(), model.disconnected);
     let free = model.request_started.is_none() && !model.response_unwritten;
     let rank = client.idle_rank();
-    let rank_step = model.idle_since.filter(|_| free);
-    assert_set_at(
+    let rank_set_by = model.idle_since.filter(|_| free);
+    assert_set_by(
         rank.map(|rank| rank.idle_since),
-        rank_step,
+        rank_set_by,
         Duration::ZERO,
         times,
     );
@@ -92,8 +104,8 @@
         started if model.has_responded => (started, limits.client.request_read_timeout),
         started => (started, limits.client.first_request_timeout),
     };
-    let deadline_step = model.idle_since.and(set_by);
-    assert_set_at(client.deadline(limits), deadline_step, timeout, times);
+    let deadline_set_by = model.idle_since.and(set_by);
+    assert_set_by(client.deadline(limits), deadline_set_by, timeout, times);
     let is_pipeline_full = client.is_pipeline_full(limits);
     assert_eq!(is_pipeline_full, model.is_pipeline_full(limits));
     if is_pipeline_full {
@@ -101,39 +113,43 @@
     }
 }
 
-/// Plays one order up to the first step that the protocol cannot take.
-fn play(order: &[Step], limits: &Limits, seen: &mut BTreeSet<Combination>) {
-    let mut times = Times::new();
+/// Applies the events of one sequence, up to the first that the protocol cannot produce.
+fn run_sequence(sequence: &[Event], limits: &Limits, seen: &mut BTreeSet<Combination>) {
+    let mut times = EventTimes::new();
     let before = Instant::now();
     let client = ClientConnection::new(None);
     client.input().on_body_length(BODY_BYTES);
     times.push((before, Instant::now()));
     let mut model = Model::NEW;
-    assert_same(&client, &mut model, limits, &times);
-    for (number, &step) in order.iter().enumerate() {
-        if !model.allows(step) {
+    assert_matches_model(&client, &mut model, limits, &times);
+    for (number, &event) in sequence.iter().enumerate() {
+        if !model.allows(event) {
             return;
         }
         let before = Instant::now();
-        let effect = take(&client, step, limits);
+        let effect = apply(&client, event, limits);
         times.push((before, Instant::now()));
-        assert_eq!(effect, model.take(step, number + 1, limits), "{order:?}");
-        assert_same(&client, &mut model, limits, &times);
+        assert_eq!(
+            effect,
+            model.apply(event, number + 1, limits),
+            "{sequence:?}"
+        );
+        assert_matches_model(&client, &mut model, limits, &times);
         seen.insert(model.combination());
     }
 }
 
 #[test]
-fn connection_is_idle_or_reading_or_in_flight_in_every_order_of_events() {
+fn connection_is_idle_or_reading_or_in_flight_in_every_event_sequence() {
     let limits = limits();
     let mut seen = BTreeSet::new();
-    for mut number in 0..STEPS.len().pow(ORDER_LENGTH as u32) {
-        let order = [(); ORDER_LENGTH].map(|()| {
-            let step = STEPS[number % STEPS.len()];
-            number /= STEPS.len();
-            step
+    for mut number in 0..EVENTS.len().pow(SEQUENCE_LENGTH as u32) {
+        let sequence = [(); SEQUENCE_LENGTH].map(|()| {
+            let event = EVENTS[number % EVENTS.len()];
+            number /= EVENTS.len();
+            event
         });
-        play(&order, &limits, &mut seen);
+        run_sequence(&sequence, &limits, &mut seen);
     }
     let in_flight = Combination {
         idle: false,
@@ -156,10 +172,10 @@
     );
 }
 
-/// A response that is still being written, the last response and a requested close exclude nothing:
-/// they stay flags.
+/// An unwritten response, the last response and a requested close can occur in every lifecycle
+/// state, so `CloseState` keeps them as independent flags.
 #[test]
-fn unwritten_response_goes_with_idle_and_reading_and_in_flight() {
+fn response_can_be_unwritten_while_idle_reading_or_in_flight() {
     let limits = limits();
     let client = ClientConnection::new(None);
     client.on_response_ready(Persistence::KeepAlive);
@@ -183,7 +199,7 @@
     assert!(client.close_state().is_closing() && !client.close_state().is_last_response_ready());
 }
 
-/// True where the connection is to end within a moment.
+/// True if the wait for a timeout or close ends within 50 ms.
 async fn times_out(client: &ClientConnection, limits: &Limits) -> bool {
     tokio::time::timeout(
         Duration::from_millis(50),
--- a/crates/sidecar/src/downstream/connection/tests/model.rs
+++ b/crates/sidecar/src/downstream/connection/tests/model.rs
@@ -1,16 +1,16 @@
-//! A connection's state as independent fields, and the steps that change it: the reference for the
-//! tests.
+//! Reference model for the tests: a connection's state as independent fields, and the events that
+//! change it.
 
 use crate::limits::Limits;
 
-/// Bytes that come by one step.
+/// Bytes received in one event.
 pub(super) const RECEIVED_BYTES: usize = 10;
-/// Bytes of the body that is announced ahead of all steps.
+/// Length of the body, set before the first event.
 pub(super) const BODY_BYTES: usize = 25;
 
-/// What can happen to a connection.
+/// An event on a connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) enum Step {
+pub(super) enum Event {
     Received,
     InputDrained,
     RequestRead,
@@ -20,19 +20,19 @@
     Disconnected,
 }
 
-/// All of them.
-pub(super) const STEPS: [Step; 8] = [
-    Step::Received,
-    Step::InputDrained,
-    Step::RequestRead,
-    Step::ResponseReady { last: false },
-    Step::ResponseReady { last: true },
-    Step::ResponseWritten,
-    Step::CloseRequested,
-    Step::Disconnected,
+pub(super) const EVENTS: [Event; 8] = [
+    Event::Received,
+    Event::InputDrained,
+    Event::RequestRead,
+    Event::ResponseReady { last: false },
+    Event::ResponseReady { last: true },
+    Event::ResponseWritten,
+    Event::CloseRequested,
+    Event::Disconnected,
 ];
 
-/// The fields of a connection, each on its own; a time is the number of the step that set it.
+/// The fields of a connection, independent of each other. An instant is the number of the event that
+/// set it; 0 is the connect.
 #[derive(Clone, Copy)]
 pub(super) struct Model {
     pub idle_since: Option<usize>,
@@ -49,7 +49,7 @@
     pub disconnected: bool,
 }
 
-/// The fields that might exclude each other.
+/// The fields that the implementation assumes to depend on each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Combination {
     pub idle: bool,
@@ -57,16 +57,16 @@
     pub received: bool,
 }
 
-/// What a step does beside the state.
+/// What an event causes besides the change of state.
 #[derive(Debug, PartialEq)]
 pub(super) struct Effect {
-    /// Whether all input of a request was read; nothing while that is open.
+    /// Result of `on_request_read`; none while it is pending.
     pub request_complete: Option<bool>,
     pub close_requested: bool,
 }
 
 impl Model {
-    /// A client that has just connected.
+    /// A connection just after the connect.
     pub(super) const NEW: Self = Self {
         idle_since: Some(0),
         request_started: None,
@@ -82,36 +82,37 @@
         disconnected: false,
     };
 
-    /// True for steps that the protocol can take: input is not read behind the last response, and a
-    /// request is begun only where bytes came since the last response and no other is in flight.
-    pub(super) fn allows(&self, step: Step) -> bool {
-        match step {
-            Step::Received => !self.is_last_response_ready,
-            Step::RequestRead => self.received_since_response && self.idle_since.is_some(),
+    /// True for events that the protocol can produce: it reads no input after the last response, and
+    /// completes a request only if bytes arrived since the last response and no other request is in
+    /// flight.
+    pub(super) fn allows(&self, event: Event) -> bool {
+        match event {
+            Event::Received => !self.is_last_response_ready,
+            Event::RequestRead => self.received_since_response && self.idle_since.is_some(),
             _ => true,
         }
     }
 
-    /// Takes a step, the one of that number, and returns what it does beside.
-    pub(super) fn take(&mut self, step: Step, number: usize, limits: &Limits) -> Effect {
+    /// Applies the event of the given number and returns its effect.
+    pub(super) fn apply(&mut self, event: Event, number: usize, limits: &Limits) -> Effect {
         let mut effect = Effect {
             request_complete: None,
             close_requested: false,
         };
-        match step {
-            Step::Received => self.on_received(number),
-            Step::InputDrained => self.burst_bytes = 0,
-            Step::RequestRead => effect.request_complete = self.on_request_read(limits),
-            Step::ResponseReady { last } => self.on_response_ready(last, number),
-            Step::ResponseWritten => {
+        match event {
+            Event::Received => self.on_received(number),
+            Event::InputDrained => self.burst_bytes = 0,
+            Event::RequestRead => effect.request_complete = self.on_request_read(limits),
+            Event::ResponseReady { last } => self.on_response_ready(last, number),
+            Event::ResponseWritten => {
                 effect.close_requested = self.response_unwritten && self.closing;
                 self.response_unwritten = false;
             }
-            Step::CloseRequested => {
+            Event::CloseRequested => {
                 self.closing = true;
                 effect.close_requested = true;
             }
-            Step::Disconnected => self.disconnected = true,
+            Event::Disconnected => self.disconnected = true,
         }
         effect
     }
@@ -147,7 +148,7 @@
         self.closing |= self.discarded_input;
     }
 
-    /// Whether the protocol is to get no more; if so, input is discarded.
+    /// True if input is withheld from the protocol; that input is then discarded.
     pub(super) fn is_pipeline_full(&mut self, limits: &Limits) -> bool {
         let full =
             self.idle_since.is_none() && self.pipelined_bytes >= limits.client.max_pipelined_bytes;
@@ -155,7 +156,7 @@
         full
     }
 
-    /// The fields that might exclude each other.
+    /// The current values of the interdependent fields.
     pub(super) fn combination(&self) -> Combination {
         Combination {
             idle: self.idle_since.is_some(),
--- a/crates/sidecar/src/downstream/malformed_request/tests.rs
+++ b/crates/sidecar/src/downstream/malformed_request/tests.rs
@@ -2,7 +2,7 @@
 use super::*;
 
 #[test]
-fn each_fault_has_its_status_and_text() {
+fn each_error_has_its_status_and_text() {
     let cases = [
         (Pipelined, 400, "one request at a time"),
         (HeaderUnreadable, 400, "a header cannot be read"),
