--- a/crates/sidecar/src/downstream/bounded_stream.rs
+++ b/crates/sidecar/src/downstream/bounded_stream.rs
@@ -1,29 +1,29 @@
-//! A client's socket as the protocol (actix-http) uses it.
+//! The client socket as seen by the HTTP implementation, actix-http (below: the protocol).
 //!
 //! # Invariant
-//! While the protocol runs, the socket is always being read, every byte is reported to the
-//! [`ClientConnection`] before the protocol sees it, and the protocol holds little more than one
-//! request of it. Input that no request can use any more is thrown away, not left in the socket:
-//! the end of file lies behind it, and only by reading that far is it known that the client has
-//! left. Behind the last response the protocol reads the end of file, whatever the socket holds.
-//! However the protocol ends, the socket goes back to the connection, and only `lingering_close`
+//! While the protocol runs, the socket is read continuously, every byte is reported to the
+//! [`ClientConnection`] before the protocol sees it, and the protocol buffers little more than one
+//! request. Input that can no longer belong to a valid request is discarded instead of being left
+//! in the socket: the end of file comes after it, and a disconnect is detected only by reading that
+//! far. After the last response the protocol sees the end of file, whatever the socket holds.
+//! However the protocol ends, the socket is returned to the connection, and only `lingering_close`
 //! closes it.
 //!
-//! # How it breaks, and what shows it
-//! - A read that is not reported, or a socket that is empty and not reported as such: requests are
-//!   rejected with "one request at a time" (`requests_malformed` rises), or wait without end in
-//!   [`ClientConnection::on_request_read`] (`requests_accepted` stands still while clients
+//! # Failure modes and symptoms
+//! - A read that is not reported, or a drained socket that is not reported as such: requests are
+//!   rejected with "one request at a time" (`requests_malformed` rises), or wait forever in
+//!   [`ClientConnection::on_request_read`] (`requests_accepted` stops rising while clients
 //!   connect).
-//! - Reading that pauses while a request is in flight: clients leave unnoticed.
-//!   `clients_disconnected` and `attempts_blocked_client_left` stay low, and servers work for
-//!   clients that are gone.
-//! - A chunk that is not bounded: the process grows with the number of clients that send without
-//!   waiting, up to its memory limit.
-//! - A socket that is dropped here: a close over unread bytes is a reset, so clients report
-//!   "connection reset" where the sidecar counts a response. An upgrade of actix-http that shuts
-//!   sockets by itself would do this; `poll_shutdown` does nothing for that reason.
+//! - Reading that pauses while a request is in flight: disconnects go undetected.
+//!   `clients_disconnected` and `attempts_blocked_client_left` stay low, and servers process
+//!   requests of disconnected clients.
+//! - An unbounded chunk: memory grows with the number of clients that send without waiting for
+//!   responses, up to the process's memory limit.
+//! - A socket that is dropped here: closing a socket with unread bytes sends a reset, so clients
+//!   report "connection reset" where the sidecar counts a response. An actix-http release that
+//!   closes sockets by itself would cause this, so `poll_shutdown` does nothing.
 //!
-//! `tests/floods.rs` and the recordings of pipelined requests and of clients that disconnect hold
+//! `tests/floods.rs` and the recordings of pipelined requests and of disconnecting clients cover
 //! this.
 
 use std::io;
@@ -38,25 +38,25 @@
 use super::connection::peek;
 use crate::limits::Limits;
 
-/// Bytes of input that are thrown away by one read.
+/// Maximum number of bytes discarded by one read.
 const DISCARD_BUFFER_BYTES: usize = 2048;
-/// Reads of input to throw away, until other tasks get their turn.
+/// Discarding reads in one poll, before the task yields to others.
 const DISCARD_READS_PER_POLL: usize = 8;
 
-/// A client's socket, in use by the protocol.
+/// A client's socket while the protocol uses it.
 pub(super) struct BoundedStream {
     socket: Option<TcpStream>,
     client: Rc<ClientConnection>,
     limits: Rc<Limits>,
-    /// Bytes passed on since the protocol last processed its buffer, and the most of them. Bounds
-    /// memory: the protocol reads all that it can before it processes one request, and keeps each,
-    /// so it gets little more than one.
+    /// Bytes given to the protocol since it last processed its buffer, and their maximum. Bounds
+    /// memory: the protocol reads until no more input is available before it processes a request,
+    /// and buffers every request it has read, so it is given little more than one.
     chunk_bytes: usize,
     max_chunk_bytes: usize,
 }
 
 impl BoundedStream {
-    /// Takes the client's socket for the protocol; none where the connection is at its end.
+    /// Takes the client's socket out of its connection; none if the connection has ended.
     pub(super) fn from_connection(
         client: &Rc<ClientConnection>,
         limits: &Rc<Limits>,
@@ -70,13 +70,13 @@
         })
     }
 
-    /// The connection that the socket is of.
+    /// The connection that the socket belongs to.
     pub(super) fn client(&self) -> &Rc<ClientConnection> {
         &self.client
     }
 
-    /// Waits for the first byte, or the end. The protocol allocates its buffers as soon as it runs,
-    /// so it does not for clients that send nothing.
+    /// Waits for the first byte or the end of file. The protocol allocates its buffers when it
+    /// starts, so it is not started for clients that send nothing.
     pub(super) async fn wait_for_first_byte(&self) {
         if let Some(socket) = &self.socket {
             let _ = socket.readable().await;
@@ -112,9 +112,8 @@
         read.map_ok(drop)
     }
 
-    /// Throws input away. Behind a request in flight the protocol would stop reading at some point,
-    /// and would not see the client leave. What is over the bound is of no request that can be
-    /// served.
+    /// Discards input. While a request is in flight, the protocol would stop reading at some point
+    /// and not detect a disconnect. Input past the limit belongs to no request that can be served.
     fn poll_discard(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let mut discarded = [0; DISCARD_BUFFER_BYTES];
         for _ in 0..DISCARD_READS_PER_POLL {
@@ -126,15 +125,16 @@
         self.yield_to_other_tasks(cx)
     }
 
-    /// Ends this task's turn, though there is more to read: a client that sends without end would
-    /// keep the thread to itself.
+    /// Yields although there may be more to read: a client that sends without pause would otherwise
+    /// occupy the thread.
     fn yield_to_other_tasks(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         self.chunk_bytes = 0;
         cx.waker().wake_by_ref();
         Poll::Pending
     }
 
-    /// Reads up to so many bytes and reports to the connection what came; none are the end of file.
+    /// Reads up to `max_bytes` and reports the result to the connection; 0 bytes mean the end of
+    /// file.
     fn poll_receive(
         &mut self,
         cx: &mut Context<'_>,
@@ -153,16 +153,16 @@
         Poll::Ready(Ok(bytes))
     }
 
-    /// Asks the operating system whether nothing more is to be read. The runtime alone does not
-    /// know: it clears a socket's readiness after a short read, and a client's end of file may lie
-    /// right behind the bytes of that read.
+    /// Checks with the operating system that there is nothing more to read. The runtime's `Pending`
+    /// does not prove it: it clears a socket's readiness after a short read, and the client's end
+    /// of file may directly follow the bytes of that read.
     fn confirm_drained(&mut self) -> Poll<io::Result<usize>> {
         if self.client.input().is_drained() {
             return Poll::Pending;
         }
         let peeked = peek(&*self.socket()?);
         match &peeked {
-            // The readiness that comes with these bytes wakes the task.
+            // The readiness event of these bytes wakes the task.
             Ok(1..) => return Poll::Pending,
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
                 self.client.input().on_drained();
@@ -180,8 +180,8 @@
     buf: &mut ReadBuf<'_>,
     max_bytes: usize,
 ) -> Poll<io::Result<()>> {
-    // A part of a buffer has to be cleared to be read into; a body, which may take all of it, is
-    // read without that.
+    // Reading into a part of the buffer requires that part to be initialized first; a body, which
+    // may fill the whole buffer, is read without that cost.
     if buf.remaining() <= max_bytes {
         return socket.poll_read(cx, buf);
     }
@@ -204,7 +204,7 @@
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        // A request behind the last response would get no response, so the protocol sees the end of
+        // A request after the last response would get no response, so the protocol sees the end of
         // file instead.
         if self.client.close_state().is_last_response_ready() {
             return Poll::Ready(Ok(()));
@@ -234,8 +234,7 @@
         flushed
     }
 
-    /// Does nothing: the write side is shut in one place, by `lingering_close`, whatever ended the
-    /// protocol.
+    /// Does nothing: only `lingering_close` shuts down the write side, however the protocol ended.
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         Poll::Ready(Ok(()))
     }
--- a/crates/sidecar/src/downstream/client_permits.rs
+++ b/crates/sidecar/src/downstream/client_permits.rs
@@ -1,4 +1,5 @@
-//! How many clients are connected, and which of them gives way to a new one.
+//! Limits client connections, and selects the idle connection to close when a new client needs its
+//! permit.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -9,24 +10,24 @@
 use super::connection::ClientConnection;
 use crate::limits::ClientLimits;
 
-/// Counts client connections and lends permits to those that are served.
+/// Counts client connections and issues permits to those that are served.
 #[derive(Default)]
 pub(super) struct ClientPermits {
-    /// Connections that hold a descriptor, with a permit or without.
+    /// Connections that hold a file descriptor, with or without a permit.
     open_connections: Cell<usize>,
-    /// Those with a permit, by the order in which they came.
+    /// Connections with a permit, in order of arrival.
     permitted: RefCell<BTreeMap<u64, Rc<ClientConnection>>>,
     next_connection_id: Cell<u64>,
     connection_closed: Notify,
 }
 
 impl ClientPermits {
-    /// True where no further connection is to be accepted until one closes.
+    /// True while no further connection may be accepted until one closes.
     pub(super) fn is_accept_limit_reached(&self, limits: &ClientLimits) -> bool {
         self.open_connections.get() >= limits.max_accepted_connections
     }
 
-    /// Counts a new connection, and gives it a permit where there is one.
+    /// Counts a new connection and gives it a permit if one is free or can be freed.
     pub(super) fn admit(
         self: &Rc<Self>,
         client: &Rc<ClientConnection>,
@@ -48,8 +49,8 @@
         }
     }
 
-    /// True where a new client gets a permit. Where silent clients hold them all, it gets that of
-    /// the idlest, which is closed.
+    /// Returns whether a permit is free for a new client. If all are taken, takes that of the idle
+    /// connection with the lowest [`IdleRank`](super::connection::IdleRank), if any, and closes it.
     fn ensure_free_permit(&self, limits: &ClientLimits) -> bool {
         let mut permitted = self.permitted.borrow_mut();
         if permitted.len() < limits.max_connections {
@@ -67,7 +68,7 @@
         true
     }
 
-    /// Closes the connections on which no request is begun and no response unwritten.
+    /// Closes the connections that have no request begun and no response left to write.
     pub(super) fn close_idle(&self) {
         self.permitted
             .borrow()
@@ -76,7 +77,7 @@
             .for_each(|client| client.close_state().request_close());
     }
 
-    /// Waits for the next connection that closes.
+    /// Waits until the next connection closes.
     pub(super) async fn wait_for_close(&self) {
         self.connection_closed.notified().await;
     }
@@ -89,7 +90,7 @@
     }
 }
 
-/// One client connection within the bounds; its descriptor counts until this is dropped.
+/// A counted client connection; its file descriptor counts until this is dropped.
 pub(super) struct ClientPermit {
     permits: Rc<ClientPermits>,
     connection_id: u64,
@@ -97,12 +98,12 @@
 }
 
 impl ClientPermit {
-    /// True where the client is served; false where it is only told that there are too many.
+    /// True if the client is served; false if its request is only rejected as over capacity.
     pub(super) fn is_permitted(&self) -> bool {
         self.is_permitted
     }
 
-    /// The connection takes no more requests: another client may get its permit.
+    /// Releases the permit for another client: the connection takes no more requests.
     pub(super) fn release(&self) {
         self.permits
             .permitted
--- a/crates/sidecar/src/downstream/connection.rs
+++ b/crates/sidecar/src/downstream/connection.rs
@@ -1,8 +1,9 @@
-//! One client's connection: what the client is doing, how much it sent, and its socket.
+//! The state of one client connection: its lifecycle, its input counts, its close state and its
+//! socket.
 //!
-//! Each concern is a part of its own. What concerns one of them goes to that part; the methods here
-//! are for what concerns several. Owns the state, not the reading (`bounded_stream`), not the time
-//! that a client may take (`connection_timeout`) and not the end of the socket (`lingering_close`).
+//! Each concern is a submodule; the methods here are those that involve several of them. Reading
+//! is done by `bounded_stream`, timeouts are enforced by `connection_timeout`, and the socket is
+//! closed by `lingering_close`.
 
 mod close_state;
 mod input_accounting;
@@ -27,10 +28,10 @@
 pub(super) use close_state::Persistence;
 pub(super) use socket_slot::peek;
 
-/// What is known of a client, shared by its connection and by the requests on it.
+/// The state of a client connection, shared by the tasks that serve it and the requests on it.
 pub(super) struct ClientConnection {
     lifecycle: Cell<Lifecycle>,
-    /// A response was made on this connection before.
+    /// At least one response was ready on this connection.
     has_responded: Cell<bool>,
     input: InputAccounting,
     close_state: CloseState,
@@ -38,21 +39,21 @@
     socket: SocketSlot,
 }
 
-/// Which connection gives way first where permits are short: the lowest rank.
+/// The order in which idle connections are closed when all permits are taken: the lowest rank first.
 ///
-/// Those with a response go first, since such a client sends its next request on a new connection.
-/// One that has connected ahead of its first request would lose that with its permit. Among equals
-/// the one that is idle for longest goes.
+/// Connections that have had a response come first, since such a client sends its next request on a
+/// new connection. A client that has connected and not yet sent its first request would lose that
+/// request with its permit. Within each group the connection that is idle for longest comes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct IdleRank {
-    /// No response was made on the connection yet.
+    /// No response was ready on the connection yet.
     pub awaits_first_request: bool,
-    /// When it connected or its last response was made.
+    /// When the client connected or its last response was ready.
     pub idle_since: Instant,
 }
 
 impl ClientConnection {
-    /// A client that has just connected by that socket.
+    /// Creates the state of a client that has just connected.
     pub(super) fn new(socket: Option<TcpStream>) -> Rc<Self> {
         Rc::new(Self {
             lifecycle: Cell::new(Lifecycle::idle_now()),
@@ -64,17 +65,17 @@
         })
     }
 
-    /// Where the socket is while the protocol does not use it.
+    /// Holds the socket while the protocol does not use it.
     pub(super) fn socket_slot(&self) -> &SocketSlot {
         &self.socket
     }
 
-    /// How much the client sent.
+    /// The counts of the client's input.
     pub(super) fn input(&self) -> &InputAccounting {
         &self.input
     }
 
-    /// Whether the connection is to close, and what is still to be written before.
+    /// Whether a close is requested, and whether a response is still to be written before it.
     pub(super) fn close_state(&self) -> &CloseState {
         &self.close_state
     }
@@ -84,7 +85,7 @@
         &self.presence
     }
 
-    /// Bytes came.
+    /// Records received bytes.
     pub(super) fn on_received(&self, bytes: usize) {
         let lifecycle = self.lifecycle.get();
         self.input.on_received(bytes);
@@ -94,13 +95,13 @@
         self.lifecycle.set(lifecycle.after_input());
     }
 
-    /// A request was read to its end; waits until nothing more is to be read, and returns whether
-    /// that came to be. A client's end of file lies behind all that it sent: nothing may start
-    /// before it would have been seen, or work is begun for a client that has left.
+    /// Records that a request was read completely, waits until the socket is drained, and returns
+    /// whether it was. A client's end of file follows all bytes that it sent, so a request must not
+    /// start before the socket is drained: work would be started for a disconnected client.
     pub(super) async fn on_request_read(&self, limits: &Limits) -> bool {
         self.lifecycle.set(Lifecycle::InFlight);
         self.input.on_request_read();
-        // The task that reads is woken as long as there is more, and this with it.
+        // Runs in the same task as the reads, which wake it as long as there is more to read.
         poll_fn(|_| match self.input.burst_bytes() {
             0 => Poll::Ready(true),
             bytes if bytes >= limits.client.max_burst_bytes => Poll::Ready(false),
@@ -110,7 +111,7 @@
         .await
     }
 
-    /// A response was made.
+    /// Records that a response is ready to be written.
     pub(super) fn on_response_ready(&self, persistence: Persistence) {
         self.lifecycle.set(Lifecycle::idle_now());
         self.has_responded.set(true);
@@ -120,20 +121,21 @@
         }
     }
 
-    /// False for a request of which no byte came since the last response: a client sends one at a
-    /// time.
+    /// False if no byte was received since the last response was ready: a request that is parsed
+    /// then was sent before that response, but a client must send one request at a time.
     pub(super) fn has_received_since_response(&self) -> bool {
         self.lifecycle.get().has_input()
     }
 
-    /// True where the protocol is to get no more until the request in flight has its response.
+    /// True if the protocol must get no more input until the response to the request in flight is
+    /// ready.
     pub(super) fn is_pipeline_full(&self, limits: &Limits) -> bool {
         self.lifecycle.get().is_in_flight()
             && self.input.pipelined_bytes() >= limits.client.max_pipelined_bytes
     }
 
-    /// True where bytes lie unread in a socket on which no request was begun: they came as it was
-    /// chosen for closing.
+    /// True if no request has begun but the socket holds unread bytes: they arrived while the
+    /// connection was being selected for closing.
     pub(super) fn has_unread_request(&self) -> bool {
         self.idle_rank().is_some()
             && !self.close_state.is_last_response_ready()
@@ -141,7 +143,8 @@
             && self.socket.has_unread_bytes()
     }
 
-    /// How readily the connection gives up its permit; none while it is in use.
+    /// The connection's rank among the idle ones; none while a request has begun or a response is
+    /// unwritten.
     pub(super) fn idle_rank(&self) -> Option<IdleRank> {
         match self.lifecycle.get() {
             Lifecycle::Idle { since } if !self.close_state.is_response_unwritten() => {
@@ -154,7 +157,7 @@
         }
     }
 
-    /// When the client has taken too long; none while its request is in flight.
+    /// When the connection times out; none while a request is in flight.
     pub(super) fn deadline(&self, limits: &Limits) -> Option<Instant> {
         self.lifecycle
             .get()
--- a/crates/sidecar/src/downstream/connection/lifecycle.rs
+++ b/crates/sidecar/src/downstream/connection/lifecycle.rs
@@ -1,37 +1,37 @@
-//! Whether a client sends a request or waits for a response, and until when it may go on.
+//! The request lifecycle of a client connection, and the deadline of each of its states.
 
 use tokio::time::Instant;
 
 use crate::limits::ClientLimits;
 
-/// What a client is doing.
+/// The state of the current request on a connection.
 #[derive(Clone, Copy)]
 pub(super) enum Lifecycle {
-    /// No byte of a request came since it connected, or since its last response was made.
+    /// No byte was received since the client connected or its last response was ready.
     Idle {
-        /// When it connected or its last response was made.
+        /// When the client connected or its last response was ready.
         since: Instant,
     },
-    /// A part of a request came.
+    /// A part of a request was received.
     Reading {
-        /// When it connected or its last response was made.
+        /// When the client connected or its last response was ready.
         idle_since: Instant,
-        /// When the request's first byte came.
+        /// When the request's first byte was received.
         started_at: Instant,
     },
-    /// Its request was read to the end; the response is not made.
+    /// The request was read completely; its response is not ready.
     InFlight,
 }
 
 impl Lifecycle {
-    /// A client that has just connected, or whose response was just made.
+    /// The state just after the connect, or as soon as a response is ready.
     pub(super) fn idle_now() -> Self {
         Self::Idle {
             since: Instant::now(),
         }
     }
 
-    /// What it is doing after some bytes came.
+    /// The state after bytes were received.
     pub(super) fn after_input(self) -> Self {
         match self {
             Self::Idle { since } => Self::Reading {
@@ -42,12 +42,12 @@
         }
     }
 
-    /// True while the response to a complete request is not made.
+    /// True while the response to a complete request is not ready.
     pub(super) fn is_in_flight(self) -> bool {
         matches!(self, Self::InFlight)
     }
 
-    /// True unless no byte came since the last response.
+    /// True if a byte was received since the connect or since the last response was ready.
     pub(super) fn has_input(self) -> bool {
         !matches!(self, Self::Idle { .. })
     }
@@ -60,8 +60,8 @@
                 idle_since,
                 started_at,
             } => {
-                // A client's first request has a bound of its own: it counts against the time since
-                // the connect.
+                // The first request has its own read timeout, since a client that sends half a
+                // request must be disconnected within a fixed time of its connect.
                 let read_timeout = if has_responded {
                     limits.request_read_timeout
                 } else {
--- a/crates/sidecar/src/downstream/connection/socket_slot.rs
+++ b/crates/sidecar/src/downstream/connection/socket_slot.rs
@@ -1,4 +1,4 @@
-//! Where a client's socket is while the protocol does not use it.
+//! Holds a client's socket while the protocol does not use it.
 
 use std::cell::RefCell;
 use std::io;
@@ -6,26 +6,26 @@
 
 use tokio::net::TcpStream;
 
-/// A client's socket, or none while the protocol has it and after its end.
+/// A client's socket; none while the protocol uses it, and after it was taken to be closed.
 pub(in crate::downstream) struct SocketSlot(RefCell<Option<TcpStream>>);
 
 impl SocketSlot {
-    /// A slot with that socket in it.
+    /// Creates a slot that holds `socket`.
     pub(super) fn new(socket: Option<TcpStream>) -> Self {
         Self(RefCell::new(socket))
     }
 
-    /// Takes the socket out.
+    /// Removes the socket from the slot.
     pub(in crate::downstream) fn take(&self) -> Option<TcpStream> {
         self.0.borrow_mut().take()
     }
 
-    /// Puts the socket back.
+    /// Returns the socket to the slot.
     pub(in crate::downstream) fn put_back(&self, socket: Option<TcpStream>) {
         *self.0.borrow_mut() = socket;
     }
 
-    /// True where the socket is here and bytes lie unread in it; an end of file is none.
+    /// True if the slot holds the socket and it has unread bytes; an end of file does not count.
     pub(super) fn has_unread_bytes(&self) -> bool {
         self.0
             .borrow()
@@ -34,10 +34,10 @@
     }
 }
 
-/// How many bytes lie unread, as far as one byte shows; 0 at the end of file.
+/// Peeks at one byte: returns 1 if unread bytes are available, 0 at the end of file.
 ///
 /// # Errors
-/// `WouldBlock` where nothing is to be read, or why the connection failed.
+/// `WouldBlock` if there is nothing to read, otherwise the error of the failed connection.
 pub(in crate::downstream) fn peek(socket: &TcpStream) -> io::Result<usize> {
     socket2::SockRef::from(socket).peek(&mut [MaybeUninit::uninit()])
 }
--- a/crates/sidecar/src/downstream/connection/tests.rs
+++ b/crates/sidecar/src/downstream/connection/tests.rs
@@ -55,7 +55,6 @@
 /// Instants just before and just after each event.
 type EventTimes = Vec<(Instant, Instant)>;
 
-/// Asserts that `found` is the instant of the given event plus `added`, or unset without an event.
 /// Asserts that `found` is the instant of the given event plus `added`, or unset without an event.
 fn assert_set_by(
     found: Option<Instant>,
--- a/crates/sidecar/src/downstream/connection/tests/model.rs
+++ b/crates/sidecar/src/downstream/connection/tests/model.rs
@@ -31,8 +31,8 @@
     Event::Disconnected,
 ];
 
-/// The fields of a connection, independent of each other. An instant is the number of the event that
-/// set it; 0 is the connect.
+/// The fields of a connection, independent of each other. An instant is represented by the number of
+/// the event that set it; 0 is the connect.
 #[derive(Clone, Copy)]
 pub(super) struct Model {
     pub idle_since: Option<usize>,
@@ -49,7 +49,7 @@
     pub disconnected: bool,
 }
 
-/// The fields that the implementation assumes to depend on each other.
+/// The fields that may be mutually exclusive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Combination {
     pub idle: bool,
@@ -82,9 +82,9 @@
         disconnected: false,
     };
 
-    /// True for events that the protocol can produce: it reads no input after the last response, and
-    /// completes a request only if bytes arrived since the last response and no other request is in
-    /// flight.
+    /// True for events that the protocol can produce: it reads no input after the last response,
+    /// and completes a request only if bytes arrived since the last response and no other request
+    /// is in flight.
     pub(super) fn allows(&self, event: Event) -> bool {
         match event {
             Event::Received => !self.is_last_response_ready,
@@ -156,7 +156,7 @@
         full
     }
 
-    /// The current values of the interdependent fields.
+    /// The current values of the fields that may be mutually exclusive.
     pub(super) fn combination(&self) -> Combination {
         Combination {
             idle: self.idle_since.is_some(),
