--- a/crates/sidecar/src/downstream/connection.rs
+++ b/crates/sidecar/src/downstream/connection.rs
@@ -39,7 +39,7 @@
     socket: SocketSlot,
 }
 
-/// The order in which idle connections are closed when all permits are taken: the lowest rank first.
+/// The order in which idle connections are closed when all permits are taken: lowest rank first.
 ///
 /// Connections that have had a response come first, since such a client sends its next request on a
 /// new connection. A client that has connected and not yet sent its first request would lose that
--- a/crates/sidecar/src/downstream/connection/tests/model.rs
+++ b/crates/sidecar/src/downstream/connection/tests/model.rs
@@ -31,8 +31,8 @@
     Event::Disconnected,
 ];
 
-/// The fields of a connection, independent of each other. An instant is represented by the number of
-/// the event that set it; 0 is the connect.
+/// The fields of a connection, independent of each other. An instant is represented by the number
+/// of the event that set it; 0 is the connect.
 #[derive(Clone, Copy)]
 pub(super) struct Model {
     pub idle_since: Option<usize>,
--- a/crates/sidecar/src/downstream/connection_timeout.rs
+++ b/crates/sidecar/src/downstream/connection_timeout.rs
@@ -1,17 +1,17 @@
-//! Until when a client's connection may go on, whatever its socket does.
+//! Enforces the deadlines of a client's connection, independently of activity on its socket.
 
 use tokio::time::{Instant, sleep_until};
 
 use super::connection::ClientConnection;
 use crate::limits::Limits;
 
-/// While a request is in flight there is no deadline, and it is looked for again so often in an
-/// idle timeout.
+/// While a request is in flight there is no deadline; whether there is one again is checked this
+/// many times per idle timeout.
 const DEADLINE_CHECKS_PER_IDLE_TIMEOUT: u32 = 4;
 
-/// Waits until the connection is to end: its deadline has passed, or it is closing and idle.
-/// Without this a client that sends nothing, or never ends what it sends, would hold its permit for
-/// ever.
+/// Waits until the connection must end: its deadline has passed, or a close is requested and it is
+/// idle. Without this, a client that sends nothing or never completes a request would hold its
+/// permit forever.
 pub(super) async fn wait_for_timeout_or_close(client: &ClientConnection, limits: &Limits) {
     let recheck = limits.client.idle_timeout / DEADLINE_CHECKS_PER_IDLE_TIMEOUT;
     loop {
@@ -20,7 +20,11 @@
             .unwrap_or_else(|| Instant::now() + recheck);
         tokio::select! {
             () = sleep_until(wake_at) => {}
-            () = client.close_state().wait_for_close_request() => if is_still_idle(client).await { return },
+            () = client.close_state().wait_for_close_request() => {
+                if is_still_idle(client).await {
+                    return;
+                }
+            }
         }
         if is_past_deadline(client, limits) {
             return;
@@ -28,8 +32,8 @@
     }
 }
 
-/// True where the connection is idle after the sockets were polled once more: the operating system
-/// may have a request that was not read yet, and that one still gets its response.
+/// True if the connection is still idle after the sockets were polled once more: the operating
+/// system may hold a request that was not read yet, and it must still get its response.
 async fn is_still_idle(client: &ClientConnection) -> bool {
     tokio::task::yield_now().await;
     client.idle_rank().is_some()
--- a/crates/sidecar/src/downstream/http.rs
+++ b/crates/sidecar/src/downstream/http.rs
@@ -1,4 +1,5 @@
-//! The platform's protocol to the client, over actix-http: which connections get which responses.
+//! The actix-http services for client connections: one for clients with a permit, one for clients
+//! over capacity.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -12,7 +13,7 @@
 use super::bounded_stream::BoundedStream;
 use super::request_handler::RequestHandler;
 
-/// Serves one connection to its end.
+/// A service that runs HTTP/1.1 on one connection until the connection ends.
 pub(super) trait ConnectionService:
     Service<(BoundedStream, Option<SocketAddr>), Response = (), Error = DispatchError>
 {
@@ -23,7 +24,7 @@
 {
 }
 
-/// Serves clients that hold a permit. None if the protocol cannot be started.
+/// Builds the service for clients that hold a permit. None if it cannot be created.
 pub(super) async fn permitted_service(
     handler: Rc<RequestHandler>,
 ) -> Option<impl ConnectionService + 'static> {
@@ -32,12 +33,12 @@
         async move { Ok::<_, Infallible>(handler.handle(request).await) }
     };
     HttpService::build()
-        // The client's own bounds, `connection_timeout`, cover each request, not just the
-        // first.
+        // `connection_timeout` replaces the timeouts of actix-http: it covers every request, not
+        // just the first.
         .keep_alive(KeepAlive::Os)
         .client_request_timeout(Duration::ZERO)
-        // A client that ends its side has left: its requests are dropped, and their attempts with
-        // them.
+        // A client that shuts down its write side counts as disconnected: its requests are dropped,
+        // and their attempts with them.
         .h1_allow_half_closed(false)
         .on_connect_ext(attach_connection)
         .h1(fn_service(respond))
@@ -46,7 +47,7 @@
         .ok()
 }
 
-/// Serves clients past the bound on connections. None if the protocol cannot be started.
+/// Builds the service for clients over the connection limit. None if it cannot be created.
 pub(super) async fn over_capacity_service(
     handler: Rc<RequestHandler>,
 ) -> Option<impl ConnectionService + 'static> {
@@ -63,7 +64,7 @@
         .ok()
 }
 
-/// Lets each request find its connection.
+/// Attaches the connection's state, so that each request on it can access it.
 fn attach_connection(stream: &BoundedStream, data: &mut Extensions) {
     data.insert(Rc::clone(stream.client()));
 }
--- a/crates/sidecar/src/downstream/lingering_close.rs
+++ b/crates/sidecar/src/downstream/lingering_close.rs
@@ -1,8 +1,8 @@
-//! The one end of a client's connection, whatever the reason.
+//! Closes client connections, whatever the reason for the close.
 //!
-//! All responses are with the operating system and no request is read any more: the write side is
-//! shut, and what still comes is thrown away until the client ends its side or a bound is reached;
-//! then the socket closes.
+//! All responses have been passed to the operating system and no further request is read. The write
+//! side is shut down, and further input is discarded until the client shuts down its side or a
+//! limit is reached; then the socket closes.
 
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use tokio::net::TcpStream;
@@ -10,12 +10,12 @@
 
 use crate::limits::Limits;
 
-/// Bytes that are thrown away by one read.
+/// Maximum number of bytes discarded by one read.
 const DISCARD_BUFFER_BYTES: usize = 4096;
 
-/// Closes a socket once there is nothing left to read. A close over unread bytes is a reset, and
-/// that takes the end of the last response with it. `descriptor_wanted` ends the wait early, where
-/// a new client needs the descriptor.
+/// Closes a socket once there is nothing left to read. Closing a socket with unread bytes sends a
+/// reset, by which the client may lose the end of the last response. `descriptor_wanted` ends the
+/// wait early if a new client needs the file descriptor.
 pub(super) async fn lingering_close(
     mut socket: TcpStream,
     limits: &Limits,
@@ -31,8 +31,8 @@
     }
 }
 
-/// Reads up to the end of file, or to more than so many bytes: a client that floods the connection
-/// is not worth reading until the time is over.
+/// Reads until the end of file, or until more than `max_bytes` were read: a client that floods the
+/// connection is not read until the timeout.
 async fn discard_input(socket: &mut TcpStream, max_bytes: usize) {
     let mut remaining_bytes = max_bytes;
     let mut buffer = vec![0; DISCARD_BUFFER_BYTES];
--- a/crates/sidecar/src/downstream/listener.rs
+++ b/crates/sidecar/src/downstream/listener.rs
@@ -1,7 +1,7 @@
-//! Accepts clients within the bounds, serves each connection, and brings it to its end.
+//! Accepts client connections up to a limit, serves each of them, and closes it.
 //!
-//! Which connections are open is `client_permits`' business, what is responded that of the
-//! `request_handler`.
+//! `client_permits` tracks which connections are open, and `request_handler` produces the
+//! responses.
 
 use std::io;
 use std::rc::Rc;
@@ -22,37 +22,36 @@
 use super::service_context::ServiceContext;
 use crate::proxy::Proxy;
 
-/// After an accept that failed, the next one waits this long: while descriptors are short, each
-/// fails at once.
+/// Delay after a failed accept: while file descriptors are exhausted, each accept fails at once.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// The listening side of the sidecar.
+/// Accepts and serves the sidecar's clients.
 pub(crate) struct Listener {
     context: Rc<ServiceContext>,
     handler: Rc<RequestHandler>,
     permits: Rc<ClientPermits>,
-    /// Descriptors of connections that linger are wanted.
+    /// A new client needs the file descriptor of a connection in its lingering close.
     descriptor_wanted: Notify,
     shutdown_started: Notify,
 }
 
-/// What serves a connection, by whether it has a permit.
+/// The services for connections with and without a permit.
 struct ConnectionServices<P, O> {
     permitted: P,
     over_capacity: O,
 }
 
-/// How one look for a new connection ended.
+/// The outcome of one wait for a new connection.
 enum AcceptOutcome {
     Connection(TcpStream),
     Failed(io::Error),
     ShutdownStarted,
-    /// The shutdown has begun, and the operating system has accepted no further connection.
+    /// The shutdown has started, and the accept queue of the operating system is empty.
     Drained,
 }
 
 impl Listener {
-    /// A listener whose clients are served by that proxy.
+    /// Creates a listener whose requests are run by `proxy`.
     pub(crate) fn new(context: ServiceContext, proxy: Rc<Proxy>) -> Rc<Self> {
         let context = Rc::new(context);
         Rc::new(Self {
@@ -64,8 +63,8 @@
         })
     }
 
-    /// Accepts clients until [`Listener::close`], and then those that the operating system has
-    /// accepted by then.
+    /// Accepts clients until [`Listener::close`], and then those that are left in the accept queue
+    /// of the operating system.
     pub(crate) async fn accept(self: Rc<Self>, listener: TcpListener) {
         let Some(permitted) = permitted_service(Rc::clone(&self.handler)).await else {
             return;
@@ -81,7 +80,7 @@
             match self.accept_next(&listener).await {
                 AcceptOutcome::Connection(stream) => self.spawn_connection(stream, &services),
                 AcceptOutcome::Failed(error) => {
-                    tracing::warn!(%error, "client not accepted");
+                    tracing::warn!(%error, "failed to accept a client connection");
                     if self.handler.is_shutting_down() {
                         return;
                     }
@@ -93,13 +92,13 @@
         }
     }
 
-    /// Waits until a connection may be accepted; false if none will be.
+    /// Waits until a connection may be accepted; false if no more will be accepted.
     async fn wait_for_descriptor(&self) -> bool {
         while self
             .permits
             .is_accept_limit_reached(&self.context.limits().client)
         {
-            // At the shutdown the descriptors are left to the requests in flight.
+            // During the shutdown the file descriptors are left to the requests in flight.
             if self.handler.is_shutting_down() {
                 return false;
             }
@@ -112,8 +111,8 @@
         true
     }
 
-    /// Waits for a connection. At the shutdown the operating system may have accepted some that
-    /// this program has not, with requests on them: they are accepted before the listener goes.
+    /// Waits for a connection. At the shutdown the accept queue of the operating system may hold
+    /// connections with requests on them: they are accepted before the listener closes.
     async fn accept_next(&self, listener: &TcpListener) -> AcceptOutcome {
         let is_shutting_down = self.handler.is_shutting_down();
         tokio::select! {
@@ -122,12 +121,14 @@
                 Ok((stream, _)) => AcceptOutcome::Connection(stream),
                 Err(error) => AcceptOutcome::Failed(error),
             },
-            () = self.shutdown_started.notified(), if !is_shutting_down => AcceptOutcome::ShutdownStarted,
+            () = self.shutdown_started.notified(), if !is_shutting_down => {
+                AcceptOutcome::ShutdownStarted
+            }
             () = tokio::task::yield_now(), if is_shutting_down => AcceptOutcome::Drained,
         }
     }
 
-    /// Serves a new connection to its end, in a task of its own.
+    /// Spawns a task that serves a new connection and closes it.
     fn spawn_connection<P, O>(
         self: &Rc<Self>,
         stream: TcpStream,
@@ -158,7 +159,8 @@
         });
     }
 
-    /// Serves one client until its connection is to end, and leaves its socket open for that.
+    /// Serves one client until its connection is to be closed, and leaves its socket open for the
+    /// lingering close.
     async fn serve(&self, service: &impl ConnectionService, client: &Rc<ClientConnection>) {
         let counters = self.context.counters();
         while let Some(stream) = BoundedStream::from_connection(client, self.context.limits()) {
@@ -166,7 +168,8 @@
                 stream.wait_for_first_byte().await;
                 service.call((stream, None)).await
             };
-            // What has come already is served: a permit is only taken from a client that is silent.
+            // Polls the service first, so that input already received is served: a permit is only
+            // revoked from a client that sends nothing.
             tokio::select! {
                 biased;
                 end = served => {
@@ -177,8 +180,8 @@
                 }
                 () = wait_for_timeout_or_close(client, self.context.limits()) => {}
             }
-            // A request may have come as its connection was chosen for closing. Nothing of it was
-            // read, so the protocol starts again and serves it.
+            // A request may have arrived while its connection was being selected for closing.
+            // Nothing of it was read, so the service is restarted and serves it.
             if !client.has_unread_request() {
                 counters.clients_timed_out.add();
                 return;
@@ -186,8 +189,8 @@
         }
     }
 
-    /// Ends the accepting, closes idle connections, and waits until all requests in flight have
-    /// their responses.
+    /// Stops accepting, closes idle connections, and waits until all requests in flight have their
+    /// responses and all connections are closed.
     pub(crate) async fn close(&self, accept: JoinHandle<()>) {
         self.handler.on_shutdown();
         self.shutdown_started.notify_one();
--- a/crates/sidecar/src/downstream/malformed_request.rs
+++ b/crates/sidecar/src/downstream/malformed_request.rs
@@ -1,43 +1,43 @@
-//! Why a request gets a 4xx response and is not forwarded.
+//! The reasons for a 4xx response to a request that is not forwarded.
 
 use actix_http::StatusCode;
 use actix_http::error::PayloadError;
 
-/// Why a request gets a 4xx response and is not forwarded. Each message is the text of the
-/// response.
+/// The reason for a 4xx response to a request that is not forwarded. Each message is the body of
+/// the response.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum MalformedRequest {
-    /// The client sent it, or more behind it, before the previous response.
+    /// The client sent the request before the previous response, or further input after it.
     #[error("one request at a time")]
     Pipelined,
-    /// A header that the proxy needs is empty, too long or no text.
+    /// A header that the proxy needs is empty, too long or not text.
     #[error("a header cannot be read")]
     HeaderUnreadable,
-    /// The request has no id.
+    /// The request has no request id.
     #[error("X-Request-ID is missing")]
     RequestIdMissing,
-    /// The class is missing or not configured.
+    /// The request class is missing or not configured.
     #[error("X-Priority-Class is not a known class")]
     PriorityClassUnknown,
-    /// The class requires a key, by which servers drop repeated requests.
+    /// The request class requires an idempotency key, by which servers detect repeated requests.
     #[error("Idempotency-Key is missing")]
     IdempotencyKeyMissing,
-    /// The method is none that servers take.
+    /// Servers do not support the method.
     #[error("the method is not GET or POST")]
     MethodNotAllowed,
-    /// The target has no path that could be sent to a server.
+    /// The target is not a path, so it cannot be sent to a server.
     #[error("the target is not a path")]
     TargetNotPath,
-    /// The path and query have more characters than the bound.
+    /// The path and query exceed the maximum length.
     #[error("the target is too long")]
     TargetTooLong,
-    /// The body has more bytes than the bound, or is announced to have.
+    /// The body, or its declared length, exceeds the maximum.
     #[error("the body is too large")]
     BodyTooLarge,
-    /// The body's framing is broken, or the client left within it.
+    /// The body's framing is invalid, or the client disconnected before its end.
     #[error("the body cannot be read")]
     BodyUnreadable(#[source] PayloadError),
-    /// Another request of the same id is in flight; nothing was done.
+    /// Another request with the same id is in flight; this one had no effect.
     #[error("a transaction of that id is open")]
     DuplicateRequestId,
 }
--- a/crates/sidecar/src/downstream/mod.rs
+++ b/crates/sidecar/src/downstream/mod.rs
@@ -1,19 +1,18 @@
-//! The downstream side: client connections with their bounds and their ends, and the protocol on
-//! them.
+//! The downstream side: client connections, their limits and their close, and HTTP/1.1 on them.
 //!
-//! What a request means and where it is forwarded to is not decided here. Modules use those above
-//! them only:
-//! - `connection`: the state of one client connection, a part for each concern;
-//!   `connection_timeout`: until when it may go on;
-//! - `bounded_stream`: its socket as the protocol reads and writes it; `lingering_close`: the
-//!   socket's end;
-//! - `service_context`: what the modules below may know of the rest of the sidecar;
-//! - `malformed_request`, `request_headers`, `request`, `response`: between HTTP and the proxy's
-//!   types;
-//! - `request_handler`: one request, from its head to its response;
-//! - `http`: the protocol's services, which run the handler;
-//! - `client_permits`: how many clients are connected; `listener`: accepts them and serves them to
-//!   their end.
+//! The downstream side does not interpret requests or choose their servers. Each module uses only
+//! those listed before it:
+//! - `connection`: the state of one client connection, with a submodule for each concern;
+//!   `connection_timeout`: enforces its deadlines;
+//! - `bounded_stream`: its socket as the protocol reads and writes it; `lingering_close`: closes
+//!   the socket;
+//! - `service_context`: gives the modules below access to the rest of the sidecar;
+//! - `malformed_request`, `request_headers`, `request`, `response`: convert between HTTP and the
+//!   proxy's types;
+//! - `request_handler`: handles one request, from its head to its response;
+//! - `http`: the actix-http services, which run the handler;
+//! - `client_permits`: limits the number of connections; `listener`: accepts, serves and closes
+//!   them.
 
 mod bounded_stream;
 mod client_permits;
--- a/crates/sidecar/src/downstream/request.rs
+++ b/crates/sidecar/src/downstream/request.rs
@@ -1,4 +1,4 @@
-//! Reads a client's request to its last byte, checks it, and makes the proxy's request of it.
+//! Reads a client's request completely, validates it, and converts it to the proxy's request.
 
 use actix_http::{HttpMessage as _, Payload as BodyStream, Request};
 use bytes::{Bytes, BytesMut};
@@ -13,19 +13,19 @@
 
 const METHODS: [&str; 2] = ["GET", "POST"];
 
-/// What stands ahead of a request's body.
+/// The parsed head of a request.
 struct RequestHead {
     headers: RequestHeaders,
     method: String,
     target: String,
-    /// The body's length as announced, 0 if it is not.
+    /// The declared length of the body, 0 if none is declared.
     body_length: usize,
-    /// The headers that go to the server with the body.
+    /// The headers that are forwarded to the server with the body.
     forwarded: Vec<(&'static str, String)>,
 }
 
 impl RequestHead {
-    /// The request that arrives now, with its body complete.
+    /// Creates the proxy's request, with its arrival now that the body is complete.
     fn into_request(self, body: Bytes, presence: ClientPresence) -> ProxyRequest {
         ProxyRequest {
             method: self.method,
@@ -45,17 +45,17 @@
     }
 }
 
-/// Reads a request to its last byte and checks it.
+/// Reads a request completely and validates it.
 ///
 /// # Errors
-/// The first fault that is found; the rest of the request is not read then.
+/// Returns the first error that is found; the rest of the request is not read then.
 pub(super) async fn read_request(
     context: &ServiceContext,
     mut request: Request,
     client: &ClientConnection,
 ) -> Result<ProxyRequest, MalformedRequest> {
     let limits = context.limits();
-    // A request of which nothing came since the last response was sent behind the one before it.
+    // If nothing was received since the last response, the request was sent before that response.
     if !client.has_received_since_response() {
         return Err(MalformedRequest::Pipelined);
     }
@@ -69,7 +69,7 @@
     Ok(head.into_request(body, client.presence().clone()))
 }
 
-/// Reads and checks what stands ahead of the body.
+/// Parses and validates the head of a request.
 fn read_head(context: &ServiceContext, request: &Request) -> Result<RequestHead, MalformedRequest> {
     let limits = context.limits();
     Ok(RequestHead {
@@ -89,8 +89,8 @@
     Ok(method.to_owned())
 }
 
-/// The path and query. Other targets (`*`, an authority) cannot be written to a server: each
-/// attempt would fail unsent.
+/// The path and query. Other targets (`*`, an authority) are rejected, since they cannot be written
+/// to a server: each attempt would fail before it is sent.
 fn target(request: &Request, max_chars: usize) -> Result<String, MalformedRequest> {
     let target = request
         .uri()
@@ -104,8 +104,8 @@
     Ok(target.to_owned())
 }
 
-/// The body's length as announced, 0 if it is not. A body that is too large is rejected before any
-/// of it is read.
+/// The declared length of the body, 0 if none is declared. A body that is too large is rejected
+/// before any of it is read.
 fn body_length(request: &Request, max_bytes: usize) -> Result<usize, MalformedRequest> {
     let bytes = content_length(request.headers()).unwrap_or_default();
     usize::try_from(bytes)
--- a/crates/sidecar/src/downstream/request_handler.rs
+++ b/crates/sidecar/src/downstream/request_handler.rs
@@ -1,5 +1,5 @@
-//! One request, from its head to its response: the sidecar's own paths, and all others by the
-//! proxy.
+//! Handles one request, from its head to its response: serves the sidecar's own paths and forwards
+//! all others to the proxy.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -21,7 +21,7 @@
 }
 
 impl RequestHandler {
-    /// A handler that has the proxy run each request.
+    /// Creates a handler that forwards requests to `proxy`.
     pub(super) fn new(context: Rc<ServiceContext>, proxy: Rc<Proxy>) -> Rc<Self> {
         Rc::new(Self {
             context,
@@ -30,17 +30,17 @@
         })
     }
 
-    /// From now on no response leaves its connection open.
+    /// Makes each response from now on the last on its connection.
     pub(super) fn on_shutdown(&self) {
         self.is_shutting_down.set(true);
     }
 
-    /// True once no response leaves its connection open.
+    /// True once each response is the last on its connection.
     pub(super) fn is_shutting_down(&self) -> bool {
         self.is_shutting_down.get()
     }
 
-    /// Responds to a request of a client that holds a permit.
+    /// Responds to a request from a client that holds a permit.
     pub(super) async fn handle(&self, request: Request) -> ClientResponse {
         let client = client_connection(&request).unwrap_or_else(|| ClientConnection::new(None));
         let mut response = self.respond(request, &client).await;
@@ -55,8 +55,8 @@
         response
     }
 
-    /// Rejects a request of a client past the bound on connections, at once: what such clients hold
-    /// meanwhile are the last descriptors.
+    /// Rejects a request from a client over the connection limit at once, since such clients occupy
+    /// the last file descriptors.
     pub(super) fn reject_over_capacity(&self, request: &Request) -> ClientResponse {
         self.context.counters().requests_over_capacity.add();
         let response = response::over_capacity(self.context.limits().default_retry_after);
@@ -103,7 +103,7 @@
     }
 }
 
-/// The connection that a request came by, as `http` attached it.
+/// The connection that a request was received on, as attached by `http`.
 fn client_connection(request: &Request) -> Option<Rc<ClientConnection>> {
     request.conn_data::<Rc<ClientConnection>>().cloned()
 }
--- a/crates/sidecar/src/downstream/request_headers.rs
+++ b/crates/sidecar/src/downstream/request_headers.rs
@@ -1,4 +1,4 @@
-//! The headers by which a client says what its request is and how long it waits.
+//! Parses the headers that describe a request and the client's timeout.
 
 use std::ops::RangeInclusive;
 use std::time::Duration;
@@ -17,29 +17,29 @@
 const COST: &str = "x-cost";
 
 const MICROS_PER_MILLISECOND: f64 = 1_000.0;
-/// The work that is believed, in microseconds: up to a minute. What is beyond that is no estimate
-/// of a request whose response takes seconds.
+/// The accepted work hints, in microseconds: up to a minute. Responses take seconds, so a
+/// larger value is no plausible estimate.
 const WORK_HINT_RANGE_MICROS: RangeInclusive<f64> = 1.0..=6e7;
 
-/// A request's headers, beside those that are forwarded.
+/// The parsed headers of a request, except those that are forwarded.
 pub(super) struct RequestHeaders {
-    /// The client's name of the request.
+    /// The request id that the client chose.
     pub id: String,
-    /// By which servers drop repeated requests.
+    /// The key by which servers detect repeated requests.
     pub idempotency_key: Option<String>,
-    /// The priority class, one that is configured.
+    /// The request class, one of the configured ones.
     pub class: ClassId,
-    /// How long the client waits, from the request's last byte.
+    /// How long the client waits for the response, from the request's last byte.
     pub client_timeout: Duration,
-    /// The request's work on a usual server, where the client knows.
+    /// The request's work on a server of usual speed, if the client estimated it.
     pub work_hint: Option<Duration>,
 }
 
 impl RequestHeaders {
-    /// Reads and checks the headers; counts those that are optional and cannot be read.
+    /// Parses and validates the headers; counts optional ones that cannot be parsed.
     ///
     /// # Errors
-    /// The first header at fault that the proxy needs.
+    /// Returns the error of the first required header that is missing or invalid.
     pub(super) fn parse(
         context: &ServiceContext,
         headers: &HeaderMap,
@@ -54,7 +54,7 @@
             .ok_or(MalformedRequest::PriorityClassUnknown)?;
         let client_timeout = client_timeout(context, headers, class);
         let work_hint = work_hint(context, headers);
-        // Without its key no server could drop a repeated request.
+        // Without the key, servers could not detect a repeated request.
         if classes.requires_idempotency_key(class) && idempotency_key.is_none() {
             return Err(MalformedRequest::IdempotencyKeyMissing);
         }
@@ -68,12 +68,12 @@
     }
 }
 
-/// The body's length as announced.
+/// The body's length as declared by Content-Length.
 pub(super) fn content_length(headers: &HeaderMap) -> Option<u64> {
     headers.get(CONTENT_LENGTH)?.to_str().ok()?.parse().ok()
 }
 
-/// The headers that go with the body, as far as they are text.
+/// The headers that are forwarded with the body; a header that is not text is omitted.
 pub(super) fn forwarded_headers(headers: &HeaderMap) -> Vec<(&'static str, String)> {
     FORWARDED_HEADERS
         .into_iter()
@@ -81,8 +81,8 @@
         .collect()
 }
 
-/// How long the client waits. The header only helps, so one that cannot be read counts as absent
-/// and does not cost the client its request.
+/// How long the client waits for the response. The header is optional, so a value that cannot be
+/// parsed is treated as absent instead of failing the request.
 fn client_timeout(context: &ServiceContext, headers: &HeaderMap, class: ClassId) -> Duration {
     match header_text(headers, TIMEOUT).and_then(parse_timeout) {
         Some(timeout) => timeout.min(context.limits().client.max_timeout),
@@ -105,7 +105,7 @@
     headers.get(name)?.to_str().ok()
 }
 
-/// A header that names something; none where it is absent.
+/// Parses a header whose value is an opaque name or key; none if the header is absent.
 fn parse_token(
     headers: &HeaderMap,
     name: &str,
@@ -120,7 +120,7 @@
     }
 }
 
-/// A number and a unit: `480m` are milliseconds, `480000u` microseconds.
+/// Parses a number with a unit: `480m` is in milliseconds, `480000u` in microseconds.
 fn parse_timeout(text: &str) -> Option<Duration> {
     let micros = match text.strip_suffix('u') {
         Some(number) => number.parse::<f64>().ok()?,
@@ -129,7 +129,7 @@
     (micros.is_finite() && micros >= 0.0).then(|| duration_from_micros(micros))
 }
 
-/// Microseconds, with or without a fraction, within the bounds.
+/// Parses a number of microseconds, with or without a fraction; none outside the accepted range.
 fn parse_work_hint(text: &str) -> Option<Duration> {
     let micros = text.trim().parse::<f64>().ok()?;
     WORK_HINT_RANGE_MICROS
@@ -137,7 +137,7 @@
         .then(|| duration_from_micros(micros))
 }
 
-/// A number of microseconds that is not negative, without its fraction.
+/// Converts a non-negative number of microseconds; truncates its fraction.
 fn duration_from_micros(micros: f64) -> Duration {
     Duration::from_micros(micros as u64)
 }
--- a/crates/sidecar/src/downstream/response.rs
+++ b/crates/sidecar/src/downstream/response.rs
@@ -1,4 +1,4 @@
-//! Responses to the client, as the protocol writes them.
+//! Builds the HTTP responses to clients.
 
 use std::time::Duration;
 
@@ -10,13 +10,13 @@
 use crate::message::Payload;
 use crate::proxy::ProxyResponse;
 
-/// A response with a body of any size.
+/// An HTTP response to a client.
 pub(super) type ClientResponse = Response<BoxBody>;
 
-/// The proxy's response.
+/// Converts the proxy's response to an HTTP response.
 ///
 /// # Errors
-/// If the proxy did nothing, since a request of the same id is in flight.
+/// Returns an error if the proxy did not run the request, since one with the same id is in flight.
 pub(super) fn from_proxy(response: ProxyResponse) -> Result<ClientResponse, MalformedRequest> {
     match response {
         ProxyResponse::Served(payload) => Ok(payload_response(payload)),
@@ -30,7 +30,7 @@
     }
 }
 
-/// A response of plain text.
+/// Builds a plain-text response.
 pub(super) fn plain_text(status: StatusCode, text: impl Into<String>) -> ClientResponse {
     Response::build(status)
         .insert_header((CONTENT_TYPE, "text/plain"))
@@ -38,18 +38,18 @@
         .map_into_boxed_body()
 }
 
-/// The rejection of a client past the bound on connections; the last response on its connection.
+/// The rejection of a client over the connection limit; the last response on its connection.
 pub(super) fn over_capacity(retry_after: Duration) -> ClientResponse {
     last_on_connection(retry_later(StatusCode::SERVICE_UNAVAILABLE, retry_after))
 }
 
-/// The rejection of a malformed request; the last response on its connection, since what is left of
-/// the request's body is not read.
+/// The rejection of a malformed request; the last response on its connection, since the rest of the
+/// request's body is not read.
 pub(super) fn malformed(error: &MalformedRequest) -> ClientResponse {
     last_on_connection(plain_text(error.status(), format!("{error}\n")))
 }
 
-/// The response, with the connection closed behind it.
+/// Makes a response the last on its connection, which closes after it.
 pub(super) fn last_on_connection(mut response: ClientResponse) -> ClientResponse {
     response
         .head_mut()
@@ -57,7 +57,7 @@
     response
 }
 
-/// A server's payload, unchanged.
+/// Responds with a server's payload, unchanged.
 fn payload_response(payload: Payload) -> ClientResponse {
     let mut response = Response::build(StatusCode::OK);
     for header in payload.headers {
@@ -66,7 +66,7 @@
     response.body(payload.body).map_into_boxed_body()
 }
 
-/// A response that says when to retry. The status alone says whether a retry is harmless.
+/// A response with a Retry-After header. Only the status indicates whether a retry is safe.
 fn retry_later(status: StatusCode, retry_after: Duration) -> ClientResponse {
     let seconds = format!("{:.3}", retry_after.as_secs_f64());
     Response::build(status)
--- a/crates/sidecar/src/downstream/service_context.rs
+++ b/crates/sidecar/src/downstream/service_context.rs
@@ -1,5 +1,5 @@
-//! What the listener and its connections may know of the rest of the sidecar: whether it can serve
-//! yet, which classes of requests there are, its bounds and its counters.
+//! The state of the sidecar that the listener and its connections may access: readiness, request
+//! classes, limits and counters.
 
 use std::rc::Rc;
 
@@ -7,7 +7,7 @@
 use crate::host::{BalancerHost, ClassTable};
 use crate::limits::Limits;
 
-/// What a client's request is checked against, and where it is counted.
+/// The shared state by which client requests are validated and counted.
 pub(crate) struct ServiceContext {
     host: Rc<BalancerHost>,
     classes: Rc<ClassTable>,
@@ -16,7 +16,6 @@
 }
 
 impl ServiceContext {
-    /// A context of that host's service.
     pub(crate) fn new(
         host: Rc<BalancerHost>,
         classes: Rc<ClassTable>,
@@ -31,7 +30,7 @@
         }
     }
 
-    /// True once requests can be served: a list has named a server that is ready.
+    /// True once requests can be served: an endpoint list has contained a ready server.
     pub(super) fn is_ready(&self) -> bool {
         self.host.is_ready()
     }
@@ -41,12 +40,12 @@
         &self.classes
     }
 
-    /// Every bound of the network code.
+    /// The limits of the network code.
     pub(super) fn limits(&self) -> &Rc<Limits> {
         &self.limits
     }
 
-    /// What the process counts.
+    /// The counters of the process.
     pub(super) fn counters(&self) -> &Counters {
         &self.counters
     }
