--- a/crates/sidecar/src/downstream/client_permits.rs
+++ b/crates/sidecar/src/downstream/client_permits.rs
@@ -1,4 +1,5 @@
-//! How many clients are connected, and which of them gives way to a new one.
+//! Limits client connections, and selects the idle connection to close when a new client needs its
+//! permit.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -9,107 +10,111 @@
 use super::connection::ClientConnection;
 use crate::limits::ClientLimits;
 
-/// Counts client connections and lends permits to those that are served.
+/// Counts client connections and issues permits to those that are served.
 #[derive(Default)]
 pub(super) struct ClientPermits {
-    /// Connections that hold a descriptor, with a permit or without.
+    /// Connections that hold a file descriptor, with or without a permit.
     open_connections: Cell<usize>,
-    /// Those with a permit, by the order in which they came.
+    /// Connections with a permit, in order of arrival.
     permitted: RefCell<BTreeMap<u64, Rc<ClientConnection>>>,
-    next_number: Cell<u64>,
+    next_connection_id: Cell<u64>,
     connection_closed: Notify,
 }
 
 impl ClientPermits {
-    /// True where no further connection is to be accepted until one closes.
-    pub(super) fn is_accept_bound_reached(&self, limits: &ClientLimits) -> bool {
+    /// True while no further connection may be accepted until one closes.
+    pub(super) fn is_accept_limit_reached(&self, limits: &ClientLimits) -> bool {
         self.open_connections.get() >= limits.max_accepted_connections
     }
 
-    /// Counts a new connection, and gives it a permit where there is one.
+    /// Counts a new connection and gives it a permit if one is free or can be freed.
     pub(super) fn admit(
         self: &Rc<Self>,
         client: &Rc<ClientConnection>,
         limits: &ClientLimits,
     ) -> ClientPermit {
-        let is_permitted = self.make_room(limits);
-        let number = self.next_number.get();
-        self.next_number.set(number + 1);
+        let is_permitted = self.ensure_free_permit(limits);
+        let connection_id = self.next_connection_id.get();
+        self.next_connection_id.set(connection_id + 1);
         self.open_connections.set(self.open_connections.get() + 1);
         if is_permitted {
             self.permitted
                 .borrow_mut()
-                .insert(number, Rc::clone(client));
+                .insert(connection_id, Rc::clone(client));
         }
         ClientPermit {
             permits: Rc::clone(self),
-            number,
+            connection_id,
             is_permitted,
         }
     }
 
-    /// True where a new client gets a permit. Where silent clients hold them all, it gets that of
-    /// the idlest, which is closed.
-    fn make_room(&self, limits: &ClientLimits) -> bool {
+    /// Returns whether a permit is free for a new client. If all are taken, takes that of the idle
+    /// connection with the lowest [`IdleRank`](super::connection::IdleRank), if any, and closes it.
+    fn ensure_free_permit(&self, limits: &ClientLimits) -> bool {
         let mut permitted = self.permitted.borrow_mut();
         if permitted.len() < limits.max_connections {
             return true;
         }
         let idlest = permitted
             .iter()
-            .filter_map(|(&number, client)| Some((client.idle_rank()?, number)))
+            .filter_map(|(&connection_id, client)| Some((client.idle_rank()?, connection_id)))
             .min();
-        let Some(client) = idlest.and_then(|(_, number)| permitted.remove(&number)) else {
+        let Some(client) = idlest.and_then(|(_, connection_id)| permitted.remove(&connection_id))
+        else {
             return false;
         };
-        client.close_state().begin();
+        client.close_state().request_close();
         true
     }
 
-    /// Closes the connections on which no request is begun and no response unwritten.
+    /// Closes the connections that have no request begun and no response left to write.
     pub(super) fn close_idle(&self) {
         self.permitted
             .borrow()
             .values()
             .filter(|client| client.idle_rank().is_some())
-            .for_each(|client| client.close_state().begin());
+            .for_each(|client| client.close_state().request_close());
     }
 
-    /// Waits for the next connection that closes.
-    pub(super) async fn connection_closed(&self) {
+    /// Waits until the next connection closes.
+    pub(super) async fn wait_for_close(&self) {
         self.connection_closed.notified().await;
     }
 
     /// Waits until no connection is open.
-    pub(super) async fn all_closed(&self) {
+    pub(super) async fn wait_until_all_closed(&self) {
         while self.open_connections.get() > 0 {
-            self.connection_closed().await;
+            self.wait_for_close().await;
         }
     }
 }
 
-/// One client connection within the bounds; its descriptor counts until this is dropped.
+/// A counted client connection; its file descriptor counts until this is dropped.
 pub(super) struct ClientPermit {
     permits: Rc<ClientPermits>,
-    number: u64,
+    connection_id: u64,
     is_permitted: bool,
 }
 
 impl ClientPermit {
-    /// True where the client is served; false where it is only told that there are too many.
+    /// True if the client is served; false if its request is only rejected as over capacity.
     pub(super) fn is_permitted(&self) -> bool {
         self.is_permitted
     }
 
-    /// The connection takes no more requests: another client may get its permit.
-    pub(super) fn on_served(&self) {
-        self.permits.permitted.borrow_mut().remove(&self.number);
+    /// Releases the permit for another client: the connection takes no more requests.
+    pub(super) fn release(&self) {
+        self.permits
+            .permitted
+            .borrow_mut()
+            .remove(&self.connection_id);
     }
 }
 
 impl Drop for ClientPermit {
     fn drop(&mut self) {
-        self.on_served();
+        self.release();
         let open_connections = &self.permits.open_connections;
         open_connections.set(open_connections.get() - 1);
         self.permits.connection_closed.notify_waiters();
--- a/crates/sidecar/src/downstream/connection/tests/model.rs
+++ b/crates/sidecar/src/downstream/connection/tests/model.rs
@@ -1,55 +1,55 @@
-//! A connection's state as independent fields, and the steps that change it: the reference for the
-//! tests.
+//! Reference model for the tests: a connection's state as independent fields, and the events that
+//! change it.
 
 use crate::limits::Limits;
 
-/// Bytes that come by one step.
+/// Bytes received in one event.
 pub(super) const RECEIVED_BYTES: usize = 10;
-/// Bytes of the body that is announced ahead of all steps.
+/// Length of the body, set before the first event.
 pub(super) const BODY_BYTES: usize = 25;
 
-/// What can happen to a connection.
+/// An event on a connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) enum Step {
+pub(super) enum Event {
     Received,
     InputDrained,
     RequestRead,
-    ResponseMade { last: bool },
+    ResponseReady { last: bool },
     ResponseWritten,
-    BeginClose,
+    CloseRequested,
     Disconnected,
 }
 
-/// All of them.
-pub(super) const STEPS: [Step; 8] = [
-    Step::Received,
-    Step::InputDrained,
-    Step::RequestRead,
-    Step::ResponseMade { last: false },
-    Step::ResponseMade { last: true },
-    Step::ResponseWritten,
-    Step::BeginClose,
-    Step::Disconnected,
+pub(super) const EVENTS: [Event; 8] = [
+    Event::Received,
+    Event::InputDrained,
+    Event::RequestRead,
+    Event::ResponseReady { last: false },
+    Event::ResponseReady { last: true },
+    Event::ResponseWritten,
+    Event::CloseRequested,
+    Event::Disconnected,
 ];
 
-/// The fields of a connection, each on its own; a time is the number of the step that set it.
+/// The fields of a connection, independent of each other. An instant is represented by the number
+/// of the event that set it; 0 is the connect.
 #[derive(Clone, Copy)]
 pub(super) struct Model {
     pub idle_since: Option<usize>,
     pub request_started: Option<usize>,
     pub received_since_response: bool,
-    pub has_had_response: bool,
+    pub has_responded: bool,
     pub response_unwritten: bool,
     pub closing: bool,
-    pub sent_last_response: bool,
+    pub is_last_response_ready: bool,
     pipelined_bytes: usize,
     discarded_input: bool,
     burst_bytes: usize,
-    pub announced_body_bytes: usize,
+    pub remaining_body_bytes: usize,
     pub disconnected: bool,
 }
 
-/// The fields that might exclude each other.
+/// The fields that may be mutually exclusive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Combination {
     pub idle: bool,
@@ -57,61 +57,62 @@
     pub received: bool,
 }
 
-/// What a step does beside the state.
+/// What an event causes besides the change of state.
 #[derive(Debug, PartialEq)]
 pub(super) struct Effect {
-    /// Whether all input of a request was read; nothing while that is open.
+    /// Result of `on_request_read`; none while it is pending.
     pub request_complete: Option<bool>,
     pub close_requested: bool,
 }
 
 impl Model {
-    /// A client that has just connected.
+    /// A connection just after the connect.
     pub(super) const NEW: Self = Self {
         idle_since: Some(0),
         request_started: None,
         received_since_response: false,
-        has_had_response: false,
+        has_responded: false,
         response_unwritten: false,
         closing: false,
-        sent_last_response: false,
+        is_last_response_ready: false,
         pipelined_bytes: 0,
         discarded_input: false,
         burst_bytes: 0,
-        announced_body_bytes: BODY_BYTES,
+        remaining_body_bytes: BODY_BYTES,
         disconnected: false,
     };
 
-    /// True for steps that the protocol can take: input is not read behind the last response, and a
-    /// request is begun only where bytes came since the last response and no other is in flight.
-    pub(super) fn allows(&self, step: Step) -> bool {
-        match step {
-            Step::Received => !self.sent_last_response,
-            Step::RequestRead => self.received_since_response && self.idle_since.is_some(),
+    /// True for events that the protocol can produce: it reads no input after the last response,
+    /// and completes a request only if bytes arrived since the last response and no other request
+    /// is in flight.
+    pub(super) fn allows(&self, event: Event) -> bool {
+        match event {
+            Event::Received => !self.is_last_response_ready,
+            Event::RequestRead => self.received_since_response && self.idle_since.is_some(),
             _ => true,
         }
     }
 
-    /// Takes a step, the one of that number, and returns what it does beside.
-    pub(super) fn take(&mut self, step: Step, number: usize, limits: &Limits) -> Effect {
+    /// Applies the event of the given number and returns its effect.
+    pub(super) fn apply(&mut self, event: Event, number: usize, limits: &Limits) -> Effect {
         let mut effect = Effect {
             request_complete: None,
             close_requested: false,
         };
-        match step {
-            Step::Received => self.on_received(number),
-            Step::InputDrained => self.burst_bytes = 0,
-            Step::RequestRead => effect.request_complete = self.on_request_read(limits),
-            Step::ResponseMade { last } => self.on_response_made(last, number),
-            Step::ResponseWritten => {
+        match event {
+            Event::Received => self.on_received(number),
+            Event::InputDrained => self.burst_bytes = 0,
+            Event::RequestRead => effect.request_complete = self.on_request_read(limits),
+            Event::ResponseReady { last } => self.on_response_ready(last, number),
+            Event::ResponseWritten => {
                 effect.close_requested = self.response_unwritten && self.closing;
                 self.response_unwritten = false;
             }
-            Step::BeginClose => {
+            Event::CloseRequested => {
                 self.closing = true;
                 effect.close_requested = true;
             }
-            Step::Disconnected => self.disconnected = true,
+            Event::Disconnected => self.disconnected = true,
         }
         effect
     }
@@ -119,7 +120,7 @@
     fn on_received(&mut self, number: usize) {
         self.received_since_response = true;
         self.burst_bytes += RECEIVED_BYTES;
-        self.announced_body_bytes = self.announced_body_bytes.saturating_sub(RECEIVED_BYTES);
+        self.remaining_body_bytes = self.remaining_body_bytes.saturating_sub(RECEIVED_BYTES);
         if self.idle_since.is_none() {
             self.pipelined_bytes += RECEIVED_BYTES;
         }
@@ -129,7 +130,7 @@
     fn on_request_read(&mut self, limits: &Limits) -> Option<bool> {
         self.idle_since = None;
         self.pipelined_bytes = 0;
-        self.announced_body_bytes = 0;
+        self.remaining_body_bytes = 0;
         match self.burst_bytes {
             0 => Some(true),
             bytes if bytes >= limits.client.max_burst_bytes => Some(false),
@@ -137,17 +138,17 @@
         }
     }
 
-    fn on_response_made(&mut self, last: bool, number: usize) {
+    fn on_response_ready(&mut self, last: bool, number: usize) {
         self.idle_since = Some(number);
         self.request_started = None;
         self.received_since_response = false;
-        self.has_had_response = true;
+        self.has_responded = true;
         self.response_unwritten = true;
-        self.sent_last_response |= last;
+        self.is_last_response_ready |= last;
         self.closing |= self.discarded_input;
     }
 
-    /// Whether the protocol is to get no more; if so, input is discarded.
+    /// True if input is withheld from the protocol; that input is then discarded.
     pub(super) fn is_pipeline_full(&mut self, limits: &Limits) -> bool {
         let full =
             self.idle_since.is_none() && self.pipelined_bytes >= limits.client.max_pipelined_bytes;
@@ -155,7 +156,7 @@
         full
     }
 
-    /// The fields that might exclude each other.
+    /// The current values of the fields that may be mutually exclusive.
     pub(super) fn combination(&self) -> Combination {
         Combination {
             idle: self.idle_since.is_some(),
--- a/crates/sidecar/src/downstream/listener.rs
+++ b/crates/sidecar/src/downstream/listener.rs
@@ -1,7 +1,7 @@
-//! Accepts clients within the bounds, serves each connection, and brings it to its end.
+//! Accepts client connections up to a limit, serves each of them, and closes it.
 //!
-//! Which connections are open is `client_permits`' business, what is responded that of the
-//! `request_handler`.
+//! `client_permits` tracks which connections are open, and `request_handler` produces the
+//! responses.
 
 use std::io;
 use std::rc::Rc;
@@ -15,44 +15,43 @@
 use super::bounded_stream::BoundedStream;
 use super::client_permits::ClientPermits;
 use super::connection::ClientConnection;
-use super::connection_timeout::timed_out;
+use super::connection_timeout::wait_for_timeout_or_close;
 use super::http::{ConnectionService, over_capacity_service, permitted_service};
 use super::lingering_close::lingering_close;
 use super::request_handler::RequestHandler;
 use super::service_context::ServiceContext;
 use crate::proxy::Proxy;
 
-/// After an accept that failed, the next one waits this long: while descriptors are short, each
-/// fails at once.
+/// Delay after a failed accept: while file descriptors are exhausted, each accept fails at once.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// The listening side of the sidecar.
+/// Accepts and serves the sidecar's clients.
 pub(crate) struct Listener {
     context: Rc<ServiceContext>,
     handler: Rc<RequestHandler>,
     permits: Rc<ClientPermits>,
-    /// Descriptors of connections that linger are wanted.
+    /// A new client needs the file descriptor of a connection in its lingering close.
     descriptor_wanted: Notify,
-    shutdown_begun: Notify,
+    shutdown_started: Notify,
 }
 
-/// What serves a connection, by whether it has a permit.
+/// The services for connections with and without a permit.
 struct ConnectionServices<P, O> {
     permitted: P,
     over_capacity: O,
 }
 
-/// How one look for a new connection ended.
-enum Accepted {
+/// The outcome of one wait for a new connection.
+enum AcceptOutcome {
     Connection(TcpStream),
     Failed(io::Error),
-    ShutdownBegun,
-    /// The shutdown has begun, and the operating system has accepted no further connection.
+    ShutdownStarted,
+    /// The shutdown has started, and the accept queue of the operating system is empty.
     Drained,
 }
 
 impl Listener {
-    /// A listener whose clients are served by that proxy.
+    /// Creates a listener whose requests are run by `proxy`.
     pub(crate) fn new(context: ServiceContext, proxy: Rc<Proxy>) -> Rc<Self> {
         let context = Rc::new(context);
         Rc::new(Self {
@@ -60,12 +59,12 @@
             handler: RequestHandler::new(context, proxy),
             permits: Rc::default(),
             descriptor_wanted: Notify::new(),
-            shutdown_begun: Notify::new(),
+            shutdown_started: Notify::new(),
         })
     }
 
-    /// Accepts clients until [`Listener::close`], and then those that the operating system has
-    /// accepted by then.
+    /// Accepts clients until [`Listener::close`], and then those that are left in the accept queue
+    /// of the operating system.
     pub(crate) async fn accept(self: Rc<Self>, listener: TcpListener) {
         let Some(permitted) = permitted_service(Rc::clone(&self.handler)).await else {
             return;
@@ -79,55 +78,57 @@
         });
         while self.wait_for_descriptor().await {
             match self.accept_next(&listener).await {
-                Accepted::Connection(stream) => self.spawn_connection(stream, &services),
-                Accepted::Failed(error) => {
-                    tracing::warn!(%error, "client not accepted");
+                AcceptOutcome::Connection(stream) => self.spawn_connection(stream, &services),
+                AcceptOutcome::Failed(error) => {
+                    tracing::warn!(%error, "failed to accept a client connection");
                     if self.handler.is_shutting_down() {
                         return;
                     }
                     tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 }
-                Accepted::ShutdownBegun => {}
-                Accepted::Drained => return,
+                AcceptOutcome::ShutdownStarted => {}
+                AcceptOutcome::Drained => return,
             }
         }
     }
 
-    /// Waits until a connection may be accepted; false if none will be.
+    /// Waits until a connection may be accepted; false if no more will be accepted.
     async fn wait_for_descriptor(&self) -> bool {
         while self
             .permits
-            .is_accept_bound_reached(&self.context.limits().client)
+            .is_accept_limit_reached(&self.context.limits().client)
         {
-            // At the shutdown the descriptors are left to the requests in flight.
+            // During the shutdown the file descriptors are left to the requests in flight.
             if self.handler.is_shutting_down() {
                 return false;
             }
             self.descriptor_wanted.notify_one();
             tokio::select! {
-                () = self.permits.connection_closed() => {}
-                () = self.shutdown_begun.notified() => {}
+                () = self.permits.wait_for_close() => {}
+                () = self.shutdown_started.notified() => {}
             }
         }
         true
     }
 
-    /// Waits for a connection. At the shutdown the operating system may have accepted some that
-    /// this program has not, with requests on them: they are accepted before the listener goes.
-    async fn accept_next(&self, listener: &TcpListener) -> Accepted {
+    /// Waits for a connection. At the shutdown the accept queue of the operating system may hold
+    /// connections with requests on them: they are accepted before the listener closes.
+    async fn accept_next(&self, listener: &TcpListener) -> AcceptOutcome {
         let is_shutting_down = self.handler.is_shutting_down();
         tokio::select! {
             biased;
             accepted = listener.accept() => match accepted {
-                Ok((stream, _)) => Accepted::Connection(stream),
-                Err(error) => Accepted::Failed(error),
+                Ok((stream, _)) => AcceptOutcome::Connection(stream),
+                Err(error) => AcceptOutcome::Failed(error),
             },
-            () = self.shutdown_begun.notified(), if !is_shutting_down => Accepted::ShutdownBegun,
-            () = tokio::task::yield_now(), if is_shutting_down => Accepted::Drained,
+            () = self.shutdown_started.notified(), if !is_shutting_down => {
+                AcceptOutcome::ShutdownStarted
+            }
+            () = tokio::task::yield_now(), if is_shutting_down => AcceptOutcome::Drained,
         }
     }
 
-    /// Serves a new connection to its end, in a task of its own.
+    /// Spawns a task that serves a new connection and closes it.
     fn spawn_connection<P, O>(
         self: &Rc<Self>,
         stream: TcpStream,
@@ -146,8 +147,8 @@
             } else {
                 listener.serve(&services.over_capacity, &client).await;
             }
-            permit.on_served();
-            if let Some(socket) = client.socket().take() {
+            permit.release();
+            if let Some(socket) = client.socket_slot().take() {
                 lingering_close(
                     socket,
                     listener.context.limits(),
@@ -158,15 +159,17 @@
         });
     }
 
-    /// Serves one client until its connection is to end, and leaves its socket open for that.
+    /// Serves one client until its connection is to be closed, and leaves its socket open for the
+    /// lingering close.
     async fn serve(&self, service: &impl ConnectionService, client: &Rc<ClientConnection>) {
         let counters = self.context.counters();
-        while let Some(stream) = BoundedStream::take(client, self.context.limits()) {
+        while let Some(stream) = BoundedStream::from_connection(client, self.context.limits()) {
             let served = async {
-                stream.first_byte().await;
+                stream.wait_for_first_byte().await;
                 service.call((stream, None)).await
             };
-            // What has come already is served: a permit is only taken from a client that is silent.
+            // Polls the service first, so that input already received is served: a permit is only
+            // revoked from a client that sends nothing.
             tokio::select! {
                 biased;
                 end = served => {
@@ -175,10 +178,10 @@
                     }
                     return;
                 }
-                () = timed_out(client, self.context.limits()) => {}
+                () = wait_for_timeout_or_close(client, self.context.limits()) => {}
             }
-            // A request may have come as its connection was chosen for closing. Nothing of it was
-            // read, so the protocol starts again and serves it.
+            // A request may have arrived while its connection was being selected for closing.
+            // Nothing of it was read, so the service is restarted and serves it.
             if !client.has_unread_request() {
                 counters.clients_timed_out.add();
                 return;
@@ -186,18 +189,18 @@
         }
     }
 
-    /// Ends the accepting, closes idle connections, and waits until all requests in flight have
-    /// their responses.
+    /// Stops accepting, closes idle connections, and waits until all requests in flight have their
+    /// responses and all connections are closed.
     pub(crate) async fn close(&self, accept: JoinHandle<()>) {
         self.handler.on_shutdown();
-        self.shutdown_begun.notify_one();
+        self.shutdown_started.notify_one();
         let _ = accept.await;
         self.permits.close_idle();
-        self.closed().await;
+        self.wait_until_closed().await;
     }
 
     /// Waits until no connection is open.
-    pub(crate) async fn closed(&self) {
-        self.permits.all_closed().await;
+    pub(crate) async fn wait_until_closed(&self) {
+        self.permits.wait_until_all_closed().await;
     }
 }
