--- a/crates/adapter/src/host/settings/tests.rs
+++ b/crates/adapter/src/host/settings/tests.rs
@@ -75,7 +75,7 @@
             required: true,
             max_interval: 20_000_000,
         },
-        only_draining_binds: true,
+        allow_removed_servers: true,
         slow_start: SlowStartSettings {
             initial_capacity: 0.13,
             duration: 24_000_000,
--- a/crates/balancer/src/fleet.rs
+++ b/crates/balancer/src/fleet.rs
@@ -69,7 +69,7 @@
     /// listed as draining may not until it restarts or is removed, whatever later lists say.
     pub(crate) fn is_ready(&self, server: &ServerState) -> bool {
         let is_listed = server.endpoint().status == EndpointStatus::Ready;
-        (is_listed || self.settings.only_draining_binds) && !server.is_drain_listed()
+        (is_listed || self.settings.allow_removed_servers) && !server.is_drain_listed()
     }
 
     /// Estimates of load and service time as of now.
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -33,7 +33,7 @@
     /// How the endpoint list is followed.
     pub polling: PollingSettings,
     /// Only draining servers must not be sent to; one that is merely removed may be tried.
-    pub only_draining_binds: bool,
+    pub allow_removed_servers: bool,
     /// What servers bear that have just started.
     pub slow_start: SlowStartSettings,
 }
@@ -50,7 +50,7 @@
             idle_timeout: 5_000_000,
             weight_by_work: false,
             polling: PollingSettings::default(),
-            only_draining_binds: false,
+            allow_removed_servers: false,
             slow_start: SlowStartSettings::default(),
         }
     }
--- a/crates/balancer/src/state/server_state.rs
+++ b/crates/balancer/src/state/server_state.rs
@@ -114,7 +114,7 @@
     /// attempts have ended. Where only draining binds it is kept until it is dead or drains.
     pub(crate) fn is_gone(&self, settings: &Settings) -> bool {
         let may_be_tried =
-            settings.only_draining_binds && !self.suspicion.is_dead() && !self.drain_listed;
+            settings.allow_removed_servers && !self.suspicion.is_dead() && !self.drain_listed;
         self.is_removed() && self.in_flight.is_empty() && !may_be_tried
     }
 
--- a/crates/balancer/tests/balancer/endpoint_list.rs
+++ b/crates/balancer/tests/balancer/endpoint_list.rs
@@ -114,7 +114,7 @@
 fn removed_server_stays_in_use_where_only_draining_binds() {
     let mut driver = Driver::new(
         Settings {
-            only_draining_binds: true,
+            allow_removed_servers: true,
             ..settings()
         },
         4,
--- a/crates/platform/src/settings/balancer.rs
+++ b/crates/platform/src/settings/balancer.rs
@@ -52,7 +52,7 @@
         idle_timeout,
         weight_by_work: weight_basis.as_deref() == Some(WEIGHT_BY_WORK),
         polling: read_polling_settings(&safety, base.polling)?,
-        only_draining_binds: flag(&safety.at(keys::safety::ONLY_DRAINING_BINDS))?,
+        allow_removed_servers: flag(&safety.at(keys::safety::ONLY_DRAINING_BINDS))?,
         slow_start: read_slow_start_settings(&safety, base.slow_start)?,
         ..base
     })
--- a/crates/platform/src/settings/document.rs
+++ b/crates/platform/src/settings/document.rs
@@ -114,7 +114,7 @@
             keys::safety::OVERLOAD_WINDOW_MS: ms_from_micros(slow_start.overload_window),
         });
         let key = keys::safety::ONLY_DRAINING_BINDS;
-        insert_unless_default(&mut safety, key, settings.only_draining_binds);
+        insert_unless_default(&mut safety, key, settings.allow_removed_servers);
         safety
     }
 }
--- a/crates/platform/src/settings/document/tests.rs
+++ b/crates/platform/src/settings/document/tests.rs
@@ -73,7 +73,7 @@
 fn keys_that_not_every_deployment_has_are_written_where_they_say_something() {
     let mut parts = Parts::read(USUAL_KEYS);
     parts.platform.balancer.fees.connection = 0.03;
-    parts.platform.balancer.only_draining_binds = true;
+    parts.platform.balancer.allow_removed_servers = true;
     parts.platform.balancer.classes[0].objective_per_work = 1.5;
 
     let text = parts.written();
--- a/crates/platform/src/settings/document/tests/strategies.rs
+++ b/crates/platform/src/settings/document/tests/strategies.rs
@@ -165,7 +165,7 @@
         fees in any_fees(),
         weight_by_work in any::<bool>(),
         max_interval in any_time(),
-        only_draining_binds in any::<bool>(),
+        allow_removed_servers in any::<bool>(),
         slow_start in any_slow_start(),
     ) -> Settings {
         Settings {
@@ -176,7 +176,7 @@
             fees,
             weight_by_work,
             polling: PollingSettings { required: false, max_interval },
-            only_draining_binds,
+            allow_removed_servers,
             slow_start,
             ..Settings::default()
         }
--- a/crates/platform/src/settings/tests.rs
+++ b/crates/platform/src/settings/tests.rs
@@ -125,7 +125,7 @@
         drain_grace: Duration::from_millis(1_500),
         membership: MembershipMode::OnRequest,
     };
-    assert!(settings.only_draining_binds);
+    assert!(settings.allow_removed_servers);
     assert_eq!(settings.idle_timeout, 750_000);
     assert_eq!(settings.polling.max_interval, 20_000_000);
     assert_eq!(settings.slow_start, slow_start);
--- a/crates/testbed/src/simulator/sidecars/settings.rs
+++ b/crates/testbed/src/simulator/sidecars/settings.rs
@@ -61,7 +61,7 @@
             required: true,
             max_interval: from_ms(permissions.max_poll_interval_ms),
         },
-        only_draining_binds: false,
+        allow_removed_servers: false,
         slow_start: slow_start_settings(scenario),
     }
 }
