--- a/crates/adapter/src/host/settings/tests.rs
+++ b/crates/adapter/src/host/settings/tests.rs
@@ -51,7 +51,7 @@
             index: 3,
             count: 7,
         },
-        step: 4_500,
+        min_call_interval: 4_500,
         host: HostCapabilities {
             gossip: true,
             load_reports: true,
--- a/crates/balancer/src/policy/retry_policy.rs
+++ b/crates/balancer/src/policy/retry_policy.rs
@@ -18,10 +18,10 @@
 /// the attempt still has to reach the server. Inherited with the first version of the module; its
 /// source was not recorded.
 const DEDUPLICATION_MARGIN: Micros = 50_000;
-/// Steps ([`Settings::step`](crate::Settings::step)) before a latency objective ends at which an
-/// attempt ends that would be worthless late. With fewer, the request is answered after its
-/// objective, as a timeout is noticed up to a step late. Inherited with the first version of the
-/// module.
+/// Steps ([`Settings::min_call_interval`](crate::Settings::min_call_interval)) before a latency
+/// objective ends at which an attempt ends that would be worthless late. With fewer, the request is
+/// answered after its objective, as a timeout is noticed up to a step late. Inherited with the first
+/// version of the module.
 const OBJECTIVE_MARGIN_STEPS: Micros = 2;
 
 /// Whether a request is sent again.
@@ -206,5 +206,5 @@
 }
 
 fn objective_margin(fleet: &Fleet) -> Micros {
-    OBJECTIVE_MARGIN_STEPS * fleet.settings.step
+    OBJECTIVE_MARGIN_STEPS * fleet.settings.min_call_interval
 }
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -19,7 +19,7 @@
     /// Which balancer of the deployment this is.
     pub identity: BalancerIdentity,
     /// Shortest time between two calls of the balancer, in microseconds.
-    pub step: Micros,
+    pub min_call_interval: Micros,
     /// What the host can do for the balancer.
     pub host: HostCapabilities,
     /// What binds the attempts of one request.
@@ -43,7 +43,7 @@
         Self {
             classes: Vec::new(),
             identity: BalancerIdentity::default(),
-            step: 1_000,
+            min_call_interval: 1_000,
             host: HostCapabilities::default(),
             retries: RetrySettings::default(),
             fees: Fees::default(),
--- a/crates/platform/src/settings/balancer.rs
+++ b/crates/platform/src/settings/balancer.rs
@@ -30,7 +30,7 @@
     let safety = conf.at(keys::settings::SAFETY);
     let fees = conf.at(keys::settings::FEES);
     let identity = read_identity(conf, base.identity)?;
-    let step = time_or(&conf.at(keys::settings::STEP_MS), base.step)?;
+    let min_call_interval = time_or(&conf.at(keys::settings::STEP_MS), base.min_call_interval)?;
     let host = read_host_capabilities(&permissions, base.host)?;
     let retries = read_retry_settings(&permissions, base.retries)?;
     let health_check = number_or(&fees.at(keys::fees::HEALTH_CHECK), NO_FEE)?;
@@ -45,7 +45,7 @@
     let weight_basis = conf.at(keys::settings::WEIGHT_BASIS).optional_text()?;
     Ok(Settings {
         identity,
-        step,
+        min_call_interval,
         host,
         retries,
         fees,
--- a/crates/platform/src/settings/document.rs
+++ b/crates/platform/src/settings/document.rs
@@ -44,7 +44,7 @@
             keys::settings::BALANCER_INDEX: settings.identity.index,
             keys::settings::MEMBERSHIP_MODE: self.transport.membership.name(),
             keys::settings::WEIGHT_BASIS: weight_basis(settings),
-            keys::settings::STEP_MS: ms_from_micros(settings.step),
+            keys::settings::STEP_MS: ms_from_micros(settings.min_call_interval),
             keys::settings::REQUEST_CLASSES: self.request_classes(),
             keys::settings::PERMISSIONS: self.permissions(),
             keys::settings::FEES: fees(settings),
--- a/crates/platform/src/settings/document/tests/strategies.rs
+++ b/crates/platform/src/settings/document/tests/strategies.rs
@@ -160,7 +160,7 @@
     fn any_balancer()(
         classes in prop::collection::vec(any_class(), 0..4),
         (index, count) in any::<(u32, u32)>(),
-        step in any_time(),
+        min_call_interval in any_time(),
         retries in any_retries(),
         fees in any_fees(),
         weight_by_work in any::<bool>(),
@@ -171,7 +171,7 @@
         Settings {
             classes,
             identity: BalancerIdentity { index, count, ..BalancerIdentity::default() },
-            step,
+            min_call_interval,
             retries,
             fees,
             weight_by_work,
--- a/crates/platform/src/settings/tests.rs
+++ b/crates/platform/src/settings/tests.rs
@@ -64,7 +64,7 @@
     assert_eq!(platform.zones, ["z0", "z1"]);
     assert_eq!(platform.load_report, layout);
     assert_eq!(platform.balancer.identity, identity);
-    assert_eq!(platform.balancer.step, 5_000);
+    assert_eq!(platform.balancer.min_call_interval, 5_000);
     assert!(platform.balancer.weight_by_work);
 }
 
--- a/crates/sidecar/src/limits/inputs.rs
+++ b/crates/sidecar/src/limits/inputs.rs
@@ -50,7 +50,7 @@
             max_retry_after: Duration::from_micros(settings.retries.max_retry_after),
             max_attempts: settings.retries.max_attempts as usize,
             longest_deadline: Duration::from_micros(deadlines.max().unwrap_or(0)),
-            step: Duration::from_micros(settings.step),
+            step: Duration::from_micros(settings.min_call_interval),
             max_poll_interval: Duration::from_micros(settings.polling.max_interval),
             pushed: transport.membership == MembershipMode::Pushed,
         }
--- a/crates/testbed/src/simulator/sidecars/settings.rs
+++ b/crates/testbed/src/simulator/sidecars/settings.rs
@@ -47,7 +47,7 @@
             index: sidecar_index.value(),
             count: u32_from_count(scenario.sidecars.count),
         },
-        step: RESPONSE_MARGIN,
+        min_call_interval: RESPONSE_MARGIN,
         host: host_capabilities(scenario),
         retries: RetrySettings {
             hedging: permissions.hedging,
