--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -69,7 +69,7 @@
 pub use event::{AttemptEnd, Event, IncomingRequest, LoadReport, Outcome, RequestId};
 pub use request_class::{ClassId, DeduplicationScope, Idempotency, RequestClass};
 pub use settings::{
-    BalancerIdentity, ClassProblem, Fees, HostCapabilities, PollingSettings, RetrySettings,
+    BalancerIdentity, Fees, HostCapabilities, PollingSettings, RequestClassError, RetrySettings,
     Settings, SettingsError, SlowStartSettings,
 };
 
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -6,7 +6,7 @@
 use crate::request_class::{ClassId, RequestClass};
 use crate::time::Micros;
 
-pub use error::{ClassProblem, SettingsError};
+pub use error::{RequestClassError, SettingsError};
 pub use groups::{
     BalancerIdentity, Fees, HostCapabilities, PollingSettings, RetrySettings, SlowStartSettings,
 };
@@ -66,8 +66,8 @@
             return Err(SettingsError::NoClasses);
         }
         for (index, class) in self.classes.iter().enumerate() {
-            if let Some(problem) = find_class_problem(class) {
-                return Err(SettingsError::Class { index, problem });
+            if let Some(error) = find_request_class_error(class) {
+                return Err(SettingsError::RequestClass { index, error });
             }
         }
         self.retries.validate()?;
@@ -104,25 +104,25 @@
     }
 }
 
-fn find_class_problem(class: &RequestClass) -> Option<ClassProblem> {
-    if !is_finite_and_not_negative(class.priority_weight) {
-        return Some(ClassProblem::PriorityWeight);
+fn find_request_class_error(class: &RequestClass) -> Option<RequestClassError> {
+    if !is_finite_and_non_negative(class.priority_weight) {
+        return Some(RequestClassError::PriorityWeight);
     }
     if class.latency_objective == 0 {
-        return Some(ClassProblem::LatencyObjective);
+        return Some(RequestClassError::LatencyObjective);
     }
     if class.deadline < class.latency_objective {
-        return Some(ClassProblem::Deadline);
+        return Some(RequestClassError::Deadline);
     }
     if !(0.0..=1.0).contains(&class.late_value) {
-        return Some(ClassProblem::LateValue);
+        return Some(RequestClassError::LateValue);
     }
-    if !is_finite_and_not_negative(class.objective_per_work) {
-        return Some(ClassProblem::ObjectivePerWork);
+    if !is_finite_and_non_negative(class.objective_per_work) {
+        return Some(RequestClassError::ObjectivePerWork);
     }
     None
 }
 
-fn is_finite_and_not_negative(value: f64) -> bool {
+fn is_finite_and_non_negative(value: f64) -> bool {
     value.is_finite() && value >= 0.0
 }
--- a/crates/balancer/src/settings/groups.rs
+++ b/crates/balancer/src/settings/groups.rs
@@ -68,7 +68,7 @@
 impl RetrySettings {
     pub(super) fn validate(&self) -> Result<(), SettingsError> {
         if self.max_attempts == 0 {
-            return Err(SettingsError::NoAttempts);
+            return Err(SettingsError::MaxAttemptsZero);
         }
         Ok(())
     }
--- a/crates/balancer/tests/balancer/dispatch.rs
+++ b/crates/balancer/tests/balancer/dispatch.rs
@@ -92,7 +92,7 @@
             },
             ..settings()
         })
-        .contains("cold_share")
+        .contains("initial_capacity")
     );
     assert!(
         reason(Settings {
@@ -106,7 +106,7 @@
     );
     let mut bad = settings();
     bad.classes[1].priority_weight = f64::NAN;
-    assert!(reason(bad).contains("classes[1].worth"));
+    assert!(reason(bad).contains("classes[1].priority_weight"));
 }
 
 #[test]
