--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -1,8 +1,9 @@
-//! [`Balancer`]: which event leads to which decision.
+//! [`Balancer`]: dispatches events to the policies and applies their decisions.
 //!
-//! The decisions are the types of `policy/`: each reads the fleet and says what is to be done, and
-//! why. Only `Balancer` carries out what they say, as changes of state and as actions: for requests
-//! in `requests`, for servers in `servers`. `docs/balancer.md` has the law of each decision.
+//! Decisions are made by the types of `policy/`, which read the fleet and return a decision with
+//! its reason. Only `Balancer` applies decisions, by changing state and pushing actions: `requests`
+//! handles requests, `servers` handles servers, and `membership` handles endpoint lists and gossip.
+//! `docs/balancer.md` describes the rule behind each decision.
 
 mod membership;
 mod policies;
@@ -15,14 +16,14 @@
 use crate::state::{RequestTable, ServerIndex};
 use crate::{Action, Actions, Event, Micros, RequestId, Settings, SettingsError};
 
-/// Time between two ticks, in microseconds: well below any latency objective.
+/// Interval between ticks in microseconds: well below any latency objective.
 const TICK_INTERVAL: Micros = 25_000;
-/// Token of the timer that ticks.
-const TICK_TOKEN: u64 = 0;
-/// Token of the timers of requests.
+/// Token of the tick timer.
+const TICK_TIMER_TOKEN: u64 = 0;
+/// Token shared by the timers of all requests.
 const REQUEST_TIMER_TOKEN: u64 = 1;
 
-/// Decides for one sidecar. Instances share nothing.
+/// Load balancer of one sidecar. Instances do not share state.
 pub struct Balancer {
     fleet: Fleet,
     requests: RequestTable,
@@ -32,10 +33,10 @@
 }
 
 impl Balancer {
-    /// A balancer that knows nothing yet; equal seeds and events give equal actions.
+    /// Creates a balancer without servers. Equal settings, seeds and events produce equal actions.
     ///
     /// # Errors
-    /// Names the first setting that is out of range.
+    /// Returns the first setting that is out of range.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
         let policies = Policies::new(&settings);
@@ -48,8 +49,8 @@
         })
     }
 
-    /// Takes in one event and pushes what is to be done about it. `now` is in microseconds; a time
-    /// before that of an earlier event counts as the earlier one's.
+    /// Handles an event and appends the resulting actions to `actions`. `now` is in microseconds;
+    /// if it is before the time of an earlier event, that time is used instead.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         self.fleet.now = self.fleet.now.max(now);
         if !self.started {
@@ -65,7 +66,9 @@
             Event::ResponseStarted { request } => self.on_response_started(request),
             Event::AttemptEnded(end) => self.on_attempt_ended(&end, actions),
             Event::ClientDisconnected { request } => self.finish(request, actions),
-            Event::TimerFired { token: TICK_TOKEN } => self.on_tick(actions),
+            Event::TimerFired {
+                token: TICK_TIMER_TOKEN,
+            } => self.on_tick(actions),
             Event::TimerFired { .. } => self.on_request_timer(actions),
             Event::HealthCheckEnded {
                 server,
@@ -96,7 +99,7 @@
             .slow_start_admission
             .on_tick(&self.fleet, subset);
         for server in self.fleet.servers.indices() {
-            self.review_server(server, actions);
+            self.evaluate_server(server, actions);
         }
         if self.policies.health_checker.is_due(&self.fleet) {
             self.run_scheduled_health_check(actions);
@@ -106,7 +109,7 @@
         }
     }
 
-    /// Checks the server whose turn it is, and sends gossip along.
+    /// Checks the next server of the schedule and sends a gossip datagram if one is queued.
     fn run_scheduled_health_check(&mut self, actions: &mut Actions) {
         let target = self.policies.health_checker.next_target(&self.fleet);
         let server = match target {
@@ -130,7 +133,7 @@
         actions.extend(datagram.map(Action::from));
     }
 
-    /// Checks a server, unless a health check of it is in progress.
+    /// Starts a health check of a server unless one is in progress or the host cannot send any.
     fn start_health_check(&mut self, server: ServerIndex, actions: &mut Actions) {
         let server = &mut self.fleet.servers[server];
         if HealthChecker::may_start(&self.fleet.settings, server) {
@@ -141,22 +144,23 @@
         }
     }
 
-    /// Checks a server out of turn; a failure is not confirmed, but makes it the next in turn.
-    fn check_load(&mut self, server: ServerIndex, actions: &mut Actions) {
+    /// Starts an unscheduled health check. Its failure is not confirmed but makes the server the
+    /// next one to be checked by the schedule.
+    fn start_unscheduled_health_check(&mut self, server: ServerIndex, actions: &mut Actions) {
         self.fleet.servers[server]
             .health_check
             .on_load_check_requested();
         self.start_health_check(server, actions);
     }
 
-    /// Dispatches the requests whose timers are due.
+    /// Dispatches the requests whose timers have expired.
     fn on_request_timer(&mut self, actions: &mut Actions) {
         while let Some(id) = self.requests.take_due(self.fleet.now) {
             self.dispatch(id, actions);
         }
     }
 
-    /// Dispatches a request after this time, unless it is sent before.
+    /// Sets a timer that dispatches a request after this delay, unless it has been sent by then.
     fn set_request_timer(&mut self, id: RequestId, after: Micros, actions: &mut Actions) {
         self.requests.set_timer(id, self.fleet.now + after);
         actions.push(Action::SetTimer {
@@ -165,7 +169,7 @@
         });
     }
 
-    /// A response started: its request is not sent again.
+    /// Handles the start of a streamed response: its request is not retried any more.
     fn on_response_started(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(id) {
             request.on_response_started();
@@ -175,7 +179,7 @@
 
 fn set_tick_timer(actions: &mut Actions) {
     actions.push(Action::SetTimer {
-        token: TICK_TOKEN,
+        token: TICK_TIMER_TOKEN,
         after: TICK_INTERVAL,
     });
 }
--- a/crates/balancer/src/balancer/membership.rs
+++ b/crates/balancer/src/balancer/membership.rs
@@ -1,5 +1,4 @@
-//! Carries out what is decided about the endpoint list, and about what other balancers tell of
-//! servers.
+//! Handlers for endpoint list updates and gossip from other balancers.
 
 use crate::balancer::Balancer;
 use crate::policy::{FailureDetector, GossipProtocol, ListLoss, PeerMessage, Verdict};
@@ -7,7 +6,7 @@
 use crate::{Action, Actions, Endpoint, Micros, StateChange, UpdateKind};
 
 impl Balancer {
-    /// Polls the endpoint list; without any response it is polled again in good time.
+    /// Polls the endpoint list and schedules the next poll in case there is no response.
     pub(super) fn poll_endpoints(&mut self, actions: &mut Actions) {
         actions.push(Action::PollEndpoints);
         self.policies
@@ -26,7 +25,7 @@
         }
     }
 
-    /// An update of the endpoint list came, or was lost.
+    /// Handles an endpoint list update or the loss of its source.
     pub(super) fn on_endpoints_updated(
         &mut self,
         kind: UpdateKind,
@@ -48,13 +47,14 @@
         if kind != UpdateKind::Incremental {
             self.fleet.servers.on_full_list(&endpoints);
         }
-        self.merge(endpoints, actions);
-        self.fleet.forget_gone_servers();
+        self.merge_endpoints(endpoints, actions);
+        self.fleet.remove_obsolete_servers();
         self.policies.subsetter.on_endpoints_updated(&self.fleet);
     }
 
-    /// A stale list never restores a draining server: only a restart does.
-    fn merge(&mut self, endpoints: Vec<Endpoint>, actions: &mut Actions) {
+    /// Merges endpoint list entries. A draining server becomes usable again only if it restarts:
+    /// another status in a stale list does not suffice.
+    fn merge_endpoints(&mut self, endpoints: Vec<Endpoint>, actions: &mut Actions) {
         for endpoint in endpoints {
             let merged = self.fleet.servers.merge(
                 endpoint,
@@ -68,16 +68,16 @@
         }
     }
 
-    /// The endpoint list names a newer incarnation of a server.
+    /// Handles a newer incarnation of a server in the endpoint list.
     fn on_restart(&mut self, index: ServerIndex, actions: &mut Actions) {
         let now = self.fleet.now;
         let server = &mut self.fleet.servers[index];
         server.on_restarted(now, self.fleet.settings.slow_start.duration);
         let verdict = FailureDetector::judge_restart(now, server);
-        self.apply(verdict, index, actions);
+        self.apply_verdict(verdict, index, actions);
     }
 
-    /// Another balancer sent a datagram.
+    /// Handles a gossip datagram; datagrams from unknown balancers are ignored.
     pub(super) fn on_gossip_received(&mut self, from: u32, datagram: &[u8], actions: &mut Actions) {
         if !GossipProtocol::is_known_sender(&self.fleet.settings, from) {
             return;
@@ -87,7 +87,7 @@
                 PeerMessage::CheckServer(index) => {
                     let server = &mut self.fleet.servers[index];
                     server.health_check.on_indirect_check_requested(from);
-                    self.check_load(index, actions);
+                    self.start_unscheduled_health_check(index, actions);
                 }
                 PeerMessage::ConfirmedAlive(index) => {
                     self.fleet.servers[index].health_check.on_confirmed_alive();
@@ -111,7 +111,7 @@
     ) {
         let server = &self.fleet.servers[index];
         let verdict = FailureDetector::judge_gossip(self.fleet.now, server, incarnation);
-        self.apply(verdict, index, actions);
+        self.apply_verdict(verdict, index, actions);
         if matches!(verdict, Verdict::Eject { .. }) {
             self.check_soon(index);
         }
--- a/crates/balancer/src/balancer/policies.rs
+++ b/crates/balancer/src/balancer/policies.rs
@@ -1,4 +1,4 @@
-//! The decisions that keep state between events.
+//! Policies that keep state between events.
 
 use crate::fleet::Fleet;
 use crate::policy::{
@@ -8,29 +8,29 @@
 use crate::state::{RetryScope, ServerIndex};
 use crate::{ServerId, Settings};
 
-/// One of each decision that keeps state; the others are functions of the fleet. None knows
-/// another.
+/// Policies that keep state; the remaining policies are stateless. Policies do not refer to each
+/// other.
 pub(super) struct Policies {
-    /// Which servers are used.
+    /// Selects the servers in use.
     pub(super) subsetter: Subsetter,
-    /// Whether a server in slow start takes part in a draw.
+    /// Limits how often servers in slow start become candidates.
     pub(super) slow_start_admission: SlowStartAdmission,
-    /// Which requests are shed.
+    /// Sheds requests under overload.
     pub(super) load_shedder: LoadShedder,
-    /// Which requests are sent again.
+    /// Decides about retries and hedged requests.
     pub(super) retry_policy: RetryPolicy,
-    /// Which servers are suspected.
+    /// Detects failed servers.
     pub(super) failure_detector: FailureDetector,
-    /// Which server's health is checked next.
+    /// Schedules health checks.
     pub(super) health_checker: HealthChecker,
-    /// What other balancers are told.
+    /// Exchanges suspicions and indirect checks with other balancers.
     pub(super) gossip: GossipProtocol,
-    /// When the endpoint list is polled.
+    /// Schedules polls of the endpoint list.
     pub(super) endpoint_poller: EndpointPoller,
 }
 
 impl Policies {
-    /// Decisions that have seen nothing.
+    /// Creates policies without samples.
     pub(super) fn new(settings: &Settings) -> Self {
         Self {
             subsetter: Subsetter::default(),
@@ -44,7 +44,8 @@
         }
     }
 
-    /// The trusted servers of the subset that are admitted to a draw, else any that are.
+    /// Returns the trusted servers of the subset that slow start admits, or, if there are none, all
+    /// ready servers that it admits.
     pub(super) fn candidates(
         &self,
         fleet: &mut Fleet,
@@ -62,7 +63,7 @@
         self.admit(fleet, ready, rng)
     }
 
-    /// The trusted servers of the subset that are admitted to a draw.
+    /// Returns the trusted servers of the subset that slow start admits.
     pub(super) fn trusted_candidates(
         &self,
         fleet: &mut Fleet,
@@ -74,8 +75,8 @@
         self.admit(fleet, trusted, rng)
     }
 
-    /// Leaves the servers that slow start admits to a draw; ends the slow start of those that are
-    /// warm.
+    /// Retains the servers that slow start admits, and ends the slow start of servers with full
+    /// capacity.
     fn admit(
         &self,
         fleet: &mut Fleet,
--- a/crates/balancer/src/balancer/requests.rs
+++ b/crates/balancer/src/balancer/requests.rs
@@ -1,4 +1,4 @@
-//! Carries out what is decided about requests: their arrival, attempts and end.
+//! Handlers for requests: arrival, dispatch, retries and final response.
 
 use crate::balancer::Balancer;
 use crate::policy::{
@@ -9,17 +9,17 @@
 use crate::state::{InFlightAttempt, RequestState, RetryScope, ServerIndex};
 use crate::{Action, Actions, AttemptEnd, IncomingRequest, RequestId, ServerId};
 
-/// Whether a request was sent again.
+/// Result of trying to retry a request.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum RetryResult {
-    /// It was.
+    /// Another attempt was sent.
     Sent,
-    /// It was not.
+    /// No attempt was sent.
     NotSent,
 }
 
 impl Balancer {
-    /// A request arrived: it is sent, waits for load checks or for a server, or is given up.
+    /// Handles the arrival of a request: dispatches it, starts load checks for it, or rejects it.
     pub(super) fn on_request_arrived(&mut self, incoming: &IncomingRequest, actions: &mut Actions) {
         let class_index = usize::from(incoming.class.0);
         let Some(class) = self.fleet.settings.classes.get(class_index) else {
@@ -38,7 +38,7 @@
         self.requests.on_request_arrived(incoming.id, request);
         self.policies.retry_policy.on_request_arrived();
         if decision != ShedDecision::Admit {
-            self.give_up(incoming.id, actions);
+            self.reject_or_fail(incoming.id, actions);
         } else if self.fleet.settings.load_source() == LoadSource::LoadChecks {
             self.start_load_checks(incoming.id, actions);
         } else {
@@ -46,8 +46,8 @@
         }
     }
 
-    /// Asks a few servers for their load; the request is dispatched when they have answered, or
-    /// after a while.
+    /// Starts load checks for a request. It is dispatched once all of them have ended or a timer
+    /// expires.
     fn start_load_checks(&mut self, id: RequestId, actions: &mut Actions) {
         let policies = &self.policies;
         let candidates = policies.trusted_candidates(&mut self.fleet, &mut self.rng);
@@ -57,7 +57,7 @@
             .map(|&server| self.fleet.servers[server].id())
             .collect();
         for server in servers {
-            self.check_load(server, actions);
+            self.start_unscheduled_health_check(server, actions);
         }
         let Some(request) = self.requests.get_mut(id) else {
             return;
@@ -71,20 +71,21 @@
         self.set_request_timer(id, max_wait, actions);
     }
 
-    /// A health check ended: requests that awaited nothing else are dispatched.
+    /// Dispatches the requests for which the health check that ended was the last load check.
     pub(super) fn on_load_check_ended(&mut self, server: ServerId, actions: &mut Actions) {
         for id in self.requests.on_load_check_ended(server) {
             self.dispatch(id, actions);
         }
     }
 
-    /// Sends the first attempt of a request, has it wait for a server, or gives it up.
+    /// Sends the first attempt of a request, delays it until a server is known, or ends it with a
+    /// rejection or failure.
     pub(super) fn dispatch(&mut self, id: RequestId, actions: &mut Actions) {
         let Some(request) = self.requests.get(id) else {
             return;
         };
         let load_checks = LoadChecker::least_loaded(&self.fleet, request);
-        let candidates = self.first_candidates(load_checks);
+        let candidates = self.first_attempt_candidates(load_checks);
         let Some(request) = self.requests.get(id) else {
             return;
         };
@@ -95,18 +96,19 @@
             Selection::NoneKnown => {
                 match ServerSelector::wait_for_server(self.fleet.now, request) {
                     ServerWait::LookAgainAfter(after) => self.set_request_timer(id, after, actions),
-                    ServerWait::GiveUp => self.give_up(id, actions),
+                    ServerWait::GiveUp => self.reject_or_fail(id, actions),
                 }
             }
             Selection::Server(server) | Selection::NoneInTime(server) => match decision {
                 ShedDecision::Admit => self.send(id, server, actions),
-                _ => self.give_up(id, actions),
+                _ => self.reject_or_fail(id, actions),
             },
         }
     }
 
-    /// The servers that load checks found, else all candidates of the subset.
-    fn first_candidates(&mut self, load_checks: LoadCheckResult) -> Candidates {
+    /// Returns the least loaded servers found by load checks, or, if there are none, all candidates
+    /// of the subset.
+    fn first_attempt_candidates(&mut self, load_checks: LoadCheckResult) -> Candidates {
         let (mut servers, load_knowledge) = match load_checks {
             LoadCheckResult::LeastLoaded(servers) => (servers, LoadKnowledge::Checked),
             LoadCheckResult::NotChecked => (Vec::new(), LoadKnowledge::Unchecked),
@@ -154,8 +156,8 @@
             .on_work_sent(&self.fleet, relative_work);
     }
 
-    /// An attempt ended: its request is finished, waits for another attempt, is retried or given
-    /// up.
+    /// Handles the end of an attempt. Its request is finished, waits for another attempt in flight,
+    /// is retried, or ends with a rejection or failure.
     pub(super) fn on_attempt_ended(&mut self, end: &AttemptEnd, actions: &mut Actions) {
         if let Some(server) = self.fleet.servers.find(end.server) {
             self.record_attempt_end(server, end, actions);
@@ -168,12 +170,12 @@
         if end.finished {
             self.finish(end.request, actions);
         } else if !is_waiting && self.retry(end.request, actions) == RetryResult::NotSent {
-            self.give_up(end.request, actions);
+            self.reject_or_fail(end.request, actions);
         }
     }
 
-    /// Sends a request again, as a retry or as a hedged request, where the retry policy permits it
-    /// and a server is found.
+    /// Sends another attempt of a request, as a retry or a hedged request, if the retry policy
+    /// permits it and there is a suitable server.
     pub(super) fn retry(&mut self, id: RequestId, actions: &mut Actions) -> RetryResult {
         let Some(request) = self.requests.get(id) else {
             return RetryResult::NotSent;
@@ -211,9 +213,9 @@
         is_suitable.then_some(server)
     }
 
-    /// Gives a request its final response at once: a rejection where a retry is harmless, else a
-    /// failure. Why it is given up is the caller's decision, which is not passed on.
-    fn give_up(&mut self, id: RequestId, actions: &mut Actions) {
+    /// Sends the final response to a request that gets no further attempt: a rejection if a retry
+    /// by the client is harmless, otherwise a failure. The reason is not reported to the client.
+    fn reject_or_fail(&mut self, id: RequestId, actions: &mut Actions) {
         let Some(request) = self.requests.get(id) else {
             return;
         };
@@ -228,7 +230,8 @@
         self.finish(id, actions);
     }
 
-    /// Forgets a request that has its final response and cancels its attempts in flight.
+    /// Removes a request that has its final response or whose client disconnected, and cancels its
+    /// attempts in flight if possible.
     pub(super) fn finish(&mut self, id: RequestId, actions: &mut Actions) {
         let Some(request) = self.requests.on_request_finished(id) else {
             return;
--- a/crates/balancer/src/balancer/servers.rs
+++ b/crates/balancer/src/balancer/servers.rs
@@ -1,4 +1,4 @@
-//! Carries out what is decided about servers by the ends of attempts and health checks.
+//! Handlers for servers: results of attempts and health checks, ejection and readmission.
 
 use crate::balancer::Balancer;
 use crate::policy::{
@@ -12,7 +12,7 @@
 };
 
 impl Balancer {
-    /// An attempt ended: what it tells of its server.
+    /// Updates the state of a server with the result of an attempt.
     pub(super) fn record_attempt_end(
         &mut self,
         index: ServerIndex,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// A server responded to an attempt, or timed out although it serves others.
+    /// Records a latency sample: a response, or a timeout of a server that serves other attempts.
     fn on_response(&mut self, index: ServerIndex, attempt: &InFlightAttempt) {
         let now = self.fleet.now;
         let latency = now.saturating_sub(attempt.sent_at) as f64;
@@ -55,14 +55,15 @@
         self.policies.failure_detector.on_response(latency);
     }
 
-    /// A server rejected an attempt. It is not broken, but holds more than was known, or drains.
+    /// Handles a rejected attempt. The server has not failed: its load is higher than estimated, or
+    /// it is draining.
     fn on_attempt_rejected(&mut self, index: ServerIndex, attempt: &InFlightAttempt) {
         let now = self.fleet.now;
         let polling = &self.fleet.settings.polling;
-        let may_drain = self.policies.endpoint_poller.may_miss_drains(polling);
+        let may_be_draining = self.policies.endpoint_poller.may_miss_drains(polling);
         let server = &mut self.fleet.servers[index];
         server.on_rejected(attempt.queue_depth, now);
-        if may_drain {
+        if may_be_draining {
             server.on_possible_drain();
         }
         self.policies.load_shedder.on_rejected(now);
@@ -73,10 +74,10 @@
         self.check_soon(index);
         let detector = &mut self.policies.failure_detector;
         let verdict = detector.on_attempt_failed(failures, outcome);
-        self.apply(verdict, index, actions);
+        self.apply_verdict(verdict, index, actions);
     }
 
-    /// A server reported its load, with a response or with a health check.
+    /// Records the load report of a response or a health check, if it is plausible.
     fn on_load_report(&mut self, index: ServerIndex, report: Option<LoadReport>) {
         let Some(report) = report else {
             return;
@@ -92,7 +93,7 @@
         }
     }
 
-    /// A health check ended.
+    /// Handles the end of a health check.
     pub(super) fn on_health_check_ended(
         &mut self,
         id: ServerId,
@@ -106,7 +107,7 @@
         self.on_load_report(index, report);
         let servers = &mut self.fleet.servers;
         let kind = servers.on_health_check_ended(index, outcome);
-        self.answer_requesters(index, outcome, actions);
+        self.confirm_to_peers(index, outcome, actions);
         let server = &mut self.fleet.servers[index];
         let verdict = if outcome == Outcome::Served {
             server.health_check.on_succeeded();
@@ -116,13 +117,13 @@
         } else {
             FailureDetector::judge_failed_check(&self.fleet, &self.fleet.servers[index])
         };
-        self.apply(verdict, index, actions);
+        self.apply_verdict(verdict, index, actions);
         self.on_load_check_ended(id, actions);
     }
 
-    /// Tells the balancers that asked for a check of the server of its success; they wait no longer
-    /// in any case.
-    fn answer_requesters(&mut self, index: ServerIndex, outcome: Outcome, actions: &mut Actions) {
+    /// Reports a successful health check to the balancers that requested an indirect check. A
+    /// failure is not reported; the requests are discarded in either case.
+    fn confirm_to_peers(&mut self, index: ServerIndex, outcome: Outcome, actions: &mut Actions) {
         let server = &mut self.fleet.servers[index];
         let requesters = server.health_check.take_requesters();
         if outcome == Outcome::Served {
@@ -131,25 +132,30 @@
         }
     }
 
-    /// Looks at a server with each tick.
-    pub(super) fn review_server(&mut self, index: ServerIndex, actions: &mut Actions) {
+    /// Evaluates the suspicion of a server, on every tick.
+    pub(super) fn evaluate_server(&mut self, index: ServerIndex, actions: &mut Actions) {
         let detector = &self.policies.failure_detector;
         let verdict = detector.review(&self.fleet, &self.fleet.servers[index]);
         let now = self.fleet.now;
         self.fleet.servers[index]
             .health_check
             .end_due_confirmation(now);
-        self.apply(verdict, index, actions);
+        self.apply_verdict(verdict, index, actions);
         if verdict == Verdict::DeclareDead {
-            // The same tick may end the suspicion.
+            // The suspicion may end within the same tick.
             let detector = &self.policies.failure_detector;
             let next = detector.review(&self.fleet, &self.fleet.servers[index]);
-            self.apply(next, index, actions);
+            self.apply_verdict(next, index, actions);
         }
     }
 
-    /// Carries out a verdict of the failure detector.
-    pub(super) fn apply(&mut self, verdict: Verdict, index: ServerIndex, actions: &mut Actions) {
+    /// Applies a verdict of the failure detector.
+    pub(super) fn apply_verdict(
+        &mut self,
+        verdict: Verdict,
+        index: ServerIndex,
+        actions: &mut Actions,
+    ) {
         match verdict {
             Verdict::Keep => {}
             Verdict::ConfirmAt(at) => {
@@ -170,19 +176,20 @@
             Verdict::DeclareDead => {
                 let server = &mut self.fleet.servers[index];
                 server.suspicion.on_declared_dead();
-                record(ServerEvent::DeclaredDead, server.id(), actions);
+                record_server_event(ServerEvent::DeclaredDead, server.id(), actions);
             }
             Verdict::Readmit => self.readmit(index, actions),
         }
     }
 
-    /// Makes a server the next to be checked, and soon.
+    /// Schedules a server as the next one to be checked and brings that check forward.
     pub(super) fn check_soon(&mut self, index: ServerIndex) {
         let id = self.fleet.servers[index].id();
         self.policies.health_checker.check_soon(id, self.fleet.now);
     }
 
-    /// Suspects a server, unless the cause is not believed, and retries its attempts elsewhere.
+    /// Marks a server as suspected, unless the ejection policy does not accept the evidence, and
+    /// retries its attempts in flight on other servers.
     fn eject(
         &mut self,
         index: ServerIndex,
@@ -201,8 +208,8 @@
         };
         let server = &mut self.fleet.servers[index];
         server.suspicion.on_ejected(suspicion, earlier_ejections);
-        record(ServerEvent::Ejected { cause }, server.id(), actions);
-        self.retry_in_flight(index, actions);
+        record_server_event(ServerEvent::Ejected { cause }, server.id(), actions);
+        self.retry_attempts_in_flight(index, actions);
         if audience == Audience::AllBalancers {
             let server = &self.fleet.servers[index];
             self.policies
@@ -211,8 +218,8 @@
         }
     }
 
-    /// Sends the requests again that have an attempt in flight at a server.
-    fn retry_in_flight(&mut self, index: ServerIndex, actions: &mut Actions) {
+    /// Retries the requests that have an attempt in flight at a server.
+    fn retry_attempts_in_flight(&mut self, index: ServerIndex, actions: &mut Actions) {
         let attempts = self.fleet.servers[index].in_flight().iter();
         let requests: Vec<RequestId> = attempts.map(|attempt| attempt.request).collect();
         for request in requests {
@@ -220,7 +227,7 @@
         }
     }
 
-    /// Ends the suspicion of a server, if any.
+    /// Ends the suspicion of a server, if it is suspected.
     fn readmit(&mut self, index: ServerIndex, actions: &mut Actions) {
         let now = self.fleet.now;
         let server = &mut self.fleet.servers[index];
@@ -233,10 +240,10 @@
             Readmission::SlowStart => server.slow_start.on_silence_ended(now),
         }
         server.health_check.on_confirmed_alive();
-        record(ServerEvent::Readmitted, server.id(), actions);
+        record_server_event(ServerEvent::Readmitted, server.id(), actions);
     }
 }
 
-fn record(event: ServerEvent, server: ServerId, actions: &mut Actions) {
+fn record_server_event(event: ServerEvent, server: ServerId, actions: &mut Actions) {
     actions.push(Action::Record(StateChange::Server { server, event }));
 }
