--- a/crates/balancer/src/action.rs
+++ b/crates/balancer/src/action.rs
@@ -1,65 +1,66 @@
-//! Actions: what the balancer asks its host to do.
+//! Actions that the balancer requests from its host.
 
 use crate::endpoint::ServerId;
 use crate::event::RequestId;
 use crate::state_change::StateChange;
 use crate::time::Micros;
 
-/// Where actions are pushed.
+/// The list that event handlers append their actions to.
 pub(crate) type Actions = Vec<Action>;
 
-/// What the host is to do.
+/// One action that the host carries out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt of a request to a server.
     Send {
-        /// The request.
+        /// Request to send.
         request: RequestId,
-        /// The server.
+        /// Destination.
         server: ServerId,
-        /// Timeout in microseconds; `None` until the client gives up.
+        /// Timeout of the attempt in microseconds; without one it ends at the client's deadline.
         timeout: Option<Micros>,
     },
-    /// Cancel an attempt.
+    /// Cancel an attempt that is in flight.
     Cancel {
-        /// The request.
+        /// Request that the attempt belongs to.
         request: RequestId,
-        /// Number of the attempt, from 0 in the order of the sends.
+        /// Index of the attempt within its request, counted from 0 in send order.
         attempt: u32,
     },
-    /// Final response: the request did not execute, or may be repeated without harm.
+    /// Send the client a rejection as the final response. The client may retry: the request did not
+    /// execute, or a repeated execution is harmless.
     Reject {
-        /// The request.
+        /// Request to reject.
         request: RequestId,
-        /// Retry-After in microseconds, if any.
+        /// Value of the Retry-After header in microseconds, if one is to be sent.
         retry_after: Option<Micros>,
     },
-    /// Final response: the request failed, and may have executed.
+    /// Send the client an error as the final response. The request may have executed.
     Fail {
-        /// The request.
+        /// Request that failed.
         request: RequestId,
     },
-    /// Pass [`Event::TimerFired`](crate::Event::TimerFired) later.
+    /// Set a timer that fires as [`Event::TimerFired`](crate::Event::TimerFired).
     SetTimer {
-        /// Token of the event.
+        /// Token that the event carries.
         token: u64,
-        /// After this many microseconds.
+        /// Delay in microseconds.
         after: Micros,
     },
-    /// Check the health of a server, and ask for its load.
+    /// Send a health check, whose response may carry a load report.
     HealthCheck {
-        /// The server.
+        /// Server to check.
         server: ServerId,
     },
-    /// Send a message to other balancers.
+    /// Send a gossip message.
     SendGossip {
-        /// Number of the balancer, or `None` for all.
+        /// Index of the receiving balancer, or `None` for all balancers.
         to: Option<u32>,
-        /// The message.
+        /// Encoded message.
         message: Vec<u8>,
     },
     /// Poll the endpoint list, and subscribe to its changes.
     PollEndpoints,
-    /// Tell operators of a change.
+    /// Report a state change to operators.
     Record(StateChange),
 }
--- a/crates/balancer/src/endpoint.rs
+++ b/crates/balancer/src/endpoint.rs
@@ -1,31 +1,31 @@
-//! Endpoints: the servers of the endpoint list, their machines and the kinds of list update.
+//! Entries of the endpoint list, machine types and the kinds of list update.
 
 use crate::time::Micros;
 
-/// A server, as the host numbers it for this balancer; the number itself has no meaning.
+/// Identifier that the host assigns to a server for this balancer; the value carries no meaning.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ServerId(pub u32);
 
-/// The status of a server in the endpoint list.
+/// Status of a server in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointStatus {
-    /// It takes requests.
+    /// The server accepts requests.
     #[default]
     Ready,
-    /// It finishes the requests it has; no new one may be sent.
+    /// The server finishes its requests in flight; new requests must not be sent to it.
     Draining,
-    /// It is not in the list.
+    /// The server is no longer listed.
     Removed,
 }
 
-/// The capacity of a type of machine, as far as the deployment states it.
+/// Capacity of a machine type, as far as the deployment's configuration states it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MachineType {
-    /// Number of the type: latencies of one server count for all servers of its type.
+    /// Identifier of the type. Latency samples are shared by all servers of the same type.
     pub id: u32,
-    /// Requests that it executes at once; above zero.
+    /// Number of requests executed concurrently; above zero.
     pub cores: f64,
-    /// Speed of one core, where 1 is usual; above zero.
+    /// Speed of one core relative to a standard core, which is 1; above zero.
     pub speed: f64,
 }
 
@@ -42,25 +42,25 @@
 /// One entry of the endpoint list.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Endpoint {
-    /// The server.
+    /// Identifier of the server.
     pub server: ServerId,
-    /// A hash of the server's address that every balancer computes alike: it names the server in
-    /// gossip.
+    /// Hash of the server's address. All balancers compute the same value, which identifies the
+    /// server in gossip messages and orders the subset.
     pub stable_hash: u64,
-    /// Its status.
+    /// Status of the server.
     pub status: EndpointStatus,
-    /// Time of its latest start, in microseconds; `None` for long ago.
+    /// Time of the latest start in microseconds; `None` if that was long ago.
     pub incarnation: Option<Micros>,
-    /// Its zone.
+    /// Zone of the server.
     pub zone: u32,
-    /// Its cell.
+    /// Cell of the server.
     pub cell: u32,
-    /// The type of its machine.
+    /// Machine type of the server.
     pub machine_type: MachineType,
 }
 
 impl Endpoint {
-    /// A ready server, started long ago, in zone 0 and cell 0.
+    /// Creates the entry of a ready server in zone 0 and cell 0 that was started long ago.
     pub fn ready(server: ServerId, stable_hash: u64) -> Self {
         let status = EndpointStatus::Ready;
         Self {
@@ -72,15 +72,15 @@
     }
 }
 
-/// What an update of the endpoint list contains.
+/// Content of an endpoint list update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateKind {
-    /// Only the servers that changed.
+    /// The servers that changed.
     Incremental,
-    /// Every server; one that is missing has been removed.
+    /// All servers; a server that is missing has been removed.
     Full,
-    /// Every server as last known before a restart, possibly stale.
+    /// All servers as stored before the sidecar restarted; possibly stale.
     Cached,
-    /// Nothing: a poll failed, or the subscription broke.
+    /// No servers: a poll failed or the subscription broke.
     Lost,
 }
--- a/crates/balancer/src/event.rs
+++ b/crates/balancer/src/event.rs
@@ -1,127 +1,128 @@
-//! Events: what the host reports to [`Balancer::handle`](crate::Balancer::handle).
+//! Events that the host passes to [`Balancer::handle`](crate::Balancer::handle).
 
 use crate::endpoint::{Endpoint, ServerId, UpdateKind};
 use crate::request_class::ClassId;
 use crate::time::Micros;
 
-/// A request, as the host numbers it; no number is used twice by one balancer.
+/// Identifier that the host assigns to a request; unique for the lifetime of a balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestId(pub u64);
 
-/// A request as it arrived from a client.
+/// A request received from a client.
 #[derive(Clone, Copy, Debug)]
 pub struct IncomingRequest {
-    /// Its id.
+    /// Identifier of the request.
     pub id: RequestId,
-    /// Its class.
+    /// Request class.
     pub class: ClassId,
-    /// How long its client still waits, in microseconds.
+    /// Time until the client gives up, in microseconds.
     pub time_left: Micros,
-    /// Its work in microseconds on a usual core, where the client states it.
+    /// Execution time on a standard core in microseconds, if the client sent it.
     pub work_hint: Option<Micros>,
 }
 
-/// How an attempt or a health check ended.
+/// Outcome of an attempt or a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The server responded well.
+    /// The server responded successfully.
     Served,
     /// The server responded with an error; the request may have executed.
     ServerError,
-    /// The server rejected the request; it never executed.
+    /// The server rejected the request without executing it.
     Rejected,
-    /// No response in time; the request may have executed or be executing.
+    /// No response arrived before the timeout; the request may have executed or may still be
+    /// executing.
     TimedOut,
-    /// No connection was established; the request never executed.
+    /// No connection could be established; the request did not execute.
     ConnectFailed,
     /// The connection broke; the request may have executed.
     Reset,
-    /// This balancer cancelled the attempt; the request may have executed.
+    /// The balancer cancelled the attempt; the request may have executed.
     Cancelled,
-    /// The request was never sent.
+    /// The request was not sent.
     NotSent,
 }
 
 impl Outcome {
-    /// True where the outcome proves that the request did not execute.
+    /// Returns true if the outcome proves that the request did not execute.
     pub fn never_executed(self) -> bool {
         matches!(self, Self::Rejected | Self::ConnectFailed | Self::NotSent)
     }
 }
 
-/// The load that a server reports.
+/// Load reported by a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadReport {
-    /// Requests in flight at it, executing or queued.
+    /// Requests at the server, executing or queued.
     pub in_flight: f64,
-    /// Those of them that are queued.
+    /// Requests in the server's queue, which `in_flight` includes.
     pub queued: f64,
 }
 
-/// The end of one attempt.
+/// Result of an attempt that ended.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptEnd {
-    /// The request.
+    /// Request that the attempt belongs to.
     pub request: RequestId,
-    /// Number of the attempt, from 0 in the order of the sends.
+    /// Index of the attempt within its request, counted from 0 in send order.
     pub attempt: u32,
-    /// The server it was sent to.
+    /// Server that the attempt was sent to.
     pub server: ServerId,
-    /// How it ended.
+    /// Outcome of the attempt.
     pub outcome: Outcome,
-    /// The request has its final response, through this attempt or before.
+    /// True if the request has its final response, from this attempt or an earlier one.
     pub finished: bool,
-    /// Microseconds since the send.
+    /// Time since the attempt was sent, in microseconds.
     pub elapsed: Micros,
-    /// The load report of the response, if any.
+    /// Load report in the response, if any.
     pub load_report: Option<LoadReport>,
 }
 
-/// Something that happened.
+/// An event that the balancer reacts to.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The endpoint list changed, or was lost.
+    /// The endpoint list changed, or its source became unavailable.
     EndpointsUpdated {
-        /// What the update contains.
+        /// Content of the update.
         kind: UpdateKind,
-        /// Version of the list; updates of an older version are ignored.
+        /// Version of the list; updates with an older version are ignored.
         version: u64,
-        /// The servers that it names.
+        /// Entries of the update.
         endpoints: Vec<Endpoint>,
     },
-    /// A request arrived; it gets one final response.
+    /// A request arrived. It gets exactly one final response unless its client disconnects.
     RequestArrived(IncomingRequest),
-    /// A response started to stream.
+    /// A streamed response started; its request is not retried any more.
     ResponseStarted {
-        /// The request.
+        /// Request that is being answered.
         request: RequestId,
     },
     /// An attempt ended.
     AttemptEnded(AttemptEnd),
-    /// The client left; its request needs no response any more.
+    /// The client disconnected; its request no longer needs a response.
     ClientDisconnected {
-        /// The request.
+        /// Request of the client.
         request: RequestId,
     },
     /// A timer fired.
     TimerFired {
-        /// The token it was set with.
+        /// Token that the timer was set with.
         token: u64,
     },
     /// A health check ended.
     HealthCheckEnded {
-        /// The server that was checked.
+        /// Server that was checked.
         server: ServerId,
-        /// How it ended.
+        /// Outcome of the health check.
         outcome: Outcome,
-        /// The load report of the response, if any.
+        /// Load report in the response, if any.
         load_report: Option<LoadReport>,
     },
-    /// A message from another balancer.
+    /// A gossip message arrived.
     GossipReceived {
-        /// Number of the balancer that sent it.
+        /// Index of the sending balancer.
         from: u32,
-        /// The message; malformed ones are ignored.
+        /// Encoded message; malformed messages are ignored.
         message: Vec<u8>,
     },
 }
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -1,18 +1,18 @@
-//! Decisions of a sidecar load balancer: which server a request goes to, whether it is retried,
-//! what is rejected, and which servers are checked, suspected and used.
+//! Decision logic of a sidecar load balancer: server selection, retries, load shedding, health
+//! checks, failure detection and subsetting.
 //!
-//! The library does no I/O and reads no clock. The host passes each [`Event`] with the current time
-//! to [`Balancer::handle`] and carries out the [`Action`]s that it pushes. Times are whole
-//! microseconds on one clock that only rises; ids are numbers of the host without a meaning, apart
-//! from [`Endpoint::stable_hash`], which all balancers compute alike.
+//! The library performs no I/O and does not read the clock. The host passes each [`Event`] with the
+//! current time to [`Balancer::handle`] and carries out the [`Action`]s that it returns. Times are
+//! whole microseconds on a monotonic clock. Identifiers are assigned by the host and carry no
+//! meaning, except for [`Endpoint::stable_hash`], for which all balancers compute the same value.
 //!
 //! # Layout
-//! - `settings`, `request_class`, `endpoint`, `event`, `action`, `state_change`: the interface.
-//! - `balancer`: [`Balancer`], the table of events; it alone carries out what is decided.
-//! - `policy`: every decision, one type each.
-//! - `fleet`: what decisions read.
-//! - `estimators`: what responses and load reports tell of the fleet and of each server.
-//! - `state`: servers, requests and messages, each owned by one type.
+//! - `settings`, `request_class`, `endpoint`, `event`, `action`, `state_change`: public interface.
+//! - `balancer`: [`Balancer`], which dispatches events to handlers and alone applies decisions.
+//! - `policy`: decision logic, one type per decision.
+//! - `fleet`: state that the policies read.
+//! - `estimators`: estimates for the fleet and for each server, from responses and load reports.
+//! - `state`: servers, requests and gossip messages, each kind owned by one type.
 //!
 //! # Example
 //! ```
@@ -26,18 +26,18 @@
 //! let mut balancer = Balancer::new(settings, 7).expect("valid settings");
 //! let mut actions = Vec::new();
 //!
-//! // The endpoint list names one server.
+//! // The endpoint list contains one server.
 //! let endpoint = Endpoint::ready(ServerId(0), 0x5eed);
 //! let list = Event::EndpointsUpdated { kind: UpdateKind::Full, version: 1, endpoints: vec![endpoint] };
 //! balancer.handle(0, list, &mut actions);
 //!
-//! // A request arrives and is sent to it.
+//! // A request arrives and is sent to that server.
 //! actions.clear();
 //! let request = IncomingRequest { id: RequestId(1), class: ClassId(0), time_left: 600_000, work_hint: None };
 //! balancer.handle(1_000, Event::RequestArrived(request), &mut actions);
 //! assert!(actions.iter().any(|action| matches!(action, Action::Send { server: ServerId(0), .. })));
 //!
-//! // The attempt is served: the host passes the response on, and the request is finished.
+//! // The attempt succeeds: the host forwards the response and the request is finished.
 //! actions.clear();
 //! let served = AttemptEnd {
 //!     request: RequestId(1), attempt: 0, server: ServerId(0), outcome: Outcome::Served,
--- a/crates/balancer/src/policy.rs
+++ b/crates/balancer/src/policy.rs
@@ -1,10 +1,10 @@
-//! The decisions of the balancer, one type each.
+//! Policies: the decision logic of the balancer, one type per decision.
 //!
-//! A decision owns its constants and what it alone remembers. It reads the fleet, draws from the
-//! generator that it is handed, and returns what is to be done and why; it changes nothing else.
-//! None reaches another one through [`Balancer`](crate::Balancer): what it needs of another is
-//! imported or handed in. The law of each stands at the top of its file; `docs/balancer.md` has
-//! them all.
+//! A policy owns its constants and its private state. It reads the [`Fleet`](crate::fleet::Fleet),
+//! draws from the random number generator passed to it and returns a decision with its reason; it
+//! has no other side effects. Policies do not call each other through
+//! [`Balancer`](crate::Balancer): what one needs from another is imported or passed as an argument.
+//! Each file starts with the rule that it implements; `docs/balancer.md` describes all of them.
 
 mod attempt_evidence;
 mod ejection;
--- a/crates/balancer/src/request_class.rs
+++ b/crates/balancer/src/request_class.rs
@@ -1,59 +1,64 @@
-//! Request classes: what a deployment promises its clients, and whether a request may run again.
+//! Request classes: priority, latency objective, deadline and idempotency.
 
 use crate::time::Micros;
 
-/// A request class: the index into [`Settings::classes`](crate::Settings::classes).
+/// Identifier of a request class: its index in [`Settings::classes`](crate::Settings::classes).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClassId(pub u16);
 
-/// Whether a request may execute more than once.
+/// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// It may be retried on any server.
+    /// The request may be retried on any server.
     Idempotent,
-    /// It carries an idempotency key by which the servers of one scope drop duplicates for a while.
+    /// The request carries an idempotency key. The servers of the class's deduplication scope drop
+    /// duplicates within the deduplication window.
     IdempotencyKey,
-    /// It must never execute twice.
+    /// The request must not be executed twice.
     NonIdempotent,
 }
 
-/// The servers that share their idempotency keys, and so drop each other's duplicates.
+/// Set of servers that share idempotency keys and therefore drop each other's duplicates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// All servers.
     All,
-    /// Those of one zone.
+    /// The servers of one zone.
     Zone,
-    /// Those of one cell.
+    /// The servers of one cell.
     Cell,
 }
 
-/// A request class: what its requests are worth, how long they may take and whether they may be
-/// retried.
+/// Settings shared by all requests of a class.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
-    /// Value of one response within the latency objective; finite and not negative.
+    /// Value of a response within the latency objective; finite and not negative.
     pub priority_weight: f64,
-    /// A response within this time has its full value; above zero.
+    /// Time within which a response has its full value, in microseconds; above zero.
     pub latency_objective: Micros,
-    /// Time that a client waits, over all its tries; not below the latency objective.
+    /// Time that a client waits in total, over all its own retries, in microseconds; not below the
+    /// latency objective.
     pub deadline: Micros,
-    /// Share of its value that a response after the latency objective keeps, from 0 to 1.
+    /// Fraction of the priority weight that a response after the latency objective is worth, from 0
+    /// to 1.
     pub late_value: f64,
-    /// The latency objective grows by this multiple of the request's work hint.
+    /// Multiple of the request's work hint that is added to the latency objective; finite and not
+    /// negative.
     pub objective_per_work: f64,
-    /// Whether a request may execute more than once.
+    /// Whether a request may be executed more than once.
     pub idempotency: Idempotency,
-    /// The servers that drop duplicates of a request with an idempotency key.
+    /// Servers that drop duplicates of a request with an idempotency key.
     pub deduplication_scope: DeduplicationScope,
-    /// For how long duplicates are dropped, from the first attempt that may have executed.
+    /// Time for which duplicates are dropped, in microseconds from the first attempt that may have
+    /// executed.
     pub deduplication_window: Micros,
-    /// The response is streamed: it may start long before it ends.
+    /// True if responses are streamed, so that a response may start long before it ends.
     pub streamed: bool,
 }
 
 impl RequestClass {
-    /// A class of priority weight 1 whose late responses have no value. Times are in microseconds.
+    /// Creates a class with priority weight 1 whose late responses have no value. Times are in
+    /// microseconds.
     pub fn new(idempotency: Idempotency, latency_objective: Micros, deadline: Micros) -> Self {
         Self {
             priority_weight: 1.0,
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of one deployment and their validation.
+//! Settings of a deployment and their validation.
 
 mod error;
 mod groups;
@@ -11,30 +11,32 @@
     BalancerIdentity, Fees, HostCapabilities, PollingSettings, RetrySettings, SlowStartSettings,
 };
 
-/// What a deployment configures for its balancers.
+/// Settings of the balancers of a deployment.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The request classes; at least one.
+    /// Request classes, indexed by [`ClassId`]; at least one.
     pub classes: Vec<RequestClass>,
-    /// Which balancer of the deployment this is.
+    /// Position of this balancer within the deployment.
     pub identity: BalancerIdentity,
-    /// Shortest time between two calls of the balancer, in microseconds.
+    /// Minimum time between two calls of the balancer, in microseconds: events and timers may be
+    /// handled late by up to this time.
     pub min_call_interval: Micros,
-    /// What the host can do for the balancer.
+    /// Capabilities of the host.
     pub host: HostCapabilities,
-    /// What binds the attempts of one request.
+    /// Limits on the attempts of a request.
     pub retries: RetrySettings,
-    /// What the balancer's own traffic costs.
+    /// Costs of the balancer's own traffic.
     pub fees: Fees,
-    /// A connection that is idle for this long is closed, in microseconds.
+    /// Time after which an idle connection to a server is closed, in microseconds.
     pub idle_timeout: Micros,
-    /// The priority weight counts for each unit of a request's work, not for the request.
+    /// If true, the priority weight applies per unit of a request's work instead of per request.
     pub weight_by_work: bool,
-    /// How the endpoint list is followed.
+    /// Polling of the endpoint list.
     pub polling: PollingSettings,
-    /// Only draining servers must not be sent to; one that is merely removed may be tried.
+    /// If true, requests may be sent to a server that was removed from the endpoint list without
+    /// draining.
     pub allow_removed_servers: bool,
-    /// What servers bear that have just started.
+    /// Capacity of servers that have just started.
     pub slow_start: SlowStartSettings,
 }
 
@@ -57,7 +59,7 @@
 }
 
 impl Settings {
-    /// Checks that all settings are in range.
+    /// Validates the range of all settings.
     ///
     /// # Errors
     /// Returns the first setting that is out of range.
@@ -76,15 +78,16 @@
         self.polling.validate()
     }
 
-    /// The class of a request that has arrived.
+    /// Returns the request class with this id.
     ///
     /// # Panics
-    /// Where no such class exists; requests of unknown classes are rejected on arrival.
+    /// Panics if there is no such class; requests of unknown classes are rejected on arrival.
     pub(crate) fn class(&self, id: ClassId) -> &RequestClass {
         &self.classes[usize::from(id.0)]
     }
 
-    /// Where a class stands between the least priority weight (0) and the greatest (1).
+    /// Returns the priority weight of a class, scaled linearly so that the lowest weight of all
+    /// classes is 0 and the highest is 1.
     pub(crate) fn priority_rank(&self, class: &RequestClass) -> f64 {
         let weights = || self.classes.iter().map(|class| class.priority_weight);
         let least = weights().fold(f64::MAX, f64::min);
@@ -92,13 +95,13 @@
         (class.priority_weight - least) / (most - least).max(f64::MIN_POSITIVE)
     }
 
-    /// The shortest latency objective of all classes, in microseconds.
+    /// Returns the shortest latency objective of all classes, in microseconds.
     pub(crate) fn shortest_objective(&self) -> f64 {
         let objectives = self.classes.iter().map(|class| class.latency_objective);
         objectives.min().unwrap_or(1) as f64
     }
 
-    /// True where there are other balancers to message.
+    /// Returns true if there are other balancers and gossip can be sent to them.
     pub(crate) fn has_peers(&self) -> bool {
         self.host.gossip && self.identity.count > 1
     }
--- a/crates/balancer/src/settings/groups.rs
+++ b/crates/balancer/src/settings/groups.rs
@@ -1,16 +1,16 @@
-//! The settings that one decision or one kind of decision reads alone.
+//! Groups of related settings.
 
 use super::SettingsError;
 use crate::time::Micros;
 
-/// Which balancer of the deployment this is.
+/// Position of this balancer within the deployment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BalancerIdentity {
-    /// Its zone, in the numbering of [`Endpoint::zone`](crate::Endpoint::zone).
+    /// Zone of the balancer, numbered like [`Endpoint::zone`](crate::Endpoint::zone).
     pub zone: u32,
-    /// Its number among all balancers, from 0.
+    /// Index of the balancer, from 0.
     pub index: u32,
-    /// How many balancers there are.
+    /// Number of balancers in the deployment.
     pub count: u32,
 }
 
@@ -24,20 +24,20 @@
     }
 }
 
-/// What the host can do for the balancer.
+/// Capabilities of the host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HostCapabilities {
-    /// Attempts can be cancelled.
+    /// The host can cancel attempts.
     pub cancellation: bool,
-    /// The health of servers can be checked.
+    /// The host can send health checks.
     pub health_checks: bool,
-    /// Balancers can send each other messages.
+    /// The host can exchange gossip messages with other balancers.
     pub gossip: bool,
-    /// Clients receive the Retry-After of a rejection.
+    /// The host passes the Retry-After of a rejection on to the client.
     pub retry_after: bool,
-    /// Health checks return load reports.
+    /// Responses to health checks carry load reports.
     pub load_reports: bool,
-    /// Responses carry load reports too, each as of some time before.
+    /// Responses to requests carry load reports, which are out of date by some time.
     pub load_reports_in_responses: bool,
 }
 
@@ -54,12 +54,12 @@
     }
 }
 
-/// What binds the attempts of one request.
+/// Limits on the attempts of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetrySettings {
-    /// Most attempts for one request; above zero.
+    /// Maximum number of attempts per request; above zero.
     pub max_attempts: u32,
-    /// A request may have two attempts in flight at once.
+    /// If true, a request may have two attempts in flight at once (hedged requests).
     pub hedging: bool,
     /// Longest Retry-After that clients honour, in microseconds.
     pub max_retry_after: Micros,
@@ -84,16 +84,16 @@
     }
 }
 
-/// What the balancer's own traffic costs, as fractions of the deployment's result.
+/// Costs of the balancer's own traffic, as fractions of the deployment's result.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fees {
-    /// Fee for one health check per request.
+    /// Fee for an average of one health check per request.
     pub health_check: f64,
-    /// Fee for one new connection per request.
+    /// Fee for an average of one new connection per request.
     pub handshake: f64,
-    /// Fee for a mean of 100 open connections to each server.
+    /// Fee for an average of 100 open connections to each server.
     pub connection: f64,
-    /// Fee for one attempt per request that crosses zones.
+    /// Fee for an average of one attempt per request that crosses zones.
     pub cross_zone: f64,
 }
 
@@ -123,12 +123,12 @@
     }
 }
 
-/// How the endpoint list is followed.
+/// Polling of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PollingSettings {
-    /// The endpoint list arrives only in answer to a poll.
+    /// If true, the endpoint list is received only in response to a poll; otherwise it is pushed.
     pub required: bool,
-    /// Longest time without a poll while there is no subscription, in microseconds; above zero.
+    /// Maximum time between two polls while there is no subscription, in microseconds; above zero.
     pub max_interval: Micros,
 }
 
@@ -150,17 +150,18 @@
     }
 }
 
-/// What servers bear that have just started.
+/// Capacity of servers that have just started.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStartSettings {
-    /// Share of its capacity that a server has at least when it starts, above 0 and at most 1.
+    /// Minimum fraction of its capacity that a server has when it starts; above 0 and at most 1.
     pub initial_capacity: f64,
-    /// Time after which a server has its full capacity, in microseconds.
+    /// Time from the start until a server has its full capacity, in microseconds.
     pub duration: Micros,
-    /// A server in slow start fails that gets more than this multiple of its capacity, from all
-    /// balancers, within [`overload_window`](Self::overload_window).
+    /// Multiple of its capacity above which a server in slow start fails, if it receives that much
+    /// from all balancers within [`overload_window`](Self::overload_window).
     pub overload_factor: f64,
-    /// The span over which a server in slow start must not be overloaded, in microseconds.
+    /// Length of the window in which a server in slow start must not be overloaded, in
+    /// microseconds.
     pub overload_window: Micros,
 }
 
--- a/crates/balancer/src/state_change.rs
+++ b/crates/balancer/src/state_change.rs
@@ -1,43 +1,44 @@
-//! Changes of the balancer's state that operators want to see. Hosts word them.
+//! State changes that are reported to operators. Hosts format the messages.
 
 use crate::endpoint::ServerId;
 
-/// What changed.
+/// A change of the balancer's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StateChange {
-    /// The endpoint list may be stale from now on: its subscription ended. Polls that fail until
-    /// there is another subscription are no further change.
+    /// The subscription to the endpoint list ended, so the list may be stale. Failed polls are not
+    /// reported again until a new subscription has been established.
     EndpointListLost,
-    /// The state of a server changed.
+    /// The failure detector changed the state of a server.
     Server {
-        /// The server.
+        /// Server whose state changed.
         server: ServerId,
-        /// What happened to it.
+        /// The change.
         event: ServerEvent,
     },
 }
 
-/// What happened to a server, as the failure detector sees it.
+/// Change of a server's state by the failure detector.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerEvent {
-    /// It is suspected to have failed: other servers are preferred, and its attempts are retried.
+    /// The server is suspected to have failed: other servers are preferred, and its attempts in
+    /// flight are retried elsewhere.
     Ejected {
-        /// What raised the suspicion.
+        /// Evidence that raised the suspicion.
         cause: EjectionCause,
     },
-    /// It has shown no sign of life for so long that it counts as dead.
+    /// The server has been suspected for so long that it is considered dead.
     DeclaredDead,
-    /// The suspicion ended: it is used again.
+    /// The suspicion ended and the server is used again.
     Readmitted,
 }
 
-/// What raised a suspicion.
+/// Evidence that raised a suspicion.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EjectionCause {
     /// Health checks failed.
     HealthChecks,
-    /// Attempts failed or are overdue.
+    /// Attempts failed or responses are overdue.
     Attempts,
-    /// Another balancer suspects the server.
+    /// Another balancer reported a suspicion by gossip.
     Gossip,
 }
--- a/crates/balancer/src/time.rs
+++ b/crates/balancer/src/time.rs
@@ -1,4 +1,4 @@
-//! The unit of time of the whole interface: whole microseconds on one monotonic clock of the host.
+//! Time unit of the public interface.
 
-/// Microseconds: a point in time on the host's monotonic clock, or a span.
+/// Whole microseconds: an instant on the host's monotonic clock, or a duration.
 pub type Micros = u64;
--- a/crates/balancer/src/weighted_choice.rs
+++ b/crates/balancer/src/weighted_choice.rs
@@ -1,10 +1,11 @@
-//! Random choice by weight.
+//! Weighted random selection.
 
 #[cfg(test)]
 mod tests;
 
-/// Position of one of the weights, each drawn as often as its share of the sum; the last one where
-/// rounding leaves none. `None` where there are no weights. Draws one random number in any case.
+/// Returns an index with a probability proportional to its weight, or `None` if `weights` is empty.
+/// Returns the last index if rounding leaves none or all weights are zero. Always draws exactly one
+/// random number.
 pub(crate) fn weighted_choice(weights: &[f64], rng: &mut fastrand::Rng) -> Option<usize> {
     let mut remaining = rng.f64() * weights.iter().sum::<f64>();
     let drawn = weights.iter().position(|weight| {
--- a/crates/balancer/src/weighted_choice/tests.rs
+++ b/crates/balancer/src/weighted_choice/tests.rs
@@ -1,12 +1,12 @@
 use super::weighted_choice;
 
 #[test]
-fn no_weights_give_none() {
+fn returns_none_without_weights() {
     assert_eq!(weighted_choice(&[], &mut fastrand::Rng::with_seed(1)), None);
 }
 
 #[test]
-fn positions_are_drawn_as_often_as_their_weights() {
+fn draws_indices_in_proportion_to_their_weights() {
     let mut rng = fastrand::Rng::with_seed(1);
     let mut counts = [0_u32; 3];
     for _ in 0..8_000 {
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn weights_without_a_sum_give_the_last_position() {
+fn returns_the_last_index_if_all_weights_are_zero() {
     assert_eq!(
         weighted_choice(&[0.0, 0.0], &mut fastrand::Rng::with_seed(1)),
         Some(1)
