--- a/crates/adapter/src/host/event_decoder.rs
+++ b/crates/adapter/src/host/event_decoder.rs
@@ -100,7 +100,7 @@
         attempt: event.required(event.attempt, "n")?,
         server: server_id(event, names)?,
         outcome: outcome(event)?,
-        finished: event.required(event.finished, "finished")?,
+        request_finished: event.required(event.finished, "finished")?,
         elapsed: micros_from_ms(event.elapsed_ms.unwrap_or(0.0)),
         load_report: names.load_report(event.load_report.as_deref()),
     }))
--- a/crates/balancer/src/balancer/requests.rs
+++ b/crates/balancer/src/balancer/requests.rs
@@ -167,7 +167,7 @@
         };
         request.on_attempt_ended(end.attempt, end.outcome);
         let is_waiting = request.in_flight_count() > 0;
-        if end.finished {
+        if end.request_finished {
             self.finish(end.request, actions);
         } else if !is_waiting && self.retry(end.request, actions) == RetryResult::NotSent {
             self.reject_or_fail(end.request, actions);
--- a/crates/balancer/src/event.rs
+++ b/crates/balancer/src/event.rs
@@ -71,7 +71,7 @@
     /// Outcome of the attempt.
     pub outcome: Outcome,
     /// True if the request has its final response, from this attempt or an earlier one.
-    pub finished: bool,
+    pub request_finished: bool,
     /// Time since the attempt was sent, in microseconds.
     pub elapsed: Micros,
     /// Load report in the response, if any.
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -41,7 +41,7 @@
 //! actions.clear();
 //! let served = AttemptEnd {
 //!     request: RequestId(1), attempt: 0, server: ServerId(0), outcome: Outcome::Served,
-//!     finished: true, elapsed: 20_000, load_report: None,
+//!     request_finished: true, elapsed: 20_000, load_report: None,
 //! };
 //! balancer.handle(21_000, Event::AttemptEnded(served), &mut actions);
 //! let is_final = |action: &Action| matches!(action, Action::Reject { .. } | Action::Fail { .. });
--- a/crates/balancer/tests/balancer/common/driver.rs
+++ b/crates/balancer/tests/balancer/common/driver.rs
@@ -89,13 +89,13 @@
         server: ServerId,
         outcome: Outcome,
     ) -> Vec<Action> {
-        let finished = outcome == Outcome::Served;
+        let request_finished = outcome == Outcome::Served;
         self.handle(Event::AttemptEnded(AttemptEnd {
             request,
             attempt,
             server,
             outcome,
-            finished,
+            request_finished,
             elapsed: 10 * MS,
             load_report: None,
         }))
--- a/crates/balancer/tests/balancer/load_from_responses/emulated_fleet.rs
+++ b/crates/balancer/tests/balancer/load_from_responses/emulated_fleet.rs
@@ -94,7 +94,7 @@
                     attempt: 0,
                     server,
                     outcome: Outcome::Served,
-                    finished: true,
+                    request_finished: true,
                     elapsed,
                     load_report: Some(LoadReport {
                         in_flight,
--- a/crates/balancer/tests/balancer/load_shedding.rs
+++ b/crates/balancer/tests/balancer/load_shedding.rs
@@ -96,7 +96,7 @@
                 attempt: 0,
                 server,
                 outcome: Outcome::Served,
-                finished: true,
+                request_finished: true,
                 elapsed,
                 load_report: None,
             }));
--- a/crates/balancer/tests/balancer/random_events/script.rs
+++ b/crates/balancer/tests/balancer/random_events/script.rs
@@ -135,8 +135,8 @@
             connection_failures[self.rng.usize(0..2)]
         };
         self.record_outcome(request, attempt, outcome);
-        let finished = !self.open.contains_key(&request) || outcome == Outcome::Served;
-        if finished {
+        let request_finished = !self.open.contains_key(&request) || outcome == Outcome::Served;
+        if request_finished {
             self.open.remove(&request);
         }
         let end = AttemptEnd {
@@ -144,7 +144,7 @@
             attempt,
             server,
             outcome,
-            finished,
+            request_finished,
             elapsed: MS,
             load_report: None,
         };
--- a/crates/control/src/work_aware_balancer.rs
+++ b/crates/control/src/work_aware_balancer.rs
@@ -108,7 +108,7 @@
         {
             self.work.on_attempt_served(open.class, sent, end.elapsed);
         }
-        if end.finished {
+        if end.request_finished {
             self.open_requests.remove(&end.request);
         }
     }
--- a/crates/control/src/work_aware_balancer/tests.rs
+++ b/crates/control/src/work_aware_balancer/tests.rs
@@ -62,7 +62,7 @@
         attempt: 0,
         server: ServerId(0),
         outcome: Outcome::Served,
-        finished: true,
+        request_finished: true,
         elapsed: TRAINED_WORK,
         load_report: None,
     };
--- a/crates/sidecar/src/host/in_flight_request.rs
+++ b/crates/sidecar/src/host/in_flight_request.rs
@@ -118,7 +118,7 @@
             attempt: ended.attempt,
             server: ended.server,
             outcome,
-            finished: self.has_final_response,
+            request_finished: self.has_final_response,
             elapsed: self.host.clock().now().saturating_sub(ended.started_at),
             load_report: report,
         }));
--- a/crates/testbed/src/simulator/sidecars/attempts.rs
+++ b/crates/testbed/src/simulator/sidecars/attempts.rs
@@ -188,7 +188,7 @@
         attempt: details.index,
         server: ServerId(details.server.value()),
         outcome,
-        finished,
+        request_finished: finished,
         elapsed: now - details.sent_at,
         load_report,
     }
