--- a/crates/adapter/src/host/settings/tests.rs
+++ b/crates/adapter/src/host/settings/tests.rs
@@ -54,7 +54,7 @@
         min_call_interval: 4_500,
         host: HostCapabilities {
             gossip: true,
-            load_reports: true,
+            load_reports_in_health_checks: true,
             load_reports_in_responses: true,
             ..HostCapabilities::default()
         },
--- a/crates/balancer/src/policy/load_source.rs
+++ b/crates/balancer/src/policy/load_source.rs
@@ -28,7 +28,7 @@
 impl Settings {
     /// What tells of the load of servers.
     pub(crate) fn load_source(&self) -> LoadSource {
-        let can_check = self.host.load_reports && self.host.health_checks;
+        let can_check = self.host.load_reports_in_health_checks && self.host.health_checks;
         if can_check && self.fees.health_check <= MAX_LOAD_CHECK_FEE {
             LoadSource::LoadChecks
         } else if self.host.load_reports_in_responses {
--- a/crates/balancer/src/policy/load_source/tests.rs
+++ b/crates/balancer/src/policy/load_source/tests.rs
@@ -15,7 +15,7 @@
     for (health_checks, load_reports, in_responses, fee, expected) in table {
         let mut settings = Settings::default();
         settings.host.health_checks = health_checks;
-        settings.host.load_reports = load_reports;
+        settings.host.load_reports_in_health_checks = load_reports;
         settings.host.load_reports_in_responses = in_responses;
         settings.fees.health_check = fee;
         assert_eq!(settings.load_source(), expected, "{settings:?}");
--- a/crates/balancer/src/policy/test_support.rs
+++ b/crates/balancer/src/policy/test_support.rs
@@ -36,7 +36,7 @@
 /// The same where servers are asked for their load before each send.
 pub(crate) fn settings_with_load_checks() -> Settings {
     let mut settings = settings();
-    settings.host.load_reports = true;
+    settings.host.load_reports_in_health_checks = true;
     settings.fees.health_check = 0.001;
     settings
 }
--- a/crates/balancer/src/settings/groups.rs
+++ b/crates/balancer/src/settings/groups.rs
@@ -36,7 +36,7 @@
     /// The host passes the Retry-After of a rejection on to the client.
     pub retry_after: bool,
     /// Responses to health checks carry load reports.
-    pub load_reports: bool,
+    pub load_reports_in_health_checks: bool,
     /// Responses to requests carry load reports, which are out of date by some time.
     pub load_reports_in_responses: bool,
 }
@@ -48,7 +48,7 @@
             health_checks: true,
             gossip: false,
             retry_after: true,
-            load_reports: false,
+            load_reports_in_health_checks: false,
             load_reports_in_responses: false,
         }
     }
--- a/crates/balancer/tests/balancer/common/fixtures.rs
+++ b/crates/balancer/tests/balancer/common/fixtures.rs
@@ -66,7 +66,7 @@
 pub(crate) fn settings_with_load_checks(health_check_fee: f64) -> Settings {
     Settings {
         host: HostCapabilities {
-            load_reports: true,
+            load_reports_in_health_checks: true,
             ..settings().host
         },
         ..settings_with_health_check_fee(health_check_fee)
--- a/crates/balancer/tests/balancer/load_check.rs
+++ b/crates/balancer/tests/balancer/load_check.rs
@@ -130,7 +130,7 @@
 fn failed_load_checks_do_not_each_request_indirect_checks() {
     let settings = Settings {
         host: HostCapabilities {
-            load_reports: true,
+            load_reports_in_health_checks: true,
             ..settings_with_peers().host
         },
         fees: Fees {
--- a/crates/balancer/tests/balancer/load_from_responses.rs
+++ b/crates/balancer/tests/balancer/load_from_responses.rs
@@ -17,7 +17,7 @@
         .for_each(|class| class.late_value = 0.2);
     Settings {
         host: HostCapabilities {
-            load_reports: true,
+            load_reports_in_health_checks: true,
             load_reports_in_responses: true,
             ..base.host
         },
--- a/crates/balancer/tests/balancer/random_events/script.rs
+++ b/crates/balancer/tests/balancer/random_events/script.rs
@@ -58,7 +58,7 @@
         let settings = Settings {
             host: HostCapabilities {
                 gossip,
-                load_reports,
+                load_reports_in_health_checks: load_reports,
                 ..settings().host
             },
             fees: Fees {
--- a/crates/control/src/work_aware_balancer/tests.rs
+++ b/crates/control/src/work_aware_balancer/tests.rs
@@ -11,7 +11,7 @@
     Settings {
         classes: vec![class],
         host: HostCapabilities {
-            load_reports: true,
+            load_reports_in_health_checks: true,
             ..HostCapabilities::default()
         },
         fees: Fees {
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -77,7 +77,7 @@
                 ..BalancerIdentity::default()
             },
             host: HostCapabilities {
-                load_reports: report.in_health_checks,
+                load_reports_in_health_checks: report.in_health_checks,
                 load_reports_in_responses: report.in_responses,
                 ..HostCapabilities::default()
             },
--- a/crates/platform/src/settings/document.rs
+++ b/crates/platform/src/settings/document.rs
@@ -91,7 +91,7 @@
         let host = &self.platform.balancer.host;
         let source = if host.load_reports_in_responses {
             REPORTS_IN_RESPONSES
-        } else if host.load_reports {
+        } else if host.load_reports_in_health_checks {
             REPORTS_IN_HEALTH_CHECKS
         } else {
             NO_REPORTS
--- a/crates/platform/src/settings/document/tests/strategies.rs
+++ b/crates/platform/src/settings/document/tests/strategies.rs
@@ -116,7 +116,7 @@
                 health_checks,
                 gossip: false,
                 retry_after: false,
-                load_reports: layout.in_flight.is_some() && has_source,
+                load_reports_in_health_checks: layout.in_flight.is_some() && has_source,
                 load_reports_in_responses: source == 1,
             };
             (layout, host)
--- a/crates/platform/src/settings/tests.rs
+++ b/crates/platform/src/settings/tests.rs
@@ -98,7 +98,7 @@
     };
     assert!(settings.host.cancellation);
     assert!(settings.host.health_checks);
-    assert!(settings.host.load_reports);
+    assert!(settings.host.load_reports_in_health_checks);
     assert!(settings.host.load_reports_in_responses);
     assert_eq!(settings.retries, retries);
     assert_eq!(settings.fees, fees);
@@ -233,7 +233,10 @@
 
         let host = AllSettings::read(&text).platform.balancer.host;
 
-        assert_eq!(host.load_reports, in_health_checks, "{report}");
+        assert_eq!(
+            host.load_reports_in_health_checks, in_health_checks,
+            "{report}"
+        );
         assert_eq!(host.load_reports_in_responses, in_responses, "{report}");
     }
 }
--- a/crates/testbed/src/simulator/sidecars/settings.rs
+++ b/crates/testbed/src/simulator/sidecars/settings.rs
@@ -82,7 +82,7 @@
         health_checks: scenario.permissions.health_checks,
         gossip: false,
         retry_after: true,
-        load_reports: true,
+        load_reports_in_health_checks: true,
         load_reports_in_responses: scenario.load_reports.source == LoadReportSource::Responses,
     }
 }
