--- a/crates/adapter/src/host/settings/tests.rs
+++ b/crates/adapter/src/host/settings/tests.rs
@@ -51,10 +51,10 @@
             index: 3,
             count: 7,
         },
-        step: 4_500,
+        min_call_interval: 4_500,
         host: HostCapabilities {
             gossip: true,
-            load_reports: true,
+            load_reports_in_health_checks: true,
             load_reports_in_responses: true,
             ..HostCapabilities::default()
         },
@@ -75,7 +75,7 @@
             required: true,
             max_interval: 20_000_000,
         },
-        only_draining_binds: true,
+        allow_removed_servers: true,
         slow_start: SlowStartSettings {
             initial_capacity: 0.13,
             duration: 24_000_000,
--- a/crates/balancer/src/policy.rs
+++ b/crates/balancer/src/policy.rs
@@ -1,10 +1,10 @@
-//! The policies of the balancer, one type per decision.
+//! Policies: the decision logic of the balancer, one type per decision.
 //!
-//! A policy owns its constants and its private state. It reads the fleet, draws from the random
-//! number generator that it is given, and returns what to do and why; it has no other side effects.
-//! Policies do not reach each other through [`Balancer`](crate::Balancer): what one needs from
-//! another is imported or passed as an argument. The module documentation of each policy states its
-//! rules; `docs/balancer.md` collects them.
+//! A policy owns its constants and its private state. It reads the [`Fleet`](crate::fleet::Fleet),
+//! draws from the random number generator passed to it and returns a decision with its reason; it
+//! has no other side effects. Policies do not call each other through
+//! [`Balancer`](crate::Balancer): what one needs from another is imported or passed as an argument.
+//! Each file starts with the rule that it implements; `docs/balancer.md` describes all of them.
 
 mod ejection;
 mod endpoint_poller;
--- a/crates/balancer/src/policy/load_source.rs
+++ b/crates/balancer/src/policy/load_source.rs
@@ -29,7 +29,7 @@
 impl Settings {
     /// The source of load information that the settings provide.
     pub(crate) fn load_source(&self) -> LoadSource {
-        let can_check = self.host.load_reports && self.host.health_checks;
+        let can_check = self.host.load_reports_in_health_checks && self.host.health_checks;
         if can_check && self.fees.health_check <= MAX_LOAD_CHECK_FEE {
             LoadSource::LoadChecks
         } else if self.host.load_reports_in_responses {
--- a/crates/balancer/src/policy/retry_policy.rs
+++ b/crates/balancer/src/policy/retry_policy.rs
@@ -17,9 +17,10 @@
 /// Time before the end of the deduplication window from which no more retries are sent, in
 /// microseconds: the attempt still has to reach the server.
 const DEDUPLICATION_MARGIN: Micros = 50_000;
-/// Number of steps ([`Settings::step`](crate::Settings::step)) before the latency objective at
-/// which an attempt times out if a late response has no value. With fewer, the final response comes
-/// after the objective, as a timeout is detected up to one step late.
+/// Steps ([`Settings::min_call_interval`](crate::Settings::min_call_interval)) before a latency
+/// objective ends at which an attempt ends that would be worthless late. With fewer, the request is
+/// answered after its objective, as a timeout is noticed up to a step late. Inherited with the first
+/// version of the module.
 const OBJECTIVE_MARGIN_STEPS: Micros = 2;
 
 /// Whether a request is retried.
@@ -205,5 +206,5 @@
 }
 
 fn objective_margin(fleet: &Fleet) -> Micros {
-    OBJECTIVE_MARGIN_STEPS * fleet.settings.step
+    OBJECTIVE_MARGIN_STEPS * fleet.settings.min_call_interval
 }
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of one deployment and their validation.
+//! Settings of a deployment and their validation.
 
 mod error;
 mod groups;
@@ -6,35 +6,37 @@
 use crate::request_class::{ClassId, RequestClass};
 use crate::time::Micros;
 
-pub use error::{ClassProblem, SettingsError};
+pub use error::{RequestClassError, SettingsError};
 pub use groups::{
     BalancerIdentity, Fees, HostCapabilities, PollingSettings, RetrySettings, SlowStartSettings,
 };
 
-/// What a deployment configures for its balancers.
+/// Settings of the balancers of a deployment.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The request classes; at least one.
+    /// Request classes, indexed by [`ClassId`]; at least one.
     pub classes: Vec<RequestClass>,
-    /// Which balancer of the deployment this is.
+    /// Position of this balancer within the deployment.
     pub identity: BalancerIdentity,
-    /// Shortest time between two calls of the balancer, in microseconds.
-    pub step: Micros,
-    /// What the host can do for the balancer.
+    /// Minimum time between two calls of the balancer, in microseconds: events and timers may be
+    /// handled late by up to this time.
+    pub min_call_interval: Micros,
+    /// Capabilities of the host.
     pub host: HostCapabilities,
-    /// What binds the attempts of one request.
+    /// Limits on the attempts of a request.
     pub retries: RetrySettings,
-    /// What the balancer's own traffic costs.
+    /// Costs of the balancer's own traffic.
     pub fees: Fees,
-    /// A connection that is idle for this long is closed, in microseconds.
+    /// Time after which an idle connection to a server is closed, in microseconds.
     pub idle_timeout: Micros,
-    /// The priority weight counts for each unit of a request's work, not for the request.
+    /// If true, the priority weight applies per unit of a request's work instead of per request.
     pub weight_by_work: bool,
-    /// How the endpoint list is followed.
+    /// Polling of the endpoint list.
     pub polling: PollingSettings,
-    /// Only draining servers must not be sent to; one that is merely removed may be tried.
-    pub only_draining_binds: bool,
-    /// What servers bear that have just started.
+    /// If true, requests may be sent to a server that was removed from the endpoint list without
+    /// draining.
+    pub allow_removed_servers: bool,
+    /// Capacity of servers that have just started.
     pub slow_start: SlowStartSettings,
 }
 
@@ -43,21 +45,21 @@
         Self {
             classes: Vec::new(),
             identity: BalancerIdentity::default(),
-            step: 1_000,
+            min_call_interval: 1_000,
             host: HostCapabilities::default(),
             retries: RetrySettings::default(),
             fees: Fees::default(),
             idle_timeout: 5_000_000,
             weight_by_work: false,
             polling: PollingSettings::default(),
-            only_draining_binds: false,
+            allow_removed_servers: false,
             slow_start: SlowStartSettings::default(),
         }
     }
 }
 
 impl Settings {
-    /// Checks that all settings are in range.
+    /// Validates the range of all settings.
     ///
     /// # Errors
     /// Returns the first setting that is out of range.
@@ -66,8 +68,8 @@
             return Err(SettingsError::NoClasses);
         }
         for (index, class) in self.classes.iter().enumerate() {
-            if let Some(problem) = find_class_problem(class) {
-                return Err(SettingsError::Class { index, problem });
+            if let Some(error) = find_request_class_error(class) {
+                return Err(SettingsError::RequestClass { index, error });
             }
         }
         self.retries.validate()?;
@@ -76,15 +78,16 @@
         self.polling.validate()
     }
 
-    /// The class of a request that has arrived.
+    /// Returns the request class with this id.
     ///
     /// # Panics
-    /// Where no such class exists; requests of unknown classes are rejected on arrival.
+    /// Panics if there is no such class; requests of unknown classes are rejected on arrival.
     pub(crate) fn class(&self, id: ClassId) -> &RequestClass {
         &self.classes[usize::from(id.0)]
     }
 
-    /// Where a class stands between the least priority weight (0) and the greatest (1).
+    /// Returns the priority weight of a class, scaled linearly so that the lowest weight of all
+    /// classes is 0 and the highest is 1.
     pub(crate) fn priority_rank(&self, class: &RequestClass) -> f64 {
         let weights = || self.classes.iter().map(|class| class.priority_weight);
         let least = weights().fold(f64::MAX, f64::min);
@@ -92,37 +95,37 @@
         (class.priority_weight - least) / (most - least).max(f64::MIN_POSITIVE)
     }
 
-    /// The shortest latency objective of all classes, in microseconds.
+    /// Returns the shortest latency objective of all classes, in microseconds.
     pub(crate) fn shortest_objective(&self) -> f64 {
         let objectives = self.classes.iter().map(|class| class.latency_objective);
         objectives.min().unwrap_or(1) as f64
     }
 
-    /// True where there are other balancers to message.
+    /// Returns true if there are other balancers and gossip can be sent to them.
     pub(crate) fn has_peers(&self) -> bool {
         self.host.gossip && self.identity.count > 1
     }
 }
 
-fn find_class_problem(class: &RequestClass) -> Option<ClassProblem> {
-    if !is_finite_and_not_negative(class.priority_weight) {
-        return Some(ClassProblem::PriorityWeight);
+fn find_request_class_error(class: &RequestClass) -> Option<RequestClassError> {
+    if !is_finite_and_non_negative(class.priority_weight) {
+        return Some(RequestClassError::PriorityWeight);
     }
     if class.latency_objective == 0 {
-        return Some(ClassProblem::LatencyObjective);
+        return Some(RequestClassError::LatencyObjective);
     }
     if class.deadline < class.latency_objective {
-        return Some(ClassProblem::Deadline);
+        return Some(RequestClassError::Deadline);
     }
     if !(0.0..=1.0).contains(&class.late_value) {
-        return Some(ClassProblem::LateValue);
+        return Some(RequestClassError::LateValue);
     }
-    if !is_finite_and_not_negative(class.objective_per_work) {
-        return Some(ClassProblem::ObjectivePerWork);
+    if !is_finite_and_non_negative(class.objective_per_work) {
+        return Some(RequestClassError::ObjectivePerWork);
     }
     None
 }
 
-fn is_finite_and_not_negative(value: f64) -> bool {
+fn is_finite_and_non_negative(value: f64) -> bool {
     value.is_finite() && value >= 0.0
 }
--- a/crates/balancer/src/state/server_state.rs
+++ b/crates/balancer/src/state/server_state.rs
@@ -115,7 +115,7 @@
     /// requests, so it is kept until it is dead or draining.
     pub(crate) fn is_prunable(&self, settings: &Settings) -> bool {
         let may_be_tried =
-            settings.only_draining_binds && !self.suspicion.is_dead() && !self.listed_as_draining;
+            settings.allow_removed_servers && !self.suspicion.is_dead() && !self.listed_as_draining;
         self.is_removed() && self.in_flight.is_empty() && !may_be_tried
     }
 
--- a/crates/control/src/work_aware_balancer.rs
+++ b/crates/control/src/work_aware_balancer.rs
@@ -109,7 +109,7 @@
             self.work_estimator
                 .on_attempt_served(open.class, context, end.elapsed);
         }
-        if end.finished {
+        if end.request_finished {
             self.open_requests.remove(&end.request);
         }
     }
--- a/crates/control/src/work_aware_balancer/tests.rs
+++ b/crates/control/src/work_aware_balancer/tests.rs
@@ -11,7 +11,7 @@
     Settings {
         classes: vec![class],
         host: HostCapabilities {
-            load_reports: true,
+            load_reports_in_health_checks: true,
             ..HostCapabilities::default()
         },
         fees: Fees {
@@ -62,7 +62,7 @@
         attempt: 0,
         server: ServerId(0),
         outcome: Outcome::Served,
-        finished: true,
+        request_finished: true,
         elapsed: TRAINED_WORK,
         load_report: None,
     };
--- a/crates/platform/src/settings/balancer.rs
+++ b/crates/platform/src/settings/balancer.rs
@@ -33,7 +33,10 @@
     let safety = settings_node.at(keys::settings::SAFETY);
     let fees = settings_node.at(keys::settings::FEES);
     let identity = read_identity(settings_node, base.identity)?;
-    let step = micros_or(&settings_node.at(keys::settings::STEP_MS), base.step)?;
+    let min_call_interval = micros_or(
+        &settings_node.at(keys::settings::STEP_MS),
+        base.min_call_interval,
+    )?;
     let host = read_host_capabilities(&permissions, base.host)?;
     let retries = read_retry_settings(&permissions, base.retries)?;
     let health_check = number_or(&fees.at(keys::fees::HEALTH_CHECK), DEFAULT_FEE)?;
@@ -50,14 +53,14 @@
         .optional_string()?;
     Ok(Settings {
         identity,
-        step,
+        min_call_interval,
         host,
         retries,
         fees,
         idle_timeout,
         weight_by_work: weight_basis.as_deref() == Some(WEIGHT_BY_WORK),
         polling: read_polling_settings(&safety, base.polling)?,
-        only_draining_binds: boolean_or_false(&safety.at(keys::safety::ONLY_DRAINING_BINDS))?,
+        allow_removed_servers: boolean_or_false(&safety.at(keys::safety::ONLY_DRAINING_BINDS))?,
         slow_start: read_slow_start_settings(&safety, base.slow_start)?,
         ..base
     })
--- a/crates/platform/src/settings/document.rs
+++ b/crates/platform/src/settings/document.rs
@@ -43,7 +43,7 @@
             keys::settings::BALANCER_INDEX: settings.identity.index,
             keys::settings::MEMBERSHIP_MODE: self.transport.membership.name(),
             keys::settings::WEIGHT_BASIS: weight_basis(settings),
-            keys::settings::STEP_MS: ms_from_micros(settings.step),
+            keys::settings::STEP_MS: ms_from_micros(settings.min_call_interval),
             keys::settings::REQUEST_CLASSES: self.request_classes(),
             keys::settings::PERMISSIONS: self.permissions(),
             keys::settings::FEES: fees(settings),
@@ -90,7 +90,7 @@
         let host = &self.platform.balancer.host;
         let source = if host.load_reports_in_responses {
             REPORTS_IN_RESPONSES
-        } else if host.load_reports {
+        } else if host.load_reports_in_health_checks {
             REPORTS_IN_HEALTH_CHECKS
         } else {
             NO_REPORTS
@@ -113,7 +113,7 @@
             keys::safety::OVERLOAD_WINDOW_MS: ms_from_micros(slow_start.overload_window),
         });
         let key = keys::safety::ONLY_DRAINING_BINDS;
-        insert_unless_default(&mut safety, key, settings.only_draining_binds);
+        insert_unless_default(&mut safety, key, settings.allow_removed_servers);
         safety
     }
 }
--- a/crates/platform/src/settings/document/tests.rs
+++ b/crates/platform/src/settings/document/tests.rs
@@ -74,7 +74,7 @@
 fn optional_keys_are_written_where_they_differ_from_their_defaults() {
     let mut parts = SettingsParts::read(COMMON_KEYS);
     parts.platform.balancer.fees.connection = 0.03;
-    parts.platform.balancer.only_draining_binds = true;
+    parts.platform.balancer.allow_removed_servers = true;
     parts.platform.balancer.classes[0].objective_per_work = 1.5;
 
     let text = parts.to_text();
--- a/crates/platform/src/settings/document/tests/strategies.rs
+++ b/crates/platform/src/settings/document/tests/strategies.rs
@@ -116,7 +116,7 @@
                 health_checks,
                 gossip: false,
                 retry_after: false,
-                load_reports: layout.in_flight.is_some() && has_source,
+                load_reports_in_health_checks: layout.in_flight.is_some() && has_source,
                 load_reports_in_responses: source == 1,
             };
             (layout, host)
@@ -160,23 +160,23 @@
     fn any_balancer()(
         classes in prop::collection::vec(any_class(), 0..4),
         (index, count) in any::<(u32, u32)>(),
-        step in any_time(),
+        min_call_interval in any_time(),
         retries in any_retries(),
         fees in any_fees(),
         weight_by_work in any::<bool>(),
         max_interval in any_time(),
-        only_draining_binds in any::<bool>(),
+        allow_removed_servers in any::<bool>(),
         slow_start in any_slow_start(),
     ) -> Settings {
         Settings {
             classes,
             identity: BalancerIdentity { index, count, ..BalancerIdentity::default() },
-            step,
+            min_call_interval,
             retries,
             fees,
             weight_by_work,
             polling: PollingSettings { required: false, max_interval },
-            only_draining_binds,
+            allow_removed_servers,
             slow_start,
             ..Settings::default()
         }
--- a/crates/platform/src/settings/tests.rs
+++ b/crates/platform/src/settings/tests.rs
@@ -64,7 +64,7 @@
     assert_eq!(platform.zones, ["z0", "z1"]);
     assert_eq!(platform.load_report, layout);
     assert_eq!(platform.balancer.identity, identity);
-    assert_eq!(platform.balancer.step, 5_000);
+    assert_eq!(platform.balancer.min_call_interval, 5_000);
     assert!(platform.balancer.weight_by_work);
 }
 
@@ -98,7 +98,7 @@
     };
     assert!(settings.host.cancellation);
     assert!(settings.host.health_checks);
-    assert!(settings.host.load_reports);
+    assert!(settings.host.load_reports_in_health_checks);
     assert!(settings.host.load_reports_in_responses);
     assert_eq!(settings.retries, retries);
     assert_eq!(settings.fees, fees);
@@ -125,7 +125,7 @@
         drain_grace: Duration::from_millis(1_500),
         membership: MembershipMode::OnRequest,
     };
-    assert!(settings.only_draining_binds);
+    assert!(settings.allow_removed_servers);
     assert_eq!(settings.idle_timeout, 750_000);
     assert_eq!(settings.polling.max_interval, 20_000_000);
     assert_eq!(settings.slow_start, slow_start);
@@ -233,7 +233,10 @@
 
         let host = SettingsParts::read(&text).platform.balancer.host;
 
-        assert_eq!(host.load_reports, in_health_checks, "{report}");
+        assert_eq!(
+            host.load_reports_in_health_checks, in_health_checks,
+            "{report}"
+        );
         assert_eq!(host.load_reports_in_responses, in_responses, "{report}");
     }
 }
--- a/crates/testbed/src/simulator/sidecars/settings.rs
+++ b/crates/testbed/src/simulator/sidecars/settings.rs
@@ -47,7 +47,7 @@
             index: sidecar_index.value(),
             count: u32_from_count(scenario.sidecars.count),
         },
-        step: RESPONSE_MARGIN,
+        min_call_interval: RESPONSE_MARGIN,
         host: host_capabilities(scenario),
         retries: RetrySettings {
             hedging: permissions.hedging,
@@ -61,7 +61,7 @@
             required: true,
             max_interval: from_ms(permissions.max_poll_interval_ms),
         },
-        only_draining_binds: false,
+        allow_removed_servers: false,
         slow_start: slow_start_settings(scenario),
     }
 }
@@ -82,7 +82,7 @@
         health_checks: scenario.permissions.health_checks,
         gossip: false,
         retry_after: true,
-        load_reports: true,
+        load_reports_in_health_checks: true,
         load_reports_in_responses: scenario.load_reports.source == LoadReportSource::Responses,
     }
 }
