--- a/crates/sidecar/src/upstream/response_framing.rs
+++ b/crates/sidecar/src/upstream/response_framing.rs
@@ -1,73 +1,75 @@
-//! Which of the bytes that a connection brings belong to the response that is awaited on it (RFC
-//! 9112, section 6).
+//! Message framing: determines which bytes received on a connection belong to the pending response
+//! (RFC 9112, section 6).
 //!
 //! # Invariant
-//! Of the bytes that follow a request, one final response is passed on, from the first byte of its
-//! head to the last of its body. Interim responses ahead of it and bytes behind it are not. A head
-//! whose end, or whose body's end, is in doubt passes on nothing, and no head or body is read past
-//! its limit. [`ResponseFraming::is_idle`] holds exactly while no byte is awaited, so a connection
-//! that brings more than its response is known and is not reused. awc does none of this: it takes
-//! an interim response for the final one and puts a connection with bytes left over back into its
-//! pool.
+//! Of the bytes received after a request, exactly one final response is passed on, from the first
+//! byte of its head to the last byte of its body. Interim responses before it and bytes after it
+//! are dropped. If the end of the head or of the body cannot be determined unambiguously, nothing
+//! is passed on, and no head or body is read past its limit. [`ResponseFraming::is_idle`] is true
+//! exactly while no byte is expected, so a connection that delivers more than its response is
+//! detected and not reused. awc does none of this: it takes an interim response for the final one
+//! and returns a connection with leftover bytes to its pool.
 //!
-//! # How it breaks, and what shows it
-//! - This file and awc disagree on where a body ends, for one kind of response (chunks, no length,
-//!   status 204 or 304). If this file ends it first, what lies behind is dropped with the
-//!   connection, and the attempt counts as `attempts_reset` although its server has answered. If
-//!   awc ends it first, the connection returns to the pool as if more of the body were to come,
-//!   without its reuse delay.
-//! - A server that sends what is refused here ([`MalformedResponse`]) shows as `attempts_reset`,
-//!   and as `health_checks_failed` where it answers those alike, though it reports to have served.
-//!   Nothing is logged for each response: take a capture of one exchange and read its head.
-//! - A response whose end is missed leaves bytes for the next one. See `tracked_stream` for what a
-//!   client then gets.
+//! # Failure modes and symptoms
+//! - This file and awc disagree on the end of a body, for one kind of response (chunks, no length,
+//!   status 204 or 304). If this file ends the body first, the rest is dropped with the connection,
+//!   and the attempt counts as `attempts_reset` although its server has responded. If awc ends it
+//!   first, the connection returns to the pool without its reuse delay, as if more of the body were
+//!   still expected.
+//! - A server whose responses are refused here ([`MalformedResponse`]) shows in `attempts_reset`,
+//!   and in `health_checks_failed` if its health check responses are malformed too, although it
+//!   reports that it has served. Individual responses are not logged: capture the traffic of one
+//!   exchange and inspect the response head.
+//! - If the end of a response is missed, its remaining bytes are read as the next response. See
+//!   `tracked_stream` for what a client then gets.
 //!
-//! The unit tests hold the framing byte by byte; the recordings hold it together with awc.
+//! The unit tests check the framing byte by byte; the recordings check it together with awc.
 
 use bytes::{Buf as _, BytesMut};
 use tokio::io::ReadBuf;
 
-use super::response_head::{BodyEnd, MalformedResponse, ParsedHead, parse_head};
+use super::response_head::{BodyFraming, MalformedResponse, ParsedHead, parse_head};
 use crate::limits::Limits;
 
-/// The status that changes the protocol of the connection; nothing here asks for that.
+/// The status that switches the connection to another protocol; the sidecar never requests that.
 const SWITCHING_PROTOCOLS: u16 = 101;
 
-/// Where the reading of a response stands.
+/// The state of reading one response.
 #[derive(Default)]
 enum FramingState {
-    /// No response is awaited: no request is open, or its response has been read.
+    /// No response is pending: no request has been sent, or its response is complete.
     #[default]
     Idle,
-    /// The head of the final response is awaited.
+    /// Reading the head of the final response.
     Head,
-    /// The body's length is known; so many bytes of it are still to come.
+    /// Reading a body of known length; this many bytes remain.
     SizedBody(usize),
-    /// The body ends by chunks or with the connection; so many bytes are still allowed.
+    /// Reading a body that ends with its last chunk or with the connection; this many bytes remain
+    /// until the limit.
     UnsizedBody(usize),
 }
 
-/// Whether bytes of a connection belong to the response that is awaited.
+/// Whether received bytes belong to the pending response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReceivedBytes {
-    /// All of them do.
+    /// All of them belong to it.
     WithinResponse,
-    /// Some come behind its end: the connection must not be used again.
-    BeyondResponse,
+    /// Some follow its end: the connection must not be reused.
+    PastResponseEnd,
 }
 
-/// The framing of the response that is awaited on one connection.
+/// The framing of the pending response on one connection.
 #[derive(Default)]
 pub(super) struct ResponseFraming {
     state: FramingState,
-    /// Interim responses that have come ahead of the final one.
+    /// Interim responses received before the final one.
     interim_responses: usize,
-    /// What of the response has been received and not been passed on.
+    /// Bytes of the response that have been received and not passed on yet.
     buffered: BytesMut,
 }
 
 impl ResponseFraming {
-    /// For a connection on which a request is about to be written.
+    /// The state for a connection on which a request is about to be written.
     pub(super) fn awaiting_head() -> Self {
         Self {
             state: FramingState::Head,
@@ -75,22 +77,22 @@
         }
     }
 
-    /// True while the head of the final response is awaited.
-    pub(super) fn is_in_head(&self) -> bool {
+    /// True until the head of the final response is complete.
+    pub(super) fn is_reading_head(&self) -> bool {
         matches!(self.state, FramingState::Head)
     }
 
-    /// True where no response is awaited.
+    /// True if no response is pending.
     pub(super) fn is_idle(&self) -> bool {
         matches!(self.state, FramingState::Idle)
     }
 
-    /// True where the body has no announced length, so that awc finds its end.
-    pub(super) fn is_in_unsized_body(&self) -> bool {
+    /// True while reading a body without `Content-Length`, whose end only awc detects.
+    pub(super) fn is_reading_unsized_body(&self) -> bool {
         matches!(self.state, FramingState::UnsizedBody(_))
     }
 
-    /// How many bytes of the body may still come; `None` where no body is awaited.
+    /// How many more bytes of the body may be read; `None` if no body is being read.
     pub(super) fn body_bytes_left(&self) -> Option<usize> {
         match self.state {
             FramingState::Idle | FramingState::Head => None,
@@ -98,9 +100,9 @@
         }
     }
 
-    /// Moves buffered bytes of the final response to `output`; false where there are none.
-    pub(super) fn pass_on_buffered(&mut self, output: &mut ReadBuf<'_>) -> bool {
-        if self.is_in_head() || self.buffered.is_empty() {
+    /// Moves buffered bytes of the final response to `output`; false if there are none.
+    pub(super) fn move_buffered_to(&mut self, output: &mut ReadBuf<'_>) -> bool {
+        if self.is_reading_head() || self.buffered.is_empty() {
             return false;
         }
         let length = self.buffered.len().min(output.remaining());
@@ -108,11 +110,11 @@
         true
     }
 
-    /// Takes bytes that were read while the head was awaited.
+    /// Processes bytes that were read while the head was incomplete.
     ///
     /// # Errors
-    /// The head cannot be read, is too long, comes behind too many interim responses, or leaves the
-    /// body's end in doubt.
+    /// The head is invalid or too long, follows too many interim responses, or does not determine
+    /// the end of the body unambiguously.
     pub(super) fn on_head_bytes(
         &mut self,
         bytes: &[u8],
@@ -149,19 +151,19 @@
     fn on_final_head(
         &mut self,
         head_length: usize,
-        body: BodyEnd,
+        body: BodyFraming,
         limits: &Limits,
     ) -> ReceivedBytes {
         match body {
-            BodyEnd::Length(length) => return self.on_sized_body(head_length, length),
-            BodyEnd::Chunks => {}
-            BodyEnd::ConnectionClose => self.set_version_1_0(),
+            BodyFraming::ContentLength(length) => return self.on_sized_body(head_length, length),
+            BodyFraming::Chunked => {}
+            BodyFraming::ConnectionClose => self.rewrite_version_to_1_0(),
         }
         self.state = FramingState::UnsizedBody(limits.upstream.max_unsized_response_bytes);
         ReceivedBytes::WithinResponse
     }
 
-    /// Drops what is buffered behind the body's end.
+    /// Drops buffered bytes after the end of the body.
     fn on_sized_body(&mut self, head_length: usize, body_length: usize) -> ReceivedBytes {
         let received = self.buffered.len() - head_length;
         self.buffered.truncate(head_length + body_length);
@@ -173,14 +175,14 @@
         if received <= body_length {
             ReceivedBytes::WithinResponse
         } else {
-            ReceivedBytes::BeyondResponse
+            ReceivedBytes::PastResponseEnd
         }
     }
 
-    /// Makes awc read a body that ends with its connection. It takes a response that has neither a
-    /// length nor chunks for one without a body, except in HTTP/1.0, where it reads to the end of
-    /// the connection.
-    fn set_version_1_0(&mut self) {
+    /// Rewrites the version to HTTP/1.0 so that awc reads a body that ends with its connection. For
+    /// a response with neither a length nor chunks awc assumes an empty body, except in HTTP/1.0,
+    /// where it reads until the connection is closed.
+    fn rewrite_version_to_1_0(&mut self) {
         let version = self
             .buffered
             .iter()
@@ -189,10 +191,10 @@
         self.buffered[version..version + 4].copy_from_slice(b"/1.0");
     }
 
-    /// Counts bytes of the body that were passed on without being buffered.
+    /// Counts bytes of the body that were passed on unbuffered.
     ///
     /// # Errors
-    /// A body without an announced length is longer than allowed.
+    /// A body without `Content-Length` exceeds the limit.
     pub(super) fn on_body_bytes(&mut self, count: usize) -> Result<(), MalformedResponse> {
         self.state = match self.state {
             FramingState::SizedBody(left) if left > count => FramingState::SizedBody(left - count),
--- a/crates/sidecar/src/upstream/response_framing/tests.rs
+++ b/crates/sidecar/src/upstream/response_framing/tests.rs
@@ -1,6 +1,8 @@
 use super::*;
 use crate::limits::LimitInputs;
 
+const TOO_MANY_INTERIM: &str = "too many interim responses, or a protocol switch";
+
 fn limits() -> Limits {
     Limits::derive(&LimitInputs {
         sockets: 64,
@@ -8,13 +10,13 @@
     })
 }
 
-/// What the framing makes of the bytes in one read, and the bytes that it passes on.
+/// Processes the bytes of one read; returns the framing, the result and the bytes passed on.
 fn receive(bytes: &[u8]) -> (ResponseFraming, Result<ReceivedBytes, String>, Vec<u8>) {
     let mut framing = ResponseFraming::awaiting_head();
     let received = framing.on_head_bytes(bytes, &limits());
     let mut passed_on = vec![0; 1024];
     let mut output = ReadBuf::new(&mut passed_on);
-    framing.pass_on_buffered(&mut output);
+    framing.move_buffered_to(&mut output);
     let passed_on = output.filled().to_vec();
     (
         framing,
@@ -24,14 +26,14 @@
 }
 
 #[test]
-fn a_part_of_a_head_is_not_passed_on() {
+fn incomplete_head_is_not_passed_on() {
     let (framing, received, passed_on) = receive(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n");
     assert_eq!(received, Ok(ReceivedBytes::WithinResponse));
-    assert!(framing.is_in_head() && passed_on.is_empty());
+    assert!(framing.is_reading_head() && passed_on.is_empty());
 }
 
 #[test]
-fn a_sized_body_ends_after_its_length() {
+fn sized_body_ends_after_its_content_length() {
     let response = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbo";
     let (mut framing, received, passed_on) = receive(response);
     assert_eq!(received, Ok(ReceivedBytes::WithinResponse));
@@ -41,10 +43,10 @@
 }
 
 #[test]
-fn bytes_behind_a_sized_body_are_dropped_and_noticed() {
+fn bytes_after_a_sized_body_are_dropped_and_reported() {
     let (framing, received, passed_on) =
         receive(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 500 No\r\n");
-    assert_eq!(received, Ok(ReceivedBytes::BeyondResponse));
+    assert_eq!(received, Ok(ReceivedBytes::PastResponseEnd));
     assert!(framing.is_idle() && passed_on.ends_with(b"\r\n\r\nok"));
 }
 
@@ -62,28 +64,31 @@
 }
 
 #[test]
-fn a_chunked_body_is_unsized_and_passed_on_as_it_is() {
+fn chunked_body_is_unsized_and_passed_on_unchanged() {
     let response = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: Chunked\r\n\r\n2\r\nok\r\n";
     let (framing, received, passed_on) = receive(response);
     assert_eq!(received, Ok(ReceivedBytes::WithinResponse));
-    assert!(framing.is_in_unsized_body() && passed_on == response);
+    assert!(framing.is_reading_unsized_body() && passed_on == response);
 }
 
 #[test]
-fn a_body_that_ends_with_its_connection_is_passed_on_as_http_1_0() {
+fn body_that_ends_with_its_connection_is_passed_on_as_http_1_0() {
     let (framing, received, passed_on) = receive(b"HTTP/1.1 200 OK\r\nA: b\r\n\r\nbody");
     assert_eq!(received, Ok(ReceivedBytes::WithinResponse));
-    assert!(framing.is_in_unsized_body());
+    assert!(framing.is_reading_unsized_body());
     assert_eq!(passed_on, b"HTTP/1.0 200 OK\r\nA: b\r\n\r\nbody");
 }
 
 #[test]
-fn an_unsized_body_fails_where_it_is_longer_than_allowed() {
+fn unsized_body_fails_if_it_exceeds_the_limit() {
     let (mut framing, ..) = receive(b"HTTP/1.1 200 OK\r\n\r\n");
     let allowed = limits().upstream.max_unsized_response_bytes;
     assert!(framing.on_body_bytes(allowed - 1).is_ok());
     let error = framing.on_body_bytes(1).expect_err("too long");
-    assert_eq!(error.to_string(), "an answer does not end");
+    assert_eq!(
+        error.to_string(),
+        "response body without Content-Length is too long"
+    );
 }
 
 #[test]
@@ -95,25 +100,22 @@
     assert_eq!(received, Ok(ReceivedBytes::WithinResponse));
     assert!(framing.is_idle() && passed_on == last.as_bytes());
     let (_, received, _) = receive(format!("{interim}HTTP/1.1 100 Go\r\n\r\n{last}").as_bytes());
-    assert_eq!(received, Err("too many interim answers".to_owned()));
+    assert_eq!(received, Err(TOO_MANY_INTERIM.to_owned()));
 }
 
 #[test]
 #[expect(clippy::too_many_lines, reason = "one table of cases")]
-fn a_malformed_head_fails_with_the_reason() {
-    let unreadable = "the head of an answer cannot be read";
-    let length = "an answer's length is none, or too long";
-    let coding = "an answer's transfer coding is not chunked";
+fn malformed_head_fails_with_its_error() {
+    let invalid = "invalid response head";
+    let length = "invalid or too large Content-Length in response";
+    let coding = "unsupported transfer coding in response";
     let cases = [
-        ("SSH-2.0-server\r\n\r\n".to_owned(), unreadable),
+        ("SSH-2.0-server\r\n\r\n".to_owned(), invalid),
         (
             format!("HTTP/1.1 200 OK\r\nA: {}", "a".repeat(17_000)),
-            unreadable,
-        ),
-        (
-            "HTTP/1.1 101 Switch\r\n\r\n".to_owned(),
-            "too many interim answers",
+            invalid,
         ),
+        ("HTTP/1.1 101 Switch\r\n\r\n".to_owned(), TOO_MANY_INTERIM),
         (
             "HTTP/1.1 200 OK\r\nContent-Length: +2\r\n\r\n".to_owned(),
             length,
@@ -132,11 +134,11 @@
         ),
         (
             "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\n".to_owned(),
-            "an answer's length is given twice",
+            "ambiguous body length in response",
         ),
         (
             "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n".to_owned(),
-            "an answer's length is given twice",
+            "ambiguous body length in response",
         ),
         (
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\n".to_owned(),
--- a/crates/sidecar/src/upstream/response_head.rs
+++ b/crates/sidecar/src/upstream/response_head.rs
@@ -1,63 +1,63 @@
-//! Parses the head of a response and finds out how its body ends (RFC 9112, section 6.3). Keeps
-//! nothing between calls.
+//! Parses the head of a response and determines the framing of its body (RFC 9112, section 6.3).
+//! Stateless.
 
 use std::{fmt, io};
 
 use crate::limits::Limits;
 
-/// Headers that a response may have; one with more cannot be read.
+/// Maximum number of headers in a response; parsing fails on one with more.
 const MAX_RESPONSE_HEADERS: usize = 64;
-/// The minor version that [`httparse`] gives for HTTP/1.1, the first version with chunks.
+/// The value of [`httparse::Response::version`] for HTTP/1.1, the first version with chunks.
 const HTTP_1_1: u8 = 1;
 
-/// How the body of a final response ends.
+/// How the end of a final response's body is determined.
 #[derive(Clone, Copy)]
-pub(super) enum BodyEnd {
-    /// After so many bytes.
-    Length(usize),
-    /// By its last chunk.
-    Chunks,
-    /// With the connection.
+pub(super) enum BodyFraming {
+    /// After this many bytes: `Content-Length`, or 0 for a status without a body.
+    ContentLength(usize),
+    /// At the last chunk.
+    Chunked,
+    /// When the connection is closed.
     ConnectionClose,
 }
 
-/// What the bytes received so far amount to.
+/// The result of parsing the bytes received so far.
 pub(super) enum ParsedHead {
-    /// The head's end has not come yet.
+    /// The end of the head has not been received yet.
     Incomplete,
     /// The head of an interim (1xx) response, `length` bytes long.
     Interim { length: usize, status: u16 },
     /// The head of the final response, `length` bytes long.
-    Final { length: usize, body: BodyEnd },
+    Final { length: usize, body: BodyFraming },
 }
 
-/// Why a response cannot be passed on: it breaks the protocol or a limit. The connection's read
-/// fails with it.
+/// Why a response is not passed on: it violates the protocol or exceeds a limit. The read from the
+/// connection fails with this error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MalformedResponse {
-    /// The head is no HTTP/1 head, or has more bytes or headers than allowed.
-    UnreadableHead,
-    /// More interim responses than allowed, or one that switches the protocol.
+    /// The head is not a valid HTTP/1 head, or exceeds the limit on bytes or on headers.
+    InvalidHead,
+    /// More interim (1xx) responses than the limit, or a 101 (Switching Protocols) response.
     TooManyInterimResponses,
-    /// `Content-Length` is no number, or above what is allowed.
-    InvalidLength,
-    /// `Content-Length` is there twice, or together with a transfer coding.
-    AmbiguousLength,
-    /// A transfer coding that cannot be undone, or chunks in HTTP/1.0.
-    UnsupportedCoding,
-    /// A body without an announced length is longer than allowed.
+    /// `Content-Length` is not a decimal number, or exceeds the limit.
+    InvalidContentLength,
+    /// `Content-Length` occurs more than once, or together with `Transfer-Encoding`.
+    AmbiguousBodyLength,
+    /// A transfer coding other than a single `chunked`, or `chunked` in HTTP/1.0.
+    UnsupportedTransferCoding,
+    /// A body without `Content-Length` exceeds the limit.
     BodyTooLong,
 }
 
 impl fmt::Display for MalformedResponse {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
-            Self::UnreadableHead => "the head of an answer cannot be read",
-            Self::TooManyInterimResponses => "too many interim answers",
-            Self::InvalidLength => "an answer's length is none, or too long",
-            Self::AmbiguousLength => "an answer's length is given twice",
-            Self::UnsupportedCoding => "an answer's transfer coding is not chunked",
-            Self::BodyTooLong => "an answer does not end",
+            Self::InvalidHead => "invalid response head",
+            Self::TooManyInterimResponses => "too many interim responses, or a protocol switch",
+            Self::InvalidContentLength => "invalid or too large Content-Length in response",
+            Self::AmbiguousBodyLength => "ambiguous body length in response",
+            Self::UnsupportedTransferCoding => "unsupported transfer coding in response",
+            Self::BodyTooLong => "response body without Content-Length is too long",
         })
     }
 }
@@ -70,10 +70,10 @@
     }
 }
 
-/// Parses the first head among the bytes received.
+/// Parses the first head in the received bytes.
 ///
 /// # Errors
-/// The head cannot be read, is too long, or leaves the body's end in doubt.
+/// The head is invalid or too long, or does not determine the end of the body unambiguously.
 pub(super) fn parse_head(
     received: &[u8],
     limits: &Limits,
@@ -87,21 +87,21 @@
         {
             return Ok(ParsedHead::Incomplete);
         }
-        _ => return Err(MalformedResponse::UnreadableHead),
+        _ => return Err(MalformedResponse::InvalidHead),
     };
     let status = response.code.unwrap_or_default();
     if (100..200).contains(&status) {
         return Ok(ParsedHead::Interim { length, status });
     }
-    let body = body_end(&response, limits)?;
+    let body = body_framing(&response, limits)?;
     Ok(ParsedHead::Final { length, body })
 }
 
-/// How the body of a final response ends, where its head leaves no doubt of it.
-fn body_end(
+/// The framing of a final response's body. Fails if the head does not determine it unambiguously.
+fn body_framing(
     response: &httparse::Response<'_, '_>,
     limits: &Limits,
-) -> Result<BodyEnd, MalformedResponse> {
+) -> Result<BodyFraming, MalformedResponse> {
     let named = |name: &'static str| {
         response
             .headers
@@ -112,24 +112,26 @@
     let mut codings = named("transfer-encoding");
     match (lengths.next(), lengths.next(), codings.next()) {
         (Some(length), None, None) => {
-            content_length(length.value, limits.max_body_bytes).map(BodyEnd::Length)
+            content_length(length.value, limits.max_body_bytes).map(BodyFraming::ContentLength)
         }
-        (None, None, None) if matches!(response.code, Some(204 | 304)) => Ok(BodyEnd::Length(0)),
-        (None, None, None) => Ok(BodyEnd::ConnectionClose),
+        (None, None, None) if matches!(response.code, Some(204 | 304)) => {
+            Ok(BodyFraming::ContentLength(0))
+        }
+        (None, None, None) => Ok(BodyFraming::ConnectionClose),
         (None, None, Some(coding)) => {
             let is_only_coding = codings.next().is_none();
             if is_only_coding && is_chunked(coding) && response.version == Some(HTTP_1_1) {
-                Ok(BodyEnd::Chunks)
+                Ok(BodyFraming::Chunked)
             } else {
-                Err(MalformedResponse::UnsupportedCoding)
+                Err(MalformedResponse::UnsupportedTransferCoding)
             }
         }
-        _ => Err(MalformedResponse::AmbiguousLength),
+        _ => Err(MalformedResponse::AmbiguousBodyLength),
     }
 }
 
-/// True for the one transfer coding that is undone here. With another one, as with chunks in
-/// HTTP/1.0, server and sidecar would not see the body end at the same byte.
+/// True for `chunked`, the only transfer coding that the sidecar decodes. With any other coding, as
+/// with chunks in HTTP/1.0, server and sidecar would disagree on the last byte of the body.
 fn is_chunked(coding: &httparse::Header<'_>) -> bool {
     coding.value.trim_ascii().eq_ignore_ascii_case(b"chunked")
 }
@@ -141,5 +143,5 @@
         .filter(|_| only_digits)
         .and_then(|text| text.parse().ok())
         .filter(|&length: &usize| length <= max_length)
-        .ok_or(MalformedResponse::InvalidLength)
+        .ok_or(MalformedResponse::InvalidContentLength)
 }
--- a/crates/sidecar/src/upstream/response_reader.rs
+++ b/crates/sidecar/src/upstream/response_reader.rs
@@ -1,7 +1,7 @@
-//! Reads one response at a time from a connection to a server, and nothing beyond it.
+//! Reads one response at a time from a connection to a server, and nothing past its end.
 //!
-//! Owns the socket for as long as it may be used. `tracked_stream` has what rests on this, and how
-//! it would show that it does not hold.
+//! Owns the socket and drops it once the connection must not be used any more. `tracked_stream`
+//! documents the invariant that depends on this and the symptoms of a violation.
 
 use std::io;
 use std::pin::Pin;
@@ -15,21 +15,21 @@
 use super::response_framing::{ReceivedBytes, ResponseFraming};
 use crate::limits::Limits;
 
-/// Bytes read at a time while the head of a response is awaited. They are on the stack.
+/// Size of one read of a response head, in bytes. The buffer is on the stack.
 const HEAD_READ_BYTES: usize = 1024;
 
-/// A connection, and where the reading of its response stands.
+/// A connection and the state of reading its response.
 pub(super) struct ResponseReader {
-    /// `None` once the connection must not be used any more; reads then find its end.
+    /// `None` once the connection must not be used any more; reads then return end of file.
     stream: Option<TcpStream>,
     framing: ResponseFraming,
-    /// When its last response was complete.
+    /// When the last response was read to its end.
     response_ended_at: Option<Instant>,
     limits: Rc<Limits>,
 }
 
 impl ResponseReader {
-    /// For a connection that has just come up.
+    /// A reader for a newly established connection.
     pub(super) fn new(stream: TcpStream, limits: Rc<Limits>) -> Self {
         Self {
             stream: Some(stream),
@@ -44,17 +44,18 @@
         self.stream.as_ref()
     }
 
-    /// The socket, to be written to; `None` once it must not be used any more.
+    /// The socket for writing; `None` once it must not be used any more.
     pub(super) fn stream_mut(&mut self) -> Option<&mut TcpStream> {
         self.stream.as_mut()
     }
 
-    /// A request is about to be written: the next bytes are of its response.
-    pub(super) fn await_response(&mut self) {
+    /// Resets the framing for a request that is about to be written: the next bytes received belong
+    /// to its response.
+    pub(super) fn prepare_for_response(&mut self) {
         self.framing = ResponseFraming::awaiting_head();
     }
 
-    /// Closes the connection where the next request must not be written to it.
+    /// Closes the connection if the next request must not be written to it.
     pub(super) fn close_unless_reusable(&mut self) {
         if !self.is_reusable() {
             self.stream = None;
@@ -63,53 +64,52 @@
 
     /// Whether the next request may be written to the connection.
     ///
-    /// After a body without an announced length it is not known here whether more came behind it,
-    /// and within the reuse delay a second response may still be on its way: the next request would
-    /// get it as its own. A connection that was idle for too long is one that the server may be
-    /// closing just now; the pool does not know, since it counts from when it got the connection
-    /// back.
+    /// After a body without `Content-Length` it is unknown whether more bytes followed, and within
+    /// the reuse delay a second response may still arrive: either would be read as the response to
+    /// the next request. A connection that has been idle for too long may be closing at the server
+    /// at this moment; the pool does not detect that, since it measures idle time from the return
+    /// of the connection.
     fn is_reusable(&self) -> bool {
         let upstream = &self.limits.upstream;
-        let too_early_or_late = self.response_ended_at.is_some_and(|ended_at| {
+        let is_outside_reuse_window = self.response_ended_at.is_some_and(|ended_at| {
             let idle = ended_at.elapsed();
             idle < upstream.reuse_delay || idle > upstream.reuse_delay + upstream.idle_reuse_timeout
         });
-        !self.framing.is_in_unsized_body() && !too_early_or_late
+        !self.framing.is_reading_unsized_body() && !is_outside_reuse_window
     }
 
-    fn note_response_end(&mut self) {
+    fn record_response_end(&mut self) {
         if self.framing.is_idle() {
             self.response_ended_at = Some(Instant::now());
         }
     }
 
-    /// Reads on until there is something of the response to pass on.
+    /// Reads until bytes of the response can be passed on.
     pub(super) fn poll_response(
         &mut self,
         context: &mut Context<'_>,
         output: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         loop {
-            if self.framing.pass_on_buffered(output) {
+            if self.framing.move_buffered_to(output) {
                 return Poll::Ready(Ok(()));
             }
             let Some(stream) = &mut self.stream else {
                 return Poll::Ready(Ok(()));
             };
-            if self.framing.is_in_head() {
+            if self.framing.is_reading_head() {
                 ready!(self.poll_head(context))?;
                 continue;
             }
             return match self.framing.body_bytes_left() {
                 Some(bytes_left) => self.poll_body(context, output, bytes_left),
-                // No response is awaited: what comes all the same makes the pool drop the
-                // connection.
+                // No response is pending: the pool drops the connection if bytes arrive anyway.
                 None => Pin::new(stream).poll_read(context, output),
             };
         }
     }
 
-    /// Reads a part of the head; closes the connection that has ended, or that brings more than its
+    /// Reads part of the head; closes the connection if it has ended, or if bytes follow its
     /// response.
     fn poll_head(&mut self, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         let Some(stream) = &mut self.stream else {
@@ -124,11 +124,11 @@
         if !usable {
             self.stream = None;
         }
-        self.note_response_end();
+        self.record_response_end();
         Poll::Ready(Ok(()))
     }
 
-    /// Reads a part of the body straight into the output, and nothing behind the body's end.
+    /// Reads part of the body directly into the output, and nothing past the end of the body.
     fn poll_body(
         &mut self,
         context: &mut Context<'_>,
@@ -144,7 +144,7 @@
         let count = body.filled().len();
         output.advance(count);
         self.framing.on_body_bytes(count)?;
-        self.note_response_end();
+        self.record_response_end();
         Poll::Ready(Ok(()))
     }
 }
--- a/crates/sidecar/src/upstream/tracked_stream.rs
+++ b/crates/sidecar/src/upstream/tracked_stream.rs
@@ -1,27 +1,29 @@
-//! A connection to a server as awc sees it: one socket, whose writes are counted for the request
-//! and whose reads end with its response.
+//! The stream type that awc uses for a connection to a server: one socket that records what is
+//! written of each request and passes on nothing but its response.
 //!
 //! # Invariant
 //! Every byte that awc reads belongs to the response to the request that the current task sends,
-//! and every byte that the socket accepts is recorded in that request's `WriteProgress` before awc
-//! learns of it. A connection that may still bring something else is not used again: awc's read
-//! ahead of the next request finds it closed, and the pool takes another one. The permit is held
-//! for at least as long as the descriptor.
+//! and every byte that the socket accepts is recorded in that request's `WriteProgress` before
+//! awc's write returns. A connection on which other bytes may still arrive is not reused: the read
+//! that awc makes before the next request finds it closed, and the pool uses another connection.
+//! The permit is held for at least as long as the descriptor.
 //!
-//! # How it breaks, and what shows it
-//! - A connection is used again though a second response is on its way, because the reuse delay is
-//!   too short or [`ResponseReader::close_unless_reusable`] is not called: a client gets another request's
-//!   body. No counter shows that, only the client's complaint; ask it for both request ids, and
-//!   compare the delay with what the server sends (`reuse_delay`).
-//! - A write that is not recorded: a request that was sent and got no response counts as one that
-//!   was never sent. `attempts_connect_failed` rises in place of `attempts_reset`, and requests
-//!   that must not be repeated are. This is what happens should awc move a connection to a task of
-//!   its own, where [`CURRENT_WRITE`] is not set: look here first after an upgrade of awc.
-//! - A connection that is never found reusable: `connections_opened` rises as fast as
-//!   `attempts_started`. One that is reused after the server's idle timeout: `attempts_reset` rises
-//!   for requests behind a pause.
+//! # Failure modes and symptoms
+//! - A connection is reused while a second response is still arriving, because the reuse delay is
+//!   too short or [`ResponseReader::close_unless_reusable`] is not called: a client gets the body
+//!   of another request. No counter shows this, only the client's complaint; ask for both request
+//!   ids, and compare the delay with the time at which the server sends its second response
+//!   (`reuse_delay`).
+//! - A write is not recorded: a request that was sent and got no response counts as never sent.
+//!   `attempts_connect_failed` rises in place of `attempts_reset`, and requests that must not be
+//!   repeated are retried. This would happen if awc moved a connection to a task of its own, where
+//!   [`CURRENT_WRITE`] is not set: check this first after an upgrade of awc.
+//! - No connection is ever found reusable: `connections_opened` rises as fast as
+//!   `attempts_started`.
+//! - A connection is reused after the server's idle timeout: `attempts_reset` rises for requests
+//!   that follow an idle period.
 //!
-//! The recordings of second, late and trailing responses and of reused connections hold this.
+//! The recordings of second, late and trailing responses and of reused connections test this.
 
 use std::io;
 use std::pin::Pin;
@@ -37,8 +39,8 @@
 use crate::counters::Counters;
 use crate::limits::Limits;
 
-/// A connection that reports to the current task's request what was written of it, and passes on
-/// its response alone.
+/// A connection that records what is written of the current task's request, and passes on nothing
+/// but its response.
 pub(super) struct TrackedStream {
     reader: ResponseReader,
     limits: Rc<Limits>,
@@ -53,7 +55,7 @@
 }
 
 impl TrackedStream {
-    /// For a connection that has just come up; it counts as open until it is dropped.
+    /// Wraps a newly established connection, which counts as open until it is dropped.
     pub(super) fn new(
         stream: TcpStream,
         permit: ConnectionPermit,
@@ -69,8 +71,8 @@
     }
 }
 
-/// True where the current task is about to send a request: awc then reads to see whether the
-/// connection is still open.
+/// True if the current task has a request of which nothing has been written. awc then reads from
+/// the connection to find out whether it is still open.
 fn is_next_request_unwritten() -> bool {
     CURRENT_WRITE
         .try_with(|progress| progress.started_at().is_none())
@@ -109,7 +111,7 @@
                 return Poll::Ready(Err(io::Error::other(blocked.reason())));
             }
             if progress.started_at().is_none() {
-                self.reader.await_response();
+                self.reader.prepare_for_response();
             }
         }
         let Some(stream) = self.reader.stream_mut() else {
