--- a/crates/sidecar/src/upstream/connector.rs
+++ b/crates/sidecar/src/upstream/connector.rs
@@ -13,7 +13,7 @@
 
 use super::connection_limiter::ConnectionLimiter;
 use super::tracked_stream::TrackedStream;
-use super::write_progress::CURRENT_WRITE;
+use super::write_progress::CURRENT_WRITE_PROGRESS;
 use crate::counters::Counters;
 use crate::limits::Limits;
 
@@ -65,7 +65,8 @@
             .and_then(|authority| authority.as_str().parse().ok())
             .ok_or_else(|| io::Error::from(io::ErrorKind::InvalidInput))?;
         let Some(permit) = self.limiter.try_acquire() else {
-            let _ = CURRENT_WRITE.try_with(|progress| progress.on_connection_limit_reached());
+            let _ =
+                CURRENT_WRITE_PROGRESS.try_with(|progress| progress.on_connection_limit_reached());
             return Err(io::Error::other("too many connections"));
         };
         self.counters.connections_opened.add();
--- a/crates/sidecar/src/upstream/exchange.rs
+++ b/crates/sidecar/src/upstream/exchange.rs
@@ -12,7 +12,7 @@
 
 use super::connection_pool::ConnectionPools;
 use super::reuse_delay::FinishedResponse;
-use super::write_progress::{CURRENT_WRITE, WriteProgress};
+use super::write_progress::{CURRENT_WRITE_PROGRESS, WriteProgress};
 
 /// A response that was read to its end.
 pub(super) struct CompleteResponse {
@@ -65,7 +65,9 @@
         }
         Ok(complete)
     };
-    CURRENT_WRITE.scope(Rc::clone(progress), exchange).await
+    CURRENT_WRITE_PROGRESS
+        .scope(Rc::clone(progress), exchange)
+        .await
 }
 
 async fn send(request: ClientRequest, body: Bytes) -> Result<FinishedResponse, ExchangeFailed> {
@@ -117,7 +119,7 @@
 pub(super) fn outcome_without_response(progress: &WriteProgress, if_complete: Outcome) -> Outcome {
     if progress.is_not_sent() {
         Outcome::NotSent
-    } else if progress.is_complete() {
+    } else if progress.is_fully_written() {
         if_complete
     } else {
         Outcome::ConnectFailed
--- a/crates/sidecar/src/upstream/send_conditions.rs
+++ b/crates/sidecar/src/upstream/send_conditions.rs
@@ -1,53 +1,53 @@
 //! The check before an attempt's first byte: whether the attempt may still begin.
 //!
-//! The balancer decides earlier; a slow connect or a busy event loop may lie between its decision
-//! and the first write. Pure: times and flags are handed in (`send_guard` collects them). An attempt
-//! that is blocked here counts as not sent.
+//! It repeats what the balancer checked, because a slow connect or a busy event loop may delay the
+//! first write after the balancer's decision. Pure functions: times and flags are parameters, which
+//! `send_guard` collects. An attempt that is blocked here counts as not sent.
 
 use std::time::Duration;
 
 use crate::message::SendBlocked;
 
-/// What is known at the moment in which the first byte would be written.
+/// The state of an attempt when its first byte is about to be written.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SendConditions {
     /// The client has closed its connection.
-    pub client_left: bool,
+    pub client_disconnected: bool,
     /// Time until the attempt times out.
     pub time_left: Duration,
-    /// Time in which a retry may still begin, zero once that is over; `None` where it is not
-    /// bounded.
-    pub retry_window_left: Option<Duration>,
-    /// Time since the server's drain was notified; `None` where it is not draining.
+    /// Time until a retry may no longer begin, zero once that is over; `None` if there is no such
+    /// limit.
+    pub retry_time_left: Option<Duration>,
+    /// Time since the notification that the server is draining or removed; `None` if it is ready.
     pub drain_age: Option<Duration>,
-    /// The server's address has changed since the attempt was made: another server may have taken
-    /// the old one.
-    pub server_moved: bool,
-    /// The endpoint list is so old that the server may be draining without the list showing it.
+    /// The server's address has changed since the attempt was created: the old address may belong
+    /// to another server now.
+    pub server_address_changed: bool,
+    /// The endpoint list is too old to show whether the server is draining.
     pub list_stale: bool,
 }
 
-/// Checks every rule that may be broken by the time that passes between a decision and the first
-/// byte. A server takes nothing new once its drain is `max_drain_age` old.
+/// Checks every condition that may change between the balancer's decision and the first byte. No
+/// attempt begins at a server whose `drain_age` is `max_drain_age` or more.
 ///
 /// # Errors
-/// The first rule that the attempt would break.
-pub(super) fn check(
+/// The first condition that blocks the attempt.
+pub(super) fn check_conditions(
     conditions: &SendConditions,
     max_drain_age: Duration,
 ) -> Result<(), SendBlocked> {
-    if conditions.client_left {
+    if conditions.client_disconnected {
         Err(SendBlocked::ClientLeft)
     } else if conditions.time_left.is_zero() {
         Err(SendBlocked::NoTime)
     } else if conditions
-        .retry_window_left
+        .retry_time_left
         .is_some_and(|left| left.is_zero())
     {
         Err(SendBlocked::WindowOver)
     } else if conditions.drain_age.is_some_and(|age| age >= max_drain_age) {
         Err(SendBlocked::ServerDraining)
-    } else if conditions.server_moved {
+    } else if conditions.server_address_changed {
         Err(SendBlocked::ServerMoved)
     } else if conditions.list_stale {
         Err(SendBlocked::ListStale)
--- a/crates/sidecar/src/upstream/send_guard.rs
+++ b/crates/sidecar/src/upstream/send_guard.rs
@@ -1,51 +1,51 @@
-//! What an attempt must still satisfy at its first byte: collects the conditions as they are at that
-//! moment, and has them checked.
+//! Collects the conditions of an attempt at the moment of its first byte and checks them with
+//! `send_conditions`.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
 
 use tokio::time::Instant;
 
-use super::send_conditions::{SendConditions, check};
+use super::send_conditions::{SendConditions, check_conditions};
 use crate::host::{EndpointListFreshness, Server};
 use crate::limits::Limits;
 use crate::message::{ClientPresence, SendBlocked};
 
-/// What is looked at before an attempt's first byte. Health checks have no guard: they are no work,
-/// and may go to a draining server.
+/// Decides whether an attempt's first byte may be written. Health checks have no guard: they are no
+/// work for the server, and may go to a draining one.
 pub(super) struct SendGuard {
-    /// For how long the endpoint list may be trusted.
+    /// Whether the endpoint list is recent enough to show a drain.
     pub list_freshness: Rc<EndpointListFreshness>,
-    /// The server that the attempt goes to.
+    /// The target server.
     pub server: Rc<Server>,
-    /// The server's address when the attempt was made.
+    /// The server's address when the attempt was created.
     pub address: SocketAddr,
     /// Whether the request's client is still connected.
     pub presence: ClientPresence,
     /// When the attempt times out.
     pub attempt_deadline: Instant,
-    /// The latest time at which a retry may begin, where that is bounded.
+    /// The latest time at which a retry may begin; `None` if there is no such limit.
     pub start_before: Option<Instant>,
 }
 
 impl SendGuard {
-    /// Whether the first byte may be written now.
+    /// Checks whether the first byte may be written now.
     ///
     /// # Errors
-    /// The first rule that the attempt would break.
+    /// The first condition that blocks the attempt.
     pub(super) fn check(&self, limits: &Limits) -> Result<(), SendBlocked> {
-        check(&self.conditions(), limits.upstream.max_drain_age)
+        check_conditions(&self.current_conditions(), limits.upstream.max_drain_age)
     }
 
-    fn conditions(&self) -> SendConditions {
+    fn current_conditions(&self) -> SendConditions {
         let now = Instant::now();
         let time_until = |instant: Instant| instant.saturating_duration_since(now);
         SendConditions {
-            client_left: self.presence.is_disconnected(),
+            client_disconnected: self.presence.is_disconnected(),
             time_left: time_until(self.attempt_deadline),
-            retry_window_left: self.start_before.map(time_until),
+            retry_time_left: self.start_before.map(time_until),
             drain_age: self.server.drain_age(),
-            server_moved: self.server.address() != self.address,
+            server_address_changed: self.server.address() != self.address,
             list_stale: self.list_freshness.is_stale_for(&self.server),
         }
     }
--- a/crates/sidecar/src/upstream/tracked_stream.rs
+++ b/crates/sidecar/src/upstream/tracked_stream.rs
@@ -17,7 +17,7 @@
 //! - A write is not recorded: a request that was sent and got no response counts as never sent.
 //!   `attempts_connect_failed` rises in place of `attempts_reset`, and requests that must not be
 //!   repeated are retried. This would happen if awc moved a connection to a task of its own, where
-//!   [`CURRENT_WRITE`] is not set: check this first after an upgrade of awc.
+//!   [`CURRENT_WRITE_PROGRESS`] is not set: check this first after an upgrade of awc.
 //! - No connection is ever found reusable: `connections_opened` rises as fast as
 //!   `attempts_started`.
 //! - A connection is reused after the server's idle timeout: `attempts_reset` rises for requests
@@ -35,7 +35,7 @@
 
 use super::connection_limiter::ConnectionPermit;
 use super::response_reader::ResponseReader;
-use super::write_progress::CURRENT_WRITE;
+use super::write_progress::CURRENT_WRITE_PROGRESS;
 use crate::counters::Counters;
 use crate::limits::Limits;
 
@@ -74,7 +74,7 @@
 /// True if the current task has a request of which nothing has been written. awc then reads from
 /// the connection to find out whether it is still open.
 fn is_next_request_unwritten() -> bool {
-    CURRENT_WRITE
+    CURRENT_WRITE_PROGRESS
         .try_with(|progress| progress.started_at().is_none())
         .unwrap_or(false)
 }
@@ -92,7 +92,7 @@
         let read = self.reader.poll_response(context, output);
         let any_read = matches!(read, Poll::Ready(Ok(()))) && output.filled().len() > filled_before;
         if read.is_ready() && !any_read {
-            let _ = CURRENT_WRITE.try_with(|progress| progress.on_connection_ended());
+            let _ = CURRENT_WRITE_PROGRESS.try_with(|progress| progress.on_connection_ended());
         }
         read
     }
@@ -104,7 +104,7 @@
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        let progress = CURRENT_WRITE.try_with(Rc::clone).ok();
+        let progress = CURRENT_WRITE_PROGRESS.try_with(Rc::clone).ok();
         if let Some(progress) = &progress {
             if let Err(blocked) = progress.check_first_byte(&self.limits) {
                 self.counters.on_attempt_blocked(blocked);
--- a/crates/sidecar/src/upstream/write_progress.rs
+++ b/crates/sidecar/src/upstream/write_progress.rs
@@ -1,30 +1,32 @@
-//! How far a request has been written to its connection, and the check before its first byte.
+//! Tracks how much of a request has been written to its connection, and checks before its first
+//! byte whether it may still be sent.
 //!
-//! Whether a server may have executed a request follows from this alone: awc reports a connection
-//! that ended before a response like one that never came up. The connection's stream reports what
-//! the socket has accepted through [`CURRENT_WRITE`]; whoever sends the request reads the result
-//! from its [`WriteProgress`].
+//! This alone determines whether a server may have executed a request: awc reports a connection
+//! that ended before a response like one that was never established. The connection's stream
+//! records the bytes that the socket accepted through [`CURRENT_WRITE_PROGRESS`]; the sender of the
+//! request reads the result from its [`WriteProgress`].
 //!
 //! # Invariant
-//! A request that is not [complete](WriteProgress::is_complete) cannot have been executed: its last
-//! byte is not with the operating system. A request that is may have been. The phase moves forward
-//! only, and what the sidecar did not let out stays not sent, whatever is reported later. The first
-//! byte is written only if [`SendGuard`] allows it at that moment; later bytes are never held back,
-//! since half a request helps nobody.
+//! A request that is not [fully written](WriteProgress::is_fully_written) cannot have been
+//! executed: the operating system has not accepted its last byte. A fully written request may have
+//! been executed. The phase only moves forward, and a request that the sidecar did not send stays
+//! [`WritePhase::NotSent`], whatever is recorded later. The first byte is written only if
+//! [`SendGuard`] allows it at that moment; later bytes are never blocked, since a partial request
+//! is useless to the server.
 //!
-//! # How it breaks, and what shows it
-//! - The bytes that awc writes are not the head and then `body_length` bytes of body, for instance
-//!   because it came to use chunks. If the count ends too late, requests that were executed count
-//!   as `attempts_connect_failed` and are sent again: servers see one request id twice outside its
-//!   class. If it ends too early, requests that were cut off count as `attempts_reset` and
-//!   `attempts_timed_out`, and those that may not be repeated fail (`responses_failed` rises)
-//!   though nothing ran.
+//! # Failure modes and symptoms
+//! - The bytes that awc writes are not the head followed by `body_length` bytes of body, for
+//!   instance because a new version uses chunks. If the count ends too late, requests that were
+//!   executed count as `attempts_connect_failed` and are retried: servers see a request id twice
+//!   although its class does not allow it. If it ends too early, requests that were cut off count
+//!   as `attempts_reset` and `attempts_timed_out`, and those that must not be repeated fail
+//!   (`responses_failed` rises) although nothing was executed.
 //! - The check is skipped or made too early, before the connect: servers report work after the
-//!   grace of their drain, and the `attempts_blocked_*` counters stay at zero through drains and
-//!   moves.
-//! - A check that refuses too much shows as the one `attempts_blocked_*` counter that rises;
-//!   `attempts_blocked_list_stale` for all servers at once means that discovery is silent, not that
-//!   this file is wrong.
+//!   grace period of their drain, and the `attempts_blocked_*` counters stay at zero through drains
+//!   and address changes.
+//! - The check blocks too much: one of the `attempts_blocked_*` counters rises.
+//!   `attempts_blocked_list_stale` for all servers at once means that discovery sends no updates,
+//!   not that this file is wrong.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -36,47 +38,50 @@
 use crate::message::SendBlocked;
 
 tokio::task_local! {
-    /// The request that the current task is sending, whichever connection it got from the pool.
-    pub static CURRENT_WRITE: Rc<WriteProgress>;
+    /// The progress of the request that the current task is sending, on whichever connection the
+    /// pool provides.
+    pub static CURRENT_WRITE_PROGRESS: Rc<WriteProgress>;
 }
 
-/// What ends a request's head (RFC 9112, section 2.1): the end of its last line and an empty line.
-const HEAD_END: &[u8; 4] = b"\r\n\r\n";
+/// The end of a request's head (RFC 9112, section 2.1): the end of its last line and an empty line.
+const HEAD_TERMINATOR: &[u8; 4] = b"\r\n\r\n";
 
-/// How much of one request the socket has accepted, and what is checked before its first byte.
+/// How much of one request the socket has accepted, and the guard that is checked before its first
+/// byte.
 pub(super) struct WriteProgress {
     guard: Option<SendGuard>,
-    /// Bytes of the request's body.
+    /// Length of the request's body in bytes.
     body_length: usize,
     phase: Cell<WritePhase>,
 }
 
-/// The phases of a request's write, in their order. One that is not sent never starts.
+/// The phases of writing a request, in order. A request in `NotSent` stays there.
 #[derive(Clone, Copy)]
 enum WritePhase {
     NotStarted,
-    /// The sidecar itself has not let the request out.
+    /// The sidecar itself decided not to send the request.
     NotSent,
     WritingHead {
         started_at: Instant,
-        /// Bytes of [`HEAD_END`] that have been written in a row.
-        head_end_matched: usize,
+        /// Length of the prefix of [`HEAD_TERMINATOR`] that the last bytes written match.
+        matched_terminator_bytes: usize,
     },
     WritingBody {
         started_at: Instant,
-        bytes_left: usize,
+        remaining_bytes: usize,
     },
-    Complete {
+    FullyWritten {
         started_at: Instant,
     },
-    /// The request is complete, and its connection has ended since.
+    /// The connection ended after the request was fully written.
     ConnectionEnded {
         started_at: Instant,
     },
 }
 
 impl WriteProgress {
-    /// For a request with a body of `body_length` bytes; a guard may block its first byte.
+    /// The progress of a request with a body of `body_length` bytes, whose first byte `guard` may
+    /// block.
     pub(super) fn new(guard: Option<SendGuard>, body_length: usize) -> Rc<Self> {
         Rc::new(Self {
             guard,
@@ -91,47 +96,48 @@
             WritePhase::NotStarted | WritePhase::NotSent => None,
             WritePhase::WritingHead { started_at, .. }
             | WritePhase::WritingBody { started_at, .. }
-            | WritePhase::Complete { started_at }
+            | WritePhase::FullyWritten { started_at }
             | WritePhase::ConnectionEnded { started_at } => Some(started_at),
         }
     }
 
-    /// True where the sidecar itself has not let the request out: no fault of the server's.
+    /// True if the sidecar itself decided not to send the request, so that it is no failure of the
+    /// server.
     pub(super) fn is_not_sent(&self) -> bool {
         matches!(self.phase.get(), WritePhase::NotSent)
     }
 
-    /// True once the socket has accepted the last byte: from then on the server may execute the
+    /// True once the socket has accepted the last byte, after which the server may execute the
     /// request.
-    pub(super) fn is_complete(&self) -> bool {
+    pub(super) fn is_fully_written(&self) -> bool {
         matches!(
             self.phase.get(),
-            WritePhase::Complete { .. } | WritePhase::ConnectionEnded { .. }
+            WritePhase::FullyWritten { .. } | WritePhase::ConnectionEnded { .. }
         )
     }
 
-    /// True where the connection ended while the response was read.
+    /// True if the connection ended after the request was fully written.
     pub(super) fn connection_ended(&self) -> bool {
         matches!(self.phase.get(), WritePhase::ConnectionEnded { .. })
     }
 
-    /// No connection was opened for the request: as many as allowed are open.
+    /// Records that no connection was opened for the request because the limit is reached.
     pub(super) fn on_connection_limit_reached(&self) {
         self.phase.set(WritePhase::NotSent);
     }
 
-    /// A read from the request's connection found its end, or failed. Without effect on a request
-    /// that is not complete.
+    /// Records that a read from the request's connection returned end of file or failed. Has no
+    /// effect on a request that is not fully written.
     pub(super) fn on_connection_ended(&self) {
-        if let WritePhase::Complete { started_at } = self.phase.get() {
+        if let WritePhase::FullyWritten { started_at } = self.phase.get() {
             self.phase.set(WritePhase::ConnectionEnded { started_at });
         }
     }
 
-    /// Checks whether the request's first byte may be written; later bytes always may.
+    /// Checks whether the request's first byte may be written. Later bytes are always allowed.
     ///
     /// # Errors
-    /// Why the request is not sent.
+    /// The reason why the request is not sent.
     pub(super) fn check_first_byte(&self, limits: &Limits) -> Result<(), SendBlocked> {
         if self.started_at().is_some() {
             return Ok(());
@@ -146,7 +152,7 @@
         checked
     }
 
-    /// The socket has accepted these bytes of the request.
+    /// Records that the socket has accepted these bytes of the request.
     pub(super) fn on_written(&self, bytes: &[u8]) {
         if bytes.is_empty() {
             return;
@@ -155,14 +161,14 @@
             WritePhase::NotStarted => self.after_head_bytes(Instant::now(), 0, bytes),
             WritePhase::WritingHead {
                 started_at,
-                head_end_matched,
-            } => self.after_head_bytes(started_at, head_end_matched, bytes),
+                matched_terminator_bytes,
+            } => self.after_head_bytes(started_at, matched_terminator_bytes, bytes),
             WritePhase::WritingBody {
                 started_at,
-                bytes_left,
-            } => WritePhase::after_body_bytes(started_at, bytes_left, bytes.len()),
+                remaining_bytes,
+            } => WritePhase::after_body_bytes(started_at, remaining_bytes, bytes.len()),
             last @ (WritePhase::NotSent
-            | WritePhase::Complete { .. }
+            | WritePhase::FullyWritten { .. }
             | WritePhase::ConnectionEnded { .. }) => last,
         };
         self.phase.set(phase);
@@ -171,20 +177,20 @@
     fn after_head_bytes(
         &self,
         started_at: Instant,
-        mut head_end_matched: usize,
+        mut matched_terminator_bytes: usize,
         bytes: &[u8],
     ) -> WritePhase {
         let mut rest = bytes;
-        while let Some(&expected) = HEAD_END.get(head_end_matched) {
+        while let Some(&expected) = HEAD_TERMINATOR.get(matched_terminator_bytes) {
             let Some((&byte, after)) = rest.split_first() else {
                 return WritePhase::WritingHead {
                     started_at,
-                    head_end_matched,
+                    matched_terminator_bytes,
                 };
             };
             rest = after;
-            head_end_matched = if byte == expected {
-                head_end_matched + 1
+            matched_terminator_bytes = if byte == expected {
+                matched_terminator_bytes + 1
             } else {
                 usize::from(byte == b'\r')
             };
@@ -194,12 +200,12 @@
 }
 
 impl WritePhase {
-    fn after_body_bytes(started_at: Instant, bytes_left: usize, written: usize) -> Self {
-        match bytes_left.saturating_sub(written) {
-            0 => Self::Complete { started_at },
-            bytes_left => Self::WritingBody {
+    fn after_body_bytes(started_at: Instant, remaining_bytes: usize, written: usize) -> Self {
+        match remaining_bytes.saturating_sub(written) {
+            0 => Self::FullyWritten { started_at },
+            remaining_bytes => Self::WritingBody {
                 started_at,
-                bytes_left,
+                remaining_bytes,
             },
         }
     }
--- a/crates/sidecar/src/upstream/write_progress/tests.rs
+++ b/crates/sidecar/src/upstream/write_progress/tests.rs
@@ -8,7 +8,7 @@
 use crate::limits::LimitInputs;
 use crate::message::ClientPresence;
 
-/// What a request's first byte is checked against.
+/// The state that the check before a request's first byte depends on.
 struct Fixture {
     limits: Rc<Limits>,
     clock: Rc<BalancerClock>,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// The progress of an attempt to the server that has just been made.
+    /// The progress of a new attempt at the server.
     fn progress_to(&self, server: &Rc<Server>) -> Rc<WriteProgress> {
         let guard = SendGuard {
             list_freshness: Rc::clone(&self.list_freshness),
@@ -51,10 +51,11 @@
     Rc::new(Server::new(ServerId(number), address))
 }
 
-/// A drain that is notified between the decision and a slow connect: loopback connects too fast to
-/// record it.
+/// Guards against sending a request to a server whose drain was notified during a slow connect, and
+/// against blocking one that is already partly written. The recording
+/// `drain_during_a_pending_connect_blocks_the_attempt` tests the former with a real connection.
 #[test]
-fn a_drain_blocks_the_first_byte_but_no_later_one() {
+fn drain_blocks_the_first_byte_but_no_later_one() {
     let fixture = Fixture::new(Duration::ZERO);
     let server = server(0);
     let blocked = fixture.progress_to(&server);
@@ -68,15 +69,15 @@
     assert!(
         blocked.is_not_sent()
             && started.check_first_byte(&fixture.limits).is_ok()
-            && !started.is_complete()
+            && !started.is_fully_written()
     );
     started.on_written(b"\nab");
-    assert!(started.is_complete() && !started.is_not_sent());
+    assert!(started.is_fully_written() && !started.is_not_sent());
     server.on_listed(EndpointStatus::Ready, None);
     assert_eq!(
         blocked.check_first_byte(&fixture.limits),
         Err(SendBlocked::ServerDraining),
-        "an old list ends no drain"
+        "a list without a newer incarnation ends no drain"
     );
     server.on_listed(EndpointStatus::Ready, Some(1_000));
     assert_eq!(
@@ -87,10 +88,10 @@
     );
 }
 
-/// A stale list may hide a drain; only a server that has served a request since then is known not
-/// to be draining.
+/// A stale list may not show a drain; only a server that has served a request since the last update
+/// is known not to be draining.
 #[test]
-fn a_stale_list_blocks_servers_that_have_served_nothing_since() {
+fn stale_list_blocks_servers_that_have_served_nothing_since_its_last_update() {
     let fixture = Fixture::new(Duration::from_secs(2));
     let server = server(0);
     fixture.list_freshness.on_watch_silent(Instant::now());
@@ -127,12 +128,12 @@
     );
 }
 
-/// What the rest of the sidecar sees of a request's progress: started, complete, connection ended,
-/// not sent.
-fn observed(progress: &WriteProgress) -> (bool, bool, bool, bool) {
+/// The state of a request as its accessors return it: started, fully written, connection ended, not
+/// sent.
+fn observed_state(progress: &WriteProgress) -> (bool, bool, bool, bool) {
     (
         progress.started_at().is_some(),
-        progress.is_complete(),
+        progress.is_fully_written(),
         progress.connection_ended(),
         progress.is_not_sent(),
     )
@@ -140,80 +141,84 @@
 
 const NOT_STARTED: (bool, bool, bool, bool) = (false, false, false, false);
 const PARTLY_WRITTEN: (bool, bool, bool, bool) = (true, false, false, false);
-const COMPLETE: (bool, bool, bool, bool) = (true, true, false, false);
+const FULLY_WRITTEN: (bool, bool, bool, bool) = (true, true, false, false);
 const CONNECTION_ENDED: (bool, bool, bool, bool) = (true, true, true, false);
 const NOT_SENT: (bool, bool, bool, bool) = (false, false, false, true);
 
 #[test]
-fn a_written_request_passes_through_each_phase_once() {
+fn written_request_passes_through_each_phase_once() {
     let progress = WriteProgress::new(None, 2);
-    assert_eq!(observed(&progress), NOT_STARTED);
+    assert_eq!(observed_state(&progress), NOT_STARTED);
     progress.on_written(b"");
-    assert_eq!(observed(&progress), NOT_STARTED, "no byte starts nothing");
+    assert_eq!(
+        observed_state(&progress),
+        NOT_STARTED,
+        "an empty write does not start the request"
+    );
     progress.on_connection_ended();
-    assert_eq!(observed(&progress), NOT_STARTED);
+    assert_eq!(observed_state(&progress), NOT_STARTED);
     progress.on_written(b"GET / HTTP/1.1\r\n");
-    assert_eq!(observed(&progress), PARTLY_WRITTEN);
+    assert_eq!(observed_state(&progress), PARTLY_WRITTEN);
     let started_at = progress.started_at();
     progress.on_written(b"\r\na");
     progress.on_connection_ended();
-    assert_eq!(observed(&progress), PARTLY_WRITTEN);
+    assert_eq!(observed_state(&progress), PARTLY_WRITTEN);
     progress.on_written(b"b");
-    assert_eq!(observed(&progress), COMPLETE);
+    assert_eq!(observed_state(&progress), FULLY_WRITTEN);
     progress.on_connection_ended();
-    assert_eq!(observed(&progress), CONNECTION_ENDED);
+    assert_eq!(observed_state(&progress), CONNECTION_ENDED);
     progress.on_connection_ended();
-    assert_eq!(observed(&progress), CONNECTION_ENDED);
+    assert_eq!(observed_state(&progress), CONNECTION_ENDED);
     assert_eq!(progress.started_at(), started_at);
 }
 
 #[test]
-fn a_request_without_a_descriptor_stays_not_sent() {
+fn request_over_the_connection_limit_stays_not_sent() {
     let progress = WriteProgress::new(None, 0);
     progress.on_connection_limit_reached();
-    assert_eq!(observed(&progress), NOT_SENT);
+    assert_eq!(observed_state(&progress), NOT_SENT);
     progress.on_connection_ended();
-    assert_eq!(observed(&progress), NOT_SENT);
+    assert_eq!(observed_state(&progress), NOT_SENT);
     assert_eq!(
         progress.check_first_byte(&Fixture::new(Duration::ZERO).limits),
         Ok(())
     );
     assert_eq!(
-        observed(&progress),
+        observed_state(&progress),
         NOT_SENT,
-        "a later look takes nothing back"
+        "a later check does not change the phase"
     );
 }
 
 #[test]
-fn a_blocked_request_stays_not_sent() {
+fn blocked_request_stays_not_sent() {
     let fixture = Fixture::new(Duration::ZERO);
     let server = server(0);
     let progress = fixture.progress_to(&server);
     server.on_listed(EndpointStatus::Draining, None);
     assert!(progress.check_first_byte(&fixture.limits).is_err());
-    assert_eq!(observed(&progress), NOT_SENT);
+    assert_eq!(observed_state(&progress), NOT_SENT);
     progress.on_connection_ended();
-    assert_eq!(observed(&progress), NOT_SENT);
+    assert_eq!(observed_state(&progress), NOT_SENT);
     server.on_listed(EndpointStatus::Ready, Some(1_000));
     assert_eq!(progress.check_first_byte(&fixture.limits), Ok(()));
     assert_eq!(
-        observed(&progress),
+        observed_state(&progress),
         NOT_SENT,
-        "a later look takes nothing back"
+        "a later check does not change the phase"
     );
 }
 
 proptest::proptest! {
-    /// However the socket splits a request, and whenever the connection ends, one phase follows
-    /// from the bytes.
+    /// The phase depends only on the bytes written so far and on the end of the connection, however
+    /// the socket splits the request.
     #[test]
-    fn the_phase_follows_from_the_bytes_written(
+    fn phase_is_determined_by_the_bytes_written(
         head in "[a-z\r\n]{0,12}",
         body in 0_usize..6,
         chunks in proptest::collection::vec((0_usize..8, proptest::bool::ANY), 0..12),
     ) {
-        // The first end-of-head mark ends the head, wherever it comes.
+        // The first terminator ends the head, even if it is part of the generated text.
         let head = format!("{head}\r\n\r\n");
         let end = head.find("\r\n\r\n").unwrap_or_default() + 4;
         let request = [&head.as_bytes()[..end], &vec![b'\r'; body]].concat();
@@ -232,9 +237,9 @@
                 0 => NOT_STARTED,
                 _ if written < request.len() => PARTLY_WRITTEN,
                 _ if ended => CONNECTION_ENDED,
-                _ => COMPLETE,
+                _ => FULLY_WRITTEN,
             };
-            proptest::prop_assert_eq!(observed(&progress), expected);
+            proptest::prop_assert_eq!(observed_state(&progress), expected);
         }
     }
 }
