--- a/crates/sidecar/src/upstream/attempt.rs
+++ b/crates/sidecar/src/upstream/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: a client's request sent to one server once, and what came of it.
+//! One attempt: sends a client's request to one server once and derives the outcome.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -19,40 +19,41 @@
 use crate::limits::Limits;
 use crate::message::{AttemptResult, FORWARDED_HEADERS, Payload, ProxyRequest};
 
-/// The client's id of the request.
-const REQUEST_ID: &str = "x-request-id";
-/// How long the sidecar waits for the response, in microseconds with the unit `u`.
-const TIMEOUT: &str = "x-timeout";
-/// By this servers recognise a retry of what they have executed.
-const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// The server's load report, in its response.
-const SERVER_LOAD: &str = "x-server-load";
-/// With the value [`NOT_PROCESSED_TRUE`] in a response: the server has not executed the request.
-const NOT_PROCESSED: &str = "x-not-processed";
-const NOT_PROCESSED_TRUE: &str = "1";
+/// The client's request id.
+const REQUEST_ID_HEADER: &str = "x-request-id";
+/// How long the sidecar waits for the response, in microseconds with the unit suffix `u`.
+const TIMEOUT_HEADER: &str = "x-timeout";
+/// By this key servers recognise the retry of a request that they have executed.
+const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
+/// A response header: the server's load report.
+const SERVER_LOAD_HEADER: &str = "x-server-load";
+/// A response header: the value [`NOT_PROCESSED_VALUE`] says that the server has not executed the
+/// request.
+const NOT_PROCESSED_HEADER: &str = "x-not-processed";
+const NOT_PROCESSED_VALUE: &str = "1";
 
-/// An attempt that is about to be made.
+/// An attempt that has not been sent yet.
 pub(super) struct Attempt<'a> {
-    /// Learns what the server has served.
+    /// Records served requests, and provides the freshness of the endpoint list.
     pub servers: &'a ServerDirectory,
-    /// Every bound of the network code.
+    /// The limits of the network code.
     pub limits: &'a Limits,
-    /// Where the connection comes from.
+    /// The pools that provide the connection.
     pub pools: &'a ConnectionPools,
-    /// The server that it goes to.
+    /// The target server.
     pub server: Rc<Server>,
-    /// What is sent.
+    /// The client's request.
     pub request: &'a ProxyRequest,
-    /// From now to the end of the response at most this long.
+    /// Longest time from the start of the attempt to the end of the response.
     pub timeout: Duration,
-    /// The latest time at which a retry may begin, where that is bounded.
+    /// The latest time at which a retry may begin; `None` if there is no such limit.
     pub start_before: Option<Instant>,
 }
 
 impl Attempt<'_> {
     /// Sends the request and waits for the response.
     pub(super) async fn run(self) -> AttemptResult {
-        let Some(http_request) = self.http_request() else {
+        let Some(http_request) = self.build_http_request() else {
             return AttemptResult::without_response(Outcome::NotSent);
         };
         let body = self.request.payload.body.clone();
@@ -66,20 +67,20 @@
         }
     }
 
-    /// The request with the headers that servers understand; `None` where its method is none.
-    fn http_request(&self) -> Option<ClientRequest> {
+    /// Builds the request with the headers that servers expect; `None` if its method is invalid.
+    fn build_http_request(&self) -> Option<ClientRequest> {
         let request = self.request;
         let uri = format!("http://{}{}", self.server.address(), request.target);
         let method = request.method.parse().ok()?;
         let timeout = format!("{}u", self.timeout.as_micros());
         let mut http_request = self.pools.client_for(&self.server).request(method, uri);
-        insert_header(&mut http_request, REQUEST_ID, &request.id);
-        insert_header(&mut http_request, TIMEOUT, &timeout);
+        insert_header_if_valid(&mut http_request, REQUEST_ID_HEADER, &request.id);
+        insert_header_if_valid(&mut http_request, TIMEOUT_HEADER, &timeout);
         if let Some(key) = &request.idempotency_key {
-            insert_header(&mut http_request, IDEMPOTENCY_KEY, key);
+            insert_header_if_valid(&mut http_request, IDEMPOTENCY_KEY_HEADER, key);
         }
         for (name, value) in &request.payload.headers {
-            insert_header(&mut http_request, name, value);
+            insert_header_if_valid(&mut http_request, name, value);
         }
         Some(http_request)
     }
@@ -96,14 +97,14 @@
     }
 
     fn on_response(&self, response: CompleteResponse, progress: &WriteProgress) -> AttemptResult {
-        let load_report = response.header(SERVER_LOAD).and_then(read_report);
-        let not_processed = response.header(NOT_PROCESSED) == Some(NOT_PROCESSED_TRUE);
+        let load_report = response.header(SERVER_LOAD_HEADER).and_then(read_report);
+        let not_processed = response.header(NOT_PROCESSED_HEADER) == Some(NOT_PROCESSED_VALUE);
         match response.status {
             StatusCode::OK => self.on_served(response, load_report, progress),
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_processed => {
                 AttemptResult::without_payload(Outcome::Rejected, load_report)
             }
-            // A response that does not prove the contrary may come of a request that was executed.
+            // Unless the response proves otherwise, the request may have been executed.
             _ => AttemptResult::without_payload(Outcome::ServerError, load_report),
         }
     }
@@ -133,21 +134,22 @@
     }
 }
 
-/// A request of which the last byte was never written cannot have been executed; the others may
-/// have been.
+/// A request that was not fully written cannot have been executed; a fully written one may have
+/// been.
 fn on_timed_out(progress: &WriteProgress) -> AttemptResult {
     AttemptResult::without_response(outcome_without_response(progress, Outcome::TimedOut))
 }
 
-/// awc reports a connection that ended before a response as one that never came up, and a failure
-/// before the last byte like one after it: only what the socket accepted counts here.
+/// awc reports a connection that ended before a response as a failed connect, and does not
+/// distinguish a failure before the last byte from one after it. The outcome therefore depends only
+/// on the bytes that the socket accepted.
 fn on_exchange_failed(progress: &WriteProgress) -> AttemptResult {
     AttemptResult::without_response(outcome_without_response(progress, Outcome::Reset))
 }
 
-/// Sets a header, or leaves it out where its value cannot be one: what came from a client may not
-/// make the sidecar panic.
-fn insert_header(request: &mut ClientRequest, name: &'static str, value: &str) {
+/// Sets a header, or omits it if the value is not a valid header value, so that input from a client
+/// cannot make the sidecar panic.
+fn insert_header_if_valid(request: &mut ClientRequest, name: &'static str, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         request
             .headers_mut()
--- a/crates/sidecar/src/upstream/connection_limiter.rs
+++ b/crates/sidecar/src/upstream/connection_limiter.rs
@@ -1,17 +1,17 @@
-//! How many connections to servers are open, busy and idle ones alike: each takes one of the
+//! Limits the number of open connections to servers, both busy and idle: each uses one of the
 //! process's file descriptors, which clients and discovery need as well.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Counts the open connections and allows no more than a fixed number.
+/// Counts open connections up to a fixed maximum.
 pub(super) struct ConnectionLimiter {
     open: Cell<usize>,
     max_open: usize,
 }
 
 impl ConnectionLimiter {
-    /// Allows `max_open` connections at a time.
+    /// A limiter that allows `max_open` simultaneous connections.
     pub(super) fn new(max_open: usize) -> Rc<Self> {
         Rc::new(Self {
             open: Cell::new(0),
@@ -19,7 +19,7 @@
         })
     }
 
-    /// A permit for one more connection; `None` where as many as allowed are open.
+    /// A permit for one more connection; `None` if the limit is reached.
     pub(super) fn try_acquire(self: &Rc<Self>) -> Option<ConnectionPermit> {
         if self.open.get() >= self.max_open {
             return None;
@@ -29,7 +29,7 @@
     }
 }
 
-/// One of the connections that may be open, until it is dropped.
+/// The permission to hold one connection open; returned to the limiter when dropped.
 pub(super) struct ConnectionPermit(Rc<ConnectionLimiter>);
 
 impl Drop for ConnectionPermit {
--- a/crates/sidecar/src/upstream/connection_pool.rs
+++ b/crates/sidecar/src/upstream/connection_pool.rs
@@ -1,4 +1,4 @@
-//! Connections that are kept for reuse, by server: one awc client, and so one pool, for each.
+//! Pools of reusable connections: one awc client, and therefore one pool, per server.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -11,17 +11,17 @@
 use tokio::time::Instant;
 
 use super::connector::BoundedConnector;
-use super::reuse_delay::{FinishedResponse, ReuseDelay};
+use super::reuse_delay_queue::{AwcResponse, ReuseDelayQueue};
 use crate::counters::Counters;
 use crate::host::Server;
 use crate::limits::Limits;
 
-/// The pools of all servers, and the connections that wait to return to them.
+/// The pools of all servers, and the connections held back by the reuse delay.
 pub(super) struct ConnectionPools {
     pools: RefCell<BTreeMap<ServerId, Pool>>,
     connector: Rc<BoundedConnector>,
-    reuse_delay: ReuseDelay,
-    /// A pool that has not been used for this long has no connection that may be reused.
+    reuse_delay_queue: ReuseDelayQueue,
+    /// A pool that has not been used for this long contains no reusable connection.
     idle_timeout: Duration,
 }
 
@@ -33,34 +33,34 @@
 }
 
 impl ConnectionPools {
-    /// No pools; connections will keep to these limits.
+    /// Starts without pools; connections are subject to `limits`.
     pub(super) fn new(limits: Rc<Limits>, counters: Rc<Counters>) -> Self {
         Self {
             pools: RefCell::default(),
-            reuse_delay: ReuseDelay::new(limits.upstream.reuse_delay),
+            reuse_delay_queue: ReuseDelayQueue::new(limits.upstream.reuse_delay),
             idle_timeout: limits.upstream.idle_reuse_timeout,
             connector: BoundedConnector::new(limits, counters),
         }
     }
 
-    /// A client whose connections go to the server's present address.
+    /// A client whose connections go to the server's current address.
     pub(super) fn client_for(&self, server: &Server) -> Client {
         let now = Instant::now();
-        self.reuse_delay.release_due(now);
+        self.reuse_delay_queue.release_due(now);
         let mut pools = self.pools.borrow_mut();
         let address = server.address();
         let pool = pools
             .entry(server.id)
-            .or_insert_with(|| self.open_pool(address, now));
-        // Connections to the address that the server has left are of no use to it.
+            .or_insert_with(|| self.new_pool(address, now));
+        // Connections to the server's previous address must not be reused.
         if pool.address != address {
-            *pool = self.open_pool(address, now);
+            *pool = self.new_pool(address, now);
         }
         pool.last_used_at = now;
         pool.client.clone()
     }
 
-    fn open_pool(&self, address: SocketAddr, now: Instant) -> Pool {
+    fn new_pool(&self, address: SocketAddr, now: Instant) -> Pool {
         Pool {
             address,
             client: self.connector.client(),
@@ -68,21 +68,22 @@
         }
     }
 
-    /// A response has been read but for its end: its connection returns to its pool after the reuse
-    /// delay.
-    pub(super) fn on_response_finished(&self, response: FinishedResponse) {
-        self.reuse_delay.on_response_finished(response);
+    /// Returns a connection to its pool after the reuse delay. The body of its response has been
+    /// read; its end has not been polled yet.
+    pub(super) fn return_connection_after_delay(&self, response: AwcResponse) {
+        self.reuse_delay_queue.push(response);
     }
 
-    /// Closes idle connections of servers that get no requests any more, for as long as the program
-    /// runs.
+    /// Periodically closes the idle connections of servers that get no requests any more. Never
+    /// returns.
     ///
-    /// awc looks at an idle connection only when it wants one. Those that nobody wants would hold
-    /// their descriptors for ever, so the whole pool is dropped.
+    /// awc checks idle connections for expiry only when a request needs one. Those of a server
+    /// without requests would keep their descriptors open indefinitely, so the whole pool is
+    /// dropped.
     pub(super) async fn run_sweeps(&self) {
         loop {
             tokio::time::sleep(self.idle_timeout).await;
-            self.reuse_delay.release_due(Instant::now());
+            self.reuse_delay_queue.release_due(Instant::now());
             self.pools
                 .borrow_mut()
                 .retain(|_, pool| pool.last_used_at.elapsed() < self.idle_timeout);
--- a/crates/sidecar/src/upstream/connector.rs
+++ b/crates/sidecar/src/upstream/connector.rs
@@ -1,5 +1,5 @@
-//! Opens connections to servers and makes awc clients that use them. Pools and their lifetime
-//! belong to the connection pool.
+//! Opens connections to servers and creates the awc clients that use them. `connection_pool` owns
+//! the clients.
 
 use std::io;
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
 use crate::counters::Counters;
 use crate::limits::Limits;
 
-/// Opens connections and keeps their number within bounds, over all clients that it has made.
+/// Opens connections, with one limit on their number for all clients that it has created.
 pub(super) struct BoundedConnector {
     limiter: Rc<ConnectionLimiter>,
     limits: Rc<Limits>,
@@ -25,7 +25,7 @@
 }
 
 impl BoundedConnector {
-    /// A connector without a connection.
+    /// A connector without open connections.
     pub(super) fn new(limits: Rc<Limits>, counters: Rc<Counters>) -> Rc<Self> {
         Rc::new(Self {
             limiter: ConnectionLimiter::new(limits.upstream.max_connections),
@@ -34,7 +34,7 @@
         })
     }
 
-    /// A client with a pool of its own and none of awc's own timeouts, redirects or headers.
+    /// A client with its own pool, without awc's request timeout, redirects and default headers.
     pub(super) fn client(self: &Rc<Self>) -> Client {
         let this = Rc::clone(self);
         let connect = fn_service(move |info: ConnectInfo<Uri>| {
@@ -67,7 +67,7 @@
         let Some(permit) = self.limiter.try_acquire() else {
             let _ =
                 CURRENT_WRITE_PROGRESS.try_with(|progress| progress.on_connection_limit_reached());
-            return Err(io::Error::other("too many connections"));
+            return Err(io::Error::other("connection limit reached"));
         };
         self.counters.connections_opened.add();
         let stream = TcpStream::connect(address).await?;
--- a/crates/sidecar/src/upstream/exchange.rs
+++ b/crates/sidecar/src/upstream/exchange.rs
@@ -1,4 +1,5 @@
-//! One request and its response over a pooled connection, and what a missing response proves.
+//! Sends one request over a pooled connection and reads its response; derives the outcome if there
+//! is no response.
 
 use std::rc::Rc;
 
@@ -11,7 +12,7 @@
 use futures_util::StreamExt as _;
 
 use super::connection_pool::ConnectionPools;
-use super::reuse_delay::FinishedResponse;
+use super::reuse_delay_queue::AwcResponse;
 use super::write_progress::{CURRENT_WRITE_PROGRESS, WriteProgress};
 
 /// A response that was read to its end.
@@ -24,17 +25,17 @@
 }
 
 impl CompleteResponse {
-    /// A header's value, where it is text.
+    /// The value of a header; `None` if it is missing or not visible ASCII text.
     pub(super) fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 }
 
-/// There is no complete response: the connection failed, or the response broke the protocol or a
-/// limit. How far the request went is known to its [`WriteProgress`] alone.
+/// There is no complete response: the connection failed, or the response violated the protocol or
+/// exceeded a limit. Only the [`WriteProgress`] shows how much of the request was written.
 pub(super) struct ExchangeFailed;
 
-/// Sends a request and reads its response to the end. What is written of it is recorded in
+/// Sends a request and reads its response to the end. Records the bytes written of the request in
 /// `progress`.
 ///
 /// # Errors
@@ -48,11 +49,11 @@
 ) -> Result<CompleteResponse, ExchangeFailed> {
     let exchange = async {
         let mut response = send(request, body).await?;
-        let length = announced_length(&response);
+        let length = nonzero_content_length(&response);
         let body = read_body(&mut response, length, max_body_bytes).await?;
-        // awc ends a body at the end of its connection without an error, however much of it was
-        // announced; a part must not reach the client as the whole.
-        if is_end_announced(&response) && progress.connection_ended() {
+        // If the connection ends early, awc ends the body without an error even if bytes are
+        // missing; a truncated body must not reach the client as complete.
+        if is_self_delimiting(&response) && progress.connection_ended() {
             return Err(ExchangeFailed);
         }
         let complete = CompleteResponse {
@@ -61,7 +62,7 @@
             body,
         };
         if length.is_some() {
-            pools.on_response_finished(response);
+            pools.return_connection_after_delay(response);
         }
         Ok(complete)
     };
@@ -70,7 +71,7 @@
         .await
 }
 
-async fn send(request: ClientRequest, body: Bytes) -> Result<FinishedResponse, ExchangeFailed> {
+async fn send(request: ClientRequest, body: Bytes) -> Result<AwcResponse, ExchangeFailed> {
     let has_no_body = body.is_empty() && request.get_method() == Method::GET;
     let request = request.no_decompress();
     let response = if has_no_body {
@@ -81,9 +82,9 @@
     response.map_err(|_| ExchangeFailed)
 }
 
-/// Reads up to the announced length, if there is one, and otherwise to the end.
+/// Reads the body up to `length`, or to its end if `length` is `None`.
 async fn read_body(
-    response: &mut FinishedResponse,
+    response: &mut AwcResponse,
     length: Option<usize>,
     max_body_bytes: usize,
 ) -> Result<Bytes, ExchangeFailed> {
@@ -93,7 +94,7 @@
             break;
         };
         let chunk = chunk.map_err(|_| ExchangeFailed)?;
-        // The length may not have been announced, so it is bounded as the body comes.
+        // The length may be unknown in advance, so the limit is checked for each chunk.
         if body.len() + chunk.len() > max_body_bytes {
             return Err(ExchangeFailed);
         }
@@ -102,25 +103,29 @@
     Ok(body.freeze())
 }
 
-/// The length of a body that is announced and not empty.
-fn announced_length(response: &FinishedResponse) -> Option<usize> {
+/// The value of `Content-Length`; `None` if it is missing, invalid or 0.
+fn nonzero_content_length(response: &AwcResponse) -> Option<usize> {
     let value = response.headers().get(CONTENT_LENGTH)?;
     let length = value.to_str().ok()?.parse().ok()?;
     (length > 0).then_some(length)
 }
 
-/// True where the head says how the body ends, other than with the connection.
-fn is_end_announced(response: &FinishedResponse) -> bool {
+/// True if the head determines the end of the body independently of the end of the connection.
+fn is_self_delimiting(response: &AwcResponse) -> bool {
     response.headers().contains_key(CONTENT_LENGTH) || response.chunked().unwrap_or(true)
 }
 
-/// The outcome of a request without a response. That it was never executed is claimed only where it
-/// is proven; a request that was written to its last byte ends as `if_complete`.
-pub(super) fn outcome_without_response(progress: &WriteProgress, if_complete: Outcome) -> Outcome {
+/// The outcome of a request without a response. An outcome that implies that the request was never
+/// executed is returned only if that is proven; a fully written request gets
+/// `outcome_if_fully_written`.
+pub(super) fn outcome_without_response(
+    progress: &WriteProgress,
+    outcome_if_fully_written: Outcome,
+) -> Outcome {
     if progress.is_not_sent() {
         Outcome::NotSent
     } else if progress.is_fully_written() {
-        if_complete
+        outcome_if_fully_written
     } else {
         Outcome::ConnectFailed
     }
--- a/crates/sidecar/src/upstream/health_check.rs
+++ b/crates/sidecar/src/upstream/health_check.rs
@@ -1,4 +1,4 @@
-//! Health checks: asks servers for their load when the balancer requests it.
+//! Health checks: requests the load of servers when the balancer asks for it.
 
 use std::rc::Rc;
 
@@ -17,7 +17,7 @@
 use crate::host::Server;
 use crate::limits::Limits;
 
-/// Where a server reports its load.
+/// The path at which a server reports its load.
 const LOAD_PATH: &str = "/status/load";
 
 /// How a health check ended.
@@ -35,8 +35,8 @@
     }
 }
 
-/// Executes health checks and reports how they ended: exactly once for each that the balancer
-/// requests, since it waits for that before it checks the server again.
+/// Executes health checks and reports their results: exactly one for each check that the balancer
+/// requests, since the balancer does not check a server again before it gets the result.
 pub(super) struct HealthChecker {
     servers: Rc<ServerDirectory>,
     pools: Rc<ConnectionPools>,
@@ -45,7 +45,7 @@
 }
 
 impl HealthChecker {
-    /// Reports to `servers`; takes connections from `pools`.
+    /// A health checker that reports to `servers` and uses the connections of `pools`.
     pub(super) fn new(
         servers: Rc<ServerDirectory>,
         pools: Rc<ConnectionPools>,
@@ -60,8 +60,8 @@
         })
     }
 
-    /// Starts each health check as it is requested, without waiting for the ones before, until the
-    /// channel is closed.
+    /// Starts each requested health check without waiting for earlier ones, until the channel is
+    /// closed.
     pub(super) async fn run(self: Rc<Self>, mut requested: mpsc::Receiver<ServerId>) {
         while let Some(id) = requested.recv().await {
             match self.servers.find(id) {
@@ -85,7 +85,7 @@
     async fn check(&self, server: &Server) -> HealthCheckResult {
         let uri = format!("http://{}{LOAD_PATH}", server.address());
         let request = self.pools.client_for(server).get(uri);
-        // No guard: a health check is no work, and may go to a draining server.
+        // No guard: a health check is no work for the server, and may go to a draining one.
         let progress = WriteProgress::new(None, 0);
         let limits = &self.limits;
         let max_body_bytes = limits.max_body_bytes;
--- a/crates/sidecar/src/upstream/mod.rs
+++ b/crates/sidecar/src/upstream/mod.rs
@@ -1,16 +1,15 @@
-//! The side of the servers: attempts and health checks over HTTP/1.1, and the connections that
-//! carry them.
+//! The upstream side: attempts and health checks at servers over HTTP/1.1, and their connections.
 //!
-//! Owns everything between one [`ProxyRequest`] that goes to one server and its one
-//! [`AttemptResult`]: connection pools, the check before the first byte, how far a request was
-//! written, the framing of responses, and what an exchange's end proves about the request's
-//! execution. Which server, whether to retry, and what the client gets is decided elsewhere:
-//! nothing here sends a request twice.
+//! Responsible for everything between sending one [`ProxyRequest`] to one server and its
+//! [`AttemptResult`]: connection pools, the check before the first byte, the write progress of a
+//! request, the framing of responses, and whether the server may have executed a request that got
+//! no response. Server selection, retries and the client's response are decided elsewhere: nothing
+//! here sends a request twice.
 //!
-//! Imports run one way, each file using only those ahead of it: `server_directory`,
+//! Each file imports only from those before it in this order: `server_directory`,
 //! `send_conditions`, `send_guard`, `write_progress`, `response_head`, `response_framing`,
-//! `response_reader`, `connection_limiter`, `tracked_stream`, `connector`, `reuse_delay`,
-//! `connection_pool`, `exchange`, then `attempt` and `health_check`, then this one.
+//! `response_reader`, `connection_limiter`, `tracked_stream`, `connector`, `reuse_delay_queue`,
+//! `connection_pool`, `exchange`, then `attempt` and `health_check`, then this file.
 
 mod attempt;
 mod connection_limiter;
@@ -21,7 +20,7 @@
 mod response_framing;
 mod response_head;
 mod response_reader;
-mod reuse_delay;
+mod reuse_delay_queue;
 mod send_conditions;
 mod send_guard;
 mod server_directory;
@@ -44,7 +43,7 @@
 
 pub(crate) use server_directory::ServerDirectory;
 
-/// Sends requests to servers.
+/// Sends attempts and health checks to servers.
 pub(crate) struct Upstream {
     servers: Rc<ServerDirectory>,
     limits: Rc<Limits>,
@@ -53,7 +52,7 @@
 }
 
 impl Upstream {
-    /// An upstream without a connection.
+    /// An upstream without open connections.
     pub(crate) fn new(
         servers: ServerDirectory,
         limits: Rc<Limits>,
@@ -69,7 +68,7 @@
     }
 
     /// Makes one attempt: sends the request to the server and waits up to `timeout` for its
-    /// response. A retry whose first byte is not written before `start_before` is not sent.
+    /// response. A retry whose first byte cannot be written before `start_before` is not sent.
     /// Dropping the future cancels the attempt.
     pub(crate) async fn forward(
         &self,
@@ -105,8 +104,7 @@
         checker.run(requested).await;
     }
 
-    /// Closes the connections of servers that get no requests any more, for as long as the program
-    /// runs.
+    /// Periodically closes the connections of servers that get no requests any more. Never returns.
     pub(crate) async fn run_pool_sweeps(self: Rc<Self>) {
         self.pools.run_sweeps().await;
     }
--- a/crates/sidecar/src/upstream/send_conditions.rs
+++ b/crates/sidecar/src/upstream/send_conditions.rs
@@ -1,8 +1,8 @@
 //! The check before an attempt's first byte: whether the attempt may still begin.
 //!
-//! It repeats what the balancer checked, because a slow connect or a busy event loop may delay the
-//! first write after the balancer's decision. Pure functions: times and flags are parameters, which
-//! `send_guard` collects. An attempt that is blocked here counts as not sent.
+//! The balancer decides earlier: a slow connect or a busy event loop may delay the first write
+//! after its decision. Pure functions: times and flags are parameters, which `send_guard` collects.
+//! An attempt that is blocked here counts as not sent.
 
 use std::time::Duration;
 
--- a/crates/sidecar/src/upstream/server_directory.rs
+++ b/crates/sidecar/src/upstream/server_directory.rs
@@ -1,5 +1,5 @@
-//! What the transport may ask and tell about servers: which server a number stands for, whether the
-//! endpoint list can still be trusted for it, and what it has answered.
+//! The interface of the upstream side to the balancer's host: looks up servers by id, provides the
+//! freshness of the endpoint list, and reports served requests and health check results.
 
 use std::rc::Rc;
 
@@ -8,7 +8,7 @@
 
 use crate::host::{BalancerClock, BalancerHost, EndpointListFreshness, Server};
 
-/// The servers by the numbers that the balancer knows them by.
+/// Looks up servers by the ids that the balancer uses, and reports what they served.
 pub(crate) struct ServerDirectory {
     host: Rc<BalancerHost>,
     freshness: Rc<EndpointListFreshness>,
@@ -16,7 +16,7 @@
 }
 
 impl ServerDirectory {
-    /// The servers of that host.
+    /// The directory of the servers of `host`.
     pub(crate) fn new(
         host: Rc<BalancerHost>,
         freshness: Rc<EndpointListFreshness>,
@@ -29,22 +29,22 @@
         }
     }
 
-    /// The server of that number; `None` once it is forgotten.
+    /// The server with that id; `None` if it is no longer registered.
     pub(super) fn find(&self, id: ServerId) -> Option<Rc<Server>> {
         self.host.server(id)
     }
 
-    /// For how long the endpoint list may be trusted.
+    /// The freshness of the endpoint list.
     pub(super) fn list_freshness(&self) -> Rc<EndpointListFreshness> {
         Rc::clone(&self.freshness)
     }
 
-    /// A server has served a request whose first byte was written at that instant.
+    /// Records that a server has served a request whose first byte was written at `started_at`.
     pub(super) fn on_request_served(&self, server: &Server, started_at: Instant) {
         server.on_request_served(self.clock.micros_at(started_at));
     }
 
-    /// A health check that the balancer requested has ended.
+    /// Reports the result of a health check to the balancer.
     pub(super) fn on_health_check_ended(
         &self,
         server: ServerId,
--- a/crates/sidecar/src/upstream/tracked_stream.rs
+++ b/crates/sidecar/src/upstream/tracked_stream.rs
@@ -13,7 +13,7 @@
 //!   too short or [`ResponseReader::close_unless_reusable`] is not called: a client gets the body
 //!   of another request. No counter shows this, only the client's complaint; ask for both request
 //!   ids, and compare the delay with the time at which the server sends its second response
-//!   (`reuse_delay`).
+//!   (`reuse_delay_queue`).
 //! - A write is not recorded: a request that was sent and got no response counts as never sent.
 //!   `attempts_connect_failed` rises in place of `attempts_reset`, and requests that must not be
 //!   repeated are retried. This would happen if awc moved a connection to a task of its own, where
