--- a/crates/sidecar/src/upstream/connection_pool.rs
+++ b/crates/sidecar/src/upstream/connection_pool.rs
@@ -63,7 +63,7 @@
     fn new_pool(&self, address: SocketAddr, now: Instant) -> Pool {
         Pool {
             address,
-            client: self.connector.client(),
+            client: self.connector.new_client(),
             last_used_at: now,
         }
     }
--- a/crates/sidecar/src/upstream/connector.rs
+++ b/crates/sidecar/src/upstream/connector.rs
@@ -35,7 +35,7 @@
     }
 
     /// A client with its own pool, without awc's request timeout, redirects and default headers.
-    pub(super) fn client(self: &Rc<Self>) -> Client {
+    pub(super) fn new_client(self: &Rc<Self>) -> Client {
         let this = Rc::clone(self);
         let connect = fn_service(move |info: ConnectInfo<Uri>| {
             let this = Rc::clone(&this);
--- a/crates/sidecar/src/upstream/response_framing.rs
+++ b/crates/sidecar/src/upstream/response_framing.rs
@@ -62,8 +62,8 @@
 #[derive(Default)]
 pub(super) struct ResponseFraming {
     state: FramingState,
-    /// Interim responses received before the final one.
-    interim_responses: usize,
+    /// Number of interim responses received before the final one.
+    interim_response_count: usize,
     /// Bytes of the response that have been received and not passed on yet.
     buffered: BytesMut,
 }
@@ -140,8 +140,8 @@
         status: u16,
         limits: &Limits,
     ) -> Result<(), MalformedResponse> {
-        self.interim_responses += 1;
-        let too_many = self.interim_responses > limits.upstream.max_interim_responses;
+        self.interim_response_count += 1;
+        let too_many = self.interim_response_count > limits.upstream.max_interim_responses;
         if status == SWITCHING_PROTOCOLS || too_many {
             return Err(MalformedResponse::TooManyInterimResponses);
         }
--- a/crates/sidecar/src/upstream/tracked_stream.rs
+++ b/crates/sidecar/src/upstream/tracked_stream.rs
@@ -73,7 +73,7 @@
 
 /// True if the current task has a request of which nothing has been written. awc then reads from
 /// the connection to find out whether it is still open.
-fn is_next_request_unwritten() -> bool {
+fn is_request_unwritten() -> bool {
     CURRENT_WRITE_PROGRESS
         .try_with(|progress| progress.started_at().is_none())
         .unwrap_or(false)
@@ -86,7 +86,7 @@
         output: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let filled_before = output.filled().len();
-        if is_next_request_unwritten() {
+        if is_request_unwritten() {
             self.reader.close_unless_reusable();
         }
         let read = self.reader.poll_response(context, output);
--- a/crates/sidecar/src/upstream/write_progress.rs
+++ b/crates/sidecar/src/upstream/write_progress.rs
@@ -167,9 +167,9 @@
                 started_at,
                 remaining_bytes,
             } => WritePhase::after_body_bytes(started_at, remaining_bytes, bytes.len()),
-            last @ (WritePhase::NotSent
+            unchanged @ (WritePhase::NotSent
             | WritePhase::FullyWritten { .. }
-            | WritePhase::ConnectionEnded { .. }) => last,
+            | WritePhase::ConnectionEnded { .. }) => unchanged,
         };
         self.phase.set(phase);
     }
