--- a/crates/sidecar/src/counters.rs
+++ b/crates/sidecar/src/counters.rs
@@ -1,5 +1,5 @@
-//! The counters of the process: requests, attempts, clients, servers, health checks and endpoint
-//! lists. Their names are printed and are part of the interface.
+//! Process-wide counters of requests, attempts, clients, servers, health checks and endpoint lists.
+//! Each counter is printed under its field's name, which operators' tools read.
 
 use std::cell::Cell;
 use std::fmt;
@@ -10,9 +10,9 @@
 
 macro_rules! counters {
     ($($name:ident: $text:literal,)*) => {
-        /// One count of each kind since the start; printed on request and at exit.
+        /// All counters since the process started; printed on request and at exit.
         #[derive(Default)]
-        pub(crate) struct Counters { $(#[doc = $text] pub(crate) $name: Count,)* }
+        pub(crate) struct Counters { $(#[doc = $text] pub(crate) $name: Counter,)* }
 
         impl fmt::Display for Counters {
             fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -23,57 +23,56 @@
     };
 }
 
-/// A count that only rises.
+/// A counter that only increases.
 #[derive(Default)]
-pub(crate) struct Count(Cell<u64>);
+pub(crate) struct Counter(Cell<u64>);
 
-impl Count {
-    /// Counts one more.
-    pub(crate) fn add(&self) {
+impl Counter {
+    pub(crate) fn inc(&self) {
         self.0.set(self.0.get() + 1);
     }
 
-    /// How many there were since the start.
+    /// The count since the process started.
     pub(crate) fn get(&self) -> u64 {
         self.0.get()
     }
 }
 
 counters! {
-    requests_accepted: "Requests handed to the balancer.",
-    requests_malformed: "Requests that got a 4xx response.",
+    requests_accepted: "Requests admitted to the balancer.",
+    requests_malformed: "Requests answered with a 4xx response.",
     requests_over_capacity: "Requests rejected because too many clients were connected.",
-    clients_timed_out: "Client connections closed because no request came, or one that was not complete in time.",
-    responses_served: "Responses of a server that were passed on.",
-    responses_rejected: "Overload rejections that the balancer decided.",
-    responses_failed: "Requests that the balancer decided to fail.",
-    responses_overdue: "Requests that failed because the balancer had not decided in time.",
+    clients_timed_out: "Client connections closed because no complete request arrived in time.",
+    responses_served: "Server responses forwarded to clients.",
+    responses_rejected: "Requests that the balancer rejected because of overload.",
+    responses_failed: "Requests that the balancer failed.",
+    responses_overdue: "Requests that failed because of a late decision or a forced shutdown.",
     clients_disconnected: "Requests whose client disconnected before the response.",
     attempts_started: "Attempts started.",
-    attempts_served: "Attempts that were served.",
+    attempts_served: "Attempts that the server served.",
     attempts_error: "Attempts that ended in an error response.",
-    attempts_rejected: "Attempts that a server rejected unprocessed.",
-    attempts_timed_out: "Attempts without a response in time.",
+    attempts_rejected: "Attempts that a server rejected without executing them.",
+    attempts_timed_out: "Attempts that timed out.",
     attempts_connect_failed: "Attempts whose request was never written completely.",
     attempts_reset: "Attempts without a complete response once the request was written.",
-    attempts_cancelled: "Attempts that were cancelled, or never sent.",
-    attempts_blocked_client_left: "Attempts not sent because the client had left.",
+    attempts_cancelled: "Attempts that were cancelled or never sent.",
+    attempts_blocked_client_left: "Attempts not sent because the client had disconnected.",
     attempts_blocked_no_time: "Attempts not sent because no time was left.",
-    attempts_blocked_window_over: "Retries not sent because the deduplication window was over.",
-    attempts_blocked_server_draining: "Attempts not sent because the server was draining or had moved.",
-    attempts_blocked_list_stale: "Attempts not sent because the endpoint list was too old to show a drain.",
+    attempts_blocked_window_over: "Retries not sent because the deduplication window had expired.",
+    attempts_blocked_server_draining: "Attempts not sent because the server was draining or moved.",
+    attempts_blocked_list_stale: "Attempts not sent because the endpoint list was stale.",
     health_checks_sent: "Health checks started.",
     health_checks_failed: "Health checks that failed.",
     connections_opened: "Connections to servers opened.",
-    endpoint_updates: "Endpoint lists and changes to them that were read.",
-    endpoint_lines_skipped: "Entries and lines of an endpoint list that could not be read.",
-    cost_headers_skipped: "Estimates of a request's work that could not be read.",
-    timeout_headers_skipped: "Requests whose client timeout was missing or could not be read.",
-    load_reports_skipped: "Load reports that could not be read.",
+    endpoint_updates: "Full and incremental endpoint lists received.",
+    endpoint_lines_skipped: "Malformed entries and lines skipped in endpoint lists.",
+    cost_headers_skipped: "Malformed work hints skipped.",
+    timeout_headers_skipped: "Requests whose client timeout was missing or malformed.",
+    load_reports_skipped: "Malformed load reports skipped.",
 }
 
 impl Counters {
-    /// An attempt is not sent, for this reason.
+    /// Counts an attempt that is not sent, by the reason.
     pub(crate) fn on_attempt_blocked(&self, blocked: SendBlocked) {
         let counter = match blocked {
             SendBlocked::ClientLeft => &self.attempts_blocked_client_left,
@@ -84,10 +83,10 @@
             }
             SendBlocked::ListStale => &self.attempts_blocked_list_stale,
         };
-        counter.add();
+        counter.inc();
     }
 
-    /// An attempt has ended like this.
+    /// Counts an attempt that has ended, by its outcome.
     pub(crate) fn on_attempt_ended(&self, outcome: Outcome) {
         let counter = match outcome {
             Outcome::Served => &self.attempts_served,
@@ -98,6 +97,6 @@
             Outcome::Reset => &self.attempts_reset,
             Outcome::Cancelled | Outcome::NotSent => &self.attempts_cancelled,
         };
-        counter.add();
+        counter.inc();
     }
 }
--- a/crates/sidecar/src/discovery/endpoint_sink.rs
+++ b/crates/sidecar/src/discovery/endpoint_sink.rs
@@ -48,7 +48,7 @@
 
     /// An object came that is no endpoint list.
     pub(super) fn on_object_unreadable(&self) {
-        self.counters.endpoint_lines_skipped.add();
+        self.counters.endpoint_lines_skipped.inc();
     }
 
     /// The watch is over and no other replaces it yet.
--- a/crates/sidecar/src/downstream/listener.rs
+++ b/crates/sidecar/src/downstream/listener.rs
@@ -171,7 +171,7 @@
                 biased;
                 end = served => {
                     if let Err(DispatchError::Parse(_)) = end {
-                        counters.requests_malformed.add();
+                        counters.requests_malformed.inc();
                     }
                     return;
                 }
@@ -180,7 +180,7 @@
             // A request may have come as its connection was chosen for closing. Nothing of it was
             // read, so the protocol starts again and serves it.
             if !client.has_unread_request() {
-                counters.clients_timed_out.add();
+                counters.clients_timed_out.inc();
                 return;
             }
         }
--- a/crates/sidecar/src/downstream/request_handler.rs
+++ b/crates/sidecar/src/downstream/request_handler.rs
@@ -58,7 +58,7 @@
     /// Rejects a request of a client past the bound on connections, at once: what such clients hold
     /// meanwhile are the last descriptors.
     pub(super) fn reject_over_capacity(&self, request: &Request) -> ClientResponse {
-        self.context.counters().requests_over_capacity.add();
+        self.context.counters().requests_over_capacity.inc();
         let response = response::over_capacity(self.context.limits().default_retry_after);
         if let Some(client) = connection(request) {
             client.on_response_made(AfterResponse::Close);
@@ -98,7 +98,7 @@
     }
 
     fn reject(&self, error: &MalformedRequest) -> ClientResponse {
-        self.context.counters().requests_malformed.add();
+        self.context.counters().requests_malformed.inc();
         response::malformed(error)
     }
 }
--- a/crates/sidecar/src/downstream/request_headers.rs
+++ b/crates/sidecar/src/downstream/request_headers.rs
@@ -87,7 +87,7 @@
     match text(headers, TIMEOUT).and_then(parse_timeout) {
         Some(timeout) => timeout.min(context.limits().client.max_timeout),
         None => {
-            context.counters().timeout_headers_skipped.add();
+            context.counters().timeout_headers_skipped.inc();
             context.classes().default_client_timeout(class)
         }
     }
@@ -96,7 +96,7 @@
 fn work_hint(context: &ServiceContext, headers: &HeaderMap) -> Option<Duration> {
     let work_hint = text(headers, COST).and_then(parse_work_hint);
     if work_hint.is_none() && headers.contains_key(COST) {
-        context.counters().cost_headers_skipped.add();
+        context.counters().cost_headers_skipped.inc();
     }
     work_hint
 }
--- a/crates/sidecar/src/host/balancer_host.rs
+++ b/crates/sidecar/src/host/balancer_host.rs
@@ -86,9 +86,9 @@
     /// Hands an endpoint list, or a change to it, to the balancer, under a version that never
     /// falls.
     pub(crate) fn update_endpoints(&self, kind: UpdateKind, version: u64, list: &EndpointList) {
-        self.counters.endpoint_updates.add();
+        self.counters.endpoint_updates.inc();
         for error in &list.skipped {
-            self.counters.endpoint_lines_skipped.add();
+            self.counters.endpoint_lines_skipped.inc();
             tracing::warn!(%error, "endpoint list entry skipped");
         }
         let retention = self.limits.upstream.server_retention;
--- a/crates/sidecar/src/host/in_flight_request.rs
+++ b/crates/sidecar/src/host/in_flight_request.rs
@@ -47,7 +47,7 @@
             attempts_started: 0,
             has_final_response: false,
         };
-        host.counters().requests_accepted.add();
+        host.counters().requests_accepted.inc();
         host.handle_event(Event::RequestArrived(IncomingRequest {
             id,
             class,
@@ -91,7 +91,7 @@
 
     /// Ends a request that the balancer has not decided by the last moment for a response.
     pub(crate) fn on_overdue(&mut self) {
-        self.host.counters().responses_overdue.add();
+        self.host.counters().responses_overdue.inc();
         self.on_client_gone();
     }
 
@@ -140,7 +140,7 @@
     /// for one result of each send, so what is open is reported here.
     fn drop(&mut self) {
         if !self.has_final_response {
-            self.host.counters().clients_disconnected.add();
+            self.host.counters().clients_disconnected.inc();
             self.on_client_gone();
         }
         self.host.unregister_request(self.id);
--- a/crates/sidecar/src/proxy/exchange.rs
+++ b/crates/sidecar/src/proxy/exchange.rs
@@ -103,7 +103,7 @@
 
     /// The balancer rejects the request; `retry_after` is in microseconds.
     fn on_rejected(&self, retry_after: Option<Micros>) -> ProxyResponse {
-        self.proxy.counters.responses_rejected.add();
+        self.proxy.counters.responses_rejected.inc();
         let advised = retry_after.map(Duration::from_micros);
         ProxyResponse::Rejected {
             retry_after: advised.unwrap_or(self.proxy.limits.default_retry_after),
@@ -112,7 +112,7 @@
 
     /// The balancer fails the request.
     fn on_failed(&self) -> ProxyResponse {
-        self.proxy.counters.responses_failed.add();
+        self.proxy.counters.responses_failed.inc();
         self.failure()
     }
 
@@ -129,7 +129,7 @@
         self.in_flight
             .on_attempt_ended(attempt, outcome, result.load_report);
         let payload = result.payload?;
-        self.proxy.counters.responses_served.add();
+        self.proxy.counters.responses_served.inc();
         Some(ProxyResponse::Served(payload))
     }
 
--- a/crates/sidecar/src/upstream/connector.rs
+++ b/crates/sidecar/src/upstream/connector.rs
@@ -68,7 +68,7 @@
             let _ = CURRENT_WRITE.try_with(|progress| progress.on_connection_limit_reached());
             return Err(io::Error::other("too many connections"));
         };
-        self.counters.connections_opened.add();
+        self.counters.connections_opened.inc();
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
         let limits = Rc::clone(&self.limits);
--- a/crates/sidecar/src/upstream/health_check.rs
+++ b/crates/sidecar/src/upstream/health_check.rs
@@ -72,11 +72,11 @@
     }
 
     fn start(self: Rc<Self>, server: Rc<Server>) {
-        self.counters.health_checks_sent.add();
+        self.counters.health_checks_sent.inc();
         actix_rt::spawn(async move {
             let result = self.check(&server).await;
             if result.outcome != Outcome::Served {
-                self.counters.health_checks_failed.add();
+                self.counters.health_checks_failed.inc();
             }
             self.report(server.id, result);
         });
@@ -107,7 +107,7 @@
         let text = std::str::from_utf8(&response.body).unwrap_or_default();
         let load_report = read_report(text);
         if load_report.is_none() && !text.trim().is_empty() {
-            self.counters.load_reports_skipped.add();
+            self.counters.load_reports_skipped.inc();
         }
         let outcome = match response.status {
             StatusCode::OK => Outcome::Served,
--- a/crates/sidecar/src/upstream/mod.rs
+++ b/crates/sidecar/src/upstream/mod.rs
@@ -81,7 +81,7 @@
         let Some(server) = self.servers.find(server) else {
             return AttemptResult::without_response(Outcome::NotSent);
         };
-        self.counters.attempts_started.add();
+        self.counters.attempts_started.inc();
         let attempt = Attempt {
             servers: &self.servers,
             limits: &self.limits,
