--- a/crates/sidecar/src/counters.rs
+++ b/crates/sidecar/src/counters.rs
@@ -75,13 +75,13 @@
     /// Counts an attempt that is not sent, by the reason.
     pub(crate) fn on_attempt_blocked(&self, blocked: SendBlocked) {
         let counter = match blocked {
-            SendBlocked::ClientLeft => &self.attempts_blocked_client_left,
-            SendBlocked::NoTime => &self.attempts_blocked_no_time,
-            SendBlocked::WindowOver => &self.attempts_blocked_window_over,
-            SendBlocked::ServerDraining | SendBlocked::ServerMoved => {
+            SendBlocked::ClientDisconnected => &self.attempts_blocked_client_left,
+            SendBlocked::TimedOut => &self.attempts_blocked_no_time,
+            SendBlocked::RetryWindowExpired => &self.attempts_blocked_window_over,
+            SendBlocked::ServerDraining | SendBlocked::ServerAddressChanged => {
                 &self.attempts_blocked_server_draining
             }
-            SendBlocked::ListStale => &self.attempts_blocked_list_stale,
+            SendBlocked::EndpointListStale => &self.attempts_blocked_list_stale,
         };
         counter.inc();
     }
--- a/crates/sidecar/src/message/send_blocked.rs
+++ b/crates/sidecar/src/message/send_blocked.rs
@@ -1,32 +1,32 @@
-//! Why an attempt was not begun.
+//! The reasons for which the check before an attempt's first byte stops it.
 
-/// Why an attempt may not begin.
+/// Why an attempt must not be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SendBlocked {
-    /// Its client has closed the connection.
-    ClientLeft,
-    /// It has timed out before its first byte.
-    NoTime,
-    /// It is a retry, and servers may no longer recognise it as one.
-    WindowOver,
+    /// The client has disconnected.
+    ClientDisconnected,
+    /// The attempt's timeout expired before its first byte was written.
+    TimedOut,
+    /// The attempt is a retry, and servers may no longer recognise it as a duplicate.
+    RetryWindowExpired,
     /// The server has been draining for too long.
     ServerDraining,
-    /// The server has another address by now.
-    ServerMoved,
-    /// The endpoint list is too old to show a drain.
-    ListStale,
+    /// The server's address has changed since the attempt was created.
+    ServerAddressChanged,
+    /// The endpoint list is so old that it may not show a drain of the server.
+    EndpointListStale,
 }
 
 impl SendBlocked {
-    /// The text of the I/O error with which the write fails.
+    /// The message of the I/O error with which the write fails.
     pub(crate) fn reason(self) -> &'static str {
         match self {
-            Self::ClientLeft => "the client has left",
-            Self::NoTime => "no time is left",
-            Self::WindowOver => "the window for repeats is over",
-            Self::ServerDraining => "the server drains",
-            Self::ServerMoved => "the server has moved",
-            Self::ListStale => "the list is too old to show a drain",
+            Self::ClientDisconnected => "the client has disconnected",
+            Self::TimedOut => "the attempt has timed out",
+            Self::RetryWindowExpired => "the retry window has expired",
+            Self::ServerDraining => "the server is draining",
+            Self::ServerAddressChanged => "the server's address has changed",
+            Self::EndpointListStale => "the endpoint list is stale",
         }
     }
 }
--- a/crates/sidecar/src/upstream/send_conditions.rs
+++ b/crates/sidecar/src/upstream/send_conditions.rs
@@ -37,20 +37,20 @@
     max_drain_age: Duration,
 ) -> Result<(), SendBlocked> {
     if conditions.client_left {
-        Err(SendBlocked::ClientLeft)
+        Err(SendBlocked::ClientDisconnected)
     } else if conditions.time_left.is_zero() {
-        Err(SendBlocked::NoTime)
+        Err(SendBlocked::TimedOut)
     } else if conditions
         .retry_window_left
         .is_some_and(|left| left.is_zero())
     {
-        Err(SendBlocked::WindowOver)
+        Err(SendBlocked::RetryWindowExpired)
     } else if conditions.drain_age.is_some_and(|age| age >= max_drain_age) {
         Err(SendBlocked::ServerDraining)
     } else if conditions.server_moved {
-        Err(SendBlocked::ServerMoved)
+        Err(SendBlocked::ServerAddressChanged)
     } else if conditions.list_stale {
-        Err(SendBlocked::ListStale)
+        Err(SendBlocked::EndpointListStale)
     } else {
         Ok(())
     }
--- a/crates/sidecar/src/upstream/write_progress/tests.rs
+++ b/crates/sidecar/src/upstream/write_progress/tests.rs
@@ -109,7 +109,7 @@
         fixture
             .progress_to(&server)
             .check_first_byte(&fixture.limits),
-        Err(SendBlocked::ListStale)
+        Err(SendBlocked::EndpointListStale)
     );
     server.on_request_served(fixture.clock.now());
     assert_eq!(
