--- a/crates/sidecar/src/downstream/request.rs
+++ b/crates/sidecar/src/downstream/request.rs
@@ -37,7 +37,7 @@
                 body,
                 headers: self.forwarded,
             },
-            arrived: Instant::now(),
+            received_at: Instant::now(),
             client_timeout: self.headers.client_timeout,
             work_hint: self.headers.work_hint,
             presence,
--- a/crates/sidecar/src/message/attempt_result.rs
+++ b/crates/sidecar/src/message/attempt_result.rs
@@ -1,26 +1,26 @@
-//! How one attempt ended.
+//! The result of one attempt.
 
 use arrowstand_balancer::{LoadReport, Outcome};
 
 use super::request::Payload;
 
-/// How an attempt ended.
+/// The result of one attempt.
 pub(crate) struct AttemptResult {
-    /// What the balancer is to know of the attempt's end.
+    /// The outcome reported to the balancer.
     pub outcome: Outcome,
-    /// The load report that came with the response.
+    /// The load report in the response, if any.
     pub load_report: Option<LoadReport>,
-    /// The response's body and forwarded headers, where the request was served.
+    /// The response's body and forwarded headers; `None` unless the request was served.
     pub payload: Option<Payload>,
 }
 
 impl AttemptResult {
-    /// An attempt of which no response came.
+    /// The result of an attempt that got no response.
     pub(crate) fn without_response(outcome: Outcome) -> Self {
         Self::without_payload(outcome, None)
     }
 
-    /// An attempt whose response does not go to the client.
+    /// The result of an attempt whose response is not forwarded to the client.
     pub(crate) fn without_payload(outcome: Outcome, load_report: Option<LoadReport>) -> Self {
         Self {
             outcome,
--- a/crates/sidecar/src/message/mod.rs
+++ b/crates/sidecar/src/message/mod.rs
@@ -1,7 +1,8 @@
-//! What proxy and upstream exchange: requests, the results of attempts and why one was not begun.
+//! The data types that `proxy` and `upstream` share: requests, attempt results and the reasons for
+//! not sending an attempt.
 //!
-//! Plain types below both, so that neither needs the other's files for them. What happens with them
-//! is decided elsewhere.
+//! They are kept in a module of their own so that neither depends on the other for them. They hold
+//! no decision logic.
 
 mod attempt_result;
 mod client_presence;
--- a/crates/sidecar/src/message/request.rs
+++ b/crates/sidecar/src/message/request.rs
@@ -1,4 +1,4 @@
-//! A request as it comes from any client, free of the client's protocol.
+//! A client's request, independent of the protocol by which it was received.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 
 use super::client_presence::ClientPresence;
 
-/// The headers that go with a body unchanged, in both directions.
+/// Headers forwarded unchanged with a body, in requests and in responses.
 pub(crate) const FORWARDED_HEADERS: [&str; 3] =
     ["content-type", "content-encoding", "content-language"];
 
@@ -16,37 +16,38 @@
 pub(crate) struct Payload {
     /// The complete body.
     pub body: Bytes,
-    /// Name and value of each of [`FORWARDED_HEADERS`] that is there.
+    /// Name and value of each of [`FORWARDED_HEADERS`] that is present.
     pub headers: Vec<(&'static str, String)>,
 }
 
-/// A client's request, read to its last byte and checked.
+/// A client's request, completely read and validated.
 pub(crate) struct ProxyRequest {
     /// `GET` or `POST`.
     pub method: String,
-    /// Path and query.
+    /// The path and query of the request.
     pub target: String,
-    /// The client's request id.
+    /// The request id that the client chose.
     pub id: String,
-    /// What servers know a retry by; there for every request of a class that needs one.
+    /// The key by which servers recognise a retry; present for every request of a class that
+    /// requires one.
     pub idempotency_key: Option<String>,
-    /// The class that it belongs to.
+    /// The request class.
     pub class: ClassId,
-    /// What goes to the server.
+    /// The body and headers sent to the server.
     pub payload: Payload,
-    /// When its last byte was read.
-    pub arrived: Instant,
-    /// How long the client waits from then.
+    /// When the last byte was read.
+    pub received_at: Instant,
+    /// How long the client waits for the response after `received_at`.
     pub client_timeout: Duration,
-    /// Its work on a usual server, where the client gave an estimate.
+    /// The client's estimate of the work on a typical server, if it sent one.
     pub work_hint: Option<Duration>,
     /// Whether the client is still connected.
     pub presence: ClientPresence,
 }
 
 impl ProxyRequest {
-    /// When the client gives up.
+    /// When the client stops waiting for the response.
     pub(crate) fn deadline(&self) -> Instant {
-        self.arrived + self.client_timeout
+        self.received_at + self.client_timeout
     }
 }
--- a/crates/sidecar/src/proxy/exchange.rs
+++ b/crates/sidecar/src/proxy/exchange.rs
@@ -66,7 +66,7 @@
     /// a response before it gives up.
     fn response_deadline(&self) -> Instant {
         let margin = self.proxy.limits.client.response_margin;
-        self.request.arrived + self.request.client_timeout.saturating_sub(margin)
+        self.request.received_at + self.request.client_timeout.saturating_sub(margin)
     }
 
     /// Executes an action of the balancer's; returns the response where the action is final.
--- a/crates/sidecar/src/proxy/request_admission.rs
+++ b/crates/sidecar/src/proxy/request_admission.rs
@@ -22,7 +22,7 @@
 
     /// Hands a request to the balancer; its client's time counts from its last byte.
     pub(super) fn admit(&self, request: &ProxyRequest) -> InFlightRequest {
-        let elapsed = request.arrived.elapsed();
+        let elapsed = request.received_at.elapsed();
         let time_left = request.client_timeout.saturating_sub(elapsed);
         InFlightRequest::admit(&self.host, request.class, time_left, request.work_hint)
     }
