--- a/crates/sidecar/src/downstream/request_handler.rs
+++ b/crates/sidecar/src/downstream/request_handler.rs
@@ -94,7 +94,7 @@
         client: &ClientConnection,
     ) -> Result<ClientResponse, MalformedRequest> {
         let request = read_request(&self.context, request, client).await?;
-        response::from_proxy(self.proxy.run(request).await)
+        response::from_proxy(self.proxy.handle(request).await)
     }
 
     fn reject(&self, error: &MalformedRequest) -> ClientResponse {
--- a/crates/sidecar/src/proxy.rs
+++ b/crates/sidecar/src/proxy.rs
@@ -1,5 +1,5 @@
-//! The life of one request, from its last byte to its final response, whatever listener it came by.
-//! Knows neither the client's protocol nor how an attempt is written to a server.
+//! Handles each request from its last byte to its final response. Independent of the client's
+//! protocol and of the way in which an attempt is sent to a server.
 
 mod attempts;
 mod exchange;
@@ -17,24 +17,24 @@
 use crate::message::ProxyRequest;
 use crate::upstream::Upstream;
 use exchange::Exchange;
-use request_ids::OpenRequestIds;
+use request_ids::ActiveRequestIds;
 
 pub(crate) use request_admission::RequestAdmission;
 pub(crate) use response::ProxyResponse;
 
-/// Runs requests to their final responses; shared by all listeners.
+/// Handles requests up to their final responses; shared by all listeners.
 pub(crate) struct Proxy {
     admission: RequestAdmission,
     upstream: Rc<Upstream>,
-    request_ids: Rc<OpenRequestIds>,
-    /// Becomes true where the process is about to end.
+    request_ids: Rc<ActiveRequestIds>,
+    /// Set to true shortly before the process ends.
     forced_shutdown: watch::Sender<bool>,
     limits: Rc<Limits>,
     counters: Rc<Counters>,
 }
 
 impl Proxy {
-    /// A proxy whose attempts are made by the upstream.
+    /// Creates a proxy that sends its attempts through `upstream`.
     pub(crate) fn new(
         admission: RequestAdmission,
         upstream: Rc<Upstream>,
@@ -51,20 +51,20 @@
         })
     }
 
-    /// The process is about to end: every request in flight gets its response at once.
+    /// Ends every request in flight with a response at once, because the process is about to end.
     pub(crate) fn force_shutdown(&self) {
         self.forced_shutdown.send_replace(true);
     }
 
-    /// Runs a request to its final response. Dropped early, when its client has disconnected, it
-    /// cancels the attempts that are in flight.
-    pub(crate) async fn run(&self, request: ProxyRequest) -> ProxyResponse {
+    /// Handles a request and returns its final response. Dropping the future, as happens when the
+    /// client disconnects, cancels the attempts in flight.
+    pub(crate) async fn handle(&self, request: ProxyRequest) -> ProxyResponse {
         let Some(_id_guard) = self.request_ids.reserve(&request.id) else {
             return ProxyResponse::DuplicateId;
         };
         let forced_shutdown = self.forced_shutdown.subscribe();
-        // A client that has left reads no response, and the end of the process would cut the work
-        // short: in both cases none is begun.
+        // Starts no attempt if the client has disconnected, because it reads no response, or if the
+        // process is about to end, because that would interrupt the attempt.
         if request.presence.is_disconnected() || *forced_shutdown.borrow() {
             return ProxyResponse::Rejected {
                 retry_after: self.limits.default_retry_after,
--- a/crates/sidecar/src/proxy/attempts.rs
+++ b/crates/sidecar/src/proxy/attempts.rs
@@ -1,5 +1,5 @@
-//! The attempts of one request that are in flight, each of which can be aborted. Dropped, it drops
-//! them all.
+//! The attempts of one request that are in flight. Each can be aborted; dropping the set drops all
+//! of them.
 
 use std::future::Future;
 
@@ -9,24 +9,24 @@
 
 use crate::message::AttemptResult;
 
-/// An attempt that has ended.
+/// An attempt that has ended, with its result.
 pub(super) struct EndedAttempt {
-    /// Its number, from 0 in the order of the starts.
+    /// The attempt's number, from 0 in start order.
     pub attempt: u32,
-    /// How it ended; `None` where it was aborted.
+    /// The attempt's result; `None` if it was aborted.
     pub result: Option<AttemptResult>,
 }
 
-/// The attempts in flight.
+/// The set of attempts in flight.
 #[derive(Default)]
 pub(super) struct Attempts {
     in_flight: FuturesUnordered<LocalBoxFuture<'static, EndedAttempt>>,
-    /// By the number of the attempt.
+    /// Indexed by attempt number.
     abort_handles: Vec<AbortHandle>,
 }
 
 impl Attempts {
-    /// Adds an attempt; numbers come in order, from 0.
+    /// Adds an attempt. Attempts must be added in the order of their numbers, from 0.
     pub(super) fn start(
         &mut self,
         attempt: u32,
@@ -42,14 +42,14 @@
         self.in_flight.push(ended.boxed_local());
     }
 
-    /// Aborts an attempt; one that has ended, or is unknown, is left alone.
+    /// Aborts an attempt; has no effect if it has ended or is unknown.
     pub(super) fn abort(&self, attempt: u32) {
         if let Some(abort_handle) = self.abort_handles.get(attempt as usize) {
             abort_handle.abort();
         }
     }
 
-    /// Waits until an attempt has ended; `None` where none is in flight.
+    /// Waits for the next attempt to end; returns `None` if none is in flight.
     pub(super) async fn next_ended(&mut self) -> Option<EndedAttempt> {
         self.in_flight.next().await
     }
--- a/crates/sidecar/src/proxy/exchange.rs
+++ b/crates/sidecar/src/proxy/exchange.rs
@@ -1,5 +1,5 @@
-//! Drives one request to its final response: executes the balancer's actions for it and reports its
-//! attempts. What is decided is the balancer's.
+//! Drives one request to its final response: executes the balancer's actions for the request and
+//! reports its attempts. The balancer makes all decisions.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,10 +15,9 @@
 use crate::host::{InFlightRequest, RequestAction};
 use crate::message::ProxyRequest;
 
-/// One exchange of a request and its response: the request as the balancer knows it, and its
-/// attempts.
+/// One exchange of a request and its response, with the attempts in flight.
 pub(super) struct Exchange<'a> {
-    // Dropped before the request in flight, which reports what has not ended as cancelled.
+    // Must be dropped before `in_flight`, which reports unfinished attempts as cancelled.
     attempts: Attempts,
     in_flight: InFlightRequest,
     retry_window: RetryWindow,
@@ -27,7 +26,7 @@
 }
 
 impl<'a> Exchange<'a> {
-    /// Hands a request to the balancer.
+    /// Admits a request to the balancer and creates its exchange.
     pub(super) fn admit(proxy: &'a Proxy, request: ProxyRequest) -> Self {
         Self {
             attempts: Attempts::default(),
@@ -41,19 +40,19 @@
         }
     }
 
-    /// Executes the balancer's actions until one of them, an attempt or the time left ends the
-    /// exchange. `forced_shutdown` becomes true where the process is about to end.
+    /// Executes the balancer's actions until a final action, a served attempt, the response
+    /// deadline or a forced shutdown ends the exchange.
     pub(super) async fn run(mut self, mut forced_shutdown: watch::Receiver<bool>) -> ProxyResponse {
         let response_deadline = self.response_deadline();
         loop {
-            // Actions come first: a final one must not lose against the result of an attempt that
-            // is as ready.
+            // Polls actions first, so that a final action takes precedence over the result of an
+            // attempt that is ready at the same time.
             let response = tokio::select! {
                 biased;
                 action = self.in_flight.next_action() => self.execute(action),
                 Some(ended) = self.attempts.next_ended() => self.on_attempt_ended(ended),
                 () = tokio::time::sleep_until(response_deadline) => Some(self.on_overdue()),
-                // The response is sent while the process still has time to write it.
+                // Responds early, while the process still has time to write the response.
                 _ = forced_shutdown.wait_for(|forced| *forced) => Some(self.on_overdue()),
             };
             if let Some(response) = response {
@@ -62,14 +61,14 @@
         }
     }
 
-    /// When the response is sent at the latest. Should the balancer be late, its client still gets
-    /// a response before it gives up.
+    /// The latest time at which the response is sent. If the balancer decides late, the client
+    /// still gets a response before its timeout.
     fn response_deadline(&self) -> Instant {
         let margin = self.proxy.limits.client.response_margin;
         self.request.received_at + self.request.client_timeout.saturating_sub(margin)
     }
 
-    /// Executes an action of the balancer's; returns the response where the action is final.
+    /// Executes an action of the balancer; returns the response if the action is final.
     fn execute(&mut self, action: RequestAction) -> Option<ProxyResponse> {
         match action {
             RequestAction::Send { server, timeout } => {
@@ -85,7 +84,8 @@
         }
     }
 
-    /// Starts an attempt that ends after the timeout (in microseconds), or with the client's.
+    /// Starts an attempt. It times out after `timeout` (in microseconds) or at the client's
+    /// deadline, whichever comes first.
     fn start_attempt(&mut self, server: ServerId, timeout: Option<Micros>) {
         let attempt = self.in_flight.on_attempt_started(server);
         let now = Instant::now();
@@ -101,22 +101,22 @@
         });
     }
 
-    /// The balancer rejects the request; `retry_after` is in microseconds.
+    /// Responds to a rejection by the balancer; `retry_after` is in microseconds.
     fn on_rejected(&self, retry_after: Option<Micros>) -> ProxyResponse {
         self.proxy.counters.responses_rejected.inc();
-        let advised = retry_after.map(Duration::from_micros);
+        let retry_after = retry_after.map(Duration::from_micros);
         ProxyResponse::Rejected {
-            retry_after: advised.unwrap_or(self.proxy.limits.default_retry_after),
+            retry_after: retry_after.unwrap_or(self.proxy.limits.default_retry_after),
         }
     }
 
-    /// The balancer fails the request.
+    /// Responds to a failure decided by the balancer.
     fn on_failed(&self) -> ProxyResponse {
         self.proxy.counters.responses_failed.inc();
-        self.failure()
+        self.failed_response()
     }
 
-    /// Reports an attempt that has ended; returns the response where it was served.
+    /// Reports an attempt that has ended; returns the response if the attempt was served.
     fn on_attempt_ended(&mut self, ended: EndedAttempt) -> Option<ProxyResponse> {
         let attempt = ended.attempt;
         let Some(result) = ended.result else {
@@ -133,13 +133,13 @@
         Some(ProxyResponse::Served(payload))
     }
 
-    /// The balancer has not decided in time.
+    /// Fails the request because of the response deadline or a forced shutdown.
     fn on_overdue(&mut self) -> ProxyResponse {
         self.in_flight.on_overdue();
-        self.failure()
+        self.failed_response()
     }
 
-    fn failure(&self) -> ProxyResponse {
+    fn failed_response(&self) -> ProxyResponse {
         ProxyResponse::Failed {
             retry_after: self.proxy.limits.default_retry_after,
         }
--- a/crates/sidecar/src/proxy/request_admission.rs
+++ b/crates/sidecar/src/proxy/request_admission.rs
@@ -1,4 +1,5 @@
-//! What the proxy asks of the balancer's host: to take a request in, and what its class is allowed.
+//! The proxy's interface to the balancer host: admits requests and looks up the deduplication
+//! windows of their classes.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -8,27 +9,27 @@
 use crate::host::{BalancerHost, ClassTable, InFlightRequest};
 use crate::message::ProxyRequest;
 
-/// Hands requests to the balancer.
+/// Admits requests to the balancer.
 pub(crate) struct RequestAdmission {
     host: Rc<BalancerHost>,
     classes: Rc<ClassTable>,
 }
 
 impl RequestAdmission {
-    /// Admits requests of these classes to that host's balancer.
+    /// Creates an interface to `host` for requests of `classes`.
     pub(crate) fn new(host: Rc<BalancerHost>, classes: Rc<ClassTable>) -> Self {
         Self { host, classes }
     }
 
-    /// Hands a request to the balancer; its client's time counts from its last byte.
+    /// Admits a request to the balancer. The client timeout counts from the request's last byte.
     pub(super) fn admit(&self, request: &ProxyRequest) -> InFlightRequest {
         let elapsed = request.received_at.elapsed();
         let time_left = request.client_timeout.saturating_sub(elapsed);
         InFlightRequest::admit(&self.host, request.class, time_left, request.work_hint)
     }
 
-    /// For how long servers drop retries of a request by its idempotency key; `None` for a class
-    /// without keys.
+    /// How long servers deduplicate a request by its idempotency key; `None` for a class without
+    /// keys.
     pub(super) fn deduplication_window(&self, class: ClassId) -> Option<Duration> {
         self.classes.deduplication_window(class)
     }
--- a/crates/sidecar/src/proxy/request_ids.rs
+++ b/crates/sidecar/src/proxy/request_ids.rs
@@ -1,36 +1,36 @@
-//! The request ids that clients have given to the requests in flight. The balancer's own numbers
-//! for requests are not here.
+//! The request ids that clients chose for the requests in flight. They are not the ids by which the
+//! balancer identifies requests.
 
 use std::cell::RefCell;
 use std::collections::HashSet;
 use std::rc::Rc;
 
-/// The request ids that are in use.
+/// The client-chosen ids of the requests in flight.
 #[derive(Default)]
-pub(super) struct OpenRequestIds(RefCell<HashSet<Rc<str>>>);
+pub(super) struct ActiveRequestIds(RefCell<HashSet<Rc<str>>>);
 
-impl OpenRequestIds {
-    /// Reserves an id until the guard is dropped; `None` where it is in use. Servers could not tell
-    /// two requests of one id apart: one would pass for a retry of the other.
+impl ActiveRequestIds {
+    /// Reserves an id until the guard is dropped; returns `None` if the id is in use. With the same
+    /// id, servers would take one of two requests for a retry of the other.
     pub(super) fn reserve(self: &Rc<Self>, id: &str) -> Option<RequestIdGuard> {
         let id: Rc<str> = id.into();
         let is_new = self.0.borrow_mut().insert(Rc::clone(&id));
         is_new.then(|| RequestIdGuard {
-            open: Rc::clone(self),
+            active: Rc::clone(self),
             id,
         })
     }
 }
 
-/// A request id that is in use until this is dropped.
+/// Keeps a request id reserved until it is dropped.
 pub(super) struct RequestIdGuard {
-    open: Rc<OpenRequestIds>,
+    active: Rc<ActiveRequestIds>,
     id: Rc<str>,
 }
 
 impl Drop for RequestIdGuard {
     fn drop(&mut self) {
-        self.open.0.borrow_mut().remove(&self.id);
+        self.active.0.borrow_mut().remove(&self.id);
     }
 }
 
--- a/crates/sidecar/src/proxy/request_ids/tests.rs
+++ b/crates/sidecar/src/proxy/request_ids/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 
 #[test]
-fn an_id_in_use_is_not_given_again_until_its_guard_is_dropped() {
-    let open = Rc::new(OpenRequestIds::default());
-    let guard = open.reserve("a");
+fn an_id_cannot_be_reserved_again_until_its_guard_is_dropped() {
+    let active = Rc::new(ActiveRequestIds::default());
+    let guard = active.reserve("a");
     assert!(guard.is_some());
-    assert!(open.reserve("a").is_none(), "in use");
-    assert!(open.reserve("b").is_some(), "another id");
+    assert!(active.reserve("a").is_none(), "in use");
+    assert!(active.reserve("b").is_some(), "another id");
     drop(guard);
-    assert!(open.reserve("a").is_some(), "free again");
+    assert!(active.reserve("a").is_some(), "released");
 }
--- a/crates/sidecar/src/proxy/response.rs
+++ b/crates/sidecar/src/proxy/response.rs
@@ -1,23 +1,23 @@
-//! The final response to a request, free of the client's protocol.
+//! The final response to a request, independent of the client's protocol.
 
 use std::time::Duration;
 
 use crate::message::Payload;
 
-/// The one final response to a request.
+/// The final response to a request. Each request gets exactly one.
 pub(crate) enum ProxyResponse {
-    /// A server's body, complete and unchanged.
+    /// A server's complete response, with its body unchanged.
     Served(Payload),
-    /// Nothing was executed.
+    /// The request was not executed.
     Rejected {
-        /// The pause advised before the client tries again.
+        /// How long the client should wait before it retries.
         retry_after: Duration,
     },
     /// The request may have been executed.
     Failed {
-        /// The pause advised before the client tries again.
+        /// How long the client should wait before it retries.
         retry_after: Duration,
     },
-    /// Another request of that id is in flight; nothing was done.
+    /// Another request with the same id is in flight; this one was not executed.
     DuplicateId,
 }
--- a/crates/sidecar/src/proxy/retry_window.rs
+++ b/crates/sidecar/src/proxy/retry_window.rs
@@ -1,23 +1,23 @@
-//! Until when a request's retries may start: for as long as servers still drop them as duplicates.
+//! Computes until when retries of a request may start: while servers still deduplicate them.
 
 use std::time::Duration;
 
 use arrowstand_balancer::Outcome;
 use tokio::time::Instant;
 
-/// The deduplication window of a request with an idempotency key: it opens with the first attempt
+/// The deduplication window of a request with an idempotency key. It starts with the first attempt
 /// that may have been executed.
 pub(super) struct RetryWindow {
-    /// How long servers drop duplicates; `None` for a request without an idempotency key.
+    /// How long servers drop duplicates; `None` for a request whose class has no idempotency keys.
     window: Option<Duration>,
     margin: Duration,
-    /// When each attempt started; `None` once it is known never to have been executed.
+    /// Start time of each attempt; `None` once it is known that the attempt was never executed.
     started_at: Vec<Option<Instant>>,
 }
 
 impl RetryWindow {
-    /// A window of this length for a request without attempts; retries start by the margin before
-    /// its end.
+    /// Creates the window of a request without attempts. Retries must start `margin` before the
+    /// window ends.
     pub(super) fn new(window: Option<Duration>, margin: Duration) -> Self {
         Self {
             window,
@@ -26,15 +26,15 @@
         }
     }
 
-    /// Records an attempt that starts now; returns until when its first byte may be sent, where
-    /// that is bounded.
+    /// Records an attempt that starts now. Returns the time before which its first byte must be
+    /// sent, or `None` if there is no such limit.
     pub(super) fn on_attempt_started(&mut self, now: Instant) -> Option<Instant> {
         let window_start = self.started_at.iter().flatten().next().copied();
         self.started_at.push(Some(now));
         Some(window_start? + self.window?.saturating_sub(self.margin))
     }
 
-    /// Records how an attempt ended, by its number in the order of the starts.
+    /// Records the outcome of an attempt, numbered from 0 in start order.
     pub(super) fn on_attempt_ended(&mut self, attempt: u32, outcome: Outcome) {
         let Some(started_at) = self.started_at.get_mut(attempt as usize) else {
             return;
