--- a/crates/sidecar/src/host/action_dispatch.rs
+++ b/crates/sidecar/src/host/action_dispatch.rs
@@ -1,5 +1,5 @@
-//! Hands the balancer's actions to the tasks that execute them: requests in flight, the health
-//! checker and the watch on discovery. Keeps the balancer's numbers for requests.
+//! Dispatches the balancer's actions to the tasks that execute them: requests in flight, the health
+//! checker and the discovery watcher. Assigns the balancer's request ids.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -9,74 +9,74 @@
 
 use super::request_action::RequestAction;
 
-/// The receivers of the balancer's actions.
+/// Queues the balancer's actions for the tasks that execute them.
 pub(super) struct ActionDispatcher {
-    requests: RefCell<BTreeMap<RequestId, mpsc::Sender<RequestAction>>>,
-    next_request: Cell<u64>,
-    health_checks: mpsc::Sender<ServerId>,
-    poll_wanted: Notify,
+    action_queues: RefCell<BTreeMap<RequestId, mpsc::Sender<RequestAction>>>,
+    next_request_id: Cell<u64>,
+    health_check_queue: mpsc::Sender<ServerId>,
+    poll_request: Notify,
 }
 
 impl ActionDispatcher {
-    /// A dispatcher without requests, and the servers whose health is to be checked.
+    /// Creates a dispatcher, and the receiver of the servers whose health is to be checked.
     pub(super) fn new(max_queued_health_checks: usize) -> (Self, mpsc::Receiver<ServerId>) {
-        let (health_checks, servers_to_check) = mpsc::channel(max_queued_health_checks);
+        let (health_check_queue, servers_to_check) = mpsc::channel(max_queued_health_checks);
         let dispatcher = Self {
-            requests: RefCell::default(),
-            next_request: Cell::new(0),
-            health_checks,
-            poll_wanted: Notify::new(),
+            action_queues: RefCell::default(),
+            next_request_id: Cell::new(0),
+            health_check_queue,
+            poll_request: Notify::new(),
         };
         (dispatcher, servers_to_check)
     }
 
-    /// Gives a request a number and a queue of its actions. The balancer needs numbers that are
-    /// never used twice, which the ids that clients choose are not.
+    /// Assigns a request its id and creates the queue of its actions. The balancer needs ids that
+    /// are never reused; clients may reuse the ids that they choose.
     pub(super) fn register_request(
         &self,
         max_queued_actions: usize,
     ) -> (RequestId, mpsc::Receiver<RequestAction>) {
-        let id = RequestId(self.next_request.get());
-        self.next_request.set(id.0 + 1);
+        let id = RequestId(self.next_request_id.get());
+        self.next_request_id.set(id.0 + 1);
         let (sender, actions) = mpsc::channel(max_queued_actions);
-        self.requests.borrow_mut().insert(id, sender);
+        self.action_queues.borrow_mut().insert(id, sender);
         (id, actions)
     }
 
-    /// Drops the actions that still come for a request that has ended.
+    /// Removes the queue of a request that has ended; later actions for it are dropped.
     pub(super) fn unregister_request(&self, id: RequestId) {
-        self.requests.borrow_mut().remove(&id);
+        self.action_queues.borrow_mut().remove(&id);
     }
 
-    /// Queues an action for its request. A request that has ended has no use for it: what was in
-    /// flight of it is reported when it is dropped.
+    /// Queues an action for its request. Drops the action if the request has ended: its attempts in
+    /// flight were reported when it was dropped.
     pub(super) fn dispatch_to_request(&self, id: RequestId, action: RequestAction) {
-        let requests = self.requests.borrow();
-        let Some(sender) = requests.get(&id) else {
+        let action_queues = self.action_queues.borrow();
+        let Some(sender) = action_queues.get(&id) else {
             return;
         };
         if sender.try_send(action).is_err() {
             tracing::warn!(
                 request = id.0,
                 ?action,
-                "action dropped, its request's queue is full"
+                "dropped an action because its request's queue is full"
             );
         }
     }
 
-    /// Queues a health check; false where too many are waiting.
+    /// Queues a health check; returns false if the queue is full.
     pub(super) fn enqueue_health_check(&self, server: ServerId) -> bool {
-        self.health_checks.try_send(server).is_ok()
+        self.health_check_queue.try_send(server).is_ok()
     }
 
-    /// Has discovery polled.
+    /// Requests a poll of discovery.
     pub(super) fn request_poll(&self) {
-        self.poll_wanted.notify_one();
+        self.poll_request.notify_one();
     }
 
-    /// Waits until discovery is to be polled.
+    /// Waits until a poll of discovery is requested.
     pub(super) async fn poll_requested(&self) {
-        self.poll_wanted.notified().await;
+        self.poll_request.notified().await;
     }
 }
 
--- a/crates/sidecar/src/host/action_dispatch/tests.rs
+++ b/crates/sidecar/src/host/action_dispatch/tests.rs
@@ -3,7 +3,7 @@
 const MAX_QUEUED: usize = 1;
 
 #[test]
-fn an_action_goes_to_its_request_alone() {
+fn an_action_is_queued_only_for_its_request() {
     let (dispatcher, _servers) = ActionDispatcher::new(MAX_QUEUED);
     let (first, mut first_actions) = dispatcher.register_request(MAX_QUEUED);
     let (second, mut second_actions) = dispatcher.register_request(MAX_QUEUED);
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_health_check_that_finds_the_queue_full_is_not_taken() {
+fn a_health_check_is_refused_while_the_queue_is_full() {
     let (dispatcher, mut servers) = ActionDispatcher::new(MAX_QUEUED);
     assert!(dispatcher.enqueue_health_check(ServerId(1)));
     assert!(!dispatcher.enqueue_health_check(ServerId(2)));
--- a/crates/sidecar/src/host/balancer_host.rs
+++ b/crates/sidecar/src/host/balancer_host.rs
@@ -1,5 +1,5 @@
-//! The one balancer of the process: hands it events and executes its actions. The clock, timers,
-//! servers and the queues of actions are parts with files of their own.
+//! Runs the single balancer of the process: passes events to it and executes its actions. The
+//! clock, timers, servers and action queues have modules of their own.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -22,23 +22,24 @@
 use crate::limits::Limits;
 use arrowstand_platform::EndpointList;
 
-/// The balancer and the parts that run it. There is one, and it stays on one thread.
+/// The balancer with its clock, timers, servers and action queues. There is one per process, used
+/// from a single thread.
 ///
-/// The rest of the sidecar reaches it through the interface of its side alone: discovery by its
-/// `EndpointSink`, the proxy by its `RequestAdmission`, the transport by its `ServerDirectory`, the
-/// listener by its `ServiceContext`.
+/// Other modules access it only through narrow interfaces: discovery through `EndpointSink`, the
+/// proxy through `RequestAdmission`, the upstream side through `ServerDirectory` and the listener
+/// through `ServiceContext`.
 pub(crate) struct BalancerHost {
     balancer: RefCell<WorkAwareBalancer>,
     servers: RefCell<ServerRegistry>,
     clock: Rc<BalancerClock>,
     timers: TimerQueue,
-    actions: ActionDispatcher,
+    dispatcher: ActionDispatcher,
     limits: Rc<Limits>,
     counters: Rc<Counters>,
 }
 
 impl BalancerHost {
-    /// Hosts this balancer; the receiver yields the servers whose health is to be checked.
+    /// Creates a host of `balancer`, and the receiver of the servers whose health is to be checked.
     pub(crate) fn new(
         balancer: WorkAwareBalancer,
         servers: ServerRegistry,
@@ -47,35 +48,35 @@
         counters: Rc<Counters>,
     ) -> (Rc<Self>, mpsc::Receiver<ServerId>) {
         // The balancer has at most one health check in flight for each server.
-        let (actions, servers_to_check) = ActionDispatcher::new(limits.upstream.max_connections);
+        let (dispatcher, servers_to_check) = ActionDispatcher::new(limits.upstream.max_connections);
         let host = Self {
             balancer: RefCell::new(balancer),
             servers: RefCell::new(servers),
             clock,
             timers: TimerQueue::default(),
-            actions,
+            dispatcher,
             limits,
             counters,
         };
         (Rc::new(host), servers_to_check)
     }
 
-    /// True once requests can be served: a list has named a server that is ready.
+    /// True once requests can be served: an endpoint list has contained a ready server.
     pub(crate) fn is_ready(&self) -> bool {
         self.servers.borrow().has_listed_ready()
     }
 
-    /// The server of that number; `None` once it is forgotten.
+    /// The server with this id; `None` once it has been discarded.
     pub(crate) fn server(&self, id: ServerId) -> Option<Rc<Server>> {
         self.servers.borrow().get(id)
     }
 
-    /// Waits until the balancer wants the endpoint list polled.
+    /// Waits until the balancer requests a poll of the endpoint list.
     pub(crate) async fn poll_requested(&self) {
-        self.actions.poll_requested().await;
+        self.dispatcher.poll_requested().await;
     }
 
-    /// Fires the balancer's timers as they come due, for as long as the process runs.
+    /// Fires the balancer's timers as they become due; never returns.
     pub(crate) async fn run_timers(&self) {
         loop {
             let token = self.timers.next_due(&self.clock).await;
@@ -83,8 +84,7 @@
         }
     }
 
-    /// Hands an endpoint list, or a change to it, to the balancer, under a version that never
-    /// falls.
+    /// Passes a full or incremental endpoint list to the balancer. `version` must never decrease.
     pub(crate) fn update_endpoints(&self, kind: UpdateKind, version: u64, list: &EndpointList) {
         self.counters.endpoint_updates.inc();
         for error in &list.skipped {
@@ -100,7 +100,7 @@
         });
     }
 
-    /// The watch on discovery is lost: the balancer decides when to poll again.
+    /// Reports that the watch on discovery was lost; the balancer decides when to poll again.
     pub(crate) fn on_watch_lost(&self) {
         self.handle_event(Event::EndpointsUpdated {
             kind: UpdateKind::Lost,
@@ -109,7 +109,7 @@
         });
     }
 
-    /// A health check that the balancer requested has ended.
+    /// Reports the end of a health check that the balancer requested.
     pub(crate) fn on_health_check_ended(
         &self,
         server: ServerId,
@@ -128,12 +128,12 @@
         &self.clock
     }
 
-    /// What the process counts.
+    /// The counters of the process.
     pub(super) fn counters(&self) -> &Counters {
         &self.counters
     }
 
-    /// Hands an event to the balancer and executes the actions that result.
+    /// Passes an event to the balancer and executes the resulting actions.
     pub(super) fn handle_event(&self, event: Event) {
         let mut actions = Vec::new();
         self.balancer
@@ -143,57 +143,57 @@
             .into_iter()
             .filter_map(|action| self.execute(action))
             .collect();
-        // The balancer requests no further check of a server while it waits for this one.
+        // Until it gets an outcome, the balancer requests no further check of the server.
         for server in unsent_health_checks {
             self.on_health_check_ended(server, Outcome::NotSent, None);
         }
     }
 
-    /// Gives a request a number and a queue of its actions.
+    /// Assigns a request its id and creates the queue of its actions.
     pub(super) fn register_request(&self) -> (RequestId, mpsc::Receiver<RequestAction>) {
-        self.actions
+        self.dispatcher
             .register_request(self.limits.max_queued_actions)
     }
 
-    /// Drops the actions that still come for a request that has ended.
+    /// Removes the queue of a request that has ended; later actions for it are dropped.
     pub(super) fn unregister_request(&self, id: RequestId) {
-        self.actions.unregister_request(id);
+        self.dispatcher.unregister_request(id);
     }
 
-    /// Hands an action to the task that executes it; returns the server of a health check that
-    /// cannot be made.
+    /// Dispatches an action to the task that executes it. Returns the server of a health check that
+    /// could not be queued.
     fn execute(&self, action: Action) -> Option<ServerId> {
-        let to_request = |request, action| self.actions.dispatch_to_request(request, action);
+        let dispatch = |request, action| self.dispatcher.dispatch_to_request(request, action);
         match action {
             Action::Send {
                 request,
                 server,
                 timeout,
-            } => to_request(request, RequestAction::Send { server, timeout }),
+            } => dispatch(request, RequestAction::Send { server, timeout }),
             Action::Cancel { request, attempt } => {
-                to_request(request, RequestAction::Cancel { attempt });
+                dispatch(request, RequestAction::Cancel { attempt });
             }
             Action::Reject {
                 request,
                 retry_after,
-            } => to_request(request, RequestAction::Reject { retry_after }),
-            Action::Fail { request } => to_request(request, RequestAction::Fail),
+            } => dispatch(request, RequestAction::Reject { retry_after }),
+            Action::Fail { request } => dispatch(request, RequestAction::Fail),
             Action::SetTimer { token, after } => {
                 self.timers.schedule(self.clock.now() + after, token);
             }
             Action::HealthCheck { server } => {
-                return (!self.actions.enqueue_health_check(server)).then_some(server);
+                return (!self.dispatcher.enqueue_health_check(server)).then_some(server);
             }
-            Action::PollEndpoints => self.actions.request_poll(),
-            // There is no channel between sidecars, and the balancer's settings say so.
+            Action::PollEndpoints => self.dispatcher.request_poll(),
+            // Sidecars have no channel between them; the balancer's settings disable gossip.
             Action::SendGossip { .. } => {}
-            Action::Record(change) => self.log(change),
+            Action::Record(change) => self.log_state_change(change),
         }
         None
     }
 
-    /// Logs a change, with the server's address unless the server is forgotten by now.
-    fn log(&self, change: StateChange) {
+    /// Logs a state change, with the server's address unless the server has been discarded.
+    fn log_state_change(&self, change: StateChange) {
         let (server, event) = match change {
             StateChange::EndpointListLost => return tracing::info!("endpoint list lost"),
             StateChange::Server { server, event } => (self.server(server), event),
--- a/crates/sidecar/src/host/class_table.rs
+++ b/crates/sidecar/src/host/class_table.rs
@@ -1,5 +1,4 @@
-//! What the configuration says of each request class, by the number under which the balancer knows
-//! it.
+//! The configuration of each request class, looked up by the id that the balancer uses for it.
 
 use std::time::Duration;
 
@@ -7,22 +6,22 @@
 
 use crate::config::Names;
 
-struct Class {
+struct ClassConfig {
     name: String,
     requires_idempotency_key: bool,
     deadline: Duration,
     deduplication_window: Duration,
 }
 
-/// The request classes in the order of the configuration, which is that of their ids.
-pub(crate) struct ClassTable(Vec<Class>);
+/// The request classes in configuration order. A class's index is its id.
+pub(crate) struct ClassTable(Vec<ClassConfig>);
 
 impl ClassTable {
-    /// Reads the classes from the configuration's names; a value that a class does not have counts
-    /// as none.
+    /// Creates the table from the configuration. A class without a value requires no idempotency
+    /// key and has durations of zero.
     pub(crate) fn new(names: &Names) -> Self {
         let classes = names.classes.iter().enumerate();
-        let class = |(index, name): (usize, &String)| Class {
+        let class = |(index, name): (usize, &String)| ClassConfig {
             name: name.clone(),
             requires_idempotency_key: names.keyed.get(index).copied().unwrap_or_default(),
             deadline: names.deadlines.get(index).copied().unwrap_or_default(),
@@ -31,34 +30,34 @@
         Self(classes.map(class).collect())
     }
 
-    /// The class of that name; `None` where the configuration has none.
+    /// Returns the id of the class with this name; `None` if none is configured.
     pub(crate) fn id(&self, name: &str) -> Option<ClassId> {
         let index = self.0.iter().position(|class| class.name == name)?;
         u16::try_from(index).ok().map(ClassId)
     }
 
-    /// True for a class whose requests carry an idempotency key.
+    /// True if requests of the class must carry an idempotency key.
     pub(crate) fn requires_idempotency_key(&self, class: ClassId) -> bool {
         self.get(class)
             .is_some_and(|class| class.requires_idempotency_key)
     }
 
-    /// How long a client of the class waits that does not say so; zero for an unknown class.
+    /// The client timeout of a request that states none; zero for an unknown class.
     pub(crate) fn default_client_timeout(&self, class: ClassId) -> Duration {
         self.get(class)
             .map(|class| class.deadline)
             .unwrap_or_default()
     }
 
-    /// For how long servers drop retries of a request by its idempotency key; `None` for a class
-    /// without keys.
+    /// How long servers deduplicate a request by its idempotency key; `None` for a class without
+    /// keys.
     pub(crate) fn deduplication_window(&self, class: ClassId) -> Option<Duration> {
         self.get(class)
             .filter(|class| class.requires_idempotency_key)
             .map(|class| class.deduplication_window)
     }
 
-    fn get(&self, class: ClassId) -> Option<&Class> {
+    fn get(&self, class: ClassId) -> Option<&ClassConfig> {
         self.0.get(usize::from(class.0))
     }
 }
--- a/crates/sidecar/src/host/class_table/tests.rs
+++ b/crates/sidecar/src/host/class_table/tests.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn an_unknown_class_has_neither_key_nor_window_nor_timeout() {
+fn an_unknown_class_has_no_key_no_window_and_a_zero_timeout() {
     assert_eq!(table().default_client_timeout(ClassId(1)), 2 * SECOND);
     assert_eq!(table().default_client_timeout(UNKNOWN), Duration::ZERO);
     assert_eq!(table().deduplication_window(UNKNOWN), None);
--- a/crates/sidecar/src/host/clock.rs
+++ b/crates/sidecar/src/host/clock.rs
@@ -1,4 +1,4 @@
-//! The balancer's clock: Unix time at the start, and monotonic from there. Owns no timer.
+//! The balancer's clock: starts at the Unix time and advances monotonically. Owns no timers.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -7,16 +7,16 @@
 
 use crate::units::micros;
 
-/// Gives the time in Unix microseconds, so that the start times of servers in the endpoint list can
-/// be compared with it. After the start it follows the monotonic clock: a step of the wall clock
-/// moves no timer.
+/// A clock in Unix microseconds, comparable with the start times of servers in the endpoint list.
+/// After its start it follows the monotonic clock, so that a step of the wall clock does not shift
+/// timers.
 pub(crate) struct BalancerClock {
     started_at: Instant,
     unix_time_at_start: Micros,
 }
 
 impl BalancerClock {
-    /// Takes the wall clock's time now as the start; a wall clock before 1970 counts as 1970.
+    /// Starts the clock at the current wall clock time; a time before 1970 counts as 1970.
     pub(crate) fn start() -> Self {
         let unix_time = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -27,17 +27,17 @@
         }
     }
 
-    /// What the clock showed at its start.
+    /// The time at which the clock started.
     pub(super) fn unix_time_at_start(&self) -> Micros {
         self.unix_time_at_start
     }
 
-    /// What the clock shows now.
+    /// The current time.
     pub(crate) fn now(&self) -> Micros {
         self.unix_time_at_start + micros(self.started_at.elapsed())
     }
 
-    /// What the clock showed at an instant that is past.
+    /// The clock's time at a past instant.
     pub(crate) fn micros_at(&self, instant: Instant) -> Micros {
         self.now().saturating_sub(micros(instant.elapsed()))
     }
--- a/crates/sidecar/src/host/endpoint_list_freshness.rs
+++ b/crates/sidecar/src/host/endpoint_list_freshness.rs
@@ -1,7 +1,7 @@
-//! For how long the endpoint list may be trusted, on the balancer's clock.
+//! Tracks how long the endpoint list can be trusted, on the balancer's clock.
 //!
-//! Discovery reports what happens to its polls and watches; the check before an attempt's first
-//! byte asks whether a drain may have been missed. The rules are those of [`ListFreshness`].
+//! Discovery reports the events of its polls and watches. The check before an attempt's first byte
+//! queries whether the list may be missing a drain. [`ListFreshness`] defines the rules.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -13,14 +13,15 @@
 use super::clock::BalancerClock;
 use super::server::Server;
 
-/// The age of the endpoint list, shared by the side that delivers it and the side that rests on it.
+/// Freshness of the endpoint list, shared by discovery, which updates it, and by the upstream side,
+/// which queries it.
 pub(crate) struct EndpointListFreshness {
     freshness: Cell<ListFreshness>,
     clock: Rc<BalancerClock>,
 }
 
 impl EndpointListFreshness {
-    /// The freshness of a list as old as the clock.
+    /// Creates the state at process start; the clock's start counts as the time of the list.
     pub(crate) fn new(bounds: StalenessBounds, clock: Rc<BalancerClock>) -> Self {
         let freshness = ListFreshness::new(bounds, clock.unix_time_at_start());
         Self {
@@ -29,48 +30,49 @@
         }
     }
 
-    /// A poll of discovery starts.
+    /// Records the start of a poll of discovery.
     pub(crate) fn on_poll_started(&self) {
         self.update(ListFreshness::on_poll_started);
     }
 
-    /// Nobody listened at discovery's address.
+    /// Records that the connection was refused: no process listens at discovery's address.
     pub(crate) fn on_poll_refused(&self) {
         self.update(ListFreshness::on_poll_refused);
     }
 
-    /// A poll was given up before its response, by its timeout or for another poll.
+    /// Records that a poll was abandoned without a response, after its timeout or for a new poll.
     pub(crate) fn on_poll_abandoned(&self) {
         self.update(|freshness, _| freshness.on_poll_abandoned());
     }
 
-    /// A list or a heartbeat came.
+    /// Records a list or a heartbeat.
     pub(crate) fn on_watch_event(&self) {
         self.update(|freshness, _| freshness.on_watch_event());
     }
 
-    /// A watch brought nothing since that instant, and counts as lost.
+    /// Records that a watch was given up because nothing was received after `last_received_at`.
     pub(crate) fn on_watch_silent(&self, last_received_at: Instant) {
         let last_received_at = self.clock.micros_at(last_received_at);
         self.update(|freshness, now| freshness.on_watch_silent(last_received_at, now));
     }
 
-    /// A watch ended, or failed other than by silence.
+    /// Records that a watch ended or failed for a reason other than silence.
     pub(crate) fn on_watch_ended(&self) {
         self.update(ListFreshness::on_watch_ended);
     }
 
-    /// Discovery is at another address from now on.
+    /// Records that discovery's address has changed.
     pub(crate) fn on_discovery_relocated(&self) {
         self.update(ListFreshness::on_discovery_relocated);
     }
 
-    /// True where the list would be stale before the balancer's own backoff lets it poll again.
+    /// True if discovery must be polled without the balancer's backoff, because the list may become
+    /// stale during it.
     pub(crate) fn needs_immediate_poll(&self) -> bool {
         self.freshness.get().needs_immediate_poll()
     }
 
-    /// True where the list is so old that the server may be draining without the list showing it.
+    /// True if the list is so old that the server may be draining without the list showing it.
     pub(crate) fn is_stale_for(&self, server: &Server) -> bool {
         let last_served_start = server.last_served_start();
         self.freshness
--- a/crates/sidecar/src/host/in_flight_request.rs
+++ b/crates/sidecar/src/host/in_flight_request.rs
@@ -1,5 +1,5 @@
-//! One request towards the balancer: the actions that it gets, and one result for each attempt.
-//! Owns what is in flight of the request; does not know how an attempt is made.
+//! The balancer's side of one request: receives its actions and reports one outcome for each
+//! attempt. Tracks the attempts in flight; does not know how an attempt is sent.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,25 +13,25 @@
 use super::request_action::RequestAction;
 use crate::units::micros;
 
-struct OpenAttempt {
+struct InFlightAttempt {
     attempt: u32,
     server: ServerId,
     started_at: Micros,
 }
 
-/// A request that the balancer knows of and that gets one final response.
+/// A request admitted to the balancer. It gets exactly one final response.
 pub(crate) struct InFlightRequest {
     host: Rc<BalancerHost>,
     id: RequestId,
     actions: mpsc::Receiver<RequestAction>,
-    open_attempts: Vec<OpenAttempt>,
+    attempts_in_flight: Vec<InFlightAttempt>,
     attempts_started: u32,
     has_final_response: bool,
 }
 
 impl InFlightRequest {
-    /// Hands a request to the balancer. `time_left` is until its client gives up, `work_hint` its
-    /// work on a usual server where the client gave an estimate.
+    /// Admits a request to the balancer. `time_left` is the time until the client's deadline,
+    /// `work_hint` the client's estimate of the work on a typical server, if it sent one.
     pub(crate) fn admit(
         host: &Rc<BalancerHost>,
         class: ClassId,
@@ -43,7 +43,7 @@
             host: Rc::clone(host),
             id,
             actions,
-            open_attempts: Vec::new(),
+            attempts_in_flight: Vec::new(),
             attempts_started: 0,
             has_final_response: false,
         };
@@ -57,61 +57,67 @@
         request
     }
 
-    /// Waits for the balancer's next action; after a final one the request has ended.
+    /// Waits for the balancer's next action. A final action ends the request.
     pub(crate) async fn next_action(&mut self) -> RequestAction {
-        // The dispatcher keeps the sending end until this request is dropped.
+        // The dispatcher keeps the sender until this request is dropped, so the channel is open.
         let action = self.actions.recv().await.unwrap_or(RequestAction::Fail);
         self.has_final_response |= action.is_final();
         action
     }
 
-    /// Records an attempt that starts now and gives its number.
+    /// Records an attempt that starts now and returns its number.
     pub(crate) fn on_attempt_started(&mut self, server: ServerId) -> u32 {
-        let open = self.new_attempt(server);
-        let attempt = open.attempt;
-        self.open_attempts.push(open);
+        let started = self.new_attempt(server);
+        let attempt = started.attempt;
+        self.attempts_in_flight.push(started);
         attempt
     }
 
-    /// Reports how an attempt ended. One that was served ends the request.
+    /// Reports the outcome of an attempt. A served attempt ends the request.
     pub(crate) fn on_attempt_ended(
         &mut self,
         attempt: u32,
         outcome: Outcome,
         report: Option<LoadReport>,
     ) {
-        let is_it = |open: &OpenAttempt| open.attempt == attempt;
-        let Some(index) = self.open_attempts.iter().position(is_it) else {
+        let has_number = |in_flight: &InFlightAttempt| in_flight.attempt == attempt;
+        let Some(index) = self.attempts_in_flight.iter().position(has_number) else {
             return;
         };
-        let ended = self.open_attempts.swap_remove(index);
+        let ended = self.attempts_in_flight.swap_remove(index);
         self.has_final_response |= outcome == Outcome::Served;
-        self.report(&ended, outcome, report);
+        self.report_attempt_ended(&ended, outcome, report);
     }
 
-    /// Ends a request that the balancer has not decided by the last moment for a response.
+    /// Ends a request that the balancer has not decided by the response deadline or before the
+    /// process ends. Reported as a disconnect, so that the balancer ends the request too.
     pub(crate) fn on_overdue(&mut self) {
         self.host.counters().responses_overdue.inc();
-        self.on_client_gone();
+        self.report_client_disconnected();
     }
 
-    fn on_client_gone(&mut self) {
+    fn report_client_disconnected(&mut self) {
         self.has_final_response = true;
         self.host
             .handle_event(Event::ClientDisconnected { request: self.id });
     }
 
-    fn new_attempt(&mut self, server: ServerId) -> OpenAttempt {
+    fn new_attempt(&mut self, server: ServerId) -> InFlightAttempt {
         let attempt = self.attempts_started;
         self.attempts_started += 1;
-        OpenAttempt {
+        InFlightAttempt {
             attempt,
             server,
             started_at: self.host.clock().now(),
         }
     }
 
-    fn report(&self, ended: &OpenAttempt, outcome: Outcome, report: Option<LoadReport>) {
+    fn report_attempt_ended(
+        &self,
+        ended: &InFlightAttempt,
+        outcome: Outcome,
+        report: Option<LoadReport>,
+    ) {
         self.host.counters().on_attempt_ended(outcome);
         self.host.handle_event(Event::AttemptEnded(AttemptEnd {
             request: self.id,
@@ -124,28 +130,28 @@
         }));
     }
 
-    /// Reports the sends that the balancer has queued and that were never started.
+    /// Reports queued sends whose attempts were never started.
     fn report_unsent(&mut self) {
         while let Ok(action) = self.actions.try_recv() {
             if let RequestAction::Send { server, .. } = action {
                 let unsent = self.new_attempt(server);
-                self.report(&unsent, Outcome::NotSent, None);
+                self.report_attempt_ended(&unsent, Outcome::NotSent, None);
             }
         }
     }
 }
 
 impl Drop for InFlightRequest {
-    /// The client may disconnect at any point, which drops the request. The balancer still waits
-    /// for one result of each send, so what is open is reported here.
+    /// A disconnect of the client may drop the request at any time. The balancer still expects one
+    /// outcome for each send, so the outstanding ones are reported here.
     fn drop(&mut self) {
         if !self.has_final_response {
             self.host.counters().clients_disconnected.inc();
-            self.on_client_gone();
+            self.report_client_disconnected();
         }
         self.host.unregister_request(self.id);
-        for open in std::mem::take(&mut self.open_attempts) {
-            self.report(&open, Outcome::Cancelled, None);
+        for in_flight in std::mem::take(&mut self.attempts_in_flight) {
+            self.report_attempt_ended(&in_flight, Outcome::Cancelled, None);
         }
         self.report_unsent();
     }
--- a/crates/sidecar/src/host/mod.rs
+++ b/crates/sidecar/src/host/mod.rs
@@ -1,5 +1,5 @@
-//! Hosts the balancer: gives it a clock, timers and numbers for servers, hands it events and has
-//! its actions executed. Nothing here knows HTTP.
+//! Hosts the balancer: provides its clock, timers and server ids, passes events to it and has its
+//! actions executed. Independent of HTTP.
 
 mod action_dispatch;
 mod balancer_host;
--- a/crates/sidecar/src/host/request_action.rs
+++ b/crates/sidecar/src/host/request_action.rs
@@ -1,26 +1,26 @@
-//! What the balancer wants done for one request.
+//! The balancer's actions for a single request.
 
 use arrowstand_balancer::{Micros, ServerId};
 
-/// What the balancer wants done next for a request.
+/// An action of the balancer for one request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum RequestAction {
     /// Start an attempt.
     Send {
-        /// The server that gets it.
+        /// The server to send it to.
         server: ServerId,
-        /// When to give it up, in microseconds from now; `None` where only the client's timeout
-        /// binds.
+        /// The attempt's timeout in microseconds; `None` if only the client's timeout applies.
         timeout: Option<Micros>,
     },
-    /// Abort an attempt.
+    /// Cancel an attempt.
     Cancel {
-        /// Its number, from 0 in the order of the sends.
+        /// The attempt's number, from 0 in send order.
         attempt: u32,
     },
-    /// Respond that nothing was executed.
+    /// Respond that the request was not executed.
     Reject {
-        /// The pause to advise, in microseconds; `None` where the configuration's counts.
+        /// How long the client should wait before it retries, in microseconds; `None` for the
+        /// configured default.
         retry_after: Option<Micros>,
     },
     /// Respond that the request may have been executed.
--- a/crates/sidecar/src/proxy/response.rs
+++ b/crates/sidecar/src/proxy/response.rs
@@ -8,12 +8,12 @@
 pub(crate) enum ProxyResponse {
     /// A server's complete response, with its body unchanged.
     Served(Payload),
-    /// The request was not executed.
+    /// Tells the client that the request was not executed.
     Rejected {
         /// How long the client should wait before it retries.
         retry_after: Duration,
     },
-    /// The request may have been executed.
+    /// Tells the client that the request may have been executed.
     Failed {
         /// How long the client should wait before it retries.
         retry_after: Duration,
