--- a/crates/sidecar/src/host/balancer_host.rs
+++ b/crates/sidecar/src/host/balancer_host.rs
@@ -63,7 +63,7 @@
 
     /// True once requests can be served: an endpoint list has contained a ready server.
     pub(crate) fn is_ready(&self) -> bool {
-        self.servers.borrow().has_listed_ready()
+        self.servers.borrow().has_seen_ready_server()
     }
 
     /// The server with this id; `None` once it has been discarded.
@@ -92,7 +92,10 @@
             tracing::warn!(%error, "endpoint list entry skipped");
         }
         let retention = self.limits.upstream.server_retention;
-        let endpoints = self.servers.borrow_mut().apply(kind, list, retention);
+        let endpoints = self
+            .servers
+            .borrow_mut()
+            .apply_update(kind, list, retention);
         self.handle_event(Event::EndpointsUpdated {
             kind,
             version,
--- a/crates/sidecar/src/host/server.rs
+++ b/crates/sidecar/src/host/server.rs
@@ -1,4 +1,4 @@
-//! One server as the endpoint list names it: its address, its availability and what it has served.
+//! One server of the endpoint list: its address, its availability and its latest served request.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -7,19 +7,20 @@
 use arrowstand_balancer::{EndpointStatus, Micros, ServerId};
 use tokio::time::Instant;
 
-/// Whether a server may get new requests, as the endpoint lists have named it.
+/// Whether a server may get new requests, according to the endpoint lists received so far.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Availability {
     /// Neither draining nor removed.
     Ready,
-    /// Draining since a list first said so.
+    /// Draining, first listed as such at `notified_at`.
     Draining { notified_at: Instant },
-    /// Removed, or missing from a full list; a drain that was known before keeps its time.
+    /// Listed as removed, or missing from a full list. If the server was already draining,
+    /// `notified_at` is the time of the drain.
     Removed { notified_at: Instant },
 }
 
 impl Availability {
-    /// When the drain or the removal was first known, whichever came first.
+    /// When the drain or the removal became known, whichever was first.
     fn drain_notified_at(self) -> Option<Instant> {
         match self {
             Self::Ready => None,
@@ -27,10 +28,10 @@
         }
     }
 
-    /// What a list entry makes of it. Only a later incarnation, or a removal in between, ends a
-    /// drain: an old list that still has the server as ready must not take the drain back while a
-    /// connection to it comes up.
-    fn after_listing(self, status: EndpointStatus, is_newer_incarnation: bool) -> Self {
+    /// The availability after a list entry with this status. Only a newer incarnation, or a removal
+    /// in between, ends a drain: an old list that still contains the server as ready must not
+    /// revert the drain while a connection to the server is being opened.
+    fn after_list_entry(self, status: EndpointStatus, is_newer_incarnation: bool) -> Self {
         let notified_at = || self.drain_notified_at().unwrap_or_else(Instant::now);
         match (self, status) {
             (Self::Draining { .. }, EndpointStatus::Ready) if !is_newer_incarnation => self,
@@ -45,21 +46,20 @@
     }
 }
 
-/// A server as the endpoint list names it. Shared by the registry and by the attempts that are in
-/// flight.
+/// A server of the endpoint list, shared by the registry and the attempts in flight.
 pub(crate) struct Server {
-    /// Its number towards the balancer, never used for another server.
+    /// The id that the balancer uses for the server; never reused.
     pub id: ServerId,
     address: Cell<SocketAddr>,
     availability: Cell<Availability>,
-    /// The latest start that a list has named, in Unix microseconds; `None` where none has.
+    /// The latest start time in any list, in Unix microseconds; `None` if no list had one.
     incarnation: Cell<Option<Micros>>,
-    /// When the latest request that it served was sent, on the balancer's clock.
+    /// When the latest request that the server served was sent, on the balancer's clock.
     last_served_start: Cell<Option<Micros>>,
 }
 
 impl Server {
-    /// A server that is ready, at this address.
+    /// Creates a ready server at this address.
     pub(crate) fn new(id: ServerId, address: SocketAddr) -> Self {
         Self {
             id,
@@ -70,48 +70,48 @@
         }
     }
 
-    /// Where the latest list has it.
+    /// The server's address in the latest list.
     pub(crate) fn address(&self) -> SocketAddr {
         self.address.get()
     }
 
-    /// True where a list has named it as removed, or a full list has left it out.
+    /// True if the server was listed as removed or was missing from a full list.
     pub(super) fn is_removed(&self) -> bool {
         matches!(self.availability.get(), Availability::Removed { .. })
     }
 
-    /// For how long its drain or its removal has been known; `None` while it is ready.
+    /// How long the server's drain or removal has been known; `None` while it is ready.
     pub(crate) fn drain_age(&self) -> Option<Duration> {
         let notified_at = self.availability.get().drain_notified_at();
         notified_at.map(|at| at.elapsed())
     }
 
-    /// It has served a request that was sent then (on the balancer's clock), so it accepted work
-    /// then.
+    /// Records that the server served a request sent at `started` (on the balancer's clock), so it
+    /// accepted requests at that time.
     pub(crate) fn on_request_served(&self, started: Micros) {
         let latest = self.last_served_start.get().max(Some(started));
         self.last_served_start.set(latest);
     }
 
-    /// When the latest request that it served was sent, on the balancer's clock.
+    /// When the latest request that the server served was sent, on the balancer's clock.
     pub(crate) fn last_served_start(&self) -> Option<Micros> {
         self.last_served_start.get()
     }
 
-    /// A list names it at this address.
+    /// Records the server's address in a new list.
     pub(super) fn on_address_listed(&self, address: SocketAddr) {
         self.address.set(address);
     }
 
-    /// A list names it with this status and this start, in Unix microseconds; `None` where the list
-    /// has no start.
+    /// Records the server's status and start time in a new list. `started_at` is in Unix
+    /// microseconds, `None` if the list states no start time.
     pub(crate) fn on_listed(&self, status: EndpointStatus, started_at: Option<Micros>) {
         let known_incarnation = self.incarnation.get();
         let is_newer_incarnation = started_at > known_incarnation;
         self.incarnation.set(started_at.max(known_incarnation));
         let before = self.availability.get();
         self.availability
-            .set(before.after_listing(status, is_newer_incarnation));
+            .set(before.after_list_entry(status, is_newer_incarnation));
     }
 }
 
--- a/crates/sidecar/src/host/server/tests.rs
+++ b/crates/sidecar/src/host/server/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// What a list entry must make of a server, and since when its drain was known where it was known
-/// before.
+/// The expected state after a list entry, and since when the drain or the removal was known if it
+/// was known before.
 fn expected(
     before: Availability,
     status: EndpointStatus,
@@ -30,7 +30,7 @@
     EndpointStatus::Removed,
 ];
 
-/// Every entry that a list can have for a server, as far as its availability depends on it.
+/// Every combination of status and incarnation that a list entry can have.
 fn list_entries() -> Vec<(EndpointStatus, Option<Micros>)> {
     STATUSES
         .into_iter()
@@ -38,11 +38,11 @@
         .collect()
 }
 
-/// Runs the check over all sequences of list entries up to this length.
+/// The test runs all sequences of list entries of this length.
 const SEQUENCE_LENGTH: u32 = 5;
 
 #[test]
-fn every_sequence_of_list_entries_leaves_a_server_ready_draining_or_removed() {
+fn availability_follows_every_sequence_of_list_entries() {
     let entries = list_entries();
     for sequence in 0..entries.len().pow(SEQUENCE_LENGTH) {
         let server = Server::new(ServerId(0), SocketAddr::from(([127, 0, 0, 1], 9)));
@@ -62,17 +62,17 @@
             let latest = Instant::now();
             let (state, known_since) = expected(before, status, incarnation > highest_incarnation);
             highest_incarnation = highest_incarnation.max(incarnation);
-            let in_order = |notified_at: Instant| match known_since {
+            let is_correct = |notified_at: Instant| match known_since {
                 Some(known_since) => notified_at == known_since,
                 None => (earliest..=latest).contains(&notified_at),
             };
             match server.availability.get() {
                 Availability::Ready => assert_eq!(state, "ready", "sequence {sequence}"),
                 Availability::Draining { notified_at } => {
-                    assert!(state == "draining" && in_order(notified_at), "{sequence}");
+                    assert!(state == "draining" && is_correct(notified_at), "{sequence}");
                 }
                 Availability::Removed { notified_at } => {
-                    assert!(state == "removed" && in_order(notified_at), "{sequence}");
+                    assert!(state == "removed" && is_correct(notified_at), "{sequence}");
                 }
             }
             assert_eq!(server.is_removed(), state == "removed");
--- a/crates/sidecar/src/host/server_registry.rs
+++ b/crates/sidecar/src/host/server_registry.rs
@@ -1,5 +1,4 @@
-//! The servers that endpoint lists have named: their numbers towards the balancer, by name and
-//! back.
+//! The servers of the endpoint lists, by name and by the id that the balancer uses for them.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -12,21 +11,22 @@
 
 use super::server::Server;
 
-/// Every server that is not forgotten, by the name that lists have for it and by its number.
+/// All known servers, by their names in the endpoint lists and by id. Servers that were removed are
+/// discarded after a retention time.
 #[derive(Default)]
 pub(crate) struct ServerRegistry {
     by_name: HashMap<String, Rc<Server>>,
     by_id: BTreeMap<ServerId, Rc<Server>>,
-    /// Numbers are never used twice: a new server must not pass for one that has been removed.
+    /// Ids are never reused, so that a new server is not taken for one that was removed.
     next_id: u32,
-    /// Zones by their numbers: those of the configuration, then others in the order of the lists.
+    /// Zone names by index: the configured ones, then others in the order in which lists name them.
     zones: Vec<String>,
     machines: MachineCatalogue,
-    has_listed_ready: bool,
+    has_seen_ready_server: bool,
 }
 
 impl ServerRegistry {
-    /// A registry without servers, with the zones and the machine types of the configuration.
+    /// Creates a registry without servers, with the configured zones and machine types.
     pub(crate) fn new(zones: Vec<String>, machines: MachineCatalogue) -> Self {
         Self {
             zones,
@@ -35,31 +35,31 @@
         }
     }
 
-    /// True once a list has named a server that is ready.
-    pub(super) fn has_listed_ready(&self) -> bool {
-        self.has_listed_ready
+    /// True once a list has contained a ready server.
+    pub(super) fn has_seen_ready_server(&self) -> bool {
+        self.has_seen_ready_server
     }
 
-    /// The server of that number; `None` once it is forgotten.
+    /// The server with this id; `None` once it has been discarded.
     pub(super) fn get(&self, id: ServerId) -> Option<Rc<Server>> {
         self.by_id.get(&id).cloned()
     }
 
-    /// Applies a list and returns its entries as the balancer gets them. A server is forgotten once
-    /// its removal, or the drain before it, has been known for the retention time.
-    pub(super) fn apply(
+    /// Applies a list and returns its entries in the balancer's form. Discards removed servers
+    /// whose removal, or the drain before it, has been known for `retention`.
+    pub(super) fn apply_update(
         &mut self,
         kind: UpdateKind,
         list: &EndpointList,
         retention: Duration,
     ) -> Vec<Endpoint> {
-        self.forget_removed(retention);
+        self.discard_removed(retention);
         if kind != UpdateKind::Incremental {
-            self.on_full_list(list);
+            self.mark_unlisted_removed(list);
         }
         let mut endpoints = Vec::with_capacity(list.endpoints.len());
         for entry in &list.endpoints {
-            self.has_listed_ready |= entry.status == EndpointStatus::Ready;
+            self.has_seen_ready_server |= entry.status == EndpointStatus::Ready;
             let server = self.find_or_add(&entry.id, entry.address);
             server.on_address_listed(entry.address);
             server.on_listed(entry.status, entry.started_at);
@@ -68,7 +68,7 @@
                 stable_hash: stable_hash(&entry.id),
                 status: entry.status,
                 incarnation: entry.started_at,
-                zone: self.zone(&entry.zone),
+                zone: self.zone_index(&entry.zone),
                 cell: entry.cell,
                 machine_type: self.machines.lookup(&entry.machine_type),
             });
@@ -76,26 +76,26 @@
         endpoints
     }
 
-    /// Forgets the servers that have been gone for long enough. Where servers are replaced all the
-    /// time, the registry would otherwise grow for as long as the process runs.
-    fn forget_removed(&mut self, retention: Duration) {
+    /// Discards the servers that were removed long enough ago. Without this, the registry would
+    /// grow without bound in a deployment that keeps replacing servers.
+    fn discard_removed(&mut self, retention: Duration) {
         self.by_name.retain(|_, server| {
-            let is_over = server.drain_age().is_some_and(|age| age >= retention);
-            !(server.is_removed() && is_over)
+            let is_expired = server.drain_age().is_some_and(|age| age >= retention);
+            !(server.is_removed() && is_expired)
         });
-        // Whatever still has the server, an attempt for instance, keeps its number.
+        // A server that is still referenced, by an attempt for example, keeps its entry.
         self.by_id.retain(|_, server| Rc::strong_count(server) > 1);
     }
 
-    /// What a full list leaves out has been removed.
-    fn on_full_list(&self, list: &EndpointList) {
-        let is_named = |name: &str| list.endpoints.iter().any(|entry| entry.id == name);
-        for (_, server) in self.by_name.iter().filter(|(name, _)| !is_named(name)) {
+    /// Marks the servers that are missing from a full list as removed.
+    fn mark_unlisted_removed(&self, list: &EndpointList) {
+        let is_listed = |name: &str| list.endpoints.iter().any(|entry| entry.id == name);
+        for (_, server) in self.by_name.iter().filter(|(name, _)| !is_listed(name)) {
             server.on_listed(EndpointStatus::Removed, None);
         }
     }
 
-    /// The server of that name; one that is new gets the next number.
+    /// The server with this name; a new server gets the next id.
     fn find_or_add(&mut self, name: &str, address: SocketAddr) -> Rc<Server> {
         if let Some(known) = self.by_name.get(name) {
             return Rc::clone(known);
@@ -108,8 +108,8 @@
         server
     }
 
-    /// The number of a zone; a zone that is new gets the next one.
-    fn zone(&mut self, name: &str) -> u32 {
+    /// The index of a zone; a new zone gets the next one.
+    fn zone_index(&mut self, name: &str) -> u32 {
         let known = self.zones.iter().position(|zone| zone == name);
         let index = known.unwrap_or_else(|| {
             self.zones.push(name.to_owned());
--- a/crates/sidecar/src/host/server_registry/tests.rs
+++ b/crates/sidecar/src/host/server_registry/tests.rs
@@ -20,69 +20,70 @@
     }
 }
 
-/// A day of replaced servers, each at the address of the one before: too long to record.
+/// Replaces servers as over a day, each at the address of the one before; too long for a recorded
+/// scenario.
 #[test]
-fn a_removed_server_is_forgotten_and_its_number_is_not_used_again() {
+fn a_removed_server_is_discarded_and_its_id_is_not_reused() {
     let mut registry = ServerRegistry::default();
-    let mut numbers = Vec::new();
+    let mut ids = Vec::new();
     for n in 1..100 {
         let list = list(vec![
             entry(n - 1, EndpointStatus::Removed),
             entry(n, EndpointStatus::Ready),
         ]);
-        let listed = registry.apply(UpdateKind::Incremental, &list, Duration::ZERO);
-        numbers.push(listed[1].server);
+        let listed = registry.apply_update(UpdateKind::Incremental, &list, Duration::ZERO);
+        ids.push(listed[1].server);
     }
     assert!(registry.by_name.len() <= 3 && registry.by_id.len() <= 3);
-    assert!(numbers.windows(2).all(|pair| pair[0] < pair[1]));
+    assert!(ids.windows(2).all(|pair| pair[0] < pair[1]));
 }
 
 #[test]
-fn a_server_that_a_full_list_leaves_out_is_removed_and_keeps_its_number() {
+fn a_server_missing_from_a_full_list_is_removed_and_keeps_its_id() {
     const RETENTION: Duration = Duration::from_secs(60);
     let mut registry = ServerRegistry::default();
     let both = list(vec![
         entry(0, EndpointStatus::Ready),
         entry(1, EndpointStatus::Ready),
     ]);
-    let listed = registry.apply(UpdateKind::Full, &both, RETENTION);
+    let listed = registry.apply_update(UpdateKind::Full, &both, RETENTION);
     let is_removed = |registry: &ServerRegistry, id| {
         let server = registry.get(id).expect("within its retention");
         server.is_removed()
     };
     let one = list(vec![entry(1, EndpointStatus::Ready)]);
-    registry.apply(UpdateKind::Incremental, &one, RETENTION);
-    assert!(!is_removed(&registry, listed[0].server), "no full list");
-    registry.apply(UpdateKind::Full, &one, RETENTION);
+    registry.apply_update(UpdateKind::Incremental, &one, RETENTION);
+    assert!(!is_removed(&registry, listed[0].server), "not a full list");
+    registry.apply_update(UpdateKind::Full, &one, RETENTION);
     assert!(is_removed(&registry, listed[0].server));
     assert!(!is_removed(&registry, listed[1].server));
-    let listed_again = registry.apply(UpdateKind::Full, &both, RETENTION);
+    let listed_again = registry.apply_update(UpdateKind::Full, &both, RETENTION);
     assert_eq!(listed_again[0].server, listed[0].server);
     assert!(!is_removed(&registry, listed[0].server));
 }
 
 #[test]
-fn zones_keep_the_numbers_of_the_configuration_and_new_ones_follow() {
+fn configured_zones_keep_their_indices_and_new_zones_follow() {
     let zones = vec!["a".to_owned(), "z".to_owned()];
     let mut registry = ServerRegistry::new(zones, MachineCatalogue::default());
     let mut new_zone = entry(1, EndpointStatus::Ready);
     new_zone.zone = "new".to_owned();
     let mixed = list(vec![entry(0, EndpointStatus::Ready), new_zone]);
     for _ in 0..2 {
-        let listed = registry.apply(UpdateKind::Full, &mixed, Duration::ZERO);
+        let listed = registry.apply_update(UpdateKind::Full, &mixed, Duration::ZERO);
         assert_eq!((listed[0].zone, listed[1].zone), (1, 2));
     }
 }
 
 #[test]
-fn the_registry_is_ready_once_a_list_has_named_a_server_that_is() {
+fn a_ready_server_has_been_seen_once_a_list_contained_one() {
     let mut registry = ServerRegistry::default();
     let mut apply = |status| {
         let one = list(vec![entry(0, status)]);
-        registry.apply(UpdateKind::Incremental, &one, Duration::ZERO);
-        registry.has_listed_ready()
+        registry.apply_update(UpdateKind::Incremental, &one, Duration::ZERO);
+        registry.has_seen_ready_server()
     };
     assert!(!apply(EndpointStatus::Draining));
     assert!(apply(EndpointStatus::Ready));
-    assert!(apply(EndpointStatus::Removed), "it was once");
+    assert!(apply(EndpointStatus::Removed), "seen before");
 }
--- a/crates/sidecar/src/host/timers.rs
+++ b/crates/sidecar/src/host/timers.rs
@@ -1,4 +1,4 @@
-//! The balancer's timers, in the order in which they come due. Does not know what a timer is for.
+//! The queue of the balancer's timers, ordered by due time.
 
 use std::cell::RefCell;
 use std::cmp::Reverse;
@@ -10,7 +10,8 @@
 
 use super::clock::BalancerClock;
 
-/// Timers by the time at which they are due and the token by which the balancer knows them.
+/// Pending timers, ordered by due time and then by the balancer's token. What a token stands for is
+/// known only to the balancer.
 #[derive(Default)]
 pub(super) struct TimerQueue {
     timers: RefCell<BinaryHeap<Reverse<(Micros, u64)>>>,
@@ -18,16 +19,16 @@
 }
 
 impl TimerQueue {
-    /// Adds a timer that is due at a time of the balancer's clock.
+    /// Adds a timer that is due at `due` on the balancer's clock.
     pub(super) fn schedule(&self, due: Micros, token: u64) {
         self.timers.borrow_mut().push(Reverse((due, token)));
         self.timer_added.notify_one();
     }
 
-    /// Waits for the next timer that is due, removes it and gives its token.
+    /// Waits until a timer is due, removes it and returns its token.
     pub(super) async fn next_due(&self, clock: &BalancerClock) -> u64 {
         loop {
-            let first = self.first();
+            let first = self.peek();
             let now = clock.now();
             match first {
                 Some((due, token)) if due <= now => {
@@ -43,7 +44,7 @@
         }
     }
 
-    fn first(&self) -> Option<(Micros, u64)> {
+    fn peek(&self) -> Option<(Micros, u64)> {
         self.timers.borrow().peek().map(|Reverse(timer)| *timer)
     }
 }
--- a/crates/sidecar/src/host/timers/tests.rs
+++ b/crates/sidecar/src/host/timers/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[tokio::test(flavor = "current_thread")]
-async fn timers_that_are_due_come_in_the_order_of_their_times() {
+async fn due_timers_fire_in_order_of_their_due_times() {
     let clock = BalancerClock::start();
     let timers = TimerQueue::default();
     let start = clock.unix_time_at_start();
@@ -18,7 +18,7 @@
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn a_timer_that_is_not_due_is_kept() {
+async fn a_timer_that_is_not_due_does_not_fire() {
     const HOUR: Micros = 3_600_000_000;
     let clock = BalancerClock::start();
     let timers = TimerQueue::default();
@@ -29,7 +29,7 @@
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn a_timer_that_is_added_ends_the_wait_for_a_later_one() {
+async fn a_timer_added_during_a_wait_fires_before_a_later_one() {
     const HOUR: Micros = 3_600_000_000;
     let clock = BalancerClock::start();
     let timers = TimerQueue::default();
