--- a/crates/sidecar/src/main.rs
+++ b/crates/sidecar/src/main.rs
@@ -46,7 +46,7 @@
 /// before anything is read and followed once the sidecar serves: by default a SIGHUP during the
 /// start, for a new configuration, would end the process.
 async fn serve() -> Result<(), StartupError> {
-    let mut signals = Signals::listen()?;
+    let mut signals = Signals::install()?;
     let config = Config::from_environment()?;
     let sidecar = Sidecar::start(config).await?;
     loop {
--- a/crates/sidecar/src/shutdown.rs
+++ b/crates/sidecar/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! The end of a sidecar in service, within the time that the platform gives it.
+//! Graceful shutdown of the sidecar, within the time that the platform allows.
 
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep, sleep_until, timeout_at};
@@ -7,33 +7,33 @@
 use crate::limits::ShutdownLimits;
 use crate::proxy::Proxy;
 
-/// Ends in order; `accept` is the task that accepts clients. Clients still connect for a while
-/// after the signal, so a planned restart loses no request: what has been accepted gets its
-/// response before the end.
+/// Shuts down gracefully; `accept_task` is the task that accepts client connections. It keeps
+/// accepting for a while, because clients still connect after the signal. Accepted requests get
+/// their responses before the process ends, so that a planned restart loses none.
 pub(crate) async fn shut_down(
     proxy: &Proxy,
     listener: &Listener,
-    accept: JoinHandle<()>,
+    accept_task: JoinHandle<()>,
     limits: &ShutdownLimits,
 ) {
     let signalled_at = Instant::now();
     sleep(limits.accept_for).await;
     let respond_by = signalled_at + limits.answer_after;
-    let responses = finish_requests(proxy, listener, accept, respond_by);
-    // Where the time is over, the process ends all the same.
+    let responses = finish_requests(proxy, listener, accept_task, respond_by);
+    // The process ends after the timeout even if responses are outstanding.
     let _ = timeout_at(signalled_at + limits.exit_after, responses).await;
 }
 
-/// Waits until each request has its response and each client connection is closed. What is in
-/// flight after `respond_by` gets its response then, whatever its attempts do.
+/// Waits until every request has its response and every client connection is closed. Requests still
+/// in flight at `respond_by` get their responses then, regardless of their attempts.
 async fn finish_requests(
     proxy: &Proxy,
     listener: &Listener,
-    accept: JoinHandle<()>,
+    accept_task: JoinHandle<()>,
     respond_by: Instant,
 ) {
     tokio::select! {
-        () = listener.close(accept) => return,
+        () = listener.close(accept_task) => return,
         () = sleep_until(respond_by) => proxy.force_shutdown(),
     }
     listener.closed().await;
--- a/crates/sidecar/src/signals.rs
+++ b/crates/sidecar/src/signals.rs
@@ -1,19 +1,20 @@
-//! The signals by which the platform stops the process and has it reload its configuration.
+//! Handling of the signals by which the platform stops the process or makes it reload its
+//! configuration.
 
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
 use crate::startup_error::StartupError;
 
-/// What a signal requests.
+/// The request that a signal stands for.
 pub(crate) enum SignalEvent {
-    /// SIGTERM or SIGINT: end, once what is in flight has its response.
+    /// SIGTERM or SIGINT: shut down once the requests in flight have their responses.
     Stop,
-    /// SIGHUP: read the configuration again.
+    /// SIGHUP: reload the configuration.
     Reload,
 }
 
-/// The signals that are listened for. One that comes before [`Signals::next`] is called is kept for
-/// it.
+/// The installed signal handlers. A signal received before [`Signals::next`] is called is returned
+/// by that call.
 pub(crate) struct Signals {
     terminate: Signal,
     interrupt: Signal,
@@ -21,15 +22,15 @@
 }
 
 impl Signals {
-    /// Listens from now on; without this the operating system ends the process on each of them.
+    /// Installs the handlers. Without them, each of the signals terminates the process.
     ///
     /// # Errors
-    /// [`StartupError::Signal`] where a handler cannot be installed.
-    pub(crate) fn listen() -> Result<Self, StartupError> {
+    /// [`StartupError::Signal`] if a handler cannot be installed.
+    pub(crate) fn install() -> Result<Self, StartupError> {
         Ok(Self {
-            terminate: listen_for(SignalKind::terminate(), "SIGTERM")?,
-            interrupt: listen_for(SignalKind::interrupt(), "SIGINT")?,
-            hangup: listen_for(SignalKind::hangup(), "SIGHUP")?,
+            terminate: install_handler(SignalKind::terminate(), "SIGTERM")?,
+            interrupt: install_handler(SignalKind::interrupt(), "SIGINT")?,
+            hangup: install_handler(SignalKind::hangup(), "SIGHUP")?,
         })
     }
 
@@ -43,6 +44,6 @@
     }
 }
 
-fn listen_for(kind: SignalKind, name: &'static str) -> Result<Signal, StartupError> {
+fn install_handler(kind: SignalKind, name: &'static str) -> Result<Signal, StartupError> {
     signal(kind).map_err(|source| StartupError::Signal { name, source })
 }
