--- a/crates/sidecar/src/counters.rs
+++ b/crates/sidecar/src/counters.rs
@@ -64,7 +64,7 @@
     health_checks_sent: "Health checks started.",
     health_checks_failed: "Health checks that failed.",
     connections_opened: "Connections to servers opened.",
-    endpoint_updates: "Full and incremental endpoint lists received.",
+    endpoint_updates: "Full, incremental and cached endpoint lists applied.",
     endpoint_lines_skipped: "Malformed entries and lines skipped in endpoint lists.",
     cost_headers_skipped: "Malformed work hints skipped.",
     timeout_headers_skipped: "Requests whose client timeout was missing or malformed.",
--- a/crates/sidecar/src/host/balancer_host.rs
+++ b/crates/sidecar/src/host/balancer_host.rs
@@ -84,7 +84,8 @@
         }
     }
 
-    /// Passes a full or incremental endpoint list to the balancer. `version` must never decrease.
+    /// Passes a full, incremental or cached endpoint list to the balancer. `version` must never
+    /// decrease.
     pub(crate) fn update_endpoints(&self, kind: UpdateKind, version: u64, list: &EndpointList) {
         self.counters.endpoint_updates.inc();
         for error in &list.skipped {
