--- a/crates/sidecar/src/host/in_flight_request.rs
+++ b/crates/sidecar/src/host/in_flight_request.rs
@@ -78,7 +78,7 @@
         &mut self,
         attempt: u32,
         outcome: Outcome,
-        report: Option<LoadReport>,
+        load_report: Option<LoadReport>,
     ) {
         let has_number = |in_flight: &InFlightAttempt| in_flight.attempt == attempt;
         let Some(index) = self.attempts_in_flight.iter().position(has_number) else {
@@ -86,7 +86,7 @@
         };
         let ended = self.attempts_in_flight.swap_remove(index);
         self.has_final_response |= outcome == Outcome::Served;
-        self.report_attempt_ended(&ended, outcome, report);
+        self.report_attempt_ended(&ended, outcome, load_report);
     }
 
     /// Ends a request that the balancer has not decided by the response deadline or before the
@@ -116,7 +116,7 @@
         &self,
         ended: &InFlightAttempt,
         outcome: Outcome,
-        report: Option<LoadReport>,
+        load_report: Option<LoadReport>,
     ) {
         self.host.counters().on_attempt_ended(outcome);
         self.host.handle_event(Event::AttemptEnded(AttemptEnd {
@@ -126,7 +126,7 @@
             outcome,
             finished: self.has_final_response,
             elapsed: self.host.clock().now().saturating_sub(ended.started_at),
-            load_report: report,
+            load_report,
         }));
     }
 
--- a/crates/sidecar/src/proxy/retry_window.rs
+++ b/crates/sidecar/src/proxy/retry_window.rs
@@ -16,8 +16,8 @@
 }
 
 impl RetryWindow {
-    /// Creates the window of a request without attempts. Retries must start at least `margin` before
-    /// the window ends.
+    /// Creates the window of a request without attempts. Retries must start at least `margin`
+    /// before the window ends.
     pub(super) fn new(window: Option<Duration>, margin: Duration) -> Self {
         Self {
             window,
