--- a/crates/sidecar/src/downstream/listener.rs
+++ b/crates/sidecar/src/downstream/listener.rs
@@ -174,7 +174,7 @@
                 biased;
                 end = served => {
                     if let Err(DispatchError::Parse(_)) = end {
-                        counters.requests_malformed.add();
+                        counters.requests_malformed.inc();
                     }
                     return;
                 }
@@ -183,7 +183,7 @@
             // A request may have arrived while its connection was being selected for closing.
             // Nothing of it was read, so the service is restarted and serves it.
             if !client.has_unread_request() {
-                counters.clients_timed_out.add();
+                counters.clients_timed_out.inc();
                 return;
             }
         }
--- a/crates/sidecar/src/downstream/request_handler.rs
+++ b/crates/sidecar/src/downstream/request_handler.rs
@@ -58,7 +58,7 @@
     /// Rejects a request from a client over the connection limit at once, since such clients occupy
     /// the last file descriptors.
     pub(super) fn reject_over_capacity(&self, request: &Request) -> ClientResponse {
-        self.context.counters().requests_over_capacity.add();
+        self.context.counters().requests_over_capacity.inc();
         let response = response::over_capacity(self.context.limits().default_retry_after);
         if let Some(client) = client_connection(request) {
             client.on_response_ready(Persistence::Close);
@@ -94,11 +94,11 @@
         client: &ClientConnection,
     ) -> Result<ClientResponse, MalformedRequest> {
         let request = read_request(&self.context, request, client).await?;
-        response::from_proxy(self.proxy.run(request).await)
+        response::from_proxy(self.proxy.handle(request).await)
     }
 
     fn reject(&self, error: &MalformedRequest) -> ClientResponse {
-        self.context.counters().requests_malformed.add();
+        self.context.counters().requests_malformed.inc();
         response::malformed(error)
     }
 }
--- a/crates/sidecar/src/upstream/connector.rs
+++ b/crates/sidecar/src/upstream/connector.rs
@@ -69,7 +69,7 @@
                 CURRENT_WRITE_PROGRESS.try_with(|progress| progress.on_connection_limit_reached());
             return Err(io::Error::other("connection limit reached"));
         };
-        self.counters.connections_opened.add();
+        self.counters.connections_opened.inc();
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
         let limits = Rc::clone(&self.limits);
--- a/crates/sidecar/src/upstream/write_progress/tests.rs
+++ b/crates/sidecar/src/upstream/write_progress/tests.rs
@@ -110,7 +110,7 @@
         fixture
             .progress_to(&server)
             .check_first_byte(&fixture.limits),
-        Err(SendBlocked::ListStale)
+        Err(SendBlocked::EndpointListStale)
     );
     server.on_request_served(fixture.clock.now());
     assert_eq!(
