--- a/crates/balancer/src/policy/ejection/tests.rs
+++ b/crates/balancer/src/policy/ejection/tests.rs
@@ -1,6 +1,8 @@
 use super::{EjectionDecision, Readmission};
 use crate::fleet::Fleet;
-use crate::policy::test_support::{FIRST, MS, arrive, eject, fail_health_check, fleet, settings};
+use crate::policy::test_support::{
+    FIRST, MS, eject, fail_health_check, fleet, record_arrivals, settings,
+};
 use crate::state::{ServerIndex, Suspicion};
 use crate::{EjectionCause, Micros};
 
@@ -18,11 +20,11 @@
 #[test]
 fn ejection_time_doubles_up_to_8_s_and_resets_after_20_s_without_ejection() {
     let mut fleet = fleet(settings(), 10);
-    arrive(&mut fleet, 10_000);
+    record_arrivals(&mut fleet, 10_000);
     let times = [(); 6].map(|()| ejection_ms(&mut fleet));
     assert_eq!(times, [500, 1_000, 2_000, 4_000, 8_000, 8_000]);
     fleet.now += 20_001 * MS;
-    arrive(&mut fleet, 10_000);
+    record_arrivals(&mut fleet, 10_000);
     assert_eq!(ejection_ms(&mut fleet), 500);
 }
 
@@ -30,7 +32,7 @@
 fn ejection_lasts_at_least_the_mean_attempt_interval_per_server() {
     let mut fleet = fleet(settings(), 10);
     // 25 requests at one instant count as 3.5 requests/s: one per 2.9 s at each of ten servers.
-    arrive(&mut fleet, 25);
+    record_arrivals(&mut fleet, 25);
     let time = ejection_ms(&mut fleet);
     assert!((2_800..3_000).contains(&time), "{time}");
 }
--- a/crates/balancer/src/policy/final_response/tests.rs
+++ b/crates/balancer/src/policy/final_response/tests.rs
@@ -1,13 +1,13 @@
 use super::FinalResponse;
 use crate::fleet::Fleet;
-use crate::policy::test_support::{MS, class, fleet_of, request};
+use crate::policy::test_support::{MS, class, fleet_with_class, request};
 use crate::{DeduplicationScope, Endpoint, Idempotency, Micros, Outcome, ServerId};
 
 fn fleet(idempotency: Idempotency, scope: DeduplicationScope) -> Fleet {
     let mut class = class();
     class.idempotency = idempotency;
     class.deduplication_scope = scope;
-    fleet_of(class, 1)
+    fleet_with_class(class, 1)
 }
 
 /// The response to a request whose only attempt ended with `outcome`.
--- a/crates/balancer/src/policy/health_checker/tests.rs
+++ b/crates/balancer/src/policy/health_checker/tests.rs
@@ -1,6 +1,6 @@
 use super::{CheckTarget, HealthChecker};
 use crate::fleet::Fleet;
-use crate::policy::test_support::{FIRST, MS, SECOND, arrive, eject, fleet, settings};
+use crate::policy::test_support::{FIRST, MS, SECOND, eject, fleet, record_arrivals, settings};
 use crate::{EjectionCause, Micros, ServerId};
 
 /// A fleet with this cost per health check, and a hundred requests that arrived just now.
@@ -8,7 +8,7 @@
     let mut settings = settings();
     settings.fees.health_check = health_check;
     let mut fleet = fleet(settings, 4);
-    arrive(&mut fleet, 100);
+    record_arrivals(&mut fleet, 100);
     fleet
 }
 
--- a/crates/balancer/src/policy/load_shedder/tests.rs
+++ b/crates/balancer/src/policy/load_shedder/tests.rs
@@ -2,8 +2,8 @@
 use crate::fleet::Fleet;
 use crate::policy::server_selector::Selection;
 use crate::policy::test_support::{
-    FIRST, MS, class, fleet, incoming, request, restart, send, settings, settings_with_load_checks,
-    settings_with_load_in_responses,
+    FIRST, MS, class, fleet, incoming_request, request, restart, send, settings,
+    settings_with_load_checks, settings_with_load_in_responses,
 };
 use crate::state::RequestState;
 use crate::{Micros, Settings};
@@ -39,7 +39,7 @@
     let decide = |time_left: Micros, work_hint: Option<Micros>| {
         let fleet = fleet(settings(), 1);
         let class = &fleet.settings.classes[0];
-        let incoming = incoming(time_left, work_hint);
+        let incoming = incoming_request(time_left, work_hint);
         let request = RequestState::new(&incoming, class, 1.0, fleet.now);
         LoadShedder::decide_on_arrival(&fleet, &incoming, class, &request)
     };
--- a/crates/balancer/src/policy/response_forecast/tests.rs
+++ b/crates/balancer/src/policy/response_forecast/tests.rs
@@ -1,7 +1,8 @@
 use super::ResponseForecast;
 use crate::fleet::Fleet;
 use crate::policy::test_support::{
-    FIRST, arrive, fleet, request, request_of_work, restart, send, settings_with_load_in_responses,
+    FIRST, fleet, record_arrivals, request, request_with_work, restart, send,
+    settings_with_load_in_responses,
 };
 
 /// A fleet with the given number of requests in flight at the first server. The mean service time
@@ -13,7 +14,7 @@
 }
 
 fn misses_objective(fleet: &Fleet, relative_work: f64) -> bool {
-    let request = request_of_work(fleet, relative_work);
+    let request = request_with_work(fleet, relative_work);
     ResponseForecast::new(fleet, &request).misses_objective(&fleet.servers[FIRST])
 }
 
@@ -46,7 +47,7 @@
 fn request_of_high_value_may_take_78_percent_of_the_time_left() {
     let misses = |in_flight| {
         let mut fleet = fleet_with_requests_in_flight(in_flight);
-        arrive(&mut fleet, 1);
+        record_arrivals(&mut fleet, 1);
         fleet.settings.classes[0].priority_weight = 1_000.0;
         misses_objective(&fleet, 1.0)
     };
--- a/crates/balancer/src/policy/retry_policy/tests.rs
+++ b/crates/balancer/src/policy/retry_policy/tests.rs
@@ -1,7 +1,7 @@
 use super::{RetryDecision, RetryPolicy, RetryRefusal, RetryTarget};
 use crate::fleet::Fleet;
 use crate::policy::retry_budget::PriorExecution;
-use crate::policy::test_support::{FIRST, MS, class, eject, fleet_of, request, restart};
+use crate::policy::test_support::{FIRST, MS, class, eject, fleet_with_class, request, restart};
 use crate::state::{RequestState, RetryScope};
 use crate::{DeduplicationScope, EjectionCause, Endpoint, Idempotency, Outcome, ServerId};
 
@@ -12,7 +12,7 @@
     class.late_value = late_value;
     class.deduplication_scope = DeduplicationScope::Cell;
     class.deduplication_window = 100 * MS;
-    fleet_of(class, 4)
+    fleet_with_class(class, 4)
 }
 
 fn send(fleet: &Fleet, request: &mut RequestState) -> u32 {
--- a/crates/balancer/src/policy/test_support.rs
+++ b/crates/balancer/src/policy/test_support.rs
@@ -1,4 +1,4 @@
-//! A fleet and requests for the tests of decisions.
+//! Fixtures for the unit tests of the policies: settings, a fleet and requests.
 
 use crate::fleet::Fleet;
 use crate::policy::ejection::EjectionDecision;
@@ -8,16 +8,16 @@
     RequestId, ServerId, Settings,
 };
 
-/// Time at the fleet: long after all servers started.
+/// Current time of the fleet in microseconds, long after all servers started.
 pub(crate) const NOW: Micros = 100_000_000;
-/// A millisecond.
+/// One millisecond, in microseconds.
 pub(crate) const MS: Micros = 1_000;
-/// The first server.
+/// Index of the first server.
 pub(crate) const FIRST: ServerIndex = ServerIndex(0);
-/// The second server.
+/// Index of the second server.
 pub(crate) const SECOND: ServerIndex = ServerIndex(1);
 
-/// One idempotent class with an objective of 250 ms and a deadline of 600 ms.
+/// Settings with the class that [`class`] returns.
 pub(crate) fn settings() -> Settings {
     Settings {
         classes: vec![class()],
@@ -25,7 +25,7 @@
     }
 }
 
-/// The same with three other balancers that gossip.
+/// [`settings`] for four balancers that exchange gossip messages.
 pub(crate) fn settings_with_peers() -> Settings {
     let mut settings = settings();
     settings.host.gossip = true;
@@ -33,7 +33,7 @@
     settings
 }
 
-/// The same where servers are asked for their load before each send.
+/// [`settings`] where a request is preceded by load checks.
 pub(crate) fn settings_with_load_checks() -> Settings {
     let mut settings = settings();
     settings.host.load_reports_in_health_checks = true;
@@ -41,19 +41,19 @@
     settings
 }
 
-/// The same where responses tell of load.
+/// [`settings`] where responses carry load reports.
 pub(crate) fn settings_with_load_in_responses() -> Settings {
     let mut settings = settings();
     settings.host.load_reports_in_responses = true;
     settings
 }
 
-/// The class of [`settings`].
+/// An idempotent class with a latency objective of 250 ms and a deadline of 600 ms.
 pub(crate) fn class() -> RequestClass {
     RequestClass::new(Idempotency::Idempotent, 250 * MS, 600 * MS)
 }
 
-/// So many warm servers, numbered from 0, at [`NOW`].
+/// A fleet at [`NOW`] of the given number of warm servers, with identifiers from 0.
 pub(crate) fn fleet(settings: Settings, servers: u32) -> Fleet {
     let mut fleet = Fleet::new(settings);
     fleet.now = NOW;
@@ -64,14 +64,14 @@
     fleet
 }
 
-/// The same where this is the only class.
-pub(crate) fn fleet_of(class: RequestClass, servers: u32) -> Fleet {
+/// A [`fleet`] whose only request class is the given one.
+pub(crate) fn fleet_with_class(class: RequestClass, servers: u32) -> Fleet {
     let mut settings = settings();
     settings.classes = vec![class];
     fleet(settings, servers)
 }
 
-/// Restarts a server now, so that it is in slow start.
+/// Marks a server as started just now, so that it is in slow start.
 pub(crate) fn restart(fleet: &mut Fleet, server: ServerIndex) {
     let duration = fleet.settings.slow_start.duration;
     let now = fleet.now;
@@ -80,8 +80,8 @@
         .on_started(now, now, duration);
 }
 
-/// A request of class 0 as it arrives.
-pub(crate) fn incoming(time_left: Micros, work_hint: Option<Micros>) -> IncomingRequest {
+/// An incoming request of class 0.
+pub(crate) fn incoming_request(time_left: Micros, work_hint: Option<Micros>) -> IncomingRequest {
     IncomingRequest {
         id: RequestId(1),
         class: ClassId(0),
@@ -90,19 +90,20 @@
     }
 }
 
-/// A usual request of class 0 that arrived now.
+/// A request of class 0 and mean work that arrived just now.
 pub(crate) fn request(fleet: &Fleet) -> RequestState {
-    request_of_work(fleet, 1.0)
+    request_with_work(fleet, 1.0)
 }
 
-/// The same of this work, against that of a usual one.
-pub(crate) fn request_of_work(fleet: &Fleet, relative_work: f64) -> RequestState {
+/// A request of class 0 that arrived just now; `relative_work` is relative to that of a mean
+/// request.
+pub(crate) fn request_with_work(fleet: &Fleet, relative_work: f64) -> RequestState {
     let class = &fleet.settings.classes[0];
-    let incoming = incoming(class.deadline, None);
+    let incoming = incoming_request(class.deadline, None);
     RequestState::new(&incoming, class, relative_work, fleet.now)
 }
 
-/// Sends an attempt of a usual request to a server now.
+/// Records an attempt of a request of mean work that was sent to a server just now.
 pub(crate) fn send(fleet: &mut Fleet, server: ServerIndex, request: u64) {
     let attempt = InFlightAttempt {
         request: RequestId(request),
@@ -115,29 +116,29 @@
     fleet.servers[server].on_attempt_sent(attempt, &slow_start);
 }
 
-/// So many requests of 1 ms arrive now.
-pub(crate) fn arrive(fleet: &mut Fleet, requests: usize) {
+/// Records the arrival of the given number of requests, each of 1 ms of work.
+pub(crate) fn record_arrivals(fleet: &mut Fleet, count: usize) {
     let workload = &mut fleet.estimators.workload;
-    for _ in 0..requests {
+    for _ in 0..count {
         workload.on_request_arrived(&fleet.settings.classes[0], 1_000.0, fleet.now);
     }
 }
 
-/// Suspects a server now.
+/// Ejects a server now; panics if it is already ejected or the cause is untrusted.
 pub(crate) fn eject(fleet: &mut Fleet, server: ServerIndex, cause: EjectionCause) {
-    let ejection = EjectionDecision::decide(fleet, &fleet.servers[server], cause);
+    let decision = EjectionDecision::decide(fleet, &fleet.servers[server], cause);
     let EjectionDecision::Eject {
         suspicion,
         earlier_ejections,
-    } = ejection
+    } = decision
     else {
-        panic!("not ejected: {ejection:?}");
+        panic!("the server was not ejected: {decision:?}");
     };
-    let record = &mut fleet.servers[server].suspicion;
-    record.on_ejected(suspicion, earlier_ejections);
+    let suspicion_state = &mut fleet.servers[server].suspicion;
+    suspicion_state.on_ejected(suspicion, earlier_ejections);
 }
 
-/// Fails a health check of a server.
+/// Records a failed health check of a server.
 pub(crate) fn fail_health_check(fleet: &mut Fleet, server: ServerIndex) {
     fleet
         .servers
