--- a/crates/balancer/tests/balancer/common/actions.rs
+++ b/crates/balancer/tests/balancer/common/actions.rs
@@ -1,8 +1,8 @@
-//! What a list of actions holds.
+//! Queries on the actions that the balancer returns.
 
 use arrowstand_balancer::{Action, EjectionCause, ServerEvent, ServerId, StateChange};
 
-/// The server of the first send.
+/// Returns the server that the first attempt among the actions is sent to, if any.
 pub(crate) fn sent_to(actions: &[Action]) -> Option<ServerId> {
     actions.iter().find_map(|action| match action {
         Action::Send { server, .. } => Some(*server),
@@ -10,30 +10,30 @@
     })
 }
 
-/// True where some request is rejected.
-pub(crate) fn is_rejected(actions: &[Action]) -> bool {
+/// Returns true if a request is rejected.
+pub(crate) fn has_rejection(actions: &[Action]) -> bool {
     actions
         .iter()
         .any(|action| matches!(action, Action::Reject { .. }))
 }
 
-/// True where some request is failed.
-pub(crate) fn is_failed(actions: &[Action]) -> bool {
+/// Returns true if a request ends with an error as its final response.
+pub(crate) fn has_failure(actions: &[Action]) -> bool {
     actions
         .iter()
         .any(|action| matches!(action, Action::Fail { .. }))
 }
 
-/// The servers that are checked.
-pub(crate) fn health_checks(actions: &[Action]) -> Vec<ServerId> {
-    let checked = |action: &Action| match action {
+/// Returns the servers that health checks are sent to.
+pub(crate) fn checked_servers(actions: &[Action]) -> Vec<ServerId> {
+    let checked_server = |action: &Action| match action {
         Action::HealthCheck { server } => Some(*server),
         _ => None,
     };
-    actions.iter().filter_map(checked).collect()
+    actions.iter().filter_map(checked_server).collect()
 }
 
-/// The messages to other balancers.
+/// Returns the gossip messages that are sent to other balancers.
 pub(crate) fn gossip_messages(actions: &[Action]) -> Vec<Vec<u8>> {
     let message = |action: &Action| match action {
         Action::SendGossip { message, .. } => Some(message.clone()),
@@ -42,7 +42,7 @@
     actions.iter().filter_map(message).collect()
 }
 
-/// What happened to servers, as the balancer records it.
+/// Returns the reported changes of server states.
 pub(crate) fn server_events(actions: &[Action]) -> Vec<ServerEvent> {
     let event = |action: &Action| match action {
         Action::Record(StateChange::Server { event, .. }) => Some(*event),
@@ -51,19 +51,19 @@
     actions.iter().filter_map(event).collect()
 }
 
-/// True where a server was ejected, for whatever cause.
+/// Returns true if a server was ejected, for any cause.
 pub(crate) fn has_ejection(actions: &[Action]) -> bool {
     let is_ejection = |event: &ServerEvent| matches!(event, ServerEvent::Ejected { .. });
     server_events(actions).iter().any(is_ejection)
 }
 
-/// True where a server was ejected because its attempts failed or are overdue.
-pub(crate) fn has_ejection_by_attempts(actions: &[Action]) -> bool {
+/// Returns true if a server was ejected because attempts failed or responses are overdue.
+pub(crate) fn has_ejection_for_attempts(actions: &[Action]) -> bool {
     let cause = EjectionCause::Attempts;
     server_events(actions).contains(&ServerEvent::Ejected { cause })
 }
 
-/// True where a server was readmitted.
+/// Returns true if a server was readmitted.
 pub(crate) fn has_readmission(actions: &[Action]) -> bool {
     server_events(actions).contains(&ServerEvent::Readmitted)
 }
--- a/crates/balancer/tests/balancer/common/driver.rs
+++ b/crates/balancer/tests/balancer/common/driver.rs
@@ -1,4 +1,4 @@
-//! Drives one balancer by hand-written events. It is no simulator: nothing responds by itself.
+//! Test driver for one balancer. It does not simulate servers: each test passes the events itself.
 
 use crate::common::actions::sent_to;
 use crate::common::fixtures::{MS, TICK_TOKEN, endpoint};
@@ -7,7 +7,7 @@
     RequestId, ServerId, Settings, UpdateKind,
 };
 
-/// A balancer and the time at it.
+/// A balancer and its current time.
 pub(crate) struct Driver {
     balancer: Balancer,
     pub(crate) now: Micros,
@@ -15,13 +15,13 @@
 }
 
 impl Driver {
-    /// A balancer that has a list of so many warm servers.
+    /// Creates a balancer with seed 1 and an endpoint list of the given number of warm servers.
     pub(crate) fn new(settings: Settings, servers: u32) -> Self {
-        Self::seeded(settings, servers, 1)
+        Self::with_seed(settings, servers, 1)
     }
 
-    /// The same with a seed of its own.
-    pub(crate) fn seeded(settings: Settings, servers: u32, seed: u64) -> Self {
+    /// Like [`new`](Self::new), with the given seed.
+    pub(crate) fn with_seed(settings: Settings, servers: u32, seed: u64) -> Self {
         let balancer = Balancer::new(settings, seed).expect("valid settings");
         let mut driver = Self {
             balancer,
@@ -37,51 +37,52 @@
         driver
     }
 
-    /// Passes an event and returns the actions.
+    /// Passes an event to the balancer and returns the actions.
     pub(crate) fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         actions
     }
 
-    /// Fires the timer that ticks.
+    /// Fires the timer of the periodic tick.
     pub(crate) fn tick(&mut self) -> Vec<Action> {
         self.handle(Event::TimerFired { token: TICK_TOKEN })
     }
 
-    /// Ticks for a while and returns all actions.
-    pub(crate) fn advance(&mut self, span: Micros) -> Vec<Action> {
+    /// Advances the time in tick intervals of 25 ms and returns the actions of all ticks.
+    pub(crate) fn advance(&mut self, duration: Micros) -> Vec<Action> {
         let mut all = Vec::new();
-        for _ in 0..span / (25 * MS) {
+        for _ in 0..duration / (25 * MS) {
             self.now += 25 * MS;
             all.extend(self.tick());
         }
         all
     }
 
-    /// A request of a class arrives.
+    /// Passes the arrival of a request of a class, without a work hint.
     pub(crate) fn request(&mut self, class: u16) -> (RequestId, Vec<Action>) {
-        self.request_with_hint(class, None)
+        self.request_with_work_hint(class, None)
     }
 
-    /// The same with a hint of its work.
-    pub(crate) fn request_with_hint(
+    /// Passes the arrival of a request of a class, with a work hint if one is given.
+    pub(crate) fn request_with_work_hint(
         &mut self,
         class: u16,
         work_hint: Option<Micros>,
     ) -> (RequestId, Vec<Action>) {
         let id = RequestId(self.next_request);
         self.next_request += 1;
-        let call = IncomingRequest {
+        let incoming = IncomingRequest {
             id,
             class: ClassId(class),
             time_left: 600 * MS,
             work_hint,
         };
-        (id, self.handle(Event::RequestArrived(call)))
+        (id, self.handle(Event::RequestArrived(incoming)))
     }
 
-    /// Ends an attempt; the request is finished where it was served.
+    /// Ends an attempt with an elapsed time of 10 ms. Its request is finished if the outcome is
+    /// `Served`.
     pub(crate) fn end_attempt(
         &mut self,
         request: RequestId,
@@ -101,16 +102,17 @@
         }))
     }
 
-    /// Sends a request and has it served after a while.
+    /// Passes the arrival of a request, ends its attempt as served 20 ms later and returns the
+    /// server.
     pub(crate) fn serve(&mut self, class: u16) -> ServerId {
         let (id, actions) = self.request(class);
-        let server = sent_to(&actions).expect("sent");
+        let server = sent_to(&actions).expect("the request is sent");
         self.now += 20 * MS;
         self.end_attempt(id, 0, server, Outcome::Served);
         server
     }
 
-    /// Ends a health check well, with a load report.
+    /// Ends a health check as successful, with a load report if one is given.
     pub(crate) fn report_load(
         &mut self,
         server: ServerId,
@@ -132,19 +134,19 @@
         })
     }
 
-    /// The servers that get first sends now.
+    /// Returns the servers that first attempts are sent to now, over 60 requests.
     pub(crate) fn servers_in_use(&mut self) -> Vec<u32> {
-        self.servers_in_use_over(0)
+        self.servers_in_use_at_interval(0)
     }
 
-    /// The same for a quiet balancer, which gets a request every second.
-    pub(crate) fn servers_in_use_slowly(&mut self) -> Vec<u32> {
-        self.servers_in_use_over(1_000 * MS)
+    /// Like [`servers_in_use`](Self::servers_in_use), at a rate of about one request per second.
+    pub(crate) fn servers_in_use_at_low_rate(&mut self) -> Vec<u32> {
+        self.servers_in_use_at_interval(1_000 * MS)
     }
 
-    fn servers_in_use_over(&mut self, pause: Micros) -> Vec<u32> {
+    fn servers_in_use_at_interval(&mut self, interval: Micros) -> Vec<u32> {
         let serve = |_| {
-            self.now += pause;
+            self.now += interval;
             self.serve(0).0
         };
         let mut used: Vec<u32> = (0..60).map(serve).collect();
@@ -153,7 +155,7 @@
         used
     }
 
-    /// Fails the health check of a server and its confirmation.
+    /// Fails a health check of a server and the second check that confirms it.
     pub(crate) fn fail_health_checks(&mut self, server: ServerId) -> Vec<Action> {
         let mut all = self.end_health_check(server, Outcome::TimedOut);
         all.extend(self.advance(300 * MS));
--- a/crates/balancer/tests/balancer/common/fixtures.rs
+++ b/crates/balancer/tests/balancer/common/fixtures.rs
@@ -1,39 +1,39 @@
-//! Settings, endpoints and constants of the tests.
+//! Settings, endpoints and constants for the integration tests.
 
 use arrowstand_balancer::{
     BalancerIdentity, DeduplicationScope, Endpoint, Event, Fees, HostCapabilities, Idempotency,
     Micros, PollingSettings, RequestClass, ServerId, Settings, UpdateKind,
 };
 
-/// A millisecond.
+/// One millisecond, in microseconds.
 pub(crate) const MS: Micros = 1_000;
-/// Token of the timer that ticks.
+/// Token of the timer of the periodic tick.
 pub(crate) const TICK_TOKEN: u64 = 0;
 
-/// A class with an objective of 250 ms; keys are dropped within a cell for 4 s.
+/// A request class with a latency objective of 250 ms and a deadline of 600 ms. The servers of a
+/// cell drop duplicates for 4 s.
 pub(crate) fn class(idempotency: Idempotency) -> RequestClass {
-    let scope = DeduplicationScope::Cell;
     RequestClass {
-        deduplication_scope: scope,
+        deduplication_scope: DeduplicationScope::Cell,
         deduplication_window: 4_000 * MS,
         ..RequestClass::new(idempotency, 250 * MS, 600 * MS)
     }
 }
 
-/// One class of each idempotency, in the order of the enum.
+/// Settings with one class per variant of [`Idempotency`], in the order of the enum.
 pub(crate) fn settings() -> Settings {
-    let kinds = [
+    let variants = [
         Idempotency::Idempotent,
         Idempotency::IdempotencyKey,
         Idempotency::NonIdempotent,
     ];
     Settings {
-        classes: kinds.into_iter().map(class).collect(),
+        classes: variants.into_iter().map(class).collect(),
         ..Settings::default()
     }
 }
 
-/// A ready server; two share a cell, four a zone.
+/// The entry of a ready server. Two servers share a cell and four share a zone.
 pub(crate) fn endpoint(n: u32) -> Endpoint {
     Endpoint {
         cell: n / 2,
@@ -42,7 +42,7 @@
     }
 }
 
-/// An update of one line of the list.
+/// An incremental update of one entry of the endpoint list.
 pub(crate) fn endpoint_changed(endpoint: Endpoint) -> Event {
     Event::EndpointsUpdated {
         kind: UpdateKind::Incremental,
@@ -51,7 +51,7 @@
     }
 }
 
-/// The same where one health check per request costs this fee.
+/// [`settings`] with the given fee for one health check per request.
 pub(crate) fn settings_with_health_check_fee(fee: f64) -> Settings {
     Settings {
         fees: Fees {
@@ -62,7 +62,7 @@
     }
 }
 
-/// The same where health checks return load reports, for this fee.
+/// [`settings`] where health checks return load reports, at the given fee.
 pub(crate) fn settings_with_load_checks(health_check_fee: f64) -> Settings {
     Settings {
         host: HostCapabilities {
@@ -73,7 +73,7 @@
     }
 }
 
-/// The same where the endpoint list arrives only in answer to a poll.
+/// [`settings`] where the endpoint list is received only in response to a poll.
 pub(crate) fn settings_with_polling() -> Settings {
     Settings {
         polling: PollingSettings {
@@ -84,7 +84,7 @@
     }
 }
 
-/// The same with four balancers that gossip.
+/// [`settings`] for four balancers that exchange gossip messages.
 pub(crate) fn settings_with_peers() -> Settings {
     Settings {
         host: HostCapabilities {
--- a/crates/balancer/tests/balancer/common/mod.rs
+++ b/crates/balancer/tests/balancer/common/mod.rs
@@ -1,12 +1,12 @@
-//! Helpers of all tests.
+//! Helpers shared by the integration tests.
 
 mod actions;
 mod driver;
 mod fixtures;
 
 pub(crate) use actions::{
-    gossip_messages, has_ejection, has_ejection_by_attempts, has_readmission, health_checks,
-    is_failed, is_rejected, sent_to, server_events,
+    checked_servers, gossip_messages, has_ejection, has_ejection_for_attempts, has_failure,
+    has_readmission, has_rejection, sent_to, server_events,
 };
 pub(crate) use driver::Driver;
 pub(crate) use fixtures::{
--- a/crates/balancer/tests/balancer/dispatch.rs
+++ b/crates/balancer/tests/balancer/dispatch.rs
@@ -1,6 +1,6 @@
 //! First attempts of requests, and inputs that are invalid or unknown.
 
-use crate::common::{Driver, MS, endpoint, endpoint_changed, is_rejected, sent_to, settings};
+use crate::common::{Driver, MS, endpoint, endpoint_changed, has_rejection, sent_to, settings};
 use arrowstand_balancer::{
     Action, Balancer, BalancerIdentity, ClassId, Endpoint, Event, Fees, IncomingRequest,
     LoadReport, Outcome, RequestId, RetrySettings, ServerId, Settings, SlowStartSettings,
@@ -46,14 +46,16 @@
         time_left: 600 * MS,
         work_hint: Some(900 * MS),
     };
-    assert!(is_rejected(&driver.handle(Event::RequestArrived(incoming))));
+    assert!(has_rejection(
+        &driver.handle(Event::RequestArrived(incoming))
+    ));
 }
 
 #[test]
 fn server_in_slow_start_gets_its_share_from_balancers_with_one_request_each() {
     let mut sends = 0;
     for seed in 0..800 {
-        let mut driver = Driver::seeded(
+        let mut driver = Driver::with_seed(
             Settings {
                 slow_start: SlowStartSettings {
                     initial_capacity: 0.25,
@@ -161,7 +163,7 @@
             },
             ..settings()
         };
-        let mut driver = Driver::seeded(settings_with_handshake_fee, 60, u64::from(seed));
+        let mut driver = Driver::with_seed(settings_with_handshake_fee, 60, u64::from(seed));
         for n in 0..120 {
             driver.now += 200 * MS;
             driver.tick();
--- a/crates/balancer/tests/balancer/endpoint_list.rs
+++ b/crates/balancer/tests/balancer/endpoint_list.rs
@@ -25,7 +25,7 @@
 #[test]
 fn lost_list_is_first_polled_again_within_a_third_of_a_second() {
     for seed in 0..400 {
-        let mut driver = Driver::seeded(settings_with_polling(), 4, seed);
+        let mut driver = Driver::with_seed(settings_with_polling(), 4, seed);
         driver.handle(Event::EndpointsUpdated {
             kind: UpdateKind::Lost,
             version: 0,
@@ -46,7 +46,7 @@
         (0..60).map(|n| (n, 3 + n as u32 % 5, [20, 200, 1_500][n as usize % 3]))
     {
         let list = settings_with_polling();
-        let mut driver = Driver::seeded(list, servers, seed);
+        let mut driver = Driver::with_seed(list, servers, seed);
         driver.handle(Event::EndpointsUpdated {
             kind: UpdateKind::Lost,
             version: 0,
@@ -137,7 +137,7 @@
     let (mut polls, mut max_pause) = (0, 0);
     for seed in 0..100 {
         let settings = settings_with_polling();
-        let mut driver = Driver::seeded(settings, 4, seed);
+        let mut driver = Driver::with_seed(settings, 4, seed);
         let lost = |driver: &mut Driver| {
             let (kind, version, endpoints) = (UpdateKind::Lost, 0, Vec::new());
             driver.handle(Event::EndpointsUpdated {
--- a/crates/balancer/tests/balancer/failure_detector.rs
+++ b/crates/balancer/tests/balancer/failure_detector.rs
@@ -1,7 +1,7 @@
 //! Suspicions that attempts raise, and how they end.
 
 use crate::common::{
-    Driver, MS, endpoint, endpoint_changed, has_ejection, has_ejection_by_attempts,
+    Driver, MS, endpoint, endpoint_changed, has_ejection, has_ejection_for_attempts,
     has_readmission, sent_to, settings,
 };
 use arrowstand_balancer::{Endpoint, Outcome, RetrySettings, ServerId, Settings};
@@ -50,7 +50,7 @@
     }
     let mut suspected = false;
     for _ in 0..40 {
-        suspected |= has_ejection_by_attempts(&driver.advance(25 * MS));
+        suspected |= has_ejection_for_attempts(&driver.advance(25 * MS));
         driver.end_health_check(ServerId(0), Outcome::Served);
         if suspected {
             break;
@@ -118,7 +118,7 @@
 #[test]
 fn quiet_balancer_ejects_a_server_until_its_turn_would_come() {
     let mut driver = Driver::new(settings(), 4);
-    driver.servers_in_use_slowly();
+    driver.servers_in_use_at_low_rate();
     let mut failing = None;
     for _ in 0..60 {
         driver.now += 1_000 * MS;
@@ -133,7 +133,7 @@
         if let Some(next) = sent_to(&actions) {
             driver.end_attempt(id, 1, next, Outcome::Served);
         }
-        if has_ejection_by_attempts(&actions) {
+        if has_ejection_for_attempts(&actions) {
             failing = Some(server);
             break;
         }
--- a/crates/balancer/tests/balancer/gossip.rs
+++ b/crates/balancer/tests/balancer/gossip.rs
@@ -1,7 +1,7 @@
 //! Messages between balancers.
 
 use crate::common::{
-    Driver, MS, endpoint, endpoint_changed, gossip_messages, has_ejection, health_checks,
+    Driver, MS, checked_servers, endpoint, endpoint_changed, gossip_messages, has_ejection,
     settings_with_peers,
 };
 use arrowstand_balancer::{
@@ -64,7 +64,7 @@
             from: 0,
             message: request,
         });
-        assert_eq!(health_checks(&started), [ServerId(0)]);
+        assert_eq!(checked_servers(&started), [ServerId(0)]);
         gossip_messages(&peer.end_health_check(ServerId(0), Outcome::Served)).remove(0)
     };
     let mut driver = Driver::new(settings_with_peers(), 6);
@@ -115,7 +115,7 @@
         message: suspicion_message(None),
     });
     assert!(!has_ejection(&actions));
-    assert!(health_checks(&driver.advance(250 * MS)).contains(&ServerId(0)));
+    assert!(checked_servers(&driver.advance(250 * MS)).contains(&ServerId(0)));
 }
 
 #[test]
--- a/crates/balancer/tests/balancer/health_check.rs
+++ b/crates/balancer/tests/balancer/health_check.rs
@@ -1,7 +1,7 @@
 //! Which servers are checked, and what health checks lead to.
 
 use crate::common::{
-    Driver, MS, has_ejection, has_readmission, health_checks, sent_to, server_events, settings,
+    Driver, MS, checked_servers, has_ejection, has_readmission, sent_to, server_events, settings,
     settings_with_health_check_fee,
 };
 use arrowstand_balancer::{Outcome, ServerEvent, ServerId};
@@ -11,7 +11,7 @@
     let mut driver = Driver::new(settings_with_health_check_fee(0.0), 6);
     let mut checked = Vec::new();
     for _ in 0..40 {
-        let started = health_checks(&driver.advance(1_000 * MS));
+        let started = checked_servers(&driver.advance(1_000 * MS));
         assert_eq!(started.len(), 1);
         driver.end_health_check(started[0], Outcome::Served);
         checked.push(started[0].0);
@@ -24,10 +24,10 @@
 #[test]
 fn costly_health_checks_come_seldom_however_many_servers_are_suspected() {
     let mut driver = Driver::new(settings_with_health_check_fee(0.05), 60);
-    let calm = health_checks(&driver.advance(40_000 * MS)).len();
+    let calm = checked_servers(&driver.advance(40_000 * MS)).len();
     assert!((6..=9).contains(&calm), "{calm}");
     (0..25).for_each(|n| drop(driver.fail_health_checks(ServerId(n))));
-    assert!(health_checks(&driver.advance(40_000 * MS)).len() <= 40);
+    assert!(checked_servers(&driver.advance(40_000 * MS)).len() <= 40);
 }
 
 #[test]
@@ -36,7 +36,7 @@
     let (id, actions) = driver.request(0);
     let server = sent_to(&actions).expect("sent");
     driver.end_attempt(id, 0, server, Outcome::Reset);
-    assert_eq!(health_checks(&driver.tick()), [server]);
+    assert_eq!(checked_servers(&driver.tick()), [server]);
 }
 
 #[test]
@@ -46,7 +46,7 @@
         &driver.end_health_check(ServerId(0), Outcome::TimedOut)
     ));
     let later = driver.advance(300 * MS);
-    assert!(health_checks(&later).contains(&ServerId(0)));
+    assert!(checked_servers(&later).contains(&ServerId(0)));
     assert!(has_ejection(
         &driver.end_health_check(ServerId(0), Outcome::TimedOut)
     ));
@@ -70,12 +70,12 @@
     for _ in 0..40 {
         let actions = driver.advance(250 * MS);
         dead |= server_events(&actions).contains(&ServerEvent::DeclaredDead);
-        if health_checks(&actions).contains(&ServerId(0)) {
+        if checked_servers(&actions).contains(&ServerId(0)) {
             driver.end_health_check(ServerId(0), Outcome::TimedOut);
         }
     }
     assert!(dead);
-    assert!(health_checks(&driver.advance(1_500 * MS)).contains(&ServerId(0)));
+    assert!(checked_servers(&driver.advance(1_500 * MS)).contains(&ServerId(0)));
     assert!(has_readmission(
         &driver.end_health_check(ServerId(0), Outcome::Served)
     ));
@@ -108,7 +108,7 @@
                 Outcome::Served
             },
         );
-        let started = health_checks(&driver.advance(25 * MS));
+        let started = checked_servers(&driver.advance(25 * MS));
         for &server in &started {
             let outcome = if server.0 == 5 {
                 Outcome::TimedOut
--- a/crates/balancer/tests/balancer/load_check.rs
+++ b/crates/balancer/tests/balancer/load_check.rs
@@ -1,8 +1,8 @@
 //! Load reports and the load checks before a send.
 
 use crate::common::{
-    Driver, MS, gossip_messages, health_checks, is_rejected, sent_to, settings_with_load_checks,
-    settings_with_peers,
+    Driver, MS, checked_servers, gossip_messages, has_rejection, sent_to,
+    settings_with_load_checks, settings_with_peers,
 };
 use arrowstand_balancer::{
     BalancerIdentity, ClassId, Event, Fees, HostCapabilities, IncomingRequest, LoadReport, Outcome,
@@ -15,7 +15,7 @@
     for _ in 0..30 {
         let (id, arrival) = driver.request(0);
         let mut last = Vec::new();
-        for server in health_checks(&arrival) {
+        for server in checked_servers(&arrival) {
             let reported = if server == ServerId(3) { 0.0 } else { 2.0 };
             let report = Some(LoadReport {
                 in_flight: reported,
@@ -39,7 +39,7 @@
         let (id, arrival) = driver.request(2);
         driver.now += MS;
         let mut last = Vec::new();
-        for server in health_checks(&arrival) {
+        for server in checked_servers(&arrival) {
             let reported = if server == ServerId(0) { 0.0 } else { 5.0 };
             let report = Some(LoadReport {
                 in_flight: reported,
@@ -64,16 +64,16 @@
 fn server_whose_load_check_failed_does_not_look_idle() {
     let mut driver = Driver::new(settings_with_load_checks(0.001), 3);
     let (_, arrival) = driver.request(0);
-    driver.end_health_check(health_checks(&arrival)[0], Outcome::ConnectFailed);
+    driver.end_health_check(checked_servers(&arrival)[0], Outcome::ConnectFailed);
     let busy = Some(LoadReport {
         in_flight: 1.0,
         queued: 0.0,
     });
     let mut last = Vec::new();
-    for &server in &health_checks(&arrival)[1..] {
+    for &server in &checked_servers(&arrival)[1..] {
         last = driver.report_load(server, busy);
     }
-    assert!(sent_to(&last).is_some_and(|server| server != health_checks(&arrival)[0]));
+    assert!(sent_to(&last).is_some_and(|server| server != checked_servers(&arrival)[0]));
 }
 
 #[test]
@@ -87,7 +87,7 @@
     };
     // Less than any service takes: rejected at once.
     let (id, short) = (RequestId(9_001), 3 * MS);
-    assert!(is_rejected(
+    assert!(has_rejection(
         &driver.handle(Event::RequestArrived(incoming(id, short)))
     ));
     // Enough for a quick one: sent, though no load check ends, well before the client leaves.
@@ -107,7 +107,7 @@
         for _ in 0..200 {
             driver.now += 100 * MS;
             let (id, actions) = driver.request(2);
-            if health_checks(&actions).contains(&ServerId(0)) {
+            if checked_servers(&actions).contains(&ServerId(0)) {
                 let report = Some(LoadReport {
                     in_flight: reported,
                     queued: 0.0,
@@ -147,12 +147,12 @@
     let mut messages = 0;
     for _ in 0..100 {
         let (_, actions) = driver.request(0);
-        for server in health_checks(&actions) {
+        for server in checked_servers(&actions) {
             messages += gossip_messages(&driver.end_health_check(server, Outcome::TimedOut)).len();
         }
         let later = driver.advance(100 * MS);
         messages += gossip_messages(&later).len();
-        for server in health_checks(&later) {
+        for server in checked_servers(&later) {
             messages += gossip_messages(&driver.end_health_check(server, Outcome::TimedOut)).len();
         }
     }
--- a/crates/balancer/tests/balancer/load_from_responses/emulated_fleet.rs
+++ b/crates/balancer/tests/balancer/load_from_responses/emulated_fleet.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::common::{Driver, MS, is_rejected, sent_to};
+use crate::common::{Driver, MS, has_rejection, sent_to};
 use arrowstand_balancer::{
     AttemptEnd, Event, LoadReport, Micros, Outcome, RequestId, ServerId, Settings,
 };
@@ -44,7 +44,7 @@
 
 impl Fleet {
     pub(super) fn new(settings: Settings, servers: u32, seed: u64) -> Self {
-        let driver = Driver::seeded(settings, servers, seed);
+        let driver = Driver::with_seed(settings, servers, seed);
         let servers = (0..servers)
             .map(|_| EmulatedServer {
                 left: Vec::new(),
@@ -68,8 +68,8 @@
     }
 
     pub(super) fn arrive_with_hint(&mut self, work_ms: f64, hint: Option<Micros>) {
-        let (id, actions) = self.driver.request_with_hint(0, hint);
-        self.rejected += u32::from(is_rejected(&actions));
+        let (id, actions) = self.driver.request_with_work_hint(0, hint);
+        self.rejected += u32::from(has_rejection(&actions));
         if let Some(server) = sent_to(&actions) {
             self.started.insert(id, (self.driver.now, server));
             self.sends.push((self.driver.now, server, work_ms));
--- a/crates/balancer/tests/balancer/load_shedding.rs
+++ b/crates/balancer/tests/balancer/load_shedding.rs
@@ -1,6 +1,6 @@
 //! Which requests are rejected under load.
 
-use crate::common::{Driver, MS, health_checks, sent_to, settings, settings_with_load_checks};
+use crate::common::{Driver, MS, checked_servers, sent_to, settings, settings_with_load_checks};
 use arrowstand_balancer::{
     Action, AttemptEnd, ClassId, Event, Idempotency, IncomingRequest, LoadReport, Outcome,
     RequestClass, RequestId, Settings,
@@ -54,7 +54,7 @@
         in_flight,
         queued: in_flight - 1.0,
     };
-    let servers = health_checks(actions).into_iter();
+    let servers = checked_servers(actions).into_iter();
     servers
         .flat_map(|server| driver.report_load(server, Some(report)))
         .collect()
--- a/crates/balancer/tests/balancer/retry.rs
+++ b/crates/balancer/tests/balancer/retry.rs
@@ -1,7 +1,7 @@
 //! Whether and where a request is sent again.
 
 use crate::common::{
-    Driver, MS, class, endpoint, endpoint_changed, is_failed, is_rejected, sent_to, settings,
+    Driver, MS, class, endpoint, endpoint_changed, has_failure, has_rejection, sent_to, settings,
 };
 use arrowstand_balancer::{
     DeduplicationScope, Endpoint, Idempotency, Micros, Outcome, RequestClass, ServerId,
@@ -26,8 +26,8 @@
     let actions = driver.end_attempt(id, 0, first, outcome);
     match (
         sent_to(&actions),
-        is_rejected(&actions),
-        is_failed(&actions),
+        has_rejection(&actions),
+        has_failure(&actions),
     ) {
         (Some(second), false, false) => Next::Retried {
             same_cell: second.0 / 2 == first.0 / 2,
@@ -134,5 +134,5 @@
     driver.now += 248 * MS;
     let end_of_attempt =
         driver.end_attempt(id, 0, sent_to(&actions).expect("sent"), Outcome::TimedOut);
-    assert!(sent_to(&end_of_attempt).is_none() && is_rejected(&end_of_attempt));
+    assert!(sent_to(&end_of_attempt).is_none() && has_rejection(&end_of_attempt));
 }
--- a/crates/balancer/tests/balancer/subset.rs
+++ b/crates/balancer/tests/balancer/subset.rs
@@ -22,7 +22,7 @@
             ..settings()
         };
         let mut driver = Driver::new(settings, 64);
-        let first = driver.servers_in_use_slowly();
+        let first = driver.servers_in_use_at_low_rate();
         assert!((3..=5).contains(&first.len()), "{first:?}");
         let mut cells: Vec<u32> = first.iter().map(|n| n / 2).collect();
         cells.dedup();
@@ -32,7 +32,7 @@
         }
         driver.handle(endpoint_changed(endpoint(64)));
         let kept = driver
-            .servers_in_use_slowly()
+            .servers_in_use_at_low_rate()
             .iter()
             .filter(|n| first.contains(n))
             .count();
@@ -75,7 +75,7 @@
         },
         ..settings()
     };
-    let mut driver = Driver::seeded(fees, 60, seed);
+    let mut driver = Driver::with_seed(fees, 60, seed);
     let mut serve = || {
         driver.now += pause;
         driver.serve(0).0
