--- a/crates/balancer/tests/balancer/common/driver.rs
+++ b/crates/balancer/tests/balancer/common/driver.rs
@@ -1,7 +1,7 @@
 //! Test driver for one balancer. It does not simulate servers: each test passes the events itself.
 
 use crate::common::actions::sent_to;
-use crate::common::fixtures::{MS, TICK_TOKEN, endpoint};
+use crate::common::fixtures::{MS, TICK_TIMER_TOKEN, endpoint};
 use arrowstand_balancer::{
     Action, AttemptEnd, Balancer, ClassId, Event, IncomingRequest, LoadReport, Micros, Outcome,
     RequestId, ServerId, Settings, UpdateKind,
@@ -46,7 +46,9 @@
 
     /// Fires the timer of the periodic tick.
     pub(crate) fn tick(&mut self) -> Vec<Action> {
-        self.handle(Event::TimerFired { token: TICK_TOKEN })
+        self.handle(Event::TimerFired {
+            token: TICK_TIMER_TOKEN,
+        })
     }
 
     /// Advances the time in tick intervals of 25 ms and returns the actions of all ticks.
--- a/crates/balancer/tests/balancer/common/fixtures.rs
+++ b/crates/balancer/tests/balancer/common/fixtures.rs
@@ -8,7 +8,9 @@
 /// One millisecond, in microseconds.
 pub(crate) const MS: Micros = 1_000;
 /// Token of the timer of the periodic tick.
-pub(crate) const TICK_TOKEN: u64 = 0;
+pub(crate) const TICK_TIMER_TOKEN: u64 = 0;
+/// Token shared by the timers of all requests.
+pub(crate) const REQUEST_TIMER_TOKEN: u64 = 1;
 
 /// A request class with a latency objective of 250 ms and a deadline of 600 ms. The servers of a
 /// cell drop duplicates for 4 s.
--- a/crates/balancer/tests/balancer/common/mod.rs
+++ b/crates/balancer/tests/balancer/common/mod.rs
@@ -10,6 +10,7 @@
 };
 pub(crate) use driver::Driver;
 pub(crate) use fixtures::{
-    MS, class, endpoint, endpoint_changed, settings, settings_with_health_check_fee,
-    settings_with_load_checks, settings_with_peers, settings_with_polling,
+    MS, REQUEST_TIMER_TOKEN, TICK_TIMER_TOKEN, class, endpoint, endpoint_changed, settings,
+    settings_with_health_check_fee, settings_with_load_checks, settings_with_peers,
+    settings_with_polling,
 };
--- a/crates/balancer/tests/balancer/dispatch.rs
+++ b/crates/balancer/tests/balancer/dispatch.rs
@@ -1,6 +1,8 @@
 //! First attempts of requests, and inputs that are invalid or unknown.
 
-use crate::common::{Driver, MS, endpoint, endpoint_changed, has_rejection, sent_to, settings};
+use crate::common::{
+    Driver, MS, REQUEST_TIMER_TOKEN, endpoint, endpoint_changed, has_rejection, sent_to, settings,
+};
 use arrowstand_balancer::{
     Action, Balancer, BalancerIdentity, ClassId, Endpoint, Event, Fees, IncomingRequest,
     LoadReport, Outcome, RequestId, RetrySettings, ServerId, Settings, SlowStartSettings,
@@ -25,7 +27,9 @@
     let (_, mut actions) = driver.request(2);
     for _ in 0..20 {
         driver.now += 25 * MS;
-        actions.extend(driver.handle(Event::TimerFired { token: 1 }));
+        actions.extend(driver.handle(Event::TimerFired {
+            token: REQUEST_TIMER_TOKEN,
+        }));
     }
     assert_eq!(
         actions
--- a/crates/balancer/tests/balancer/load_check.rs
+++ b/crates/balancer/tests/balancer/load_check.rs
@@ -1,7 +1,7 @@
 //! Load reports and the load checks before a send.
 
 use crate::common::{
-    Driver, MS, checked_servers, gossip_messages, has_rejection, sent_to,
+    Driver, MS, REQUEST_TIMER_TOKEN, checked_servers, gossip_messages, has_rejection, sent_to,
     settings_with_load_checks, settings_with_peers,
 };
 use arrowstand_balancer::{
@@ -94,7 +94,9 @@
     let (id, enough) = (RequestId(9_002), 60 * MS);
     let mut actions = driver.handle(Event::RequestArrived(incoming(id, enough)));
     driver.now += 5 * MS;
-    actions.extend(driver.handle(Event::TimerFired { token: 1 }));
+    actions.extend(driver.handle(Event::TimerFired {
+        token: REQUEST_TIMER_TOKEN,
+    }));
     assert!(sent_to(&actions).is_some());
 }
 
@@ -115,7 +117,9 @@
                 driver.report_load(ServerId(0), report);
             }
             driver.now += 6 * MS;
-            let Some(server) = sent_to(&driver.handle(Event::TimerFired { token: 1 })) else {
+            let Some(server) = sent_to(&driver.handle(Event::TimerFired {
+                token: REQUEST_TIMER_TOKEN,
+            })) else {
                 continue;
             };
             chosen += usize::from(server == ServerId(0));
--- a/crates/balancer/tests/balancer/random_events.rs
+++ b/crates/balancer/tests/balancer/random_events.rs
@@ -1,20 +1,20 @@
-//! Random scripts of events, checked for the rules that every request keeps.
+//! Random sequences of events, with checks of the invariants that hold for every request.
 
-mod rules;
-mod script;
+mod harness;
+mod invariants;
 
-use script::Script;
+use harness::Harness;
 
 #[test]
-fn random_events_keep_the_rules_of_requests() {
+fn invariants_of_requests_hold_for_random_events() {
     for seed in 0..40 {
-        let mut script = Script::new(seed);
+        let mut harness = Harness::new(seed);
         for _ in 0..3_000 {
-            script.step();
+            harness.step();
             assert_eq!(
-                script.overdue(),
+                harness.overdue_request_count(),
                 0,
-                "seed {seed}: a request without its answer"
+                "seed {seed}: a request got no final response in time"
             );
         }
     }
