--- a/crates/balancer/tests/balancer/failure_detector.rs
+++ b/crates/balancer/tests/balancer/failure_detector.rs
@@ -1,4 +1,4 @@
-//! Suspicions that attempts raise, and how they end.
+//! Suspicions raised by attempts, and when they end.
 
 use crate::common::{
     Driver, MS, endpoint, endpoint_changed, has_ejection, has_ejection_for_attempts,
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn silent_attempts_raise_a_suspicion_that_a_health_check_does_not_end_at_once() {
+fn ejection_for_overdue_responses_is_ended_by_a_response_but_not_at_once_by_a_health_check() {
     let mut driver = Driver::new(
         Settings {
             retries: RetrySettings {
@@ -34,36 +34,36 @@
         4,
     );
     driver.servers_in_use();
-    let mut stuck = Vec::new();
+    let mut unanswered = Vec::new();
     for _ in 0..1_000 {
-        if stuck.len() == 4 {
+        if unanswered.len() == 4 {
             break;
         }
         let (id, actions) = driver.request(2);
         let server = sent_to(&actions).expect("sent");
         if server == ServerId(0) {
-            stuck.push(id);
+            unanswered.push(id);
         } else {
             driver.now += MS;
             driver.end_attempt(id, 0, server, Outcome::Served);
         }
     }
-    let mut suspected = false;
+    let mut ejected = false;
     for _ in 0..40 {
-        suspected |= has_ejection_for_attempts(&driver.advance(25 * MS));
+        ejected |= has_ejection_for_attempts(&driver.advance(25 * MS));
         driver.end_health_check(ServerId(0), Outcome::Served);
-        if suspected {
+        if ejected {
             break;
         }
     }
-    assert!(suspected);
+    assert!(ejected);
     assert_eq!(driver.servers_in_use(), [1, 2, 3]);
-    let actions = driver.end_attempt(stuck[0], 0, ServerId(0), Outcome::Served);
+    let actions = driver.end_attempt(unanswered[0], 0, ServerId(0), Outcome::Served);
     assert!(has_readmission(&actions));
 }
 
 #[test]
-fn fast_failures_eject_their_server() {
+fn server_that_quickly_fails_every_attempt_is_ejected() {
     let mut driver = Driver::new(settings(), 4);
     for _ in 0..60 {
         let (id, actions) = driver.request(2);
@@ -80,9 +80,9 @@
 }
 
 #[test]
-fn errors_spread_over_all_servers_eject_hardly_any() {
+fn errors_spread_over_all_servers_cause_few_ejections() {
     let mut driver = Driver::new(settings(), 6);
-    let mut suspected = 0;
+    let mut ejections = 0;
     for n in 0..300 {
         let (id, actions) = driver.request(2);
         let server = sent_to(&actions).expect("sent");
@@ -92,14 +92,14 @@
         } else {
             Outcome::Served
         };
-        suspected += usize::from(has_ejection(&driver.end_attempt(id, 0, server, outcome)));
+        ejections += usize::from(has_ejection(&driver.end_attempt(id, 0, server, outcome)));
     }
-    assert!(suspected <= 2, "{suspected}");
+    assert!(ejections <= 2, "{ejections}");
 }
 
 #[test]
-fn resets_spread_over_all_servers_eject_hardly_any() {
-    let (mut driver, mut rng, mut suspected) =
+fn resets_spread_over_all_servers_cause_few_ejections() {
+    let (mut driver, mut rng, mut ejections) =
         (Driver::new(settings(), 10), fastrand::Rng::with_seed(1), 0);
     for _ in 0..2_000 {
         let (id, actions) = driver.request(2);
@@ -110,16 +110,16 @@
         } else {
             Outcome::Served
         };
-        suspected += usize::from(has_ejection(&driver.end_attempt(id, 0, server, outcome)));
+        ejections += usize::from(has_ejection(&driver.end_attempt(id, 0, server, outcome)));
     }
-    assert!(suspected <= 5, "{suspected}");
+    assert!(ejections <= 5, "{ejections}");
 }
 
 #[test]
-fn quiet_balancer_ejects_a_server_until_its_turn_would_come() {
+fn ejection_time_covers_the_mean_attempt_interval_at_a_low_request_rate() {
     let mut driver = Driver::new(settings(), 4);
     driver.servers_in_use_at_low_rate();
-    let mut failing = None;
+    let mut ejected_server = None;
     for _ in 0..60 {
         driver.now += 1_000 * MS;
         let (id, actions) = driver.request(2);
@@ -134,11 +134,11 @@
             driver.end_attempt(id, 1, next, Outcome::Served);
         }
         if has_ejection_for_attempts(&actions) {
-            failing = Some(server);
+            ejected_server = Some(server);
             break;
         }
     }
-    assert_eq!(failing, Some(ServerId(3)));
+    assert_eq!(ejected_server, Some(ServerId(3)));
     driver.now += 1_500 * MS;
     assert!(!has_readmission(
         &driver.end_health_check(ServerId(3), Outcome::Served)
--- a/crates/balancer/tests/balancer/gossip.rs
+++ b/crates/balancer/tests/balancer/gossip.rs
@@ -1,4 +1,4 @@
-//! Messages between balancers.
+//! Gossip between balancers: indirect health checks and suspicions.
 
 use crate::common::{
     Driver, MS, checked_servers, endpoint, endpoint_changed, gossip_messages, has_ejection,
@@ -8,22 +8,23 @@
     BalancerIdentity, Endpoint, Event, Fees, Micros, Outcome, ServerId, Settings, UpdateKind,
 };
 
-/// What a balancer gossips once it has confirmed that server 0 fails its health checks.
+/// Returns the message in which a balancer gossips its suspicion of server 0, after a failed health
+/// check that no other balancer contradicted.
 fn suspicion_message(incarnation: Option<Micros>) -> Vec<u8> {
     let mut driver = Driver::new(settings_with_peers(), 6);
     driver.handle(endpoint_changed(Endpoint {
         incarnation,
         ..endpoint(0)
     }));
-    let requests = gossip_messages(&driver.end_health_check(ServerId(0), Outcome::TimedOut));
+    let check_requests = gossip_messages(&driver.end_health_check(ServerId(0), Outcome::TimedOut));
     gossip_messages(&driver.advance(3_000 * MS))
         .into_iter()
-        .find(|message| message[0] != requests[0][0])
-        .expect("gossip")
+        .find(|message| message[0] != check_requests[0][0])
+        .expect("the suspicion is gossiped")
 }
 
 #[test]
-fn one_message_with_each_health_check_carries_many_suspicions() {
+fn one_message_per_health_check_carries_several_suspicions() {
     let mut driver = Driver::new(
         Settings {
             fees: Fees {
@@ -36,7 +37,10 @@
     );
     (0..8).for_each(|n| drop(driver.fail_health_checks(ServerId(n))));
     let messages = gossip_messages(&driver.advance(5_000 * MS));
+    // In 5 s, at most 20 scheduled health checks, each with one message of suspicions and three
+    // requests for indirect checks.
     assert!(!messages.is_empty() && messages.len() <= 20 + 3 * 20);
+    // A record has 17 bytes; a message has at most 256.
     assert!(
         messages
             .iter()
@@ -45,7 +49,7 @@
 }
 
 #[test]
-fn suspicion_stays_local_where_indirect_checks_succeed() {
+fn suspicion_is_kept_but_not_gossiped_if_an_indirect_check_succeeds() {
     let confirmation = {
         let mut peer = Driver::new(
             Settings {
@@ -80,15 +84,15 @@
 
 #[test]
 fn suspicion_of_an_older_incarnation_is_ignored() {
-    // Incarnation known, incarnation suspected by another balancer, and whether the suspicion is
-    // raised.
-    let table = [
+    // Known incarnation, incarnation that another balancer suspects, and whether the server is
+    // ejected.
+    let cases = [
         (None, None, true),
         (Some(5), Some(5), true),
         (Some(5), Some(7), true),
         (Some(7), Some(5), false),
     ];
-    for (known, suspected, raised) in table {
+    for (known, suspected, ejected) in cases {
         let message = suspicion_message(suspected);
         let mut driver = Driver::new(settings_with_peers(), 6);
         driver.handle(endpoint_changed(Endpoint {
@@ -96,12 +100,12 @@
             ..endpoint(0)
         }));
         let actions = driver.handle(Event::GossipReceived { from: 2, message });
-        assert_eq!(has_ejection(&actions), raised, "{known:?} {suspected:?}");
+        assert_eq!(has_ejection(&actions), ejected, "{known:?} {suspected:?}");
     }
 }
 
 #[test]
-fn own_served_attempt_outweighs_a_gossiped_suspicion() {
+fn gossiped_suspicion_of_a_server_that_served_recently_only_triggers_a_health_check() {
     let mut driver = Driver::new(settings_with_peers(), 1);
     let endpoints = (0..6).map(endpoint).collect();
     driver.handle(Event::EndpointsUpdated {
--- a/crates/balancer/tests/balancer/health_check.rs
+++ b/crates/balancer/tests/balancer/health_check.rs
@@ -1,4 +1,4 @@
-//! Which servers are checked, and what health checks lead to.
+//! Scheduling of health checks, and the effect of their results.
 
 use crate::common::{
     Driver, MS, checked_servers, has_ejection, has_readmission, sent_to, server_events, settings,
@@ -7,7 +7,7 @@
 use arrowstand_balancer::{Outcome, ServerEvent, ServerId};
 
 #[test]
-fn every_interval_checks_one_random_server() {
+fn one_random_server_is_checked_per_interval() {
     let mut driver = Driver::new(settings_with_health_check_fee(0.0), 6);
     let mut checked = Vec::new();
     for _ in 0..40 {
@@ -22,16 +22,19 @@
 }
 
 #[test]
-fn costly_health_checks_come_seldom_however_many_servers_are_suspected() {
+fn costly_health_checks_stay_rare_when_many_servers_are_suspected() {
     let mut driver = Driver::new(settings_with_health_check_fee(0.05), 60);
-    let calm = checked_servers(&driver.advance(40_000 * MS)).len();
-    assert!((6..=9).contains(&calm), "{calm}");
+    let checks_without_suspects = checked_servers(&driver.advance(40_000 * MS)).len();
+    assert!(
+        (6..=9).contains(&checks_without_suspects),
+        "{checks_without_suspects}"
+    );
     (0..25).for_each(|n| drop(driver.fail_health_checks(ServerId(n))));
     assert!(checked_servers(&driver.advance(40_000 * MS)).len() <= 40);
 }
 
 #[test]
-fn failed_attempt_makes_its_server_the_next_to_be_checked() {
+fn server_of_a_failed_attempt_is_checked_next() {
     let mut driver = Driver::new(settings(), 6);
     let (id, actions) = driver.request(0);
     let server = sent_to(&actions).expect("sent");
@@ -40,7 +43,7 @@
 }
 
 #[test]
-fn failed_health_check_is_confirmed_by_a_second_before_suspicion() {
+fn server_is_ejected_only_after_a_second_failed_health_check() {
     let mut driver = Driver::new(settings(), 4);
     assert!(!has_ejection(
         &driver.end_health_check(ServerId(0), Outcome::TimedOut)
@@ -54,7 +57,7 @@
 }
 
 #[test]
-fn second_health_check_that_succeeds_raises_no_suspicion() {
+fn server_stays_in_use_if_the_second_health_check_succeeds() {
     let mut driver = Driver::new(settings(), 4);
     driver.end_health_check(ServerId(0), Outcome::TimedOut);
     driver.advance(300 * MS);
@@ -63,18 +66,18 @@
 }
 
 #[test]
-fn suspected_server_is_declared_dead_still_checked_and_readmitted() {
+fn dead_server_is_still_checked_and_readmitted_after_a_successful_check() {
     let mut driver = Driver::new(settings(), 4);
     driver.fail_health_checks(ServerId(0));
-    let mut dead = false;
+    let mut declared_dead = false;
     for _ in 0..40 {
         let actions = driver.advance(250 * MS);
-        dead |= server_events(&actions).contains(&ServerEvent::DeclaredDead);
+        declared_dead |= server_events(&actions).contains(&ServerEvent::DeclaredDead);
         if checked_servers(&actions).contains(&ServerId(0)) {
             driver.end_health_check(ServerId(0), Outcome::TimedOut);
         }
     }
-    assert!(dead);
+    assert!(declared_dead);
     assert!(checked_servers(&driver.advance(1_500 * MS)).contains(&ServerId(0)));
     assert!(has_readmission(
         &driver.end_health_check(ServerId(0), Outcome::Served)
@@ -82,7 +85,7 @@
 }
 
 #[test]
-fn health_checks_that_fail_everywhere_do_not_empty_the_fleet() {
+fn at_least_half_of_the_servers_stay_in_use_if_all_health_checks_fail() {
     let mut driver = Driver::new(settings(), 6);
     (0..6).for_each(|n| {
         driver.fail_health_checks(ServerId(n));
@@ -91,7 +94,7 @@
 }
 
 #[test]
-fn suspected_server_is_checked_while_attempts_fail_all_the_time() {
+fn suspected_server_gets_its_share_of_checks_while_attempts_keep_failing() {
     let mut driver = Driver::new(settings(), 6);
     driver.fail_health_checks(ServerId(5));
     let mut checked = Vec::new();
@@ -119,12 +122,12 @@
         }
         checked.extend(started);
     }
-    let suspect = checked.iter().filter(|server| server.0 == 5).count();
-    assert!(3 * suspect >= checked.len(), "{checked:?}");
+    let checks_of_suspect = checked.iter().filter(|server| server.0 == 5).count();
+    assert!(3 * checks_of_suspect >= checked.len(), "{checked:?}");
 }
 
 #[test]
-fn attempts_decide_where_most_health_checks_fail() {
+fn only_attempts_eject_servers_while_most_health_checks_fail() {
     let mut driver = Driver::new(settings(), 10);
     for n in 0..7 {
         driver.end_health_check(ServerId(n), Outcome::TimedOut);
@@ -132,7 +135,7 @@
     }
     driver.advance(100 * MS);
     assert!(driver.servers_in_use().len() >= 8);
-    // A server that fails attempts as well is suspected all the same.
+    // A server that also fails attempts is ejected nevertheless.
     for _ in 0..60 {
         let (id, actions) = driver.request(2);
         let server = sent_to(&actions).expect("sent");
@@ -141,9 +144,9 @@
         } else {
             Outcome::Served
         };
-        let retried_on = sent_to(&driver.end_attempt(id, 0, server, outcome));
-        if let Some(to) = retried_on {
-            driver.end_attempt(id, 1, to, Outcome::Served);
+        let retry_server = sent_to(&driver.end_attempt(id, 0, server, outcome));
+        if let Some(second) = retry_server {
+            driver.end_attempt(id, 1, second, Outcome::Served);
         }
     }
     assert!(!driver.servers_in_use().contains(&3));
--- a/crates/balancer/tests/balancer/load_shedding.rs
+++ b/crates/balancer/tests/balancer/load_shedding.rs
@@ -1,4 +1,4 @@
-//! Which requests are rejected under load.
+//! Load shedding: which requests are rejected under load.
 
 use crate::common::{Driver, MS, checked_servers, sent_to, settings, settings_with_load_checks};
 use arrowstand_balancer::{
@@ -6,7 +6,8 @@
     RequestClass, RequestId, Settings,
 };
 
-/// Requests sent of three classes, of 100 each, to a fleet whose responses take 150 of 250 ms.
+/// Number of requests that are sent, out of 100 of each class, when responses take 150 ms of the
+/// objective of 250 ms. The classes have the priority weights 3, 8 and 8.
 fn sent_under_saturation(settings: Settings) -> [u32; 3] {
     let mut classes = settings.classes;
     classes[0].priority_weight = 3.0;
@@ -33,14 +34,15 @@
 }
 
 #[test]
-fn responses_that_take_most_of_the_objective_shed_the_least_priority_first() {
+fn lowest_priority_is_shed_first_when_responses_take_most_of_the_objective() {
     let sent = sent_under_saturation(settings());
     assert!(sent[0] < 60 && sent[1] > 80 && sent[2] > 80, "{sent:?}");
 }
 
-/// Servers would report their load, but a health check for each send costs too much.
+/// Health checks return load reports here, but their fee is too high for a load check before each
+/// send.
 #[test]
-fn costly_health_checks_shed_by_latency_as_without_reports() {
+fn shedding_with_costly_health_checks_is_the_same_as_without_load_reports() {
     let costly = settings_with_load_checks(0.08);
     assert_eq!(
         sent_under_saturation(costly),
@@ -48,8 +50,8 @@
     );
 }
 
-/// Answers each health check among the actions with this many requests in flight.
-fn report_load_of_checked(driver: &mut Driver, actions: &[Action], in_flight: f64) -> Vec<Action> {
+/// Ends each health check among the actions with a report of this many requests in flight.
+fn end_load_checks(driver: &mut Driver, actions: &[Action], in_flight: f64) -> Vec<Action> {
     let report = LoadReport {
         in_flight,
         queued: in_flight - 1.0,
@@ -60,10 +62,10 @@
         .collect()
 }
 
-/// Small and large requests of equal priority arrive by turns at a fleet of which each server has
-/// so many in flight: whether the last small one and the last large one, which may take longer,
-/// were sent.
-fn sent_to_full_fleet(in_flight: u64) -> (bool, bool) {
+/// Small and large requests of equal priority arrive alternately at a fleet whose servers each have
+/// the given number of requests in flight. Returns whether the last small and the last large
+/// request were sent. Large requests have a longer latency objective.
+fn last_requests_sent(in_flight: u64) -> (bool, bool) {
     let idempotent = |objective| RequestClass::new(Idempotency::Idempotent, objective, 1_500 * MS);
     let classes = vec![idempotent(400 * MS), idempotent(600 * MS)];
     let mut driver = Driver::new(
@@ -85,7 +87,7 @@
             work_hint: Some(work),
         };
         let mut actions = driver.handle(Event::RequestArrived(incoming));
-        let reported = report_load_of_checked(&mut driver, &actions, in_flight as f64);
+        let reported = end_load_checks(&mut driver, &actions, in_flight as f64);
         actions.extend(reported);
         sent[usize::from(class)] = sent_to(&actions).is_some();
         if let Some(server) = sent_to(&actions) {
@@ -106,9 +108,13 @@
 }
 
 #[test]
-fn full_fleet_rejects_the_least_value_density_first() {
-    let sent: Vec<(bool, bool)> = (1..30).map(sent_to_full_fleet).collect();
-    assert_eq!(sent[0], (true, true), "an idle fleet gets both");
+fn full_fleet_rejects_requests_with_the_lowest_value_density_first() {
+    let sent: Vec<(bool, bool)> = (1..30).map(last_requests_sent).collect();
+    assert_eq!(
+        sent[0],
+        (true, true),
+        "a nearly idle fleet rejected a request"
+    );
     assert!(sent.contains(&(true, false)), "{sent:?}");
     assert!(!sent.contains(&(false, true)), "{sent:?}");
 }
--- a/crates/balancer/tests/balancer/main.rs
+++ b/crates/balancer/tests/balancer/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the balancer by its events and actions.
+//! Integration tests of the balancer: events are passed in and the returned actions are checked.
 
 mod common;
 mod dispatch;
@@ -7,9 +7,9 @@
 mod gossip;
 mod health_check;
 mod load_check;
-mod load_from_responses;
+mod load_reports_in_responses;
 mod load_shedding;
-mod pick;
 mod random_events;
 mod retry;
+mod server_selection;
 mod subset;
--- a/crates/balancer/tests/balancer/pick.rs
+++ b/crates/balancer/tests/balancer/server_selection.rs
@@ -1,4 +1,4 @@
-//! Which server a request goes to.
+//! Selection of the server that a request is sent to.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 use arrowstand_balancer::{Endpoint, MachineType, Outcome};
 
 #[test]
-fn of_two_drawn_servers_the_one_with_fewer_attempts_in_flight_is_picked() {
+fn attempts_in_flight_stay_balanced_between_two_servers() {
     let mut driver = Driver::new(settings(), 2);
     let mut in_flight = BTreeMap::new();
     for _ in 0..200 {
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn server_that_fails_some_attempts_gets_fewer() {
+fn server_that_fails_some_attempts_gets_fewer_requests() {
     let (mut driver, mut attempts) = (Driver::new(settings(), 2), [0, 0]);
     for n in 0..400 {
         let (id, actions) = driver.request(2);
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn larger_machine_is_drawn_more_often_from_the_first_request_on() {
+fn larger_machine_type_gets_more_requests_from_the_start() {
     let large = MachineType {
         id: 1,
         cores: 3.0,
@@ -59,14 +59,14 @@
             ..endpoint(n)
         }));
     }
-    let on_large = (0..800).filter(|_| driver.serve(0).0 < 4).count();
-    // At first three to one; as all take equally long, the stated speeds give way to the measured
-    // latencies.
-    assert!((480..640).contains(&on_large), "{on_large}");
+    let served_by_large = (0..800).filter(|_| driver.serve(0).0 < 4).count();
+    // The stated capacities give a ratio of three to one at first. All servers take equally long,
+    // so measured latencies then replace the stated speeds.
+    assert!((480..640).contains(&served_by_large), "{served_by_large}");
 }
 
 #[test]
-fn latency_of_one_server_counts_for_its_machine_type() {
+fn latency_samples_are_shared_by_all_servers_of_a_machine_type() {
     let machine_type = |n: u32| MachineType {
         id: n / 4,
         ..MachineType::default()
@@ -78,15 +78,15 @@
             ..endpoint(n)
         })));
     });
-    let mut served = |count: u32, of: std::ops::Range<u32>| {
-        let mut seen = 0;
+    let mut sends_to = |servers: std::ops::Range<u32>, count: u32| {
+        let mut sends = 0;
         for _ in 0..count {
             let (id, actions) = driver.request(0);
             let Some(server) = sent_to(&actions) else {
                 continue;
             };
-            // The first three of the second type take four times as long; the last one never
-            // responds.
+            // Servers of the second machine type take four times as long. Attempts at the last one
+            // are cancelled, so it has no latency samples of its own.
             driver.now += if server.0 < 4 { 20 * MS } else { 80 * MS };
             let outcome = if server.0 == 7 {
                 Outcome::Cancelled
@@ -94,14 +94,14 @@
                 Outcome::Served
             };
             driver.end_attempt(id, 0, server, outcome);
-            seen += u32::from(of.contains(&server.0));
+            sends += u32::from(servers.contains(&server.0));
         }
-        seen
+        sends
     };
-    served(600, 0..8);
-    let last = served(2_000, 7..8);
+    sends_to(0..8, 600);
+    let sends_to_last = sends_to(7..8, 2_000);
     assert!(
-        last < 150,
-        "{last} of 2000 went to a server of a slow type; 250 were its equal share"
+        sends_to_last < 150,
+        "{sends_to_last} of 2000 went to a server of a slow machine type (equal share: 250)"
     );
 }
