--- a/crates/balancer/tests/balancer/dispatch.rs
+++ b/crates/balancer/tests/balancer/dispatch.rs
@@ -1,4 +1,4 @@
-//! First attempts of requests, and inputs that are invalid or unknown.
+//! Dispatch of first attempts, and handling of invalid settings and unknown identifiers.
 
 use crate::common::{
     Driver, MS, REQUEST_TIMER_TOKEN, endpoint, endpoint_changed, has_rejection, sent_to, settings,
@@ -9,7 +9,7 @@
 };
 
 #[test]
-fn attempt_times_out_before_an_objective_after_which_responses_are_worthless() {
+fn attempt_times_out_before_the_objective_if_late_responses_have_no_value() {
     let mut driver = Driver::new(settings(), 4);
     for class in 0..3 {
         let (_, actions) = driver.request(class);
@@ -17,12 +17,12 @@
             Action::Send { timeout, .. } => *timeout,
             _ => None,
         });
-        assert!(timeouts.max().expect("sent") < 250 * MS);
+        assert!(timeouts.max().expect("the request is sent") < 250 * MS);
     }
 }
 
 #[test]
-fn request_before_any_server_is_known_is_rejected_once() {
+fn request_is_rejected_exactly_once_if_no_server_is_known() {
     let mut driver = Driver::new(settings(), 0);
     let (_, mut actions) = driver.request(2);
     for _ in 0..20 {
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn request_that_cannot_meet_its_objective_is_rejected_at_once() {
+fn request_with_more_work_than_its_objective_allows_is_rejected_on_arrival() {
     let mut driver = Driver::new(settings(), 3);
     let (id, class) = (RequestId(9_000), ClassId(0));
     let incoming = IncomingRequest {
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn server_in_slow_start_gets_its_share_from_balancers_with_one_request_each() {
+fn server_in_slow_start_gets_its_fraction_of_first_requests_over_many_balancers() {
     let mut sends = 0;
     for seed in 0..800 {
         let mut driver = Driver::with_seed(
@@ -77,21 +77,22 @@
         }));
         sends += u32::from(driver.serve(0) == ServerId(7));
     }
-    // A warm server gets two hundred, one that has just started a quarter of that or a little more.
+    // A warm server gets 200 of the 800 requests. One that has just started gets a quarter of that
+    // or a little more.
     assert!((30..90).contains(&sends), "{sends}");
 }
 
 #[test]
-fn invalid_settings_are_refused_by_name() {
-    let reason = |settings: Settings| {
+fn invalid_settings_are_rejected_with_the_name_of_the_setting() {
+    let error_message = |settings: Settings| {
         Balancer::new(settings, 0)
             .err()
-            .expect("refused")
+            .expect("the settings are rejected")
             .to_string()
     };
-    assert!(reason(Settings::default()).contains("classes"));
+    assert!(error_message(Settings::default()).contains("classes"));
     assert!(
-        reason(Settings {
+        error_message(Settings {
             slow_start: SlowStartSettings {
                 initial_capacity: 0.0,
                 ..settings().slow_start
@@ -101,7 +102,7 @@
         .contains("initial_capacity")
     );
     assert!(
-        reason(Settings {
+        error_message(Settings {
             retries: RetrySettings {
                 max_attempts: 0,
                 ..settings().retries
@@ -110,9 +111,9 @@
         })
         .contains("max_attempts")
     );
-    let mut bad = settings();
-    bad.classes[1].priority_weight = f64::NAN;
-    assert!(reason(bad).contains("classes[1].priority_weight"));
+    let mut invalid = settings();
+    invalid.classes[1].priority_weight = f64::NAN;
+    assert!(error_message(invalid).contains("classes[1].priority_weight"));
 }
 
 #[test]
@@ -149,10 +150,11 @@
     assert_eq!(driver.servers_in_use(), [0, 1]);
 }
 
-/// A balancer starts with a list of servers most of which are gone: connections to them fail, and
-/// no update comes.
+/// The balancer starts with a stale endpoint list: connections to four of five servers fail, and no
+/// update arrives.
 #[test]
-fn stale_list_of_mostly_gone_servers_costs_few_requests_and_is_soon_known() {
+fn most_requests_are_served_although_most_servers_of_a_stale_list_are_gone() {
+    // Requests served in the first and in the second half of the run.
     let (mut early, mut late) = (0, 0);
     for seed in 0..40 {
         let settings_with_handshake_fee = Settings {
@@ -187,6 +189,7 @@
             }
         }
     }
-    // Of 2,400 each: four in five while it is learnt, nine in ten after it.
+    // At least 80 % of the 2,400 requests of the first half, in which failures are detected, and
+    // 90 % of those of the second.
     assert!(early >= 1_920 && late >= 2_160, "{early} {late}");
 }
--- a/crates/balancer/tests/balancer/endpoint_list.rs
+++ b/crates/balancer/tests/balancer/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Following the endpoint list.
+//! Endpoint list updates, and polling after the subscription is lost.
 
 use crate::common::{
     Driver, MS, endpoint, endpoint_changed, sent_to, settings, settings_with_polling,
@@ -8,7 +8,7 @@
 };
 
 #[test]
-fn lost_list_is_polled_again_within_the_longest_interval() {
+fn lost_list_is_always_polled_again_within_the_maximum_poll_interval() {
     let mut driver = Driver::new(settings_with_polling(), 4);
     for _ in 0..8 {
         driver.handle(Event::EndpointsUpdated {
@@ -16,14 +16,14 @@
             version: 0,
             endpoints: vec![],
         });
-        // The longest pause is three quarters of the ten seconds that are allowed.
+        // The longest pause is three quarters of the maximum poll interval of 10 s.
         assert!(driver.advance(7_550 * MS).contains(&Action::PollEndpoints));
     }
 }
 
-/// `crates/sidecar/src/limits.rs` counts on this pause (`MAX_POLL_PAUSE`).
+/// `MAX_POLL_PAUSE` in `crates/sidecar/src/limits/discovery.rs` relies on this bound.
 #[test]
-fn lost_list_is_first_polled_again_within_a_third_of_a_second() {
+fn first_poll_after_a_lost_list_comes_within_325_ms() {
     for seed in 0..400 {
         let mut driver = Driver::with_seed(settings_with_polling(), 4, seed);
         driver.handle(Event::EndpointsUpdated {
@@ -38,15 +38,14 @@
     }
 }
 
-/// Over loads and numbers of servers: at most one request goes to a draining server while the list
-/// is lost, and a server that is listed as ready is used again.
+/// At several request rates and fleet sizes: at most one attempt goes to a draining server while
+/// the list is lost, and a server that is then listed as ready is used again.
 #[test]
-fn server_that_rejects_while_the_list_is_lost_is_avoided_until_an_update() {
-    for (seed, servers, gap) in
+fn server_that_rejects_while_the_list_is_lost_is_not_used_until_an_update() {
+    for (seed, servers, interval_ms) in
         (0..60).map(|n| (n, 3 + n as u32 % 5, [20, 200, 1_500][n as usize % 3]))
     {
-        let list = settings_with_polling();
-        let mut driver = Driver::with_seed(list, servers, seed);
+        let mut driver = Driver::with_seed(settings_with_polling(), servers, seed);
         driver.handle(Event::EndpointsUpdated {
             kind: UpdateKind::Lost,
             version: 0,
@@ -54,13 +53,13 @@
         });
         let mut sends = 0;
         for _ in 0..200 {
-            driver.now += gap * MS;
+            driver.now += interval_ms * MS;
             let (id, actions) = driver.request(0);
             let (mut next, mut attempt) = (sent_to(&actions), 0);
             while let Some(server) = next {
-                let drains = server == ServerId(0);
-                sends += u32::from(drains);
-                let outcome = if drains {
+                let is_draining = server == ServerId(0);
+                sends += u32::from(is_draining);
+                let outcome = if is_draining {
                     Outcome::Rejected
                 } else {
                     Outcome::Served
@@ -69,20 +68,24 @@
                 attempt += 1;
             }
         }
-        assert!(sends <= 1, "seed {seed}: {sends} sends");
+        assert!(
+            sends <= 1,
+            "seed {seed}: {sends} attempts sent to the draining server"
+        );
         driver.handle(endpoint_changed(Endpoint {
             status: EndpointStatus::Draining,
             ..endpoint(1)
         }));
         assert!(
             driver.servers_in_use().contains(&0),
-            "seed {seed}: listed as ready"
+            "seed {seed}: a server listed as ready is not used"
         );
     }
 }
 
+/// A list that shows a draining server as ready without a newer incarnation is stale.
 #[test]
-fn stale_list_does_not_restore_a_draining_server() {
+fn draining_server_that_is_listed_as_ready_is_used_only_after_a_restart() {
     let mut driver = Driver::new(settings(), 4);
     driver.handle(endpoint_changed(Endpoint {
         status: EndpointStatus::Draining,
@@ -99,7 +102,7 @@
 }
 
 #[test]
-fn full_list_removes_servers_it_omits() {
+fn servers_that_a_full_list_omits_are_not_used() {
     let mut driver = Driver::new(settings(), 4);
     let endpoints = (1..4).map(endpoint).collect();
     driver.handle(Event::EndpointsUpdated {
@@ -111,7 +114,7 @@
 }
 
 #[test]
-fn removed_server_stays_in_use_where_only_draining_binds() {
+fn removed_server_but_no_draining_one_is_used_if_removed_servers_are_allowed() {
     let mut driver = Driver::new(
         Settings {
             allow_removed_servers: true,
@@ -130,15 +133,15 @@
     assert_eq!(driver.servers_in_use(), [0, 2, 3]);
 }
 
-/// The figure for the fleet: polls in the time that a discovery of four calls a second needs to
-/// respond to all once.
+/// Limits the polls of all balancers together in 25 s, the time in which a discovery service that
+/// handles four calls per second can respond to each of 100 balancers once.
 #[test]
-fn hundred_balancers_that_lost_their_list_do_not_saturate_discovery() {
+fn polls_of_100_balancers_that_lost_their_list_do_not_saturate_discovery() {
     let (mut polls, mut max_pause) = (0, 0);
     for seed in 0..100 {
         let settings = settings_with_polling();
         let mut driver = Driver::with_seed(settings, 4, seed);
-        let lost = |driver: &mut Driver| {
+        let lose_list = |driver: &mut Driver| {
             let (kind, version, endpoints) = (UpdateKind::Lost, 0, Vec::new());
             driver.handle(Event::EndpointsUpdated {
                 kind,
@@ -146,19 +149,19 @@
                 endpoints,
             });
         };
-        lost(&mut driver);
-        let mut last = driver.now;
+        lose_list(&mut driver);
+        let mut last_poll_at = driver.now;
         for _ in 0..25_000 / 25 {
             if driver.advance(25 * MS).contains(&Action::PollEndpoints) {
-                max_pause = max_pause.max(driver.now - last);
-                last = driver.now;
+                max_pause = max_pause.max(driver.now - last_poll_at);
+                last_poll_at = driver.now;
                 polls += 1;
-                lost(&mut driver);
+                lose_list(&mut driver);
             }
         }
     }
-    // Eight polls each in 25 s, half of them in the first three; none waits longer than the longest
-    // interval.
+    // At most eight polls per balancer in 25 s, half of them in the first three seconds. No pause
+    // is longer than the maximum poll interval.
     assert!(
         polls <= 800 && max_pause <= 10_000 * MS,
         "{polls} {max_pause}"
--- a/crates/balancer/tests/balancer/failure_detector.rs
+++ b/crates/balancer/tests/balancer/failure_detector.rs
@@ -40,7 +40,7 @@
             break;
         }
         let (id, actions) = driver.request(2);
-        let server = sent_to(&actions).expect("sent");
+        let server = sent_to(&actions).expect("the request is sent");
         if server == ServerId(0) {
             unanswered.push(id);
         } else {
@@ -67,7 +67,7 @@
     let mut driver = Driver::new(settings(), 4);
     for _ in 0..60 {
         let (id, actions) = driver.request(2);
-        let server = sent_to(&actions).expect("sent");
+        let server = sent_to(&actions).expect("the request is sent");
         let outcome = if server == ServerId(0) {
             Outcome::ServerError
         } else {
@@ -85,7 +85,7 @@
     let mut ejections = 0;
     for n in 0..300 {
         let (id, actions) = driver.request(2);
-        let server = sent_to(&actions).expect("sent");
+        let server = sent_to(&actions).expect("the request is sent");
         driver.now += 5 * MS;
         let outcome = if n % 5 < 2 {
             Outcome::ServerError
@@ -103,7 +103,7 @@
         (Driver::new(settings(), 10), fastrand::Rng::with_seed(1), 0);
     for _ in 0..2_000 {
         let (id, actions) = driver.request(2);
-        let server = sent_to(&actions).expect("sent");
+        let server = sent_to(&actions).expect("the request is sent");
         driver.now += 5 * MS;
         let outcome = if rng.u8(0..100) < 10 {
             Outcome::Reset
@@ -123,7 +123,7 @@
     for _ in 0..60 {
         driver.now += 1_000 * MS;
         let (id, actions) = driver.request(2);
-        let server = sent_to(&actions).expect("sent");
+        let server = sent_to(&actions).expect("the request is sent");
         let outcome = if server == ServerId(3) {
             Outcome::ConnectFailed
         } else {
--- a/crates/balancer/tests/balancer/health_check.rs
+++ b/crates/balancer/tests/balancer/health_check.rs
@@ -37,7 +37,7 @@
 fn server_of_a_failed_attempt_is_checked_next() {
     let mut driver = Driver::new(settings(), 6);
     let (id, actions) = driver.request(0);
-    let server = sent_to(&actions).expect("sent");
+    let server = sent_to(&actions).expect("the request is sent");
     driver.end_attempt(id, 0, server, Outcome::Reset);
     assert_eq!(checked_servers(&driver.tick()), [server]);
 }
@@ -100,7 +100,7 @@
     let mut checked = Vec::new();
     for n in 0..400 {
         let (id, actions) = driver.request(2);
-        let server = sent_to(&actions).expect("sent");
+        let server = sent_to(&actions).expect("the request is sent");
         driver.end_attempt(
             id,
             0,
@@ -138,7 +138,7 @@
     // A server that also fails attempts is ejected nevertheless.
     for _ in 0..60 {
         let (id, actions) = driver.request(2);
-        let server = sent_to(&actions).expect("sent");
+        let server = sent_to(&actions).expect("the request is sent");
         let outcome = if server == ServerId(3) {
             Outcome::ConnectFailed
         } else {
--- a/crates/balancer/tests/balancer/load_check.rs
+++ b/crates/balancer/tests/balancer/load_check.rs
@@ -1,4 +1,4 @@
-//! Load reports and the load checks before a send.
+//! Load checks before a send, and the load reports that they return.
 
 use crate::common::{
     Driver, MS, REQUEST_TIMER_TOKEN, checked_servers, gossip_messages, has_rejection, sent_to,
@@ -10,58 +10,58 @@
 };
 
 #[test]
-fn servers_that_report_load_of_others_are_avoided() {
+fn requests_go_to_the_server_that_reports_no_load() {
     let mut driver = Driver::new(settings_with_load_checks(0.001), 4);
     for _ in 0..30 {
         let (id, arrival) = driver.request(0);
-        let mut last = Vec::new();
+        let mut actions = Vec::new();
         for server in checked_servers(&arrival) {
-            let reported = if server == ServerId(3) { 0.0 } else { 2.0 };
+            let in_flight = if server == ServerId(3) { 0.0 } else { 2.0 };
             let report = Some(LoadReport {
-                in_flight: reported,
+                in_flight,
                 queued: 0.0,
             });
-            last = driver.report_load(server, report);
+            actions = driver.report_load(server, report);
         }
-        assert_eq!(sent_to(&last), Some(ServerId(3)));
+        assert_eq!(sent_to(&actions), Some(ServerId(3)));
         driver.now += 30 * MS;
         driver.end_attempt(id, 0, ServerId(3), Outcome::Served);
     }
 }
 
 #[test]
-fn reports_below_the_known_attempts_in_flight_are_not_believed() {
+fn load_reports_below_the_known_attempts_in_flight_are_ignored() {
     let mut driver = Driver::new(settings_with_load_checks(0.001), 4);
-    let mut to_idle_reporter = Vec::new();
+    let mut requests_to_server_0 = Vec::new();
     for _ in 0..40 {
-        // Server 0 always reports to be idle, and ends no attempt; the others report five requests
-        // each.
+        // Server 0 always reports that it is idle, and its attempts never end. The others report
+        // five requests each.
         let (id, arrival) = driver.request(2);
         driver.now += MS;
-        let mut last = Vec::new();
+        let mut actions = Vec::new();
         for server in checked_servers(&arrival) {
-            let reported = if server == ServerId(0) { 0.0 } else { 5.0 };
+            let in_flight = if server == ServerId(0) { 0.0 } else { 5.0 };
             let report = Some(LoadReport {
-                in_flight: reported,
+                in_flight,
                 queued: 0.0,
             });
-            last.extend(driver.report_load(server, report));
+            actions.extend(driver.report_load(server, report));
         }
-        match sent_to(&last) {
-            Some(ServerId(0)) => to_idle_reporter.push(id),
+        match sent_to(&actions) {
+            Some(ServerId(0)) => requests_to_server_0.push(id),
             Some(other) => drop(driver.end_attempt(id, 0, other, Outcome::Served)),
             None => {}
         }
     }
     assert!(
-        (1..5).contains(&to_idle_reporter.len()),
+        (1..5).contains(&requests_to_server_0.len()),
         "{}",
-        to_idle_reporter.len()
+        requests_to_server_0.len()
     );
 }
 
 #[test]
-fn server_whose_load_check_failed_does_not_look_idle() {
+fn server_whose_load_check_failed_is_not_preferred_to_a_busy_one() {
     let mut driver = Driver::new(settings_with_load_checks(0.001), 3);
     let (_, arrival) = driver.request(0);
     driver.end_health_check(checked_servers(&arrival)[0], Outcome::ConnectFailed);
@@ -69,15 +69,15 @@
         in_flight: 1.0,
         queued: 0.0,
     });
-    let mut last = Vec::new();
+    let mut actions = Vec::new();
     for &server in &checked_servers(&arrival)[1..] {
-        last = driver.report_load(server, busy);
+        actions = driver.report_load(server, busy);
     }
-    assert!(sent_to(&last).is_some_and(|server| server != checked_servers(&arrival)[0]));
+    assert!(sent_to(&actions).is_some_and(|server| server != checked_servers(&arrival)[0]));
 }
 
 #[test]
-fn client_with_little_time_gets_a_send_or_a_rejection_within_it() {
+fn request_with_little_time_left_is_sent_or_rejected_in_time() {
     let mut driver = Driver::new(settings_with_load_checks(0.0), 4);
     let incoming = |id, time_left| IncomingRequest {
         id,
@@ -85,12 +85,13 @@
         time_left,
         work_hint: None,
     };
-    // Less than any service takes: rejected at once.
-    let (id, short) = (RequestId(9_001), 3 * MS);
+    // Less time than any request takes: rejected on arrival.
+    let (id, too_short) = (RequestId(9_001), 3 * MS);
     assert!(has_rejection(
-        &driver.handle(Event::RequestArrived(incoming(id, short)))
+        &driver.handle(Event::RequestArrived(incoming(id, too_short)))
     ));
-    // Enough for a quick one: sent, though no load check ends, well before the client leaves.
+    // Enough time for a fast response: sent well before the client's deadline, although no load
+    // check has ended.
     let (id, enough) = (RequestId(9_002), 60 * MS);
     let mut actions = driver.handle(Event::RequestArrived(incoming(id, enough)));
     driver.now += 5 * MS;
@@ -101,17 +102,17 @@
 }
 
 #[test]
-fn where_most_load_checks_fail_an_idle_report_is_preferred_and_a_busy_one_is_not() {
-    for (reported, preferred) in [(0.0, true), (5.0, false)] {
+fn while_most_load_checks_fail_only_a_report_of_an_idle_server_is_used() {
+    for (in_flight, is_preferred) in [(0.0, true), (5.0, false)] {
         let mut driver = Driver::new(settings_with_load_checks(0.0), 10);
         (1..10).for_each(|n| drop(driver.end_health_check(ServerId(n), Outcome::TimedOut)));
-        let mut chosen = 0;
+        let mut sends_to_server_0 = 0;
         for _ in 0..200 {
             driver.now += 100 * MS;
             let (id, actions) = driver.request(2);
             if checked_servers(&actions).contains(&ServerId(0)) {
                 let report = Some(LoadReport {
-                    in_flight: reported,
+                    in_flight,
                     queued: 0.0,
                 });
                 driver.report_load(ServerId(0), report);
@@ -122,16 +123,20 @@
             })) else {
                 continue;
             };
-            chosen += usize::from(server == ServerId(0));
+            sends_to_server_0 += usize::from(server == ServerId(0));
             driver.now += 40 * MS;
             driver.end_attempt(id, 0, server, Outcome::Served);
         }
-        assert_eq!(chosen > 60, preferred, "{reported} {chosen}");
+        assert_eq!(
+            sends_to_server_0 > 60,
+            is_preferred,
+            "{in_flight} {sends_to_server_0}"
+        );
     }
 }
 
 #[test]
-fn failed_load_checks_do_not_each_request_indirect_checks() {
+fn failed_load_checks_cause_few_requests_for_indirect_checks() {
     let settings = Settings {
         host: HostCapabilities {
             load_reports_in_health_checks: true,
@@ -160,7 +165,7 @@
             messages += gossip_messages(&driver.end_health_check(server, Outcome::TimedOut)).len();
         }
     }
-    // Ten seconds: at most four scheduled health checks a second, each with three requests for
-    // indirect checks and one message.
+    // In 10 s, at most four scheduled health checks per second, each with three requests for
+    // indirect checks and one message of suspicions.
     assert!(messages <= 160, "{messages}");
 }
--- a/crates/balancer/tests/balancer/load_reports_in_responses.rs
+++ b/crates/balancer/tests/balancer/load_reports_in_responses.rs
@@ -1,5 +1,5 @@
-//! Deployments where responses tell of load, requests tell of their work and late responses keep
-//! some value.
+//! Deployments where responses carry load reports, requests carry work hints and late responses
+//! keep some value.
 
 mod emulated_fleet;
 
@@ -9,8 +9,9 @@
 };
 use emulated_fleet::Fleet;
 
-/// No load checks before a send; a late response keeps a fifth of its value.
-fn settings_with_load_in_responses() -> Settings {
+/// Settings where responses carry load reports, health checks are too costly for load checks, and a
+/// late response keeps a fifth of its value.
+fn settings_with_load_reports_in_responses() -> Settings {
     let mut base = settings();
     base.classes
         .iter_mut()
@@ -30,34 +31,34 @@
 }
 
 #[test]
-fn burst_leaves_no_congestion_behind() {
+fn fleet_recovers_within_2_s_after_a_burst() {
     for seed in 0..5 {
-        let mut fleet = Fleet::new(settings_with_load_in_responses(), 6, seed);
+        let mut fleet = Fleet::new(settings_with_load_reports_in_responses(), 6, seed);
         fleet.load(0.6, 10);
-        fleet.counts();
+        fleet.take_counts();
         fleet.load(2.4, 6);
-        let (in_time, late, rejected) = fleet.counts();
+        let (in_time, late, rejected) = fleet.take_counts();
         assert!(
             rejected > 0 && in_time > 2 * late,
-            "the burst: {in_time} {late} {rejected}"
+            "during the burst: {in_time} {late} {rejected}"
         );
         fleet.load(0.6, 2);
-        fleet.counts();
+        fleet.take_counts();
         fleet.load(0.6, 5);
-        let (in_time, late, rejected) = fleet.counts();
+        let (in_time, late, rejected) = fleet.take_counts();
         assert!(
             in_time > 20 * (late + rejected),
-            "after it: {in_time} {late} {rejected}"
+            "after the burst: {in_time} {late} {rejected}"
         );
     }
 }
 
 #[test]
-fn fleet_with_capacity_rejects_hardly_anything() {
+fn fleet_below_capacity_serves_nearly_all_requests_in_time() {
     for seed in 0..5 {
-        let mut fleet = Fleet::new(settings_with_load_in_responses(), 6, seed);
+        let mut fleet = Fleet::new(settings_with_load_reports_in_responses(), 6, seed);
         fleet.load(0.7, 15);
-        let (in_time, late, rejected) = fleet.counts();
+        let (in_time, late, rejected) = fleet.take_counts();
         assert!(
             rejected * 100 < in_time && late * 50 < in_time,
             "{in_time} {late} {rejected}"
@@ -66,7 +67,7 @@
 }
 
 fn settings_with_long_slow_start() -> Settings {
-    let base = settings_with_load_in_responses();
+    let base = settings_with_load_reports_in_responses();
     Settings {
         slow_start: SlowStartSettings {
             initial_capacity: 0.2,
@@ -77,10 +78,10 @@
     }
 }
 
-/// All servers restart at once under full load, and now and then a request is as large as all that
-/// one of them may get in the overload window.
+/// All servers restart at the same time at 80 % load. Once per second a request arrives that has
+/// about as much work as one server may be sent within the overload window at first.
 #[test]
-fn fleet_wholly_in_slow_start_is_not_overloaded() {
+fn servers_are_not_overloaded_if_all_are_in_slow_start_at_once() {
     for seed in 0..6 {
         let settings = settings_with_long_slow_start();
         let slow_start = settings.slow_start;
@@ -98,8 +99,8 @@
         fleet.sends.clear();
         for _ in 0..8 {
             let speed = slow_start_factor(fleet.driver.now);
-            for server_model in &mut fleet.servers {
-                server_model.speed = speed;
+            for server in &mut fleet.servers {
+                server.speed = speed;
             }
             fleet.arrive(1_450.0);
             fleet.load(0.3, 1);
@@ -116,32 +117,33 @@
                 / 1_000.0;
             assert!(
                 sent <= max_work,
-                "seed {seed}, {} ms after the start: {sent} of {max_work} ms",
+                "seed {seed}, {} ms after the restart: {sent} of at most {max_work} ms of work",
                 (at - started_at) / MS
             );
         }
     }
 }
 
-/// A quarter of the requests is hinted far too low and a quarter far too high, or not at all.
+/// A quarter of the requests has a wrong work hint: far too low, far too high or missing, in one
+/// run each.
 #[test]
-fn wrong_or_missing_work_hints_cause_no_congestion() {
+fn most_requests_are_served_in_time_despite_wrong_or_missing_work_hints() {
     for wrong in [Some(1), Some(60_000_000), None] {
-        let mut fleet = Fleet::new(settings_with_load_in_responses(), 6, 3);
+        let mut fleet = Fleet::new(settings_with_load_reports_in_responses(), 6, 3);
         let mut rng = fastrand::Rng::with_seed(9);
         for _ in 0..15 * 200 {
-            // Six servers of two cores do 60 ms of work in 5 ms; a request takes 40.
+            // Six servers with two cores each do 60 ms of work in 5 ms. A request takes 40 ms.
             if rng.f64() < 0.6 * 60.0 / 40.0 {
                 let hint = if rng.f64() < 0.25 {
                     wrong
                 } else {
                     Some(40_000)
                 };
-                fleet.arrive_with_hint(40.0, hint);
+                fleet.arrive_with_work_hint(40.0, hint);
             }
             fleet.step();
         }
-        let (in_time, late, rejected) = fleet.counts();
+        let (in_time, late, rejected) = fleet.take_counts();
         assert!(
             in_time > 2 * (late + rejected),
             "{wrong:?}: {in_time} {late} {rejected}"
--- a/crates/balancer/tests/balancer/retry.rs
+++ b/crates/balancer/tests/balancer/retry.rs
@@ -1,4 +1,4 @@
-//! Whether and where a request is sent again.
+//! Retries: whether a request is retried, and on which server.
 
 use crate::common::{
     Driver, MS, class, endpoint, endpoint_changed, has_failure, has_rejection, sent_to, settings,
@@ -7,39 +7,40 @@
     DeduplicationScope, Endpoint, Idempotency, Micros, Outcome, RequestClass, ServerId,
 };
 
-/// What the balancer does at the end of an attempt.
+/// What the balancer does after the end of an attempt.
 #[derive(Debug, PartialEq)]
-enum Next {
+enum NextStep {
     Retried { same_cell: bool },
     Rejected,
     Failed,
 }
 
-/// What follows a first attempt of this class that ended so `end_of_attempt` this time.
-fn next_step(class: RequestClass, outcome: Outcome, wait: Micros) -> Next {
+/// Returns what follows a first attempt of the given class that ended with the given outcome,
+/// `elapsed` after it was sent.
+fn next_step(class: RequestClass, outcome: Outcome, elapsed: Micros) -> NextStep {
     let mut settings = settings();
     settings.classes = vec![class];
     let mut driver = Driver::new(settings, 8);
     let (id, actions) = driver.request(0);
-    let first = sent_to(&actions).expect("sent");
-    driver.now += wait;
+    let first = sent_to(&actions).expect("the request is sent");
+    driver.now += elapsed;
     let actions = driver.end_attempt(id, 0, first, outcome);
     match (
         sent_to(&actions),
         has_rejection(&actions),
         has_failure(&actions),
     ) {
-        (Some(second), false, false) => Next::Retried {
+        (Some(second), false, false) => NextStep::Retried {
             same_cell: second.0 / 2 == first.0 / 2,
         },
-        (None, true, false) => Next::Rejected,
-        (None, false, true) => Next::Failed,
-        other => panic!("not one answer: {other:?}"),
+        (None, true, false) => NextStep::Rejected,
+        (None, false, true) => NextStep::Failed,
+        other => panic!("expected one retry or final response: {other:?}"),
     }
 }
 
 #[test]
-fn retry_follows_idempotency_and_outcome() {
+fn retry_depends_on_idempotency_and_on_whether_the_attempt_may_have_executed() {
     use Outcome::{ConnectFailed, Rejected, Reset, ServerError};
     for outcome in [ConnectFailed, Rejected] {
         for idempotency in [
@@ -49,7 +50,7 @@
         ] {
             let next = next_step(class(idempotency), outcome, 5 * MS);
             assert!(
-                matches!(next, Next::Retried { .. }),
+                matches!(next, NextStep::Retried { .. }),
                 "{idempotency:?} {outcome:?}"
             );
         }
@@ -58,42 +59,42 @@
         let next = |idempotency| next_step(class(idempotency), outcome, 5 * MS);
         assert!(matches!(
             next(Idempotency::Idempotent),
-            Next::Retried { .. }
+            NextStep::Retried { .. }
         ));
         assert_eq!(
             next(Idempotency::IdempotencyKey),
-            Next::Retried { same_cell: true }
+            NextStep::Retried { same_cell: true }
         );
-        assert_eq!(next(Idempotency::NonIdempotent), Next::Failed);
+        assert_eq!(next(Idempotency::NonIdempotent), NextStep::Failed);
     }
 }
 
 #[test]
-fn closed_deduplication_window_ends_a_request_with_idempotency_key() {
-    let short = RequestClass {
+fn request_with_idempotency_key_is_not_retried_near_the_end_of_its_deduplication_window() {
+    let short_window = RequestClass {
         deduplication_window: 60 * MS,
         ..class(Idempotency::IdempotencyKey)
     };
     assert!(matches!(
-        next_step(short.clone(), Outcome::Reset, 5 * MS),
-        Next::Retried { .. }
+        next_step(short_window.clone(), Outcome::Reset, 5 * MS),
+        NextStep::Retried { .. }
     ));
     assert_eq!(
-        next_step(short.clone(), Outcome::Reset, 20 * MS),
-        Next::Failed
+        next_step(short_window.clone(), Outcome::Reset, 20 * MS),
+        NextStep::Failed
     );
-    let everywhere = RequestClass {
+    let shared_by_all_servers = RequestClass {
         deduplication_scope: DeduplicationScope::All,
-        ..short
+        ..short_window
     };
     assert_eq!(
-        next_step(everywhere, Outcome::Reset, 20 * MS),
-        Next::Rejected
+        next_step(shared_by_all_servers, Outcome::Reset, 20 * MS),
+        NextStep::Rejected
     );
 }
 
 #[test]
-fn retries_spare_servers_in_slow_start() {
+fn retries_are_not_sent_to_servers_in_slow_start() {
     let mut driver = Driver::new(settings(), 1);
     let incarnation = Some(driver.now);
     driver.handle(endpoint_changed(Endpoint {
@@ -111,7 +112,7 @@
 }
 
 #[test]
-fn fleet_that_rejects_does_not_get_requests_several_times() {
+fn retries_are_limited_if_all_servers_reject() {
     let mut driver = Driver::new(settings(), 40);
     let mut retries = 0;
     for _ in 0..400 {
@@ -128,11 +129,15 @@
 }
 
 #[test]
-fn attempt_that_used_up_its_objective_is_not_retried() {
+fn request_is_rejected_if_its_attempt_used_up_the_objective() {
     let mut driver = Driver::new(settings(), 4);
     let (id, actions) = driver.request(0);
     driver.now += 248 * MS;
-    let end_of_attempt =
-        driver.end_attempt(id, 0, sent_to(&actions).expect("sent"), Outcome::TimedOut);
-    assert!(sent_to(&end_of_attempt).is_none() && has_rejection(&end_of_attempt));
+    let actions_at_end = driver.end_attempt(
+        id,
+        0,
+        sent_to(&actions).expect("the request is sent"),
+        Outcome::TimedOut,
+    );
+    assert!(sent_to(&actions_at_end).is_none() && has_rejection(&actions_at_end));
 }
--- a/crates/balancer/tests/balancer/server_selection.rs
+++ b/crates/balancer/tests/balancer/server_selection.rs
@@ -12,7 +12,7 @@
     for _ in 0..200 {
         let (_, actions) = driver.request(0);
         *in_flight
-            .entry(sent_to(&actions).expect("sent"))
+            .entry(sent_to(&actions).expect("the request is sent"))
             .or_insert(0) += 1;
         if in_flight.values().sum::<i32>() >= 10 {
             break;
@@ -27,7 +27,7 @@
     let (mut driver, mut attempts) = (Driver::new(settings(), 2), [0, 0]);
     for n in 0..400 {
         let (id, actions) = driver.request(2);
-        let server = sent_to(&actions).expect("sent");
+        let server = sent_to(&actions).expect("the request is sent");
         attempts[server.0 as usize] += 1;
         driver.now += 5 * MS;
         let outcome = if server.0 == 0 && n % 3 == 0 {
--- a/crates/balancer/tests/balancer/subset.rs
+++ b/crates/balancer/tests/balancer/subset.rs
@@ -1,4 +1,4 @@
-//! The subset of the fleet that a balancer uses.
+//! Size, stability and spread of the subset of the fleet that a balancer uses.
 
 use std::collections::BTreeSet;
 
@@ -6,8 +6,8 @@
 use arrowstand_balancer::{BalancerIdentity, Fees, Micros, ServerId, Settings};
 
 #[test]
-fn costly_connections_keep_each_balancer_to_a_small_stable_subset() {
-    let mut all = vec![0; 64];
+fn costly_connections_limit_each_balancer_to_a_small_and_stable_subset() {
+    let mut balancer_counts = vec![0; 64];
     for index in 0..200 {
         let settings = Settings {
             fees: Fees {
@@ -26,9 +26,9 @@
         assert!((3..=5).contains(&first.len()), "{first:?}");
         let mut cells: Vec<u32> = first.iter().map(|n| n / 2).collect();
         cells.dedup();
-        assert_eq!(cells.len(), first.len(), "one of each cell");
+        assert_eq!(cells.len(), first.len(), "two servers of one cell");
         for &n in &first {
-            all[n as usize] += 1;
+            balancer_counts[n as usize] += 1;
         }
         driver.handle(endpoint_changed(endpoint(64)));
         let kept = driver
@@ -38,11 +38,16 @@
             .count();
         assert!(kept + 1 >= first.len());
     }
-    assert!(all.iter().all(|&users| (2..30).contains(&users)), "{all:?}");
+    assert!(
+        balancer_counts
+            .iter()
+            .all(|&balancers| (2..30).contains(&balancers)),
+        "{balancer_counts:?}"
+    );
 }
 
 #[test]
-fn suspected_server_is_replaced_from_outside_the_subset() {
+fn suspected_server_is_replaced_by_one_from_outside_the_subset() {
     let settings = Settings {
         fees: Fees {
             connection: 0.05,
@@ -61,11 +66,12 @@
     assert!(!next.contains(&first[0]) && next.len() >= first.len());
 }
 
-/// Servers in use by a balancer with a request at each pause, before 60 servers.
-fn subset_of_sixty(fee: f64, pause: Micros, seed: u64) -> BTreeSet<u32> {
-    let fees = Settings {
+/// Returns the servers that a balancer sends 300 requests to in a fleet of 60, after 300 requests
+/// that establish its request rate. Each request arrives `interval` after the last response.
+fn subset_of_sixty_servers(handshake_fee: f64, interval: Micros, seed: u64) -> BTreeSet<u32> {
+    let settings_with_handshake_fee = Settings {
         fees: Fees {
-            handshake: fee,
+            handshake: handshake_fee,
             ..settings().fees
         },
         identity: BalancerIdentity {
@@ -75,9 +81,9 @@
         },
         ..settings()
     };
-    let mut driver = Driver::with_seed(fees, 60, seed);
+    let mut driver = Driver::with_seed(settings_with_handshake_fee, 60, seed);
     let mut serve = || {
-        driver.now += pause;
+        driver.now += interval;
         driver.serve(0).0
     };
     for _ in 0..300 {
@@ -87,30 +93,30 @@
 }
 
 #[test]
-fn costly_handshakes_keep_a_quiet_balancer_to_few_servers_and_let_a_busy_one_spread() {
-    let quiet = subset_of_sixty(0.08, 50 * MS, 1).len();
-    let busy = subset_of_sixty(0.08, 0, 1).len();
+fn subset_grows_with_the_request_rate_if_handshakes_are_costly() {
+    let at_low_rate = subset_of_sixty_servers(0.08, 50 * MS, 1).len();
+    let at_high_rate = subset_of_sixty_servers(0.08, 0, 1).len();
     assert!(
-        (4..=10).contains(&quiet) && busy > 2 * quiet,
-        "{quiet} {busy}"
+        (4..=10).contains(&at_low_rate) && at_high_rate > 2 * at_low_rate,
+        "{at_low_rate} {at_high_rate}"
     );
-    assert!(subset_of_sixty(0.0, 50 * MS, 1).len() >= 24);
+    assert!(subset_of_sixty_servers(0.0, 50 * MS, 1).len() >= 24);
 }
 
-/// The figure for the fleet: connections that all balancers together keep open to one server. It
-/// follows the requests that the server gets, not the number of balancers, but for the smallest
-/// subset of each.
+/// Limits the connections that all balancers together keep open to one server. Their number depends
+/// on the requests that the server gets and not on the number of balancers, apart from the minimum
+/// subset size.
 #[test]
-fn hundred_quiet_balancers_spread_their_subsets_over_all_servers() {
-    let mut users = [0; 60];
+fn subsets_of_100_balancers_with_low_request_rates_spread_over_all_servers() {
+    let mut balancer_counts = [0; 60];
     for seed in 0..100 {
-        for n in subset_of_sixty(0.08, 80 * MS, seed) {
-            users[n as usize] += 1;
+        for n in subset_of_sixty_servers(0.08, 80 * MS, seed) {
+            balancer_counts[n as usize] += 1;
         }
     }
     let (least, most) = (
-        users.iter().min().expect("60"),
-        users.iter().max().expect("60"),
+        balancer_counts.iter().min().expect("60 servers"),
+        balancer_counts.iter().max().expect("60 servers"),
     );
-    assert!(*least >= 1 && *most <= 20, "{users:?}");
+    assert!(*least >= 1 && *most <= 20, "{balancer_counts:?}");
 }
