--- a/crates/balancer/tests/balancer/health_check.rs
+++ b/crates/balancer/tests/balancer/health_check.rs
@@ -1,17 +1,17 @@
-//! Which servers are checked, and what health checks lead to.
+//! Scheduling of health checks, and the effect of their results.
 
 use crate::common::{
-    Driver, MS, has_ejection, has_readmission, health_checks, sent_to, server_events, settings,
+    Driver, MS, checked_servers, has_ejection, has_readmission, sent_to, server_events, settings,
     settings_with_health_check_fee,
 };
 use arrowstand_balancer::{Outcome, ServerEvent, ServerId};
 
 #[test]
-fn every_interval_checks_one_random_server() {
+fn one_random_server_is_checked_per_interval() {
     let mut driver = Driver::new(settings_with_health_check_fee(0.0), 6);
     let mut checked = Vec::new();
     for _ in 0..40 {
-        let started = health_checks(&driver.advance(1_000 * MS));
+        let started = checked_servers(&driver.advance(1_000 * MS));
         assert_eq!(started.len(), 1);
         driver.end_health_check(started[0], Outcome::Served);
         checked.push(started[0].0);
@@ -22,31 +22,34 @@
 }
 
 #[test]
-fn costly_health_checks_come_seldom_however_many_servers_are_suspected() {
+fn costly_health_checks_stay_rare_when_many_servers_are_suspected() {
     let mut driver = Driver::new(settings_with_health_check_fee(0.05), 60);
-    let calm = health_checks(&driver.advance(40_000 * MS)).len();
-    assert!((6..=9).contains(&calm), "{calm}");
+    let checks_without_suspects = checked_servers(&driver.advance(40_000 * MS)).len();
+    assert!(
+        (6..=9).contains(&checks_without_suspects),
+        "{checks_without_suspects}"
+    );
     (0..25).for_each(|n| drop(driver.fail_health_checks(ServerId(n))));
-    assert!(health_checks(&driver.advance(40_000 * MS)).len() <= 40);
+    assert!(checked_servers(&driver.advance(40_000 * MS)).len() <= 40);
 }
 
 #[test]
-fn failed_attempt_makes_its_server_the_next_to_be_checked() {
+fn server_of_a_failed_attempt_is_checked_next() {
     let mut driver = Driver::new(settings(), 6);
     let (id, actions) = driver.request(0);
-    let server = sent_to(&actions).expect("sent");
+    let server = sent_to(&actions).expect("the request is sent");
     driver.end_attempt(id, 0, server, Outcome::Reset);
-    assert_eq!(health_checks(&driver.tick()), [server]);
+    assert_eq!(checked_servers(&driver.tick()), [server]);
 }
 
 #[test]
-fn failed_health_check_is_confirmed_by_a_second_before_suspicion() {
+fn server_is_ejected_only_after_a_second_failed_health_check() {
     let mut driver = Driver::new(settings(), 4);
     assert!(!has_ejection(
         &driver.end_health_check(ServerId(0), Outcome::TimedOut)
     ));
     let later = driver.advance(300 * MS);
-    assert!(health_checks(&later).contains(&ServerId(0)));
+    assert!(checked_servers(&later).contains(&ServerId(0)));
     assert!(has_ejection(
         &driver.end_health_check(ServerId(0), Outcome::TimedOut)
     ));
@@ -54,7 +57,7 @@
 }
 
 #[test]
-fn second_health_check_that_succeeds_raises_no_suspicion() {
+fn server_stays_in_use_if_the_second_health_check_succeeds() {
     let mut driver = Driver::new(settings(), 4);
     driver.end_health_check(ServerId(0), Outcome::TimedOut);
     driver.advance(300 * MS);
@@ -63,26 +66,26 @@
 }
 
 #[test]
-fn suspected_server_is_declared_dead_still_checked_and_readmitted() {
+fn dead_server_is_still_checked_and_readmitted_after_a_successful_check() {
     let mut driver = Driver::new(settings(), 4);
     driver.fail_health_checks(ServerId(0));
-    let mut dead = false;
+    let mut declared_dead = false;
     for _ in 0..40 {
         let actions = driver.advance(250 * MS);
-        dead |= server_events(&actions).contains(&ServerEvent::DeclaredDead);
-        if health_checks(&actions).contains(&ServerId(0)) {
+        declared_dead |= server_events(&actions).contains(&ServerEvent::DeclaredDead);
+        if checked_servers(&actions).contains(&ServerId(0)) {
             driver.end_health_check(ServerId(0), Outcome::TimedOut);
         }
     }
-    assert!(dead);
-    assert!(health_checks(&driver.advance(1_500 * MS)).contains(&ServerId(0)));
+    assert!(declared_dead);
+    assert!(checked_servers(&driver.advance(1_500 * MS)).contains(&ServerId(0)));
     assert!(has_readmission(
         &driver.end_health_check(ServerId(0), Outcome::Served)
     ));
 }
 
 #[test]
-fn health_checks_that_fail_everywhere_do_not_empty_the_fleet() {
+fn at_least_half_of_the_servers_stay_in_use_if_all_health_checks_fail() {
     let mut driver = Driver::new(settings(), 6);
     (0..6).for_each(|n| {
         driver.fail_health_checks(ServerId(n));
@@ -91,13 +94,13 @@
 }
 
 #[test]
-fn suspected_server_is_checked_while_attempts_fail_all_the_time() {
+fn suspected_server_gets_its_share_of_checks_while_attempts_keep_failing() {
     let mut driver = Driver::new(settings(), 6);
     driver.fail_health_checks(ServerId(5));
     let mut checked = Vec::new();
     for n in 0..400 {
         let (id, actions) = driver.request(2);
-        let server = sent_to(&actions).expect("sent");
+        let server = sent_to(&actions).expect("the request is sent");
         driver.end_attempt(
             id,
             0,
@@ -108,7 +111,7 @@
                 Outcome::Served
             },
         );
-        let started = health_checks(&driver.advance(25 * MS));
+        let started = checked_servers(&driver.advance(25 * MS));
         for &server in &started {
             let outcome = if server.0 == 5 {
                 Outcome::TimedOut
@@ -119,12 +122,12 @@
         }
         checked.extend(started);
     }
-    let suspect = checked.iter().filter(|server| server.0 == 5).count();
-    assert!(3 * suspect >= checked.len(), "{checked:?}");
+    let checks_of_suspect = checked.iter().filter(|server| server.0 == 5).count();
+    assert!(3 * checks_of_suspect >= checked.len(), "{checked:?}");
 }
 
 #[test]
-fn attempts_decide_where_most_health_checks_fail() {
+fn only_attempts_eject_servers_while_most_health_checks_fail() {
     let mut driver = Driver::new(settings(), 10);
     for n in 0..7 {
         driver.end_health_check(ServerId(n), Outcome::TimedOut);
@@ -132,18 +135,18 @@
     }
     driver.advance(100 * MS);
     assert!(driver.servers_in_use().len() >= 8);
-    // A server that fails attempts as well is suspected all the same.
+    // A server that also fails attempts is ejected nevertheless.
     for _ in 0..60 {
         let (id, actions) = driver.request(2);
-        let server = sent_to(&actions).expect("sent");
+        let server = sent_to(&actions).expect("the request is sent");
         let outcome = if server == ServerId(3) {
             Outcome::ConnectFailed
         } else {
             Outcome::Served
         };
-        let retried_on = sent_to(&driver.end_attempt(id, 0, server, outcome));
-        if let Some(to) = retried_on {
-            driver.end_attempt(id, 1, to, Outcome::Served);
+        let retry_server = sent_to(&driver.end_attempt(id, 0, server, outcome));
+        if let Some(second) = retry_server {
+            driver.end_attempt(id, 1, second, Outcome::Served);
         }
     }
     assert!(!driver.servers_in_use().contains(&3));
