--- a/crates/sidecar/src/discovery/endpoint_sink.rs
+++ b/crates/sidecar/src/discovery/endpoint_sink.rs
@@ -47,7 +47,7 @@
     }
 
     /// An object came that is no endpoint list.
-    pub(super) fn on_object_unreadable(&self) {
+    pub(super) fn on_invalid_object(&self) {
         self.counters.endpoint_lines_skipped.add();
     }
 
--- a/crates/sidecar/src/discovery/mod.rs
+++ b/crates/sidecar/src/discovery/mod.rs
@@ -4,7 +4,7 @@
 //! list means for the servers is the host's and the balancer's business.
 
 mod endpoint_sink;
-mod line_decoder;
+mod object_decoder;
 mod watch;
 mod watch_cursor;
 mod watch_error;
--- a/crates/sidecar/src/discovery/line_decoder.rs
+++ b/crates/sidecar/src/discovery/object_decoder.rs
@@ -7,11 +7,11 @@
 use arrowstand_platform::json::nesting_depth_at_end;
 
 /// Cuts a watch's bytes into objects and empty lines, however they were split over chunks.
-pub(super) struct LineDecoder {
+pub(super) struct ObjectDecoder {
     /// Bytes that are not decoded yet.
     undecoded: BytesMut,
     /// The lines of an object that is not closed yet.
-    open_object: Vec<u8>,
+    partial_object: Vec<u8>,
     max_object_bytes: usize,
     max_json_depth: usize,
 }
@@ -23,12 +23,12 @@
     max_object_bytes: usize,
 }
 
-impl LineDecoder {
+impl ObjectDecoder {
     /// A decoder of objects of so many bytes and so many levels of JSON at most.
     pub(super) fn new(max_object_bytes: usize, max_json_depth: usize) -> Self {
         Self {
             undecoded: BytesMut::new(),
-            open_object: Vec::new(),
+            partial_object: Vec::new(),
             max_object_bytes,
             max_json_depth,
         }
@@ -38,15 +38,15 @@
     pub(super) fn next_object(&mut self) -> Option<Vec<u8>> {
         loop {
             let line_end = self.undecoded.iter().position(|&byte| byte == b'\n')?;
-            if self.is_object_cut_off_at(line_end) {
-                return Some(std::mem::take(&mut self.open_object));
+            if self.is_partial_object_truncated_at(line_end) {
+                return Some(std::mem::take(&mut self.partial_object));
             }
             let line = self.undecoded.split_to(line_end + 1);
-            self.open_object.extend_from_slice(&line);
-            let depth = nesting_depth_at_end(&self.open_object);
+            self.partial_object.extend_from_slice(&line);
+            let depth = nesting_depth_at_end(&self.partial_object);
             // What is nested too deep cannot be read, whatever follows.
             if depth == 0 || depth > self.max_json_depth {
-                return Some(std::mem::take(&mut self.open_object));
+                return Some(std::mem::take(&mut self.partial_object));
             }
         }
     }
@@ -56,7 +56,7 @@
     /// # Errors
     /// If what is not returned yet would exceed the bound on an object.
     pub(super) fn push(&mut self, chunk: &[u8]) -> Result<(), ObjectTooLong> {
-        if self.undecoded.len() + self.open_object.len() + chunk.len() > self.max_object_bytes {
+        if self.undecoded.len() + self.partial_object.len() + chunk.len() > self.max_object_bytes {
             return Err(ObjectTooLong {
                 max_object_bytes: self.max_object_bytes,
             });
@@ -68,9 +68,9 @@
     /// True where the open object ends without having been closed: an indented line continues it,
     /// the start of the next object and an empty line do not. Otherwise half an object would take
     /// in all that follows it.
-    fn is_object_cut_off_at(&self, line_end: usize) -> bool {
+    fn is_partial_object_truncated_at(&self, line_end: usize) -> bool {
         let is_blank = self.undecoded[..line_end].trim_ascii().is_empty();
-        !self.open_object.is_empty() && (is_blank || self.undecoded[0] == b'{')
+        !self.partial_object.is_empty() && (is_blank || self.undecoded[0] == b'{')
     }
 }
 
--- a/crates/sidecar/src/discovery/line_decoder/tests.rs
+++ b/crates/sidecar/src/discovery/object_decoder/tests.rs
@@ -3,15 +3,15 @@
 use super::*;
 
 fn all(text: &[u8], sizes: &[usize]) -> Vec<String> {
-    let mut lines = LineDecoder::new(100_000, 8);
+    let mut decoder = ObjectDecoder::new(100_000, 8);
     let mut found = Vec::new();
     let mut at = 0;
     let mut sizes = sizes.iter().cycle();
     while at < text.len() {
         let end = (at + sizes.next().copied().unwrap_or(1).max(1)).min(text.len());
-        lines.push(&text[at..end]).expect("short");
+        decoder.push(&text[at..end]).expect("short");
         at = end;
-        while let Some(line) = lines.next_object() {
+        while let Some(line) = decoder.next_object() {
             found.push(String::from_utf8(line).expect("text"));
         }
     }
@@ -34,12 +34,12 @@
 
 #[test]
 fn object_without_end_is_rejected() {
-    let mut lines = LineDecoder::new(1_000, 2_000);
+    let mut decoder = ObjectDecoder::new(1_000, 2_000);
     let rejected = (0..100).any(|_| {
-        let full = lines.push(b" [[[[[[[[[[[[[[[[[[\n").is_err();
-        full || lines.next_object().is_some()
+        let full = decoder.push(b" [[[[[[[[[[[[[[[[[[\n").is_err();
+        full || decoder.next_object().is_some()
     });
-    assert!(rejected && lines.open_object.len() <= 1_000);
+    assert!(rejected && decoder.partial_object.len() <= 1_000);
 }
 
 proptest! {
--- a/crates/sidecar/src/discovery/watch.rs
+++ b/crates/sidecar/src/discovery/watch.rs
@@ -14,7 +14,7 @@
 use tokio::time::{Instant, timeout};
 
 use super::endpoint_sink::EndpointSink;
-use super::line_decoder::LineDecoder;
+use super::object_decoder::ObjectDecoder;
 use super::watch_cursor::WatchCursor;
 use super::watch_error::WatchError;
 use crate::limits::{DiscoveryLimits, Limits};
@@ -68,8 +68,8 @@
 ) -> Result<Infallible, WatchError> {
     let silence_timeout = limits.discovery.watch_silence_timeout;
     let mut last_received_at = Instant::now();
-    let mut lines = LineDecoder::new(
-        limits.discovery.max_line_bytes,
+    let mut decoder = ObjectDecoder::new(
+        limits.discovery.max_object_bytes,
         limits.discovery.max_json_depth,
     );
     loop {
@@ -80,8 +80,8 @@
             .ok_or(WatchError::WatchEnded)?
             .map_err(WatchError::WatchFailed)?;
         last_received_at = Instant::now();
-        lines.push(&chunk)?;
-        while let Some(object) = lines.next_object() {
+        decoder.push(&chunk)?;
+        while let Some(object) = decoder.next_object() {
             on_object_received(sink, cursor, &object, limits)?;
         }
     }
@@ -105,9 +105,9 @@
             Ok(())
         }
         Err(error) => {
-            sink.on_object_unreadable();
-            cursor.on_object_unreadable();
-            Err(WatchError::ObjectUnreadable(error))
+            sink.on_invalid_object();
+            cursor.on_invalid_object();
+            Err(WatchError::InvalidObject(error))
         }
     }
 }
--- a/crates/sidecar/src/discovery/watch_cursor.rs
+++ b/crates/sidecar/src/discovery/watch_cursor.rs
@@ -50,7 +50,7 @@
 
     /// An object was unreadable. The next list would move the cursor past the changes in it, so the
     /// next poll asks for the whole list.
-    pub(super) fn on_object_unreadable(&self) {
+    pub(super) fn on_invalid_object(&self) {
         self.revision.set(0);
     }
 }
--- a/crates/sidecar/src/discovery/watch_error.rs
+++ b/crates/sidecar/src/discovery/watch_error.rs
@@ -5,7 +5,7 @@
 use awc::http::StatusCode;
 use tokio::time::Instant;
 
-use super::line_decoder::ObjectTooLong;
+use super::object_decoder::ObjectTooLong;
 
 /// Why a poll or a watch ended. The message is the `error` field of the log line.
 #[derive(Debug, thiserror::Error)]
@@ -36,7 +36,7 @@
     ObjectTooLong(#[from] ObjectTooLong),
     /// An object is no endpoint list.
     #[error("a line cannot be read, the whole list is asked for: {0}")]
-    ObjectUnreadable(#[source] ReadError),
+    InvalidObject(#[source] ReadError),
 }
 
 #[cfg(test)]
--- a/crates/sidecar/src/discovery/watch_error/tests.rs
+++ b/crates/sidecar/src/discovery/watch_error/tests.rs
@@ -1,11 +1,13 @@
 use arrowstand_platform::EndpointList;
 
 use super::*;
-use crate::discovery::line_decoder::LineDecoder;
+use crate::discovery::object_decoder::ObjectDecoder;
 
 #[test]
 fn messages_are_those_of_the_log() {
-    let too_long = LineDecoder::new(3, 8).push(b"long").expect_err("too long");
+    let too_long = ObjectDecoder::new(3, 8)
+        .push(b"long")
+        .expect_err("too long");
     let cases = [
         (
             WatchError::PollFailed(SendRequestError::Timeout),
@@ -30,7 +32,7 @@
         (too_long.into(), "an object is longer than 3 bytes"),
         (
             EndpointList::parse("{}", 8)
-                .map_err(WatchError::ObjectUnreadable)
+                .map_err(WatchError::InvalidObject)
                 .expect_err("no revision"),
             "a line cannot be read, the whole list is asked for: rev: is missing",
         ),
--- a/crates/sidecar/src/discovery/watcher.rs
+++ b/crates/sidecar/src/discovery/watcher.rs
@@ -114,7 +114,7 @@
                     return WatchExit::Superseded;
                 }
                 // The old address may go on to answer, without the changes that the new one has.
-                () = relocated(&mut self.discovery) => return WatchExit::Relocated,
+                () = wait_for_relocation(&mut self.discovery) => return WatchExit::Relocated,
             }
         }
     }
@@ -129,7 +129,7 @@
             );
         tokio::select! {
             () = self.sink.poll_requested() => PollReason::Requested,
-            () = relocated(&mut self.discovery) => {
+            () = wait_for_relocation(&mut self.discovery) => {
                 self.on_discovery_relocated();
                 PollReason::Early
             }
@@ -182,7 +182,7 @@
 }
 
 /// Waits until discovery is at another address; forever once no configuration can come.
-async fn relocated(discovery: &mut Receiver<SocketAddr>) {
+async fn wait_for_relocation(discovery: &mut Receiver<SocketAddr>) {
     if discovery.changed().await.is_err() {
         std::future::pending::<()>().await;
     }
--- a/crates/sidecar/src/limits/discovery.rs
+++ b/crates/sidecar/src/limits/discovery.rs
@@ -18,7 +18,7 @@
 /// what a busy machine adds to it.
 pub(super) const MAX_POLL_PAUSE: Duration = Duration::from_millis(500);
 /// Bytes of one line. An object that does not end would otherwise fill the memory.
-const MAX_LINE_BYTES: usize = 512 * 1024;
+const MAX_OBJECT_BYTES: usize = 512 * 1024;
 /// Deeper than any list. JSON is read recursively, so its depth bounds the stack.
 const MAX_JSON_DEPTH: usize = 32;
 /// Shortest and longest pause between polls for a list that is late.
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct DiscoveryLimits {
     /// Bytes of one line.
-    pub(crate) max_line_bytes: usize,
+    pub(crate) max_object_bytes: usize,
     /// Nesting of JSON that is read.
     pub(crate) max_json_depth: usize,
     /// The head of the response must come within this. A drain that is learnt later cannot be kept
@@ -50,7 +50,7 @@
     pub(super) fn derive(inputs: &LimitInputs) -> Self {
         let (min_delay, max_delay) = POLL_RETRY_DELAYS;
         Self {
-            max_line_bytes: MAX_LINE_BYTES,
+            max_object_bytes: MAX_OBJECT_BYTES,
             max_json_depth: MAX_JSON_DEPTH,
             poll_timeout: (CHANGE_NOTIFIED_AFTER + inputs.drain_grace)
                 .saturating_sub(WATCH_SILENCE_TIMEOUT + MAX_POLL_PAUSE)
