--- a/crates/sidecar/src/limits/client.rs
+++ b/crates/sidecar/src/limits/client.rs
@@ -81,10 +81,12 @@
     /// The smaller of two bounds counts: clients get three eighths of the file descriptors, and the
     /// bodies of all connections fit into half of the memory.
     pub(super) fn derive(inputs: &LimitInputs) -> Self {
-        let bodies_bytes = inputs.memory_mib * BYTES_PER_MIB / 2;
-        let by_memory = (bodies_bytes / (BODIES_PER_CONNECTION * MAX_BODY_BYTES))
+        let body_memory_bytes = inputs.memory_mib * BYTES_PER_MIB / 2;
+        let max_by_memory = (body_memory_bytes / (BODIES_PER_CONNECTION * MAX_BODY_BYTES))
             .max(MIN_CONNECTIONS_BY_MEMORY);
-        let max_connections = (inputs.sockets * 3 / 8).min(by_memory).max(MIN_CONNECTIONS);
+        let max_connections = (inputs.sockets * 3 / 8)
+            .min(max_by_memory)
+            .max(MIN_CONNECTIONS);
         Self {
             max_connections,
             max_accepted_connections: max_connections + inputs.sockets / 8,
--- a/crates/sidecar/src/limits/discovery.rs
+++ b/crates/sidecar/src/limits/discovery.rs
@@ -9,14 +9,14 @@
 
 /// A change of the endpoint list counts as notified after this long, whether or not it arrived (the
 /// protocol page).
-pub(super) const CHANGE_NOTIFIED_AFTER: Duration = Duration::from_secs(6);
+pub(super) const CHANGE_NOTICE_DELAY: Duration = Duration::from_secs(6);
 /// After a new configuration it counts as notified this much later (the protocol page).
-const RELOCATION_NOTIFIED_AFTER: Duration = Duration::from_secs(4);
+const RELOCATION_NOTICE_DELAY: Duration = Duration::from_secs(4);
 /// One and a half of the heartbeat's 2 s: a watch that is silent for longer is lost.
 const WATCH_SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
 /// The balancer's longest first backoff before it polls again (one and a half of its `REASK`), and
 /// what a busy machine adds to it.
-pub(super) const MAX_POLL_PAUSE: Duration = Duration::from_millis(500);
+pub(super) const MAX_POLL_BACKOFF: Duration = Duration::from_millis(500);
 /// Bytes of one line. An object that does not end would otherwise fill the memory.
 const MAX_OBJECT_BYTES: usize = 512 * 1024;
 /// Deeper than any list. JSON is read recursively, so its depth bounds the stack.
@@ -52,16 +52,16 @@
         Self {
             max_object_bytes: MAX_OBJECT_BYTES,
             max_json_depth: MAX_JSON_DEPTH,
-            poll_timeout: (CHANGE_NOTIFIED_AFTER + inputs.drain_grace)
-                .saturating_sub(WATCH_SILENCE_TIMEOUT + MAX_POLL_PAUSE)
+            poll_timeout: (CHANGE_NOTICE_DELAY + inputs.drain_grace)
+                .saturating_sub(WATCH_SILENCE_TIMEOUT + MAX_POLL_BACKOFF)
                 .max(WATCH_SILENCE_TIMEOUT),
             watch_silence_timeout: WATCH_SILENCE_TIMEOUT,
             poll_retry_delay: (inputs.drain_grace / 4).clamp(min_delay, max_delay),
             staleness: StalenessBounds {
-                push_mode: inputs.pushed,
+                push_mode: inputs.push_mode,
                 max_poll_interval: micros(inputs.max_poll_interval),
-                silence_notice_delay: micros(CHANGE_NOTIFIED_AFTER),
-                relocation_notice_delay: micros(RELOCATION_NOTIFIED_AFTER),
+                silence_notice_delay: micros(CHANGE_NOTICE_DELAY),
+                relocation_notice_delay: micros(RELOCATION_NOTICE_DELAY),
                 drain_slack: micros(inputs.drain_grace / 2),
             },
         }
--- a/crates/sidecar/src/limits/inputs.rs
+++ b/crates/sidecar/src/limits/inputs.rs
@@ -29,7 +29,7 @@
     /// `safety.ask-every-ms`.
     pub(crate) max_poll_interval: Duration,
     /// `membership-mode` is `pushed`: changes count as notified, whether or not a watch is open.
-    pub(crate) pushed: bool,
+    pub(crate) push_mode: bool,
 }
 
 impl LimitInputs {
@@ -52,7 +52,7 @@
             longest_deadline: Duration::from_micros(deadlines.max().unwrap_or(0)),
             step: Duration::from_micros(settings.step),
             max_poll_interval: Duration::from_micros(settings.polling.max_interval),
-            pushed: transport.membership == MembershipMode::Pushed,
+            push_mode: transport.membership == MembershipMode::Pushed,
         }
     }
 }
--- a/crates/sidecar/src/limits/shutdown.rs
+++ b/crates/sidecar/src/limits/shutdown.rs
@@ -8,9 +8,9 @@
 /// after SIGTERM (the protocol page).
 const MAX_SHUTDOWN_DEADLINE: Duration = Duration::from_secs(3);
 /// New connections come for 0.4 s after SIGTERM (the protocol page).
-const ACCEPT_FOR: Duration = Duration::from_millis(500);
+const ACCEPT_PERIOD: Duration = Duration::from_millis(500);
 /// The latest request that is accepted has its deadline by then.
-const ANSWER_MARGIN: Duration = Duration::from_millis(550);
+const FORCED_RESPONSE_MARGIN: Duration = Duration::from_millis(550);
 /// Leaves 0.1 s to write the last responses, and 0.05 s until the SIGKILL.
 const EXIT_MARGIN: Duration = Duration::from_millis(650);
 
@@ -18,9 +18,9 @@
 #[derive(Clone, Debug)]
 pub(crate) struct ShutdownLimits {
     /// Connections are accepted for this long.
-    pub(crate) accept_for: Duration,
+    pub(crate) accept_period: Duration,
     /// What is still open is answered at once after this long.
-    pub(crate) answer_after: Duration,
+    pub(crate) forced_response_after: Duration,
     /// The longest time until the program ends.
     pub(crate) exit_after: Duration,
 }
@@ -29,8 +29,8 @@
     pub(super) fn derive(inputs: &LimitInputs) -> Self {
         let longest_deadline = inputs.longest_deadline.min(MAX_SHUTDOWN_DEADLINE);
         Self {
-            accept_for: ACCEPT_FOR,
-            answer_after: longest_deadline + ANSWER_MARGIN,
+            accept_period: ACCEPT_PERIOD,
+            forced_response_after: longest_deadline + FORCED_RESPONSE_MARGIN,
             exit_after: longest_deadline + EXIT_MARGIN,
         }
     }
--- a/crates/sidecar/src/limits/tests.rs
+++ b/crates/sidecar/src/limits/tests.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-use super::discovery::{CHANGE_NOTIFIED_AFTER, MAX_POLL_PAUSE};
+use super::discovery::{CHANGE_NOTICE_DELAY, MAX_POLL_BACKOFF};
 use super::{LimitInputs, Limits};
 
 #[test]
@@ -12,10 +12,11 @@
             drain_grace: grace,
             ..Default::default()
         });
-        let longest =
-            limits.discovery.watch_silence_timeout + MAX_POLL_PAUSE + limits.discovery.poll_timeout;
+        let longest = limits.discovery.watch_silence_timeout
+            + MAX_POLL_BACKOFF
+            + limits.discovery.poll_timeout;
         assert!(
-            longest <= CHANGE_NOTIFIED_AFTER + grace,
+            longest <= CHANGE_NOTICE_DELAY + grace,
             "{ms} ms: {longest:?}"
         );
         assert!(
@@ -62,13 +63,13 @@
             "{ms} ms: killed while responses are written"
         );
         assert!(
-            limits.shutdown.answer_after < limits.shutdown.exit_after,
+            limits.shutdown.forced_response_after < limits.shutdown.exit_after,
             "{ms} ms: no time to write the last responses"
         );
-        let last = limits.shutdown.accept_for + deadline;
+        let last = limits.shutdown.accept_period + deadline;
         let whole = deadline <= Duration::from_secs(3);
         assert!(
-            !whole || last < limits.shutdown.answer_after,
+            !whole || last < limits.shutdown.forced_response_after,
             "{ms} ms: the last accepted request is cut short"
         );
     }
--- a/crates/sidecar/src/limits/upstream.rs
+++ b/crates/sidecar/src/limits/upstream.rs
@@ -59,7 +59,7 @@
         let idle_reuse_timeout = (inputs.idle_timeout * 3 / 4)
             .saturating_sub(REUSE_DELAY)
             .max(MIN_IDLE_REUSE_TIMEOUT);
-        let longest_use = inputs.longest_deadline.max(inputs.drain_grace);
+        let longest_attempt = inputs.longest_deadline.max(inputs.drain_grace);
         Self {
             max_connections: (inputs.sockets * 7 / 16).max(MIN_CONNECTIONS),
             max_response_head_bytes: MAX_RESPONSE_HEAD_BYTES,
@@ -70,7 +70,7 @@
             reuse_delay: REUSE_DELAY,
             health_check_timeout: inputs.connect_timeout * 5 / 4,
             max_drain_age: inputs.drain_grace / 2,
-            server_retention: longest_use + SERVER_RETENTION_MARGIN,
+            server_retention: longest_attempt + SERVER_RETENTION_MARGIN,
             deduplication_margin: DEDUPLICATION_MARGIN,
         }
     }
--- a/crates/sidecar/src/shutdown.rs
+++ b/crates/sidecar/src/shutdown.rs
@@ -17,8 +17,8 @@
     limits: &ShutdownLimits,
 ) {
     let signalled_at = Instant::now();
-    sleep(limits.accept_for).await;
-    let respond_by = signalled_at + limits.answer_after;
+    sleep(limits.accept_period).await;
+    let respond_by = signalled_at + limits.forced_response_after;
     let responses = finish_requests(proxy, listener, accept, respond_by);
     // Where the time is over, the process ends all the same.
     let _ = timeout_at(signalled_at + limits.exit_after, responses).await;
