--- a/crates/sidecar/src/config.rs
+++ b/crates/sidecar/src/config.rs
@@ -4,8 +4,8 @@
 //! Owns the keys outside `settings` and the variables; the settings of the deployment are read by
 //! `arrowstand-platform`, and what network code may use is derived by [`Limits`].
 
+mod deployment_metadata;
 mod error;
-mod names;
 
 use std::net::SocketAddr;
 
@@ -18,8 +18,8 @@
 use crate::machine_table;
 use arrowstand_platform::EndpointList;
 
+pub(crate) use deployment_metadata::DeploymentMetadata;
 pub(crate) use error::ConfigError;
-pub(crate) use names::Names;
 
 /// Bound on the nesting of the file's JSON, which is read recursively.
 const MAX_JSON_DEPTH: usize = 64;
@@ -46,8 +46,8 @@
     pub(crate) settings: Settings,
     /// Bounds of the network code.
     pub(crate) limits: Limits,
-    /// Names behind the balancer's numbers.
-    pub(crate) names: Names,
+    /// Names and rules behind the balancer's numeric ids.
+    pub(crate) deployment: DeploymentMetadata,
     /// The endpoint list as this sidecar last had it.
     pub(crate) cached_endpoints: Option<EndpointList>,
 }
@@ -96,7 +96,7 @@
             Some(path) => machine_table::load(&path)?,
             None => MachineCatalogue::default(),
         };
-        let names = Names::new(&platform, machines);
+        let deployment = DeploymentMetadata::new(&platform, machines);
         let settings = platform.balancer;
         let limits = read_limits(&root.at("limits"), &conf, &settings)?;
         let cached_endpoints = read_cached_endpoints(&root.at("known"))?;
@@ -107,7 +107,7 @@
             seed,
             settings,
             limits,
-            names,
+            deployment,
             cached_endpoints,
         })
     }
--- a/crates/sidecar/src/config/tests.rs
+++ b/crates/sidecar/src/config/tests.rs
@@ -131,11 +131,11 @@
 }
 
 #[test]
-fn every_key_reaches_settings_limits_and_names() {
+fn every_key_reaches_settings_limits_and_deployment_metadata() {
     let config = read(CONFIGURATION).expect("good");
     insta::assert_snapshot!(format!(
         "{:#?}\n{:#?}\n{:#?}",
-        config.settings, config.limits, config.names
+        config.settings, config.limits, config.deployment
     ));
 }
 
@@ -146,7 +146,7 @@
     let config = read(text).expect("good");
     insta::assert_snapshot!(format!(
         "{:#?}\n{:#?}\n{:#?}",
-        config.settings, config.limits, config.names
+        config.settings, config.limits, config.deployment
     ));
 }
 
--- a/crates/sidecar/src/host/class_table.rs
+++ b/crates/sidecar/src/host/class_table.rs
@@ -5,7 +5,7 @@
 
 use arrowstand_balancer::ClassId;
 
-use crate::config::Names;
+use crate::config::DeploymentMetadata;
 
 struct Class {
     name: String,
@@ -20,13 +20,21 @@
 impl ClassTable {
     /// Reads the classes from the configuration's names; a value that a class does not have counts
     /// as none.
-    pub(crate) fn new(names: &Names) -> Self {
-        let classes = names.classes.iter().enumerate();
+    pub(crate) fn new(deployment: &DeploymentMetadata) -> Self {
+        let classes = deployment.class_names.iter().enumerate();
         let class = |(index, name): (usize, &String)| Class {
             name: name.clone(),
-            requires_idempotency_key: names.keyed.get(index).copied().unwrap_or_default(),
-            deadline: names.deadlines.get(index).copied().unwrap_or_default(),
-            deduplication_window: names.windows.get(index).copied().unwrap_or_default(),
+            requires_idempotency_key: deployment
+                .requires_idempotency_key
+                .get(index)
+                .copied()
+                .unwrap_or_default(),
+            deadline: deployment.deadlines.get(index).copied().unwrap_or_default(),
+            deduplication_window: deployment
+                .deduplication_windows
+                .get(index)
+                .copied()
+                .unwrap_or_default(),
         };
         Self(classes.map(class).collect())
     }
--- a/crates/sidecar/src/host/class_table/tests.rs
+++ b/crates/sidecar/src/host/class_table/tests.rs
@@ -4,12 +4,12 @@
 const UNKNOWN: ClassId = ClassId(9);
 
 fn table() -> ClassTable {
-    ClassTable::new(&Names {
-        classes: vec!["query".to_owned(), "payment".to_owned()],
-        keyed: vec![false, true],
+    ClassTable::new(&DeploymentMetadata {
+        class_names: vec!["query".to_owned(), "payment".to_owned()],
+        requires_idempotency_key: vec![false, true],
         deadlines: vec![SECOND, 2 * SECOND],
-        windows: vec![3 * SECOND, 4 * SECOND],
-        ..Names::default()
+        deduplication_windows: vec![3 * SECOND, 4 * SECOND],
+        ..DeploymentMetadata::default()
     })
 }
 
--- a/crates/sidecar/src/startup.rs
+++ b/crates/sidecar/src/startup.rs
@@ -45,7 +45,8 @@
     /// [`StartupError::Listen`] where the address for clients cannot be listened on.
     pub(crate) async fn start(config: Config) -> Result<Self, StartupError> {
         let balancer = WorkAwareBalancer::new(config.settings, config.seed)?;
-        let (parts, servers_to_check) = SharedParts::new(balancer, config.names, config.limits);
+        let (parts, servers_to_check) =
+            SharedParts::new(balancer, config.deployment, config.limits);
         let upstream = new_upstream(&parts);
         let socket = listen(config.listen).await?;
 
--- a/crates/sidecar/src/startup/shared_parts.rs
+++ b/crates/sidecar/src/startup/shared_parts.rs
@@ -6,7 +6,7 @@
 use arrowstand_control::WorkAwareBalancer;
 use tokio::sync::mpsc;
 
-use crate::config::Names;
+use crate::config::DeploymentMetadata;
 use crate::counters::Counters;
 use crate::discovery::EndpointSink;
 use crate::downstream::ServiceContext;
@@ -30,7 +30,7 @@
     /// checked. Its clock starts now.
     pub(super) fn new(
         balancer: WorkAwareBalancer,
-        names: Names,
+        deployment: DeploymentMetadata,
         limits: Limits,
     ) -> (Self, mpsc::Receiver<ServerId>) {
         let limits = Rc::new(limits);
@@ -38,10 +38,10 @@
         let clock = Rc::new(BalancerClock::start());
         let staleness = limits.discovery.staleness;
         let freshness = EndpointListFreshness::new(staleness, Rc::clone(&clock));
-        let classes = ClassTable::new(&names);
+        let classes = ClassTable::new(&deployment);
         let (host, servers_to_check) = BalancerHost::new(
             balancer,
-            ServerRegistry::new(names.zones, names.machines),
+            ServerRegistry::new(deployment.zones, deployment.machines),
             Rc::clone(&clock),
             Rc::clone(&limits),
             Rc::clone(&counters),
