--- a/crates/sidecar/src/discovery/object_decoder.rs
+++ b/crates/sidecar/src/discovery/object_decoder.rs
@@ -18,7 +18,7 @@
 
 /// An object exceeds the decoder's bound.
 #[derive(Debug, PartialEq, thiserror::Error)]
-#[error("an object is longer than {max_object_bytes} bytes")]
+#[error("object exceeds the limit of {max_object_bytes} bytes")]
 pub(super) struct ObjectTooLong {
     max_object_bytes: usize,
 }
--- a/crates/sidecar/src/discovery/watch_error.rs
+++ b/crates/sidecar/src/discovery/watch_error.rs
@@ -1,4 +1,4 @@
-//! Why a poll or a watch ended.
+//! Errors that end a poll or a watch.
 
 use arrowstand_platform::ReadError;
 use awc::error::{PayloadError, SendRequestError};
@@ -10,32 +10,33 @@
 /// Why a poll or a watch ended. The message is the `error` field of the log line.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum WatchError {
-    /// The poll could not be sent or its response not be read; nobody may be listening there.
-    #[error("the call failed: {0}")]
+    /// The request could not be sent or its response could not be read, for example because nothing
+    /// listens at the address.
+    #[error("poll failed: {0}")]
     PollFailed(#[source] SendRequestError),
-    /// Discovery responded with another status than success.
-    #[error("the call ended with {0}")]
+    /// Discovery responded with a status other than 2xx.
+    #[error("poll rejected: expected a 2xx status, got {0}")]
     PollRejected(StatusCode),
-    /// No head of a response came within the poll's timeout.
-    #[error("the call was not answered")]
+    /// No response head arrived within the poll timeout.
+    #[error("poll timed out before a response arrived")]
     PollTimedOut,
     /// The connection failed while the watch was open.
-    #[error("the watch broke: {0}")]
+    #[error("watch connection failed: {0}")]
     WatchFailed(#[source] PayloadError),
     /// Discovery ended the response.
-    #[error("the watch ended")]
+    #[error("discovery closed the watch")]
     WatchEnded,
-    /// Neither a list nor a heartbeat came within the watch's silence timeout.
-    #[error("the watch fell silent")]
+    /// Neither a list nor a heartbeat arrived within the watch's silence timeout.
+    #[error("watch timed out: no endpoint list or heartbeat arrived")]
     WatchSilent {
-        /// When the last bytes came, or the head of the response if none did.
+        /// When the last bytes arrived, or the response head if none did.
         last_received_at: Instant,
     },
-    /// An object is longer than the bound on a line.
+    /// An object exceeds the size limit.
     #[error(transparent)]
     ObjectTooLong(#[from] ObjectTooLong),
-    /// An object is no endpoint list.
-    #[error("a line cannot be read, the whole list is asked for: {0}")]
+    /// An object is not a valid endpoint list.
+    #[error("invalid endpoint list, requesting the full list: {0}")]
     InvalidObject(#[source] ReadError),
 }
 
--- a/crates/sidecar/src/discovery/watch_error/tests.rs
+++ b/crates/sidecar/src/discovery/watch_error/tests.rs
@@ -4,37 +4,40 @@
 use crate::discovery::object_decoder::ObjectDecoder;
 
 #[test]
-fn messages_are_those_of_the_log() {
+fn each_error_has_its_log_message() {
     let too_long = ObjectDecoder::new(3, 8)
         .push(b"long")
         .expect_err("too long");
     let cases = [
         (
             WatchError::PollFailed(SendRequestError::Timeout),
-            "the call failed: Timeout while waiting for response",
+            "poll failed: Timeout while waiting for response",
         ),
         (
             WatchError::PollRejected(StatusCode::SERVICE_UNAVAILABLE),
-            "the call ended with 503 Service Unavailable",
+            "poll rejected: expected a 2xx status, got 503 Service Unavailable",
+        ),
+        (
+            WatchError::PollTimedOut,
+            "poll timed out before a response arrived",
         ),
-        (WatchError::PollTimedOut, "the call was not answered"),
         (
             WatchError::WatchFailed(PayloadError::Overflow),
-            "the watch broke: payload reached size limit",
+            "watch connection failed: payload reached size limit",
         ),
-        (WatchError::WatchEnded, "the watch ended"),
+        (WatchError::WatchEnded, "discovery closed the watch"),
         (
             WatchError::WatchSilent {
                 last_received_at: Instant::now(),
             },
-            "the watch fell silent",
+            "watch timed out: no endpoint list or heartbeat arrived",
         ),
-        (too_long.into(), "an object is longer than 3 bytes"),
+        (too_long.into(), "object exceeds the limit of 3 bytes"),
         (
             EndpointList::parse("{}", 8)
                 .map_err(WatchError::InvalidObject)
                 .expect_err("no revision"),
-            "a line cannot be read, the whole list is asked for: rev: is missing",
+            "invalid endpoint list, requesting the full list: rev: is missing",
         ),
     ];
     for (error, message) in cases {
