--- a/crates/sidecar/src/logging.rs
+++ b/crates/sidecar/src/logging.rs
@@ -1,8 +1,8 @@
-//! Where log lines go, which are written and what they look like.
+//! Logging setup: the output, the filter and the line format.
 //!
-//! A line is a level, a constant message and the fields that say which one: `WARN discovery watch
-//! ended error=the watch fell silent`. So one search finds all lines of a message;
-//! docs/operations.md lists them.
+//! A line consists of a level, a constant message and fields that hold the details, for example
+//! `WARN discovery watch ended error=discovery closed the watch`. Because the message is constant,
+//! one search finds all of its lines; docs/operations.md lists the messages.
 
 use tracing::Subscriber;
 use tracing_subscriber::Layer as _;
@@ -14,7 +14,7 @@
 /// Writes log lines of level INFO and above to standard error.
 ///
 /// # Panics
-/// Where a logger is set already: it is called once, at the start.
+/// If a global subscriber is already set: call this once, at process start.
 pub(crate) fn init() {
     subscriber(std::io::stderr).init();
 }
@@ -23,16 +23,16 @@
 where
     W: for<'writer> MakeWriter<'writer> + Send + Sync + 'static,
 {
-    // actix-http reports each client that breaks the protocol as an error: any of them could fill
-    // the log. `requests_malformed` counts them.
+    // actix-http logs each malformed request as an error, so a single client could flood the log.
+    // The counter `requests_malformed` covers them instead.
     let filter = Targets::new()
         .with_default(LevelFilter::INFO)
         .with_target("actix_http", LevelFilter::OFF);
-    let lines = tracing_subscriber::fmt::layer()
+    let line_layer = tracing_subscriber::fmt::layer()
         .with_writer(writer)
         .with_ansi(false)
         .with_target(false);
-    tracing_subscriber::registry().with(lines.with_filter(filter))
+    tracing_subscriber::registry().with(line_layer.with_filter(filter))
 }
 
 #[cfg(test)]
