--- a/crates/sidecar/src/config/tests.rs
+++ b/crates/sidecar/src/config/tests.rs
@@ -173,6 +173,7 @@
         (name == "ARROWSTAND_MACHINES").then(|| "/nonexistent".to_owned())
     });
     let message = unreadable.map(|_| ()).map_err(|error| error.to_string());
-    let expected = "ARROWSTAND_MACHINES: /nonexistent: No such file or directory (os error 2)";
+    let expected =
+        "ARROWSTAND_MACHINES: cannot read /nonexistent: No such file or directory (os error 2)";
     assert_eq!(message, Err(expected.to_owned()));
 }
--- a/crates/sidecar/src/machine_table.rs
+++ b/crates/sidecar/src/machine_table.rs
@@ -1,7 +1,7 @@
-//! The operator's table of machine types: the platform names the types and does not state their
-//! capacity.
+//! Reads the operator's table of machine types, which supplies their capacity: the platform gives
+//! only the names of the types.
 //!
-//! Owns the table's format and its errors; the types themselves are kept by [`MachineCatalogue`].
+//! This module defines the file format and its errors; [`MachineCatalogue`] stores the types.
 
 use std::io;
 
@@ -10,69 +10,70 @@
 use arrowstand_platform::{KeyError, KeyProblem, ReadError};
 use thiserror::Error;
 
-/// Cores or speed of this much are taken for a typing error.
+/// Exclusive upper bound for cores and speed; a larger value is assumed to be a typing error.
 const CAPACITY_BOUND: f64 = 10_000.0;
-/// Bound on the nesting of the table's JSON, which is read recursively.
+/// Maximum nesting depth of the JSON, which is parsed recursively.
 const MAX_JSON_DEPTH: usize = 8;
 
-/// A machine table that cannot be used. The message is one line that names file, entry and key.
+/// Why the machine table is invalid. The message is one line that names the file, the entry and the
+/// key.
 #[derive(Debug, Error)]
 pub(crate) enum MachineTableError {
     /// The file cannot be read.
-    #[error("ARROWSTAND_MACHINES: {path}: {source}")]
+    #[error("ARROWSTAND_MACHINES: cannot read {path}: {source}")]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// Why it cannot be read.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The file is no machine table.
+    /// The file does not contain a valid machine table.
     #[error("ARROWSTAND_MACHINES: {path}: {source}")]
     Invalid {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// What is wrong with its text.
+        /// The first error in its content.
         source: ReadError,
     },
 }
 
-/// Reads the file of that name.
+/// Loads the machine table from a file.
 ///
 /// # Errors
-/// The file cannot be read, or is no machine table.
+/// If the file cannot be read or does not contain a valid machine table.
 pub(crate) fn load(path: &str) -> Result<MachineCatalogue, MachineTableError> {
     let text = std::fs::read_to_string(path).map_err(|source| MachineTableError::Unreadable {
         path: path.to_owned(),
         source,
     })?;
-    read(&text).map_err(|source| MachineTableError::Invalid {
+    parse(&text).map_err(|source| MachineTableError::Invalid {
         path: path.to_owned(),
         source,
     })
 }
 
-/// Reads `{"machines": [{"model": "fast-2", "cores": 2, "speed": 1.3}, ...]}`.
-fn read(text: &str) -> Result<MachineCatalogue, ReadError> {
+/// Parses `{"machines": [{"model": "fast-2", "cores": 2, "speed": 1.3}, ...]}`.
+fn parse(text: &str) -> Result<MachineCatalogue, ReadError> {
     let value = json::parse(text, MAX_JSON_DEPTH)?;
     let machines = Node::root(&value).at("machines");
-    // With its one key misspelt a table would pass for one without machines.
+    // Without this check, a table with its only key misspelt would count as an empty table.
     if !machines.is_present() {
         return Err(machines.error(KeyProblem::Missing).into());
     }
-    let mut table: Vec<(String, f64, f64)> = Vec::new();
+    let mut entries: Vec<(String, f64, f64)> = Vec::new();
     for entry in machines.items()? {
         let model_node = entry.at("model");
         let model = model_node.string()?;
         let cores = read_capacity(&entry.at("cores"))?;
         let speed = read_capacity(&entry.at("speed"))?;
-        if model.is_empty() || table.iter().any(|(name, ..)| *name == model) {
+        if model.is_empty() || entries.iter().any(|(name, ..)| *name == model) {
             return Err(model_node
                 .error(KeyProblem::EmptyOrDuplicateName(model))
                 .into());
         }
-        table.push((model, cores, speed));
+        entries.push((model, cores, speed));
     }
-    Ok(MachineCatalogue::from_table(table))
+    Ok(MachineCatalogue::from_table(entries))
 }
 
 fn read_capacity(node: &Node) -> Result<f64, KeyError> {
--- a/crates/sidecar/src/machine_table/tests.rs
+++ b/crates/sidecar/src/machine_table/tests.rs
@@ -1,15 +1,15 @@
-use super::read;
+use super::parse;
 
 #[test]
-fn the_example_table_can_be_read() {
+fn example_table_is_valid() {
     let text = include_str!("../../../../examples/machines.json");
-    let mut machines = read(text).expect("good");
+    let mut machines = parse(text).expect("valid machine table");
     assert!(machines.lookup("std-3").cores > machines.lookup("slow-2").cores);
 }
 
 #[test]
-fn an_error_names_the_key() {
-    let line = r#"{"model": "a", "cores": 2, "speed": 1}"#;
+fn errors_name_the_key() {
+    let entry = r#"{"model": "a", "cores": 2, "speed": 1}"#;
     for (text, expected) in [
         (
             r#"{"machines": [{"model": "a", "cores": 0, "speed": 1}]}"#.to_owned(),
@@ -20,12 +20,12 @@
             "machines[0].speed: is missing",
         ),
         (
-            format!(r#"{{"machines": [{line}, {line}]}}"#),
+            format!(r#"{{"machines": [{entry}, {entry}]}}"#),
             "machines[1].model: \"a\" is empty or duplicated",
         ),
         (r#"{"machine": []}"#.to_owned(), "machines: is missing"),
     ] {
-        let error = read(&text).expect_err(expected);
+        let error = parse(&text).expect_err(expected);
         assert_eq!(error.to_string(), expected);
     }
 }
