--- a/crates/sidecar/src/config/error.rs
+++ b/crates/sidecar/src/config/error.rs
@@ -1,4 +1,4 @@
-//! Why a configuration cannot be used.
+//! Errors of reading the configuration.
 
 use std::io;
 
@@ -8,39 +8,38 @@
 
 use crate::machine_table::MachineTableError;
 
-/// A configuration that this sidecar cannot start with. The message is one line that names the
-/// variable or the key.
+/// Why the configuration is invalid. The message is one line that names the variable or the key.
 #[derive(Debug, Error)]
 pub(crate) enum ConfigError {
-    /// No file is named.
-    #[error("NODE_CONFIG: is not set; it names the JSON file")]
+    /// `NODE_CONFIG` is not set.
+    #[error("NODE_CONFIG: is not set; set it to the path of the JSON configuration file")]
     NoFile,
     /// The file cannot be read.
-    #[error("NODE_CONFIG: {path}: {source}")]
+    #[error("NODE_CONFIG: cannot read {path}: {source}")]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// Why it cannot be read.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The file is not JSON.
+    /// The file is not valid JSON.
     #[error("NODE_CONFIG: not JSON: {0}")]
     NotJson(#[source] JsonError),
-    /// The value of a key cannot be used.
+    /// A key is missing or has an invalid value.
     #[error(transparent)]
     Key(#[from] KeyError),
-    /// A setting of the balancer is out of range.
+    /// The balancer rejects a setting.
     #[error("settings: {0}")]
     Settings(#[from] SettingsError),
-    /// The operator's machine table cannot be used.
+    /// The operator's machine table is invalid.
     #[error(transparent)]
     Machines(#[from] MachineTableError),
-    /// A variable or a key is not a socket address.
+    /// The value of a variable or a key is not a socket address.
     #[error("{name}: {text:?} is not an address and port")]
     Address {
-        /// The variable, or the path of the key.
+        /// Name of the variable or path of the key.
         name: String,
-        /// Its value.
+        /// The invalid value.
         text: String,
     },
 }
--- a/crates/sidecar/src/startup_error.rs
+++ b/crates/sidecar/src/startup_error.rs
@@ -1,4 +1,4 @@
-//! Why the sidecar does not start, as one line for the operator and an exit code.
+//! Errors that prevent the sidecar from starting: a one-line message and the exit code.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,45 +8,45 @@
 
 use crate::config::ConfigError;
 
-/// What the exit code says of a configuration that cannot be used; any other failure is 1.
-const INVALID_CONFIGURATION: u8 = 2;
+/// Exit code for an invalid configuration. Any other failure exits with 1.
+const INVALID_CONFIGURATION_EXIT_CODE: u8 = 2;
 
 /// Why the sidecar does not start.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum StartupError {
-    /// The asynchronous runtime cannot be made.
-    #[error("the runtime did not start: {0}")]
+    /// The asynchronous runtime cannot be created.
+    #[error("cannot start the asynchronous runtime: {0}")]
     Runtime(#[source] io::Error),
-    /// A signal cannot be listened for.
-    #[error("{name}: {source}")]
+    /// A signal handler cannot be installed.
+    #[error("cannot install a handler for {name}: {source}")]
     Signal {
-        /// The signal's name.
+        /// Name of the signal.
         name: &'static str,
-        /// What the operating system says.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The environment or the configuration file cannot be used; the message names the variable or
-    /// the key.
+    /// The environment or the configuration file is invalid. The message names the variable or the
+    /// key.
     #[error(transparent)]
     Configuration(#[from] ConfigError),
-    /// The balancer does not take its settings.
+    /// The balancer rejects its settings.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// The address for clients cannot be listened on.
-    #[error("NODE_LISTEN: {address}: {source}")]
+    /// The listening socket for clients cannot be opened.
+    #[error("NODE_LISTEN: cannot listen on {address}: {source}")]
     Listen {
-        /// The address of the configuration.
+        /// The configured address.
         address: SocketAddr,
-        /// What the operating system says.
+        /// Error of the operating system.
         source: io::Error,
     },
 }
 
 impl StartupError {
-    /// What the process exits with.
+    /// Exit code of the process for this error.
     pub(crate) fn exit_code(&self) -> ExitCode {
         match self {
-            Self::Configuration(_) => ExitCode::from(INVALID_CONFIGURATION),
+            Self::Configuration(_) => ExitCode::from(INVALID_CONFIGURATION_EXIT_CODE),
             Self::Runtime(_) | Self::Signal { .. } | Self::Settings(_) | Self::Listen { .. } => {
                 ExitCode::FAILURE
             }
--- a/crates/sidecar/src/startup_error/tests.rs
+++ b/crates/sidecar/src/startup_error/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 
 fn io_error() -> io::Error {
-    io::Error::other("no luck")
+    io::Error::other("access denied")
 }
 
-fn outcome(error: &StartupError) -> (String, String) {
+fn message_and_exit_code(error: &StartupError) -> (String, String) {
     (error.to_string(), format!("{:?}", error.exit_code()))
 }
 
@@ -13,40 +13,43 @@
 }
 
 #[test]
-fn a_bad_configuration_is_reported_as_it_is_and_exits_with_2() {
+fn invalid_configuration_keeps_its_message_and_exits_with_2() {
     let error = StartupError::from(ConfigError::NoFile);
     assert_eq!(
-        outcome(&error),
+        message_and_exit_code(&error),
         expected(
-            "NODE_CONFIG: is not set; it names the JSON file",
+            "NODE_CONFIG: is not set; set it to the path of the JSON configuration file",
             ExitCode::from(2)
         )
     );
 }
 
 #[test]
-fn every_other_failure_names_what_failed_and_exits_with_1() {
+fn other_failures_name_their_cause_and_exit_with_1() {
     let cases = [
         (
             StartupError::Runtime(io_error()),
-            "the runtime did not start: no luck",
+            "cannot start the asynchronous runtime: access denied",
         ),
         (
             StartupError::Signal {
                 name: "SIGHUP",
                 source: io_error(),
             },
-            "SIGHUP: no luck",
+            "cannot install a handler for SIGHUP: access denied",
         ),
         (
             StartupError::Listen {
                 address: SocketAddr::from(([127, 0, 0, 1], 8080)),
                 source: io_error(),
             },
-            "NODE_LISTEN: 127.0.0.1:8080: no luck",
+            "NODE_LISTEN: cannot listen on 127.0.0.1:8080: access denied",
         ),
     ];
     for (error, message) in cases {
-        assert_eq!(outcome(&error), expected(message, ExitCode::FAILURE));
+        assert_eq!(
+            message_and_exit_code(&error),
+            expected(message, ExitCode::FAILURE)
+        );
     }
 }
