--- a/crates/sidecar/src/config.rs
+++ b/crates/sidecar/src/config.rs
@@ -1,8 +1,8 @@
-//! The configuration of this sidecar: read from the file that `NODE_CONFIG` names and from
-//! environment variables, which take precedence.
+//! Configuration of the sidecar, read from the file at `NODE_CONFIG` and from environment variables,
+//! which take precedence.
 //!
-//! Owns the keys outside `settings` and the variables; the settings of the deployment are read by
-//! `arrowstand-platform`, and what network code may use is derived by [`Limits`].
+//! This module reads the keys outside `settings` and the variables. `arrowstand-platform` reads the
+//! settings of the deployment, and [`Limits`] derives the limits of the network code.
 
 mod deployment_metadata;
 mod error;
@@ -12,43 +12,45 @@
 use arrowstand_balancer::{RetrySettings, Settings};
 use arrowstand_control::MachineCatalogue;
 use arrowstand_platform::json::{self, Node};
-use arrowstand_platform::{KeyError, KeyProblem, PlatformSettings, TransportSettings};
+use arrowstand_platform::{
+    EndpointList, KeyError, KeyProblem, PlatformSettings, TransportSettings,
+};
 
 use crate::limits::{LimitInputs, Limits};
 use crate::machine_table;
-use arrowstand_platform::EndpointList;
 
 pub(crate) use deployment_metadata::DeploymentMetadata;
 pub(crate) use error::ConfigError;
 
-/// Bound on the nesting of the file's JSON, which is read recursively.
+/// Maximum nesting depth of the file's JSON, which is parsed recursively.
 const MAX_JSON_DEPTH: usize = 64;
-/// File descriptors where the file names no number: the usual soft limit of a process.
+/// Default for `limits.sockets`: the usual soft limit on file descriptors of a process.
 const DEFAULT_SOCKETS: f64 = 1_024.0;
-/// Memory in MiB where the file names none.
+/// Default for `limits.memory_mb`, in MiB.
 const DEFAULT_MEMORY_MIB: f64 = 192.0;
-/// Fewer descriptors do not suffice for clients, servers, discovery and the log.
+/// Minimum number of file descriptors; fewer are not enough for clients, servers, discovery and
+/// the log.
 const MIN_SOCKETS: usize = 64;
-/// Base of the seed's digits.
+/// The seed is written in hexadecimal.
 const SEED_RADIX: u32 = 16;
 
-/// What this sidecar was configured with at its start.
+/// Validated configuration of the sidecar.
 pub(crate) struct Config {
-    /// Name of this sidecar, for the log.
+    /// Name of the sidecar in the log.
     pub(crate) name: String,
-    /// Where clients connect.
+    /// Address on which clients are accepted.
     pub(crate) listen: SocketAddr,
-    /// Where discovery listens.
+    /// Address of discovery.
     pub(crate) discovery: SocketAddr,
-    /// Seed of all random draws.
+    /// Seed of all random number generators.
     pub(crate) seed: u64,
-    /// Settings of the balancer, validated.
+    /// Validated settings of the balancer.
     pub(crate) settings: Settings,
-    /// Bounds of the network code.
+    /// Limits of the network code.
     pub(crate) limits: Limits,
     /// Names and rules behind the balancer's numeric ids.
     pub(crate) deployment: DeploymentMetadata,
-    /// The endpoint list as this sidecar last had it.
+    /// The last endpoint list that the sidecar had before this start.
     pub(crate) cached_endpoints: Option<EndpointList>,
 }
 
@@ -56,13 +58,13 @@
     /// Reads the environment and the file.
     ///
     /// # Errors
-    /// One line that names the variable or the key; see [`ConfigError`].
+    /// If a variable or a key is missing or invalid; see [`ConfigError`].
     pub(crate) fn from_environment() -> Result<Self, ConfigError> {
         Self::load(environment_variable)
     }
 
-    /// Reads the file again. The environment of a running process cannot be changed by its
-    /// operator, so the address of discovery comes from the new file alone.
+    /// Reads the file again. The address of discovery comes only from the file, because an operator
+    /// cannot change the environment of a running process.
     ///
     /// # Errors
     /// As for [`from_environment`](Self::from_environment).
@@ -77,12 +79,12 @@
         let path = variable("NODE_CONFIG").ok_or(ConfigError::NoFile)?;
         let text = std::fs::read_to_string(&path)
             .map_err(|source| ConfigError::Unreadable { path, source })?;
-        Self::read(&text, variable)
+        Self::parse(&text, variable)
     }
 
-    /// Reads the text of the file; `variable` looks up an environment variable. The order of the
-    /// reads decides which error is reported.
-    fn read(text: &str, variable: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigError> {
+    /// Parses the content of the file; `variable` looks up an environment variable. If several keys
+    /// are invalid, the order of the reads decides which error is reported.
+    fn parse(text: &str, variable: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigError> {
         let value = json::parse(text, MAX_JSON_DEPTH).map_err(ConfigError::NotJson)?;
         let root = Node::root(&value);
         let name = match variable("NODE_NAME") {
@@ -90,15 +92,15 @@
             None => root.at("name").string()?,
         };
         let seed = read_seed(&root.at("seed"))?;
-        let conf = root.at("settings");
-        let platform = read_settings(&conf)?;
+        let settings_node = root.at("settings");
+        let platform = read_settings(&settings_node)?;
         let machines = match variable("ARROWSTAND_MACHINES") {
             Some(path) => machine_table::load(&path)?,
             None => MachineCatalogue::default(),
         };
         let deployment = DeploymentMetadata::new(&platform, machines);
         let settings = platform.balancer;
-        let limits = read_limits(&root.at("limits"), &conf, &settings)?;
+        let limits = read_limits(&root.at("limits"), &settings_node, &settings)?;
         let cached_endpoints = read_cached_endpoints(&root.at("known"))?;
         Ok(Self {
             name,
@@ -113,7 +115,7 @@
     }
 }
 
-/// The value of an environment variable; an empty one counts as not set.
+/// Returns the value of an environment variable; an empty value counts as not set.
 fn environment_variable(name: &str) -> Option<String> {
     std::env::var(name).ok().filter(|value| !value.is_empty())
 }
@@ -123,47 +125,47 @@
         .map_err(|_| node.error(KeyProblem::NotHexadecimal))
 }
 
-fn read_settings(conf: &Node) -> Result<PlatformSettings, ConfigError> {
-    if !conf.is_present() {
-        return Err(conf.error(KeyProblem::Missing).into());
+fn read_settings(node: &Node) -> Result<PlatformSettings, ConfigError> {
+    if !node.is_present() {
+        return Err(node.error(KeyProblem::Missing).into());
     }
-    let mut platform = PlatformSettings::read(conf, RetrySettings::default().max_retry_after)?;
-    apply_socket_overrides(&mut platform.balancer);
+    let mut platform = PlatformSettings::read(node, RetrySettings::default().max_retry_after)?;
+    override_simulator_settings(&mut platform.balancer);
     platform.balancer.validate()?;
     Ok(platform)
 }
 
-/// What holds on sockets whatever the simulator does for the deployment.
-fn apply_socket_overrides(settings: &mut Settings) {
-    // There is no channel between sidecars in this program.
+/// Overrides the settings that apply only to the simulator or that the sidecar does not support.
+fn override_simulator_settings(settings: &mut Settings) {
+    // Sidecars do not communicate with each other.
     settings.host.gossip = false;
-    // `permissions.retry-after` says whether the simulator hands its clients the Retry-After of a
-    // rejection. On sockets the header is part of the response regardless, and it keeps a
-    // client from retrying at once, so the balancer is always asked for it; docs/operations.md,
-    // "Retry-After", has more.
+    // `permissions.retry-after` controls whether the simulator passes the Retry-After of a rejection
+    // to its clients. Over HTTP, a rejection always has the header, which keeps clients from
+    // retrying at once, so the balancer must always compute it. See docs/operations.md,
+    // "Retry-After".
     settings.host.retry_after = true;
-    // Discovery answers only when polled.
+    // Discovery opens a watch only in response to a poll.
     settings.polling.required = true;
-    // Complete responses are passed on: the balancer does not learn of the start of a streamed one.
+    // Responses are forwarded once complete, so the balancer never sees the start of a streamed one.
     for class in &mut settings.classes {
         class.streamed = false;
     }
 }
 
-fn read_limits(own: &Node, conf: &Node, settings: &Settings) -> Result<Limits, KeyError> {
-    let sockets = read_count(&own.at("sockets"), DEFAULT_SOCKETS)?;
-    let memory_mib = read_count(&own.at("memory_mb"), DEFAULT_MEMORY_MIB)?;
-    let transport = TransportSettings::read(conf)?;
+fn read_limits(node: &Node, settings_node: &Node, settings: &Settings) -> Result<Limits, KeyError> {
+    let sockets = read_count(&node.at("sockets"), DEFAULT_SOCKETS)?;
+    let memory_mib = read_count(&node.at("memory_mb"), DEFAULT_MEMORY_MIB)?;
+    let transport = TransportSettings::read(settings_node)?;
     if sockets < MIN_SOCKETS {
         let problem = KeyProblem::TooSmall { min: MIN_SOCKETS };
-        return Err(own.at("sockets").error(problem));
+        return Err(node.at("sockets").error(problem));
     }
-    transport.check_timeouts(conf)?;
+    transport.check_timeouts(settings_node)?;
     let inputs = LimitInputs::new(sockets, memory_mib, &transport, settings);
     Ok(Limits::derive(&inputs))
 }
 
-/// A number of things; a fraction of one is dropped.
+/// Reads a count, truncating any fraction.
 fn read_count(node: &Node, default: f64) -> Result<usize, KeyError> {
     Ok(node.optional_number()?.unwrap_or(default) as usize)
 }
@@ -175,7 +177,7 @@
     Ok(Some(EndpointList::read(node)?))
 }
 
-/// An address from the variable, or else from the file.
+/// Reads an address from the environment variable if it is set, otherwise from the file.
 fn read_address(
     node: &Node,
     name: &'static str,
--- a/crates/sidecar/src/config/tests.rs
+++ b/crates/sidecar/src/config/tests.rs
@@ -1,6 +1,6 @@
 use super::Config;
 
-/// A configuration with every key.
+/// A configuration with every key that the sidecar reads.
 const CONFIGURATION: &str = r#"{"name": "n0", "seed": "8c", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2",
  "settings": {
   "request-classes": [
@@ -19,7 +19,7 @@
  "limits": {"sockets": 256, "memory_mb": 64},
  "known": {"rev": 7, "targets": []}}"#;
 
-/// Replacements that spoil one key each, in the order in which the keys are checked.
+/// Replacements that each make one key invalid, in the order in which the keys are checked.
 const FAULTS: [(&str, &str); 45] = [
     (r#""name": "n0""#, r#""name": 1"#),
     (r#""seed": "8c""#, r#""seed": "x""#),
@@ -62,7 +62,7 @@
     (r#""cold-ms": 24000"#, r#""cold-ms": "x""#),
     (r#""overload-factor": 3.5"#, r#""overload-factor": "x""#),
     (r#""fall-ms": 900"#, r#""fall-ms": "x""#),
-    // Out of range: checked once all of the settings have been read.
+    // Out of range, which is checked after all settings have been read.
     (r#""overload-factor": 3.5"#, r#""overload-factor": 0"#),
     (r#""sockets": 256"#, r#""sockets": -1"#),
     (r#""memory_mb": 64"#, r#""memory_mb": "x""#),
@@ -81,50 +81,50 @@
     (r#""rev": 7"#, r#""rev": "x""#),
 ];
 
-fn read(text: &str) -> Result<Config, String> {
-    Config::read(text, |_| None).map_err(|error| error.to_string())
+fn parse(text: &str) -> Result<Config, String> {
+    Config::parse(text, |_| None).map_err(|error| error.to_string())
 }
 
-/// A configuration with these faults. One key may be spoilt in two ways: the first fault of it
-/// counts.
-fn spoilt(faults: &[(&str, &str)]) -> String {
+/// Returns the configuration with these faults. Two faults may replace the same key: the first one
+/// takes effect.
+fn with_faults(faults: &[(&str, &str)]) -> String {
     let mut text = CONFIGURATION.to_owned();
-    for (good, bad) in faults {
-        text = text.replacen(good, bad, 1);
+    for (valid, invalid) in faults {
+        text = text.replacen(valid, invalid, 1);
     }
     text
 }
 
-fn message(text: &str) -> String {
-    match read(text) {
+fn error_message(text: &str) -> String {
+    match parse(text) {
         Ok(_) => "accepted".to_owned(),
         Err(message) => message,
     }
 }
 
 #[test]
-fn every_bad_key_is_named() {
+fn error_names_each_invalid_key() {
     let mut messages = String::new();
     for fault in FAULTS {
         assert!(CONFIGURATION.contains(fault.0), "{}", fault.0);
-        messages += &message(&spoilt(&[fault]));
+        messages += &error_message(&with_faults(&[fault]));
         messages.push('\n');
     }
     for address in ["127.0.0.1:1", "127.0.0.1:2"] {
-        messages += &message(&CONFIGURATION.replace(address, "here"));
+        messages += &error_message(&CONFIGURATION.replace(address, "here"));
         messages.push('\n');
     }
-    messages += &message(&CONFIGURATION.replace("\"settings\"", "\"setting\""));
+    messages += &error_message(&CONFIGURATION.replace("\"settings\"", "\"setting\""));
     messages.push('\n');
-    messages += &message("[");
+    messages += &error_message("[");
     insta::assert_snapshot!(messages);
 }
 
 #[test]
-fn of_several_bad_keys_the_first_in_the_order_of_the_checks_is_named() {
+fn first_of_several_invalid_keys_is_named_in_the_order_of_the_checks() {
     let mut messages = String::new();
     for first in 0..FAULTS.len() {
-        messages += &message(&spoilt(&FAULTS[first..]));
+        messages += &error_message(&with_faults(&FAULTS[first..]));
         messages.push('\n');
     }
     insta::assert_snapshot!(messages);
@@ -132,7 +132,7 @@
 
 #[test]
 fn every_key_reaches_settings_limits_and_deployment_metadata() {
-    let config = read(CONFIGURATION).expect("good");
+    let config = parse(CONFIGURATION).expect("valid configuration");
     insta::assert_snapshot!(format!(
         "{:#?}\n{:#?}\n{:#?}",
         config.settings, config.limits, config.deployment
@@ -143,7 +143,7 @@
 fn missing_keys_get_the_defaults_of_the_sidecar() {
     let text = r#"{"name": "n0", "seed": "8c", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": {
         "request-classes": [{"semantics": "pure", "objective-ms": 150, "deadline-ms": 600, "name": "look"}]}}"#;
-    let config = read(text).expect("good");
+    let config = parse(text).expect("valid configuration");
     insta::assert_snapshot!(format!(
         "{:#?}\n{:#?}\n{:#?}",
         config.settings, config.limits, config.deployment
@@ -151,25 +151,25 @@
 }
 
 #[test]
-fn variables_win_over_the_file() {
+fn environment_variables_take_precedence_over_the_file() {
     let variable = |name: &str| match name {
         "NODE_NAME" => Some("other".to_owned()),
         "NODE_LISTEN" => Some("127.0.0.1:3".to_owned()),
         "NODE_DISCOVERY" => Some("127.0.0.1:4".to_owned()),
         _ => None,
     };
-    let Ok(config) = Config::read(CONFIGURATION, variable) else {
-        panic!("good");
+    let Ok(config) = Config::parse(CONFIGURATION, variable) else {
+        panic!("configuration rejected");
     };
     assert_eq!(config.name, "other");
     assert_eq!((config.listen.port(), config.discovery.port()), (3, 4));
-    let bad = Config::read(CONFIGURATION, |name| {
+    let invalid = Config::parse(CONFIGURATION, |name| {
         (name == "NODE_LISTEN").then(|| "here".to_owned())
     });
-    let message = bad.map(|_| ()).map_err(|error| error.to_string());
+    let message = invalid.map(|_| ()).map_err(|error| error.to_string());
     let expected = "NODE_LISTEN: \"here\" is not an address and port";
     assert_eq!(message, Err(expected.to_owned()));
-    let unreadable = Config::read(CONFIGURATION, |name| {
+    let unreadable = Config::parse(CONFIGURATION, |name| {
         (name == "ARROWSTAND_MACHINES").then(|| "/nonexistent".to_owned())
     });
     let message = unreadable.map(|_| ()).map_err(|error| error.to_string());
