--- a/crates/sidecar/src/main.rs
+++ b/crates/sidecar/src/main.rs
@@ -1,4 +1,4 @@
-//! arrowstand, the sidecar: starts the parts, follows the signals and gives the exit code.
+//! The arrowstand sidecar: starts the components, handles signals and sets the exit code.
 #![forbid(unsafe_code)]
 
 mod config;
@@ -36,15 +36,15 @@
     }
 }
 
-/// Runs the sidecar on this thread, from its start to its end.
+/// Runs the sidecar on the current thread until it has shut down.
 fn run() -> Result<(), StartupError> {
     let runtime = actix_rt::Runtime::new().map_err(StartupError::Runtime)?;
     runtime.block_on(serve())
 }
 
-/// Serves until SIGTERM or SIGINT; SIGHUP reloads the configuration. Signals are listened for
-/// before anything is read and followed once the sidecar serves: by default a SIGHUP during the
-/// start, for a new configuration, would end the process.
+/// Serves until SIGTERM or SIGINT; SIGHUP reloads the configuration. The signal handlers are
+/// installed before the configuration is read, because the default action of a SIGHUP that arrives
+/// during startup is to terminate the process. Such signals are handled once the sidecar serves.
 async fn serve() -> Result<(), StartupError> {
     let mut signals = Signals::listen()?;
     let config = Config::from_environment()?;
--- a/crates/sidecar/src/startup.rs
+++ b/crates/sidecar/src/startup.rs
@@ -1,5 +1,5 @@
-//! The sidecar in service: starts its parts from a configuration, in the order in which they need
-//! each other, moves to another discovery at a reload, and ends them.
+//! Lifecycle of the sidecar: starts its components from a configuration in the order of their
+//! dependencies, switches to a new discovery address on reload, and shuts the components down.
 
 mod shared_parts;
 
@@ -24,25 +24,25 @@
 use crate::upstream::Upstream;
 use shared_parts::SharedParts;
 
-/// The sidecar in service. Its tasks run until the runtime ends.
+/// A running sidecar. Its tasks run until the runtime ends.
 pub(crate) struct Sidecar {
     limits: Rc<Limits>,
     counters: Rc<Counters>,
     proxy: Rc<Proxy>,
     listener: Rc<Listener>,
-    /// The task that accepts clients.
-    accept: JoinHandle<()>,
-    /// Where discovery is.
-    discovery: watch::Sender<SocketAddr>,
+    /// Task that accepts client connections.
+    accept_task: JoinHandle<()>,
+    /// Address of discovery.
+    discovery_address: watch::Sender<SocketAddr>,
 }
 
 impl Sidecar {
-    /// Starts to serve clients. Somewhat long on purpose: the order in which the parts start can be
-    /// read in one place.
+    /// Starts all components and begins to serve clients. This function is kept whole, although
+    /// long, so that the startup order can be read in one place.
     ///
     /// # Errors
-    /// [`StartupError::Settings`] where the balancer does not take its settings,
-    /// [`StartupError::Listen`] where the address for clients cannot be listened on.
+    /// [`StartupError::Settings`] if the balancer rejects its settings, [`StartupError::Listen`] if
+    /// the listening socket for clients cannot be opened.
     pub(crate) async fn start(config: Config) -> Result<Self, StartupError> {
         let balancer = WorkAwareBalancer::new(config.settings, config.seed)?;
         let (parts, servers_to_check) =
@@ -54,8 +54,8 @@
         parts
             .host
             .update_endpoints(UpdateKind::Cached, cached.revision, &cached);
-        spawn_tasks(&parts.host, &upstream, servers_to_check);
-        let (discovery, address) = watch::channel(config.discovery);
+        spawn_background_tasks(&parts.host, &upstream, servers_to_check);
+        let (discovery_address, address) = watch::channel(config.discovery);
         let limits = Rc::clone(&parts.limits);
         let watcher = Watcher::new(
             parts.endpoint_sink(),
@@ -67,43 +67,45 @@
         actix_rt::spawn(watcher.run());
         let proxy = new_proxy(&parts, upstream);
         let listener = Listener::new(parts.service_context(), Rc::clone(&proxy));
-        let accept = actix_rt::spawn(Rc::clone(&listener).accept(socket));
+        let accept_task = actix_rt::spawn(Rc::clone(&listener).accept(socket));
         tracing::info!(sidecar = %config.name, address = %config.listen, "listening for clients");
         Ok(Self {
             limits: parts.limits,
             counters: parts.counters,
             proxy,
             listener,
-            accept,
-            discovery,
+            accept_task,
+            discovery_address,
         })
     }
 
-    /// Reads the configuration again and follows discovery to its new address. The rest of a new
-    /// file is for the next start: what is in flight rests on the old settings.
+    /// Reloads the configuration and switches to its discovery address. All other changes take
+    /// effect at the next start, because requests in flight depend on the old settings.
     pub(crate) fn reload(&self) {
         match Config::reload() {
             Ok(config) => self.on_reloaded(config.discovery),
-            // A mistake in the file is no reason to end a process in service.
-            Err(error) => tracing::error!(%error, "configuration not reloaded"),
+            // An invalid file must not stop a running sidecar.
+            Err(error) => {
+                tracing::error!(%error, "configuration reload failed, keeping the old one");
+            }
         }
     }
 
-    /// Ends in order; what has been accepted gets its response before.
+    /// Shuts down gracefully: every accepted request gets its response first.
     pub(crate) async fn shut_down(self) {
         let limits = &self.limits.shutdown;
-        shut_down(&self.proxy, &self.listener, self.accept, limits).await;
-        // One message with all counters: the testbed's emulator reads what follows this line.
+        shut_down(&self.proxy, &self.listener, self.accept_task, limits).await;
+        // One message with all counters: the testbed's emulator parses the lines after "stopped".
         tracing::info!("stopped\n{}", self.counters);
     }
 
     fn on_reloaded(&self, new_address: SocketAddr) {
         tracing::info!(discovery = %new_address, "configuration reloaded");
-        // A watch need not be opened again where discovery has not moved.
-        self.discovery.send_if_modified(|address| {
-            let has_moved = *address != new_address;
+        // An unchanged address must not make the watcher reopen its watch.
+        self.discovery_address.send_if_modified(|address| {
+            let has_changed = *address != new_address;
             *address = new_address;
-            has_moved
+            has_changed
         });
     }
 }
@@ -131,8 +133,8 @@
         .map_err(|source| StartupError::Listen { address, source })
 }
 
-/// Spawns what runs beside the requests: timers, health checks and the sweeps of the pools.
-fn spawn_tasks(
+/// Spawns the background tasks: timers, health checks and sweeps of the connection pools.
+fn spawn_background_tasks(
     host: &Rc<BalancerHost>,
     upstream: &Rc<Upstream>,
     servers_to_check: mpsc::Receiver<ServerId>,
