--- a/crates/sidecar/src/limits.rs
+++ b/crates/sidecar/src/limits.rs
@@ -1,8 +1,7 @@
-//! Every size, count and time that the network code keeps to, derived once at the start of the
-//! program.
+//! Limits of the network code: sizes, counts and durations, derived once at startup.
 //!
-//! Owns the numbers and the reasons for them; the settings that they follow from come as
-//! [`LimitInputs`].
+//! This module defines the values and documents the reasons for them. [`LimitInputs`] holds the
+//! settings from which they are derived.
 
 mod client;
 mod discovery;
@@ -20,33 +19,32 @@
 pub(crate) use shutdown::ShutdownLimits;
 pub(crate) use upstream::UpstreamLimits;
 
-/// Actions that an attempt may cause: it is sent, and it ends.
+/// Maximum number of actions per attempt: one that sends it and one when it ends.
 const ACTIONS_PER_ATTEMPT: usize = 2;
-/// Actions of a request beside those of its attempts: the final one, and some to spare.
+/// Actions of a request in addition to those of its attempts: the final one and three in reserve.
 const ACTIONS_PER_REQUEST: usize = 4;
 
-/// Every bound of the network code. Filled by [`Limits::derive`] from the configuration and handed
-/// down from there.
+/// All limits of the network code. [`Limits::derive`] computes them from the configuration.
 #[derive(Clone, Debug)]
 pub(crate) struct Limits {
-    /// Bounds on clients.
+    /// Limits on client connections.
     pub(crate) client: ClientLimits,
-    /// Bounds on servers.
+    /// Limits on connections to servers.
     pub(crate) upstream: UpstreamLimits,
-    /// Bounds on discovery.
+    /// Limits on discovery.
     pub(crate) discovery: DiscoveryLimits,
-    /// Bounds on the end of the program.
+    /// Time limits of a shutdown.
     pub(crate) shutdown: ShutdownLimits,
-    /// Bytes of a request's or a response's body.
+    /// Maximum size of a request body or response body.
     pub(crate) max_body_bytes: usize,
-    /// Actions of one request that may wait to be executed.
+    /// Maximum number of queued actions per request.
     pub(crate) max_queued_actions: usize,
-    /// Retry-After of a rejection for which the balancer names none.
+    /// Retry-After of a rejection for which the balancer gives none.
     pub(crate) default_retry_after: Duration,
 }
 
 impl Limits {
-    /// Derives all limits.
+    /// Computes all limits.
     pub(crate) fn derive(inputs: &LimitInputs) -> Self {
         Self {
             client: ClientLimits::derive(inputs),
--- a/crates/sidecar/src/limits/discovery.rs
+++ b/crates/sidecar/src/limits/discovery.rs
@@ -1,4 +1,4 @@
-//! Bounds on calls to discovery and on its endpoint list.
+//! Limits on polls of discovery, on its watches and on the endpoint list.
 
 use std::time::Duration;
 
@@ -7,42 +7,41 @@
 use super::inputs::LimitInputs;
 use crate::units::micros;
 
-/// A change of the endpoint list counts as notified after this long, whether or not it arrived (the
-/// protocol page).
+/// Time after which a change to the endpoint list counts as notified, whether or not it arrived;
+/// defined by the protocol.
 pub(super) const CHANGE_NOTICE_DELAY: Duration = Duration::from_secs(6);
-/// After a new configuration it counts as notified this much later (the protocol page).
+/// The same after a new configuration relocates discovery; defined by the protocol.
 const RELOCATION_NOTICE_DELAY: Duration = Duration::from_secs(4);
-/// One and a half of the heartbeat's 2 s: a watch that is silent for longer is lost.
+/// 1.5 times the heartbeat interval of 2 s. A watch that is silent for longer counts as lost.
 const WATCH_SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
-/// The balancer's longest first backoff before it polls again (one and a half of its `REASK`), and
-/// what a busy machine adds to it.
+/// Longest delay of the balancer's first new poll, 1.5 times its initial backoff of 0.2 s, plus the
+/// scheduling delay of a busy machine.
 pub(super) const MAX_POLL_BACKOFF: Duration = Duration::from_millis(500);
-/// Bytes of one line. An object that does not end would otherwise fill the memory.
+/// Maximum size of an object. Without it, an object that never ends would exhaust the memory.
 const MAX_OBJECT_BYTES: usize = 512 * 1024;
-/// Deeper than any list. JSON is read recursively, so its depth bounds the stack.
+/// Deeper than any endpoint list. JSON is parsed recursively, so this bounds the use of the stack.
 const MAX_JSON_DEPTH: usize = 32;
-/// Shortest and longest pause between polls for a list that is late.
+/// Smallest and largest value of [`DiscoveryLimits::poll_retry_delay`].
 const POLL_RETRY_DELAYS: (Duration, Duration) =
     (Duration::from_millis(50), Duration::from_millis(300));
 
-/// Bounds on calls to discovery and on its endpoint list.
+/// Limits on polls of discovery, on its watches and on the endpoint list.
 #[derive(Clone, Debug)]
 pub(crate) struct DiscoveryLimits {
-    /// Bytes of one line.
+    /// Maximum size of an object.
     pub(crate) max_object_bytes: usize,
-    /// Nesting of JSON that is read.
+    /// Maximum nesting depth of the JSON.
     pub(crate) max_json_depth: usize,
-    /// The head of the response must come within this. A drain that is learnt later cannot be kept
-    /// any more: from the last event of a watch that dies to the end of the call that replaces it,
-    /// no more passes than the time after which a change counts as notified and the grace of a
-    /// drain.
+    /// Timeout for the response head of a poll. The time between the last event of a watch that
+    /// fails and the end of the poll that replaces it must not exceed the change notice delay plus
+    /// the drain grace period: a drain that becomes known later can no longer be obeyed.
     pub(crate) poll_timeout: Duration,
-    /// A watch that is silent for this long is lost.
+    /// A watch that is silent for this long counts as lost.
     pub(crate) watch_silence_timeout: Duration,
-    /// A list that is late is polled again after about this long, until it is there.
+    /// Upper bound of the random delay before a poll is retried for an overdue endpoint list.
     pub(crate) poll_retry_delay: Duration,
-    /// When what the list does not show counts as notified; half of the grace is left for what is
-    /// on its way.
+    /// When changes that are missing from the list count as notified. Half of the drain grace
+    /// period is reserved for requests in transit.
     pub(crate) staleness: StalenessBounds,
 }
 
--- a/crates/sidecar/src/limits/inputs.rs
+++ b/crates/sidecar/src/limits/inputs.rs
@@ -1,16 +1,16 @@
-//! The parts of the configuration that limits follow from.
+//! The parts of the configuration from which the limits are derived.
 
 use std::time::Duration;
 
 use arrowstand_balancer::Settings;
 use arrowstand_platform::{MembershipMode, TransportSettings};
 
-/// The parts of the configuration that limits follow from.
+/// The parts of the configuration from which the limits are derived.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct LimitInputs {
-    /// File descriptors that the process may hold.
+    /// Maximum number of file descriptors of the process.
     pub(crate) sockets: usize,
-    /// Memory that it may use, in MiB.
+    /// Memory limit of the process in MiB.
     pub(crate) memory_mib: usize,
     /// `permissions.connect-timeout-ms`.
     pub(crate) connect_timeout: Duration,
@@ -22,18 +22,18 @@
     pub(crate) max_retry_after: Duration,
     /// `permissions.max-attempts`.
     pub(crate) max_attempts: usize,
-    /// The longest deadline of a request class.
+    /// Longest deadline of all request classes.
     pub(crate) longest_deadline: Duration,
     /// `step-ms`.
     pub(crate) step: Duration,
     /// `safety.ask-every-ms`.
     pub(crate) max_poll_interval: Duration,
-    /// `membership-mode` is `pushed`: changes count as notified, whether or not a watch is open.
+    /// `membership-mode` is `pushed`: changes count as notified whether or not a watch is open.
     pub(crate) push_mode: bool,
 }
 
 impl LimitInputs {
-    /// Collects the inputs from the process's own limits and from the settings.
+    /// Collects the inputs from the limits of the process and the settings.
     pub(crate) fn new(
         sockets: usize,
         memory_mib: usize,
--- a/crates/sidecar/src/limits/shutdown.rs
+++ b/crates/sidecar/src/limits/shutdown.rs
@@ -1,27 +1,27 @@
-//! What follows a SIGTERM.
+//! Time limits of a shutdown.
 
 use std::time::Duration;
 
 use super::inputs::LimitInputs;
 
-/// SIGKILL comes no earlier than the longest deadline, taken as this where it is longer, and 0.7 s
-/// after SIGTERM (the protocol page).
+/// Upper bound on the longest deadline when the end of a shutdown is computed: SIGKILL follows
+/// SIGTERM no earlier than the smaller of the two plus 0.7 s, as the protocol defines.
 const MAX_SHUTDOWN_DEADLINE: Duration = Duration::from_secs(3);
-/// New connections come for 0.4 s after SIGTERM (the protocol page).
+/// Clients may still connect for 0.4 s after SIGTERM, as the protocol defines.
 const ACCEPT_PERIOD: Duration = Duration::from_millis(500);
-/// The latest request that is accepted has its deadline by then.
+/// By then the deadline of the last accepted request has passed.
 const FORCED_RESPONSE_MARGIN: Duration = Duration::from_millis(550);
-/// Leaves 0.1 s to write the last responses, and 0.05 s until the SIGKILL.
+/// Leaves 0.1 s to write the last responses, and 0.05 s before the SIGKILL.
 const EXIT_MARGIN: Duration = Duration::from_millis(650);
 
-/// What follows a SIGTERM, each counted from the signal.
+/// Time limits of a shutdown, each measured from the SIGTERM.
 #[derive(Clone, Debug)]
 pub(crate) struct ShutdownLimits {
-    /// Connections are accepted for this long.
+    /// How long connections are still accepted.
     pub(crate) accept_period: Duration,
-    /// What is still open is answered at once after this long.
+    /// When all requests still in flight get a response at once.
     pub(crate) forced_response_after: Duration,
-    /// The longest time until the program ends.
+    /// When the process exits at the latest.
     pub(crate) exit_after: Duration,
 }
 
--- a/crates/sidecar/src/limits/tests.rs
+++ b/crates/sidecar/src/limits/tests.rs
@@ -4,7 +4,7 @@
 use super::{LimitInputs, Limits};
 
 #[test]
-fn from_the_last_event_of_a_watch_to_the_end_of_the_next_call_no_drain_is_missed() {
+fn silence_and_next_poll_fit_into_notice_delay_and_drain_grace() {
     for ms in (500..10_000).step_by(100) {
         let grace = Duration::from_millis(ms);
         let limits = Limits::derive(&LimitInputs {
@@ -21,13 +21,13 @@
         );
         assert!(
             limits.discovery.poll_timeout >= Duration::from_secs(3),
-            "too short for a poll that is queued: {ms} ms"
+            "{ms} ms: poll timeout too short for a poll that discovery queues"
         );
     }
 }
 
 #[test]
-fn an_idle_connection_is_not_reused_once_its_server_may_have_closed_it() {
+fn idle_connection_is_not_reused_once_its_server_may_have_closed_it() {
     for ms in 1..10_000 {
         let idle_timeout = Duration::from_millis(ms);
         let limits = Limits::derive(&LimitInputs {
@@ -35,21 +35,22 @@
             idle_timeout,
             ..Default::default()
         });
-        let none = limits.upstream.idle_reuse_timeout <= Duration::from_millis(1);
+        let is_minimum = limits.upstream.idle_reuse_timeout <= Duration::from_millis(1);
         assert!(
-            none || limits.upstream.reuse_delay + limits.upstream.idle_reuse_timeout < idle_timeout,
+            is_minimum
+                || limits.upstream.reuse_delay + limits.upstream.idle_reuse_timeout < idle_timeout,
             "{ms} ms: {:?}",
             limits.upstream.idle_reuse_timeout
         );
         assert!(
             !limits.upstream.idle_reuse_timeout.is_zero(),
-            "the sweep of the pool would have no pause"
+            "the pool sweep would not sleep"
         );
     }
 }
 
 #[test]
-fn a_shutdown_ends_before_the_kill_and_after_the_last_deadline_that_fits() {
+fn shutdown_ends_before_sigkill_and_after_the_last_request_deadline() {
     for ms in (50..30_000).step_by(50) {
         let deadline = Duration::from_millis(ms);
         let limits = Limits::derive(&LimitInputs {
@@ -57,20 +58,20 @@
             longest_deadline: deadline,
             ..Default::default()
         });
-        let kill = deadline.min(Duration::from_secs(3)) + Duration::from_millis(700);
+        let sigkill_at = deadline.min(Duration::from_secs(3)) + Duration::from_millis(700);
         assert!(
-            limits.shutdown.exit_after + Duration::from_millis(50) <= kill,
-            "{ms} ms: killed while responses are written"
+            limits.shutdown.exit_after + Duration::from_millis(50) <= sigkill_at,
+            "{ms} ms: SIGKILL may interrupt the last responses"
         );
         assert!(
             limits.shutdown.forced_response_after < limits.shutdown.exit_after,
             "{ms} ms: no time to write the last responses"
         );
-        let last = limits.shutdown.accept_period + deadline;
-        let whole = deadline <= Duration::from_secs(3);
+        let last_deadline = limits.shutdown.accept_period + deadline;
+        let is_within_bound = deadline <= Duration::from_secs(3);
         assert!(
-            !whole || last < limits.shutdown.forced_response_after,
-            "{ms} ms: the last accepted request is cut short"
+            !is_within_bound || last_deadline < limits.shutdown.forced_response_after,
+            "{ms} ms: the last accepted request ends before its deadline"
         );
     }
 }
