--- a/crates/sidecar/src/discovery/endpoint_sink.rs
+++ b/crates/sidecar/src/discovery/endpoint_sink.rs
@@ -1,5 +1,5 @@
-//! What discovery may do to the rest of the sidecar: deliver endpoint lists, report what happens to
-//! its polls and watches, and wait until the balancer wants the next poll.
+//! Interface of the discovery client to the rest of the sidecar: it delivers endpoint lists,
+//! reports the events of polls and watches, and waits for the balancer's poll requests.
 
 use std::rc::Rc;
 
@@ -9,7 +9,7 @@
 use crate::counters::Counters;
 use crate::host::{BalancerHost, EndpointListFreshness};
 
-/// Takes what discovery learns.
+/// Receiver of endpoint lists and of the events of polls and watches.
 pub(crate) struct EndpointSink {
     host: Rc<BalancerHost>,
     freshness: Rc<EndpointListFreshness>,
@@ -17,7 +17,7 @@
 }
 
 impl EndpointSink {
-    /// A sink that hands endpoint lists to that host.
+    /// Creates a sink that passes endpoint lists to `host`.
     pub(crate) fn new(
         host: Rc<BalancerHost>,
         freshness: Rc<EndpointListFreshness>,
@@ -30,28 +30,28 @@
         }
     }
 
-    /// Waits until the balancer wants the endpoint list polled.
+    /// Waits until the balancer requests a poll of the endpoint list.
     pub(super) async fn poll_requested(&self) {
         self.host.poll_requested().await;
     }
 
-    /// The events and questions that concern the age of the endpoint list.
+    /// Returns the tracker of the age of the endpoint list.
     pub(super) fn freshness(&self) -> &EndpointListFreshness {
         &self.freshness
     }
 
-    /// A list came, under a version that never falls.
+    /// Passes on a received list. `version` must not decrease.
     pub(super) fn on_list_received(&self, kind: UpdateKind, version: u64, list: &EndpointList) {
         self.freshness.on_watch_event();
         self.host.update_endpoints(kind, version, list);
     }
 
-    /// An object came that is no endpoint list.
+    /// Counts an object that is not a valid endpoint list.
     pub(super) fn on_invalid_object(&self) {
         self.counters.endpoint_lines_skipped.add();
     }
 
-    /// The watch is over and no other replaces it yet.
+    /// Reports that the watch has ended and no other has replaced it yet.
     pub(super) fn on_watch_lost(&self) {
         self.host.on_watch_lost();
     }
--- a/crates/sidecar/src/discovery/mod.rs
+++ b/crates/sidecar/src/discovery/mod.rs
@@ -1,7 +1,7 @@
-//! Service discovery: the endpoint list, the watch that delivers it, and when discovery is polled.
+//! Service discovery client: polls discovery and receives the endpoint list over a watch.
 //!
-//! Owns the connection to discovery and the position in its numbering of changes. What an endpoint
-//! list means for the servers is the host's and the balancer's business.
+//! This module owns the connection to discovery and the revision up to which its changes have been
+//! received. The host and the balancer apply the endpoint lists.
 
 mod endpoint_sink;
 mod object_decoder;
--- a/crates/sidecar/src/discovery/object_decoder.rs
+++ b/crates/sidecar/src/discovery/object_decoder.rs
@@ -1,22 +1,22 @@
-//! The framing of a watch: one JSON object a line, or one indented over several lines.
+//! Framing of a watch's response body: each JSON object is on one line, or indented over several.
 //!
-//! Cuts bytes into objects; whether an object is an endpoint list is not checked here.
+//! The decoder only splits the bytes into objects; it does not check their content.
 
 use bytes::BytesMut;
 
 use arrowstand_platform::json::nesting_depth_at_end;
 
-/// Cuts a watch's bytes into objects and empty lines, however they were split over chunks.
+/// Splits the bytes of a watch into objects and empty lines, independently of chunk boundaries.
 pub(super) struct ObjectDecoder {
-    /// Bytes that are not decoded yet.
+    /// Bytes that have not been decoded yet.
     undecoded: BytesMut,
-    /// The lines of an object that is not closed yet.
+    /// Lines of an object that has not been closed yet.
     partial_object: Vec<u8>,
     max_object_bytes: usize,
     max_json_depth: usize,
 }
 
-/// An object exceeds the decoder's bound.
+/// An object exceeds the size limit of the decoder.
 #[derive(Debug, PartialEq, thiserror::Error)]
 #[error("object exceeds the limit of {max_object_bytes} bytes")]
 pub(super) struct ObjectTooLong {
@@ -24,7 +24,7 @@
 }
 
 impl ObjectDecoder {
-    /// A decoder of objects of so many bytes and so many levels of JSON at most.
+    /// Creates a decoder with limits on the size and the nesting depth of an object.
     pub(super) fn new(max_object_bytes: usize, max_json_depth: usize) -> Self {
         Self {
             undecoded: BytesMut::new(),
@@ -34,7 +34,7 @@
         }
     }
 
-    /// The next object, readable or not, or an empty line; nothing until more bytes are pushed.
+    /// Returns the next object, valid or not, or an empty line; `None` if more bytes are needed.
     pub(super) fn next_object(&mut self) -> Option<Vec<u8>> {
         loop {
             let line_end = self.undecoded.iter().position(|&byte| byte == b'\n')?;
@@ -44,17 +44,17 @@
             let line = self.undecoded.split_to(line_end + 1);
             self.partial_object.extend_from_slice(&line);
             let depth = nesting_depth_at_end(&self.partial_object);
-            // What is nested too deep cannot be read, whatever follows.
+            // An object that is nested too deeply is invalid, whatever follows.
             if depth == 0 || depth > self.max_json_depth {
                 return Some(std::mem::take(&mut self.partial_object));
             }
         }
     }
 
-    /// Adds a chunk.
+    /// Appends a chunk to the input.
     ///
     /// # Errors
-    /// If what is not returned yet would exceed the bound on an object.
+    /// If the bytes not yet returned as objects would exceed the limit on the size of an object.
     pub(super) fn push(&mut self, chunk: &[u8]) -> Result<(), ObjectTooLong> {
         if self.undecoded.len() + self.partial_object.len() + chunk.len() > self.max_object_bytes {
             return Err(ObjectTooLong {
@@ -65,9 +65,9 @@
         Ok(())
     }
 
-    /// True where the open object ends without having been closed: an indented line continues it,
-    /// the start of the next object and an empty line do not. Otherwise half an object would take
-    /// in all that follows it.
+    /// True if the partial object ends before the next line without having been closed. An indented
+    /// line continues the object; the start of another object or an empty line does not. Without
+    /// this check, a truncated object would absorb all objects after it.
     fn is_partial_object_truncated_at(&self, line_end: usize) -> bool {
         let is_blank = self.undecoded[..line_end].trim_ascii().is_empty();
         !self.partial_object.is_empty() && (is_blank || self.undecoded[0] == b'{')
--- a/crates/sidecar/src/discovery/watch.rs
+++ b/crates/sidecar/src/discovery/watch.rs
@@ -1,6 +1,6 @@
-//! One watch on discovery, from the poll that opens it to its end.
+//! A single watch on discovery, from the poll that opens it to its end.
 //!
-//! Hands endpoint lists to the sink as they come. When to poll again is the watcher's business.
+//! Endpoint lists are delivered to the sink as they arrive. The watcher decides when to poll again.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
 use super::watch_error::WatchError;
 use crate::limits::{DiscoveryLimits, Limits};
 
-/// Polls discovery and delivers what the watch brings until it ends; returns why it did.
+/// Polls discovery and delivers the endpoint lists of the watch until it ends; returns the reason.
 pub(super) async fn watch(
     sink: &EndpointSink,
     client: &awc::Client,
@@ -42,7 +42,7 @@
     }
 }
 
-/// Sends a poll and waits for the head of its response.
+/// Sends a poll and waits for the head of the response.
 async fn poll(
     client: &awc::Client,
     uri: &str,
@@ -59,7 +59,7 @@
     Ok(response)
 }
 
-/// Delivers each list and heartbeat of an open watch; returns only by an error.
+/// Delivers each endpoint list and heartbeat of an open watch; returns only on an error.
 async fn deliver_lists(
     sink: &EndpointSink,
     mut body: impl Stream<Item = Result<Bytes, PayloadError>> + Unpin,
@@ -73,7 +73,8 @@
         limits.discovery.max_json_depth,
     );
     loop {
-        // A peer that has vanished closes nothing; that its heartbeats stop is the only sign of it.
+        // A peer that is gone may not have closed the connection: missing heartbeats are the only
+        // sign of it.
         let chunk = timeout(silence_timeout, body.next())
             .await
             .map_err(|_| WatchError::WatchSilent { last_received_at })?
@@ -87,7 +88,7 @@
     }
 }
 
-/// Delivers one object, or the empty line that is a heartbeat.
+/// Delivers one object, or a heartbeat, which is an empty line.
 fn on_object_received(
     sink: &EndpointSink,
     cursor: &WatchCursor,
--- a/crates/sidecar/src/discovery/watch_cursor.rs
+++ b/crates/sidecar/src/discovery/watch_cursor.rs
@@ -1,21 +1,21 @@
-//! The position in discovery's numbering of its changes, kept from one watch to the next.
+//! The last received revision of the endpoint list, kept across watches.
 
 use std::cell::Cell;
 
 use arrowstand_platform::{EndpointList, ListKind};
 
-/// The last revision that came, and how it maps to the versions that the balancer gets.
+/// The last received revision and its mapping to the versions passed to the balancer.
 pub(super) struct WatchCursor {
-    /// Discovery's number of the last list; 0 asks for the whole list.
+    /// Revision of the last list; 0 requests the full list.
     revision: Cell<u64>,
-    /// The balancer's versions are this much higher than revisions, so that they only rise.
+    /// Added to a revision to get the version for the balancer, so that versions never decrease.
     version_offset: Cell<u64>,
-    /// No list has come on this watch yet.
+    /// No list has been received on the current watch yet.
     awaiting_first_list: Cell<bool>,
 }
 
 impl WatchCursor {
-    /// A cursor behind the list of that revision; 0 where there is none.
+    /// Creates a cursor at the revision of the cached list; 0 if there is none.
     pub(super) fn new(revision: u64) -> Self {
         Self {
             revision: Cell::new(revision),
@@ -24,21 +24,22 @@
         }
     }
 
-    /// The revision after which a poll asks for changes.
+    /// Returns the revision after which a poll requests changes.
     pub(super) fn revision(&self) -> u64 {
         self.revision.get()
     }
 
-    /// A new watch begins: its first list may be of a discovery that counts from lower down.
+    /// Records the start of a watch. Its first list may be from a discovery instance with lower
+    /// revisions.
     pub(super) fn on_poll_started(&self) {
         self.awaiting_first_list.set(true);
     }
 
-    /// A list came; returns its version for the balancer.
+    /// Records a received list and returns its version for the balancer.
     pub(super) fn on_list_received(&self, list: &EndpointList) -> u64 {
-        // A discovery that is new, or was restarted, may count from lower down. It was polled for
-        // changes after the cursor and sent the whole list instead, so the list is not an old one
-        // although its revision is lower.
+        // A new or restarted discovery instance may have lower revisions. It was polled for changes
+        // after the cursor and sent the full list instead, so the list is current although its
+        // revision is lower.
         let is_first = self.awaiting_first_list.replace(false);
         if is_first && list.kind == ListKind::Full && list.revision < self.revision.get() {
             self.version_offset
@@ -48,8 +49,8 @@
         self.version_offset.get() + list.revision
     }
 
-    /// An object was unreadable. The next list would move the cursor past the changes in it, so the
-    /// next poll asks for the whole list.
+    /// Makes the next poll request the full list. Otherwise the next list would move the cursor
+    /// past the changes in the invalid object.
     pub(super) fn on_invalid_object(&self) {
         self.revision.set(0);
     }
--- a/crates/sidecar/src/discovery/watcher.rs
+++ b/crates/sidecar/src/discovery/watcher.rs
@@ -1,5 +1,5 @@
-//! When discovery is polled: for each poll that the balancer asks for, and at once where discovery
-//! was relocated or where the endpoint list would otherwise count as stale.
+//! Decides when discovery is polled: when the balancer requests it, when discovery has been
+//! relocated, and soon after a watch ends if the endpoint list may otherwise become stale.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -14,30 +14,30 @@
 use super::watch_error::WatchError;
 use crate::limits::Limits;
 
-/// An early poll comes after at least this part of the retry delay; the rest is drawn, so that many
-/// sidecars do not poll in step.
+/// Minimum delay of an early poll as a fraction of the retry delay. The rest is random jitter that
+/// prevents many sidecars from polling at the same time.
 const MIN_RETRY_DELAY_FACTOR: f64 = 0.25;
 
-/// Why discovery is polled.
+/// Reason for a poll.
 #[derive(Clone, Copy, PartialEq)]
 enum PollReason {
-    /// The balancer asked for it, or the poll replaces one that it had asked for.
+    /// The balancer requested the poll, or it replaces a requested poll.
     Requested,
-    /// The balancer has not asked for it yet.
+    /// The balancer has not requested the poll yet.
     Early,
 }
 
-/// Why a watch is over.
+/// Why a watch is no longer followed.
 enum WatchExit {
-    /// It could not be opened, or it ended or failed.
+    /// The watch could not be opened, ended or failed.
     Ended(WatchError),
-    /// The balancer asked for another poll meanwhile.
+    /// The balancer requested another poll.
     Superseded,
-    /// Discovery is at another address.
+    /// The address of discovery has changed.
     Relocated,
 }
 
-/// Follows discovery, from one watch to the next.
+/// Keeps a watch on discovery open and replaces it when it ends.
 pub(crate) struct Watcher {
     sink: EndpointSink,
     client: awc::Client,
@@ -48,8 +48,8 @@
 }
 
 impl Watcher {
-    /// A watcher of the discovery at `discovery`. `revision` is that of the cached endpoint list, 0
-    /// if there is none; `seed` is of the delays of early polls.
+    /// Creates a watcher of the address in `discovery`. `revision` is that of the cached endpoint
+    /// list, 0 if there is none; `seed` is for the delays of early polls.
     pub(crate) fn new(
         sink: EndpointSink,
         discovery: Receiver<SocketAddr>,
@@ -67,8 +67,7 @@
         }
     }
 
-    /// Follows discovery for as long as the program runs, from the balancer's first request for a
-    /// poll.
+    /// Watches discovery from the balancer's first poll request until the process exits.
     pub(crate) async fn run(mut self) {
         self.sink.poll_requested().await;
         let mut reason = PollReason::Requested;
@@ -78,7 +77,7 @@
         }
     }
 
-    /// Records how a watch ended, and waits until the next poll is due where that is not now.
+    /// Records how a watch ended and, unless a poll is due at once, waits for the next one.
     async fn on_watch_exit(&mut self, exit: WatchExit) -> PollReason {
         match exit {
             WatchExit::Ended(error) => {
@@ -96,7 +95,7 @@
         }
     }
 
-    /// Polls and watches until the watch ends or another one is to replace it.
+    /// Polls and watches until the watch ends or must be replaced.
     async fn watch_until_interrupted(&mut self, mut reason: PollReason) -> WatchExit {
         let address = *self.discovery.borrow_and_update();
         let sink = &self.sink;
@@ -105,23 +104,23 @@
         loop {
             tokio::select! {
                 error = &mut watch => return WatchExit::Ended(error),
-                // The poll that the balancer asks for is already under way. A new one would be
-                // queued again behind those of other sidecars.
+                // The requested poll is already in progress. A new one would be queued behind the
+                // polls of other sidecars.
                 () = sink.poll_requested(), if reason == PollReason::Early => {
                     reason = PollReason::Requested;
                 }
                 () = sink.poll_requested(), if reason == PollReason::Requested => {
                     return WatchExit::Superseded;
                 }
-                // The old address may go on to answer, without the changes that the new one has.
+                // The old address may still respond, but without the changes known at the new one.
                 () = wait_for_relocation(&mut self.discovery) => return WatchExit::Relocated,
             }
         }
     }
 
-    /// Waits until discovery is to be polled again after a watch has ended.
+    /// Waits until discovery must be polled again after a watch has ended.
     async fn next_poll(&mut self) -> PollReason {
-        // The balancer's backoff may outlast the time for which the list still counts as fresh.
+        // The balancer's backoff may be longer than the time until the list becomes stale.
         let needs_immediate_poll = self.sink.freshness().needs_immediate_poll();
         let delay =
             self.limits.discovery.poll_retry_delay.mul_f64(
@@ -153,8 +152,8 @@
         self.sink.on_watch_lost();
     }
 
-    /// From now on the list counts as fresh for a bounded time, whether or not a poll gets through
-    /// by then.
+    /// Limits the time for which the list still counts as fresh, whether or not a poll succeeds
+    /// within it.
     fn on_discovery_relocated(&self) {
         self.sink.freshness().on_discovery_relocated();
     }
@@ -172,7 +171,7 @@
         .finish()
 }
 
-/// True where nobody listens at discovery's address.
+/// True if no process listens at the address of discovery.
 fn is_connection_refused(error: &SendRequestError) -> bool {
     matches!(
         error,
@@ -181,7 +180,7 @@
     )
 }
 
-/// Waits until discovery is at another address; forever once no configuration can come.
+/// Waits until the address of discovery changes; never returns once its sender has been dropped.
 async fn wait_for_relocation(discovery: &mut Receiver<SocketAddr>) {
     if discovery.changed().await.is_err() {
         std::future::pending::<()>().await;
