--- a/crates/sidecar/src/config.rs
+++ b/crates/sidecar/src/config.rs
@@ -1,5 +1,5 @@
-//! Configuration of the sidecar, read from the file at `NODE_CONFIG` and from environment variables,
-//! which take precedence.
+//! Configuration of the sidecar, read from the file at `NODE_CONFIG` and from environment
+//! variables, which take precedence.
 //!
 //! This module reads the keys outside `settings` and the variables. `arrowstand-platform` reads the
 //! settings of the deployment, and [`Limits`] derives the limits of the network code.
@@ -39,9 +39,9 @@
     /// Name of the sidecar in the log.
     pub(crate) name: String,
     /// Address on which clients are accepted.
-    pub(crate) listen: SocketAddr,
+    pub(crate) listen_address: SocketAddr,
     /// Address of discovery.
-    pub(crate) discovery: SocketAddr,
+    pub(crate) discovery_address: SocketAddr,
     /// Seed of all random number generators.
     pub(crate) seed: u64,
     /// Validated settings of the balancer.
@@ -76,7 +76,7 @@
     }
 
     fn load(variable: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigError> {
-        let path = variable("NODE_CONFIG").ok_or(ConfigError::NoFile)?;
+        let path = variable("NODE_CONFIG").ok_or(ConfigError::PathNotSet)?;
         let text = std::fs::read_to_string(&path)
             .map_err(|source| ConfigError::Unreadable { path, source })?;
         Self::parse(&text, variable)
@@ -85,7 +85,7 @@
     /// Parses the content of the file; `variable` looks up an environment variable. If several keys
     /// are invalid, the order of the reads decides which error is reported.
     fn parse(text: &str, variable: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigError> {
-        let value = json::parse(text, MAX_JSON_DEPTH).map_err(ConfigError::NotJson)?;
+        let value = json::parse(text, MAX_JSON_DEPTH).map_err(ConfigError::InvalidJson)?;
         let root = Node::root(&value);
         let name = match variable("NODE_NAME") {
             Some(name) => name,
@@ -104,8 +104,8 @@
         let cached_endpoints = read_cached_endpoints(&root.at("known"))?;
         Ok(Self {
             name,
-            listen: read_address(&root.at("listen"), "NODE_LISTEN", &variable)?,
-            discovery: read_address(&root.at("discovery"), "NODE_DISCOVERY", &variable)?,
+            listen_address: read_address(&root.at("listen"), "NODE_LISTEN", &variable)?,
+            discovery_address: read_address(&root.at("discovery"), "NODE_DISCOVERY", &variable)?,
             seed,
             settings,
             limits,
@@ -139,14 +139,15 @@
 fn override_simulator_settings(settings: &mut Settings) {
     // Sidecars do not communicate with each other.
     settings.host.gossip = false;
-    // `permissions.retry-after` controls whether the simulator passes the Retry-After of a rejection
-    // to its clients. Over HTTP, a rejection always has the header, which keeps clients from
-    // retrying at once, so the balancer must always compute it. See docs/operations.md,
+    // `permissions.retry-after` controls whether the simulator passes the Retry-After of a
+    // rejection to its clients. Over HTTP, a rejection always has the header, which keeps clients
+    // from retrying at once, so the balancer must always compute it. See docs/operations.md,
     // "Retry-After".
     settings.host.retry_after = true;
     // Discovery opens a watch only in response to a poll.
     settings.polling.required = true;
-    // Responses are forwarded once complete, so the balancer never sees the start of a streamed one.
+    // Responses are forwarded only once complete, so the balancer never learns of the start of a
+    // streamed one.
     for class in &mut settings.classes {
         class.streamed = false;
     }
@@ -184,13 +185,13 @@
     variable: impl Fn(&str) -> Option<String>,
 ) -> Result<SocketAddr, ConfigError> {
     if let Some(text) = variable(name) {
-        return text.parse().map_err(|_| ConfigError::Address {
+        return text.parse().map_err(|_| ConfigError::InvalidAddress {
             name: name.to_owned(),
             text,
         });
     }
     let text = node.string()?;
-    text.parse().map_err(|_| ConfigError::Address {
+    text.parse().map_err(|_| ConfigError::InvalidAddress {
         name: node.path().to_owned(),
         text,
     })
--- a/crates/sidecar/src/config/error.rs
+++ b/crates/sidecar/src/config/error.rs
@@ -13,7 +13,7 @@
 pub(crate) enum ConfigError {
     /// `NODE_CONFIG` is not set.
     #[error("NODE_CONFIG: is not set; set it to the path of the JSON configuration file")]
-    NoFile,
+    PathNotSet,
     /// The file cannot be read.
     #[error("NODE_CONFIG: cannot read {path}: {source}")]
     Unreadable {
@@ -24,7 +24,7 @@
     },
     /// The file is not valid JSON.
     #[error("NODE_CONFIG: not JSON: {0}")]
-    NotJson(#[source] JsonError),
+    InvalidJson(#[source] JsonError),
     /// A key is missing or has an invalid value.
     #[error(transparent)]
     Key(#[from] KeyError),
@@ -33,10 +33,10 @@
     Settings(#[from] SettingsError),
     /// The operator's machine table is invalid.
     #[error(transparent)]
-    Machines(#[from] MachineTableError),
+    MachineTable(#[from] MachineTableError),
     /// The value of a variable or a key is not a socket address.
     #[error("{name}: {text:?} is not an address and port")]
-    Address {
+    InvalidAddress {
         /// Name of the variable or path of the key.
         name: String,
         /// The invalid value.
--- a/crates/sidecar/src/config/tests.rs
+++ b/crates/sidecar/src/config/tests.rs
@@ -1,20 +1,23 @@
 use super::Config;
 
 /// A configuration with every key that the sidecar reads.
-const CONFIGURATION: &str = r#"{"name": "n0", "seed": "8c", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2",
+const CONFIGURATION: &str = r#"{"name": "n0", "seed": "8c",
+ "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2",
  "settings": {
   "request-classes": [
-   {"semantics": "token", "dedup-scope": "zone", "importance": 1.5, "late-value": 0.25, "aim-stretch": 0.5,
-    "window-ms": 60000, "objective-ms": 150, "deadline-ms": 600, "streamed": "ignored", "name": "pay"}],
+   {"semantics": "token", "dedup-scope": "zone", "importance": 1.5,
+    "late-value": 0.25, "aim-stretch": 0.5, "window-ms": 60000, "objective-ms": 150,
+    "deadline-ms": 600, "streamed": "ignored", "name": "pay"}],
   "zones": ["z0", "z1"], "az": "z1",
   "report": {"fields": ["active", "waiting"], "source": "answers"},
   "my-number": 3, "balancers": 7, "step-ms": 4.5,
-  "permissions": {"cancel": true, "probes": true, "may-duplicate": true, "peers": "ignored", "retry-after": "ignored",
-   "max-retry-after-ms": 2500, "max-attempts": 5, "idle-close-ms": 750, "connect-timeout-ms": 300.5},
+  "permissions": {"cancel": true, "probes": true, "may-duplicate": true, "peers": "ignored",
+   "retry-after": "ignored", "max-retry-after-ms": 2500, "max-attempts": 5, "idle-close-ms": 750,
+   "connect-timeout-ms": 300.5},
   "fees": {"probe": 0.01, "handshake": 0.02, "connection": 0.03, "cross-zone": 0.04},
   "worth-by": "work",
-  "safety": {"ask-every-ms": 20000, "only-draining-binds": true, "cold-from": 0.13, "cold-ms": 24000,
-   "overload-factor": 3.5, "fall-ms": 900, "drain-grace-ms": 1500},
+  "safety": {"ask-every-ms": 20000, "only-draining-binds": true, "cold-from": 0.13,
+   "cold-ms": 24000, "overload-factor": 3.5, "fall-ms": 900, "drain-grace-ms": 1500},
   "membership-mode": "pushed"},
  "limits": {"sockets": 256, "memory_mb": 64},
  "known": {"rev": 7, "targets": []}}"#;
@@ -141,8 +144,9 @@
 
 #[test]
 fn missing_keys_get_the_defaults_of_the_sidecar() {
-    let text = r#"{"name": "n0", "seed": "8c", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": {
-        "request-classes": [{"semantics": "pure", "objective-ms": 150, "deadline-ms": 600, "name": "look"}]}}"#;
+    let text = r#"{"name": "n0", "seed": "8c",
+        "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": {"request-classes": [
+        {"semantics": "pure", "objective-ms": 150, "deadline-ms": 600, "name": "look"}]}}"#;
     let config = parse(text).expect("valid configuration");
     insta::assert_snapshot!(format!(
         "{:#?}\n{:#?}\n{:#?}",
@@ -162,7 +166,13 @@
         panic!("configuration rejected");
     };
     assert_eq!(config.name, "other");
-    assert_eq!((config.listen.port(), config.discovery.port()), (3, 4));
+    assert_eq!(
+        (
+            config.listen_address.port(),
+            config.discovery_address.port()
+        ),
+        (3, 4)
+    );
     let invalid = Config::parse(CONFIGURATION, |name| {
         (name == "NODE_LISTEN").then(|| "here".to_owned())
     });
--- a/crates/sidecar/src/discovery/watch.rs
+++ b/crates/sidecar/src/discovery/watch.rs
@@ -20,7 +20,7 @@
 use crate::limits::{DiscoveryLimits, Limits};
 
 /// Polls discovery and delivers the endpoint lists of the watch until it ends; returns the reason.
-pub(super) async fn watch(
+pub(super) async fn poll_and_watch(
     sink: &EndpointSink,
     client: &awc::Client,
     discovery: SocketAddr,
--- a/crates/sidecar/src/discovery/watcher.rs
+++ b/crates/sidecar/src/discovery/watcher.rs
@@ -9,7 +9,7 @@
 use tokio::time::sleep;
 
 use super::endpoint_sink::EndpointSink;
-use super::watch::watch;
+use super::watch::poll_and_watch;
 use super::watch_cursor::WatchCursor;
 use super::watch_error::WatchError;
 use crate::limits::Limits;
@@ -99,7 +99,7 @@
     async fn watch_until_interrupted(&mut self, mut reason: PollReason) -> WatchExit {
         let address = *self.discovery.borrow_and_update();
         let sink = &self.sink;
-        let watch = watch(sink, &self.client, address, &self.cursor, &self.limits);
+        let watch = poll_and_watch(sink, &self.client, address, &self.cursor, &self.limits);
         tokio::pin!(watch);
         loop {
             tokio::select! {
--- a/crates/sidecar/src/startup.rs
+++ b/crates/sidecar/src/startup.rs
@@ -48,14 +48,14 @@
         let (parts, servers_to_check) =
             SharedParts::new(balancer, config.deployment, config.limits);
         let upstream = new_upstream(&parts);
-        let socket = listen(config.listen).await?;
+        let socket = listen(config.listen_address).await?;
 
         let cached = config.cached_endpoints.unwrap_or_default();
         parts
             .host
             .update_endpoints(UpdateKind::Cached, cached.revision, &cached);
         spawn_background_tasks(&parts.host, &upstream, servers_to_check);
-        let (discovery_address, address) = watch::channel(config.discovery);
+        let (discovery_address, address) = watch::channel(config.discovery_address);
         let limits = Rc::clone(&parts.limits);
         let watcher = Watcher::new(
             parts.endpoint_sink(),
@@ -68,7 +68,11 @@
         let proxy = new_proxy(&parts, upstream);
         let listener = Listener::new(parts.service_context(), Rc::clone(&proxy));
         let accept_task = actix_rt::spawn(Rc::clone(&listener).accept(socket));
-        tracing::info!(sidecar = %config.name, address = %config.listen, "listening for clients");
+        tracing::info!(
+            sidecar = %config.name,
+            address = %config.listen_address,
+            "listening for clients"
+        );
         Ok(Self {
             limits: parts.limits,
             counters: parts.counters,
@@ -83,7 +87,7 @@
     /// effect at the next start, because requests in flight depend on the old settings.
     pub(crate) fn reload(&self) {
         match Config::reload() {
-            Ok(config) => self.on_reloaded(config.discovery),
+            Ok(config) => self.on_reloaded(config.discovery_address),
             // An invalid file must not stop a running sidecar.
             Err(error) => {
                 tracing::error!(%error, "configuration reload failed, keeping the old one");
--- a/crates/sidecar/src/startup_error/tests.rs
+++ b/crates/sidecar/src/startup_error/tests.rs
@@ -14,7 +14,7 @@
 
 #[test]
 fn invalid_configuration_keeps_its_message_and_exits_with_2() {
-    let error = StartupError::from(ConfigError::NoFile);
+    let error = StartupError::from(ConfigError::PathNotSet);
     assert_eq!(
         message_and_exit_code(&error),
         expected(
