--- a/crates/sidecar/src/host/class_table.rs
+++ b/crates/sidecar/src/host/class_table.rs
@@ -4,7 +4,7 @@
 
 use arrowstand_balancer::ClassId;
 
-use crate::config::Names;
+use crate::config::DeploymentMetadata;
 
 struct ClassConfig {
     name: String,
@@ -19,13 +19,21 @@
 impl ClassTable {
     /// Creates the table from the configuration. A class without a value requires no idempotency
     /// key and has durations of zero.
-    pub(crate) fn new(names: &Names) -> Self {
-        let classes = names.classes.iter().enumerate();
+    pub(crate) fn new(deployment: &DeploymentMetadata) -> Self {
+        let classes = deployment.class_names.iter().enumerate();
         let class = |(index, name): (usize, &String)| ClassConfig {
             name: name.clone(),
-            requires_idempotency_key: names.keyed.get(index).copied().unwrap_or_default(),
-            deadline: names.deadlines.get(index).copied().unwrap_or_default(),
-            deduplication_window: names.windows.get(index).copied().unwrap_or_default(),
+            requires_idempotency_key: deployment
+                .requires_idempotency_key
+                .get(index)
+                .copied()
+                .unwrap_or_default(),
+            deadline: deployment.deadlines.get(index).copied().unwrap_or_default(),
+            deduplication_window: deployment
+                .deduplication_windows
+                .get(index)
+                .copied()
+                .unwrap_or_default(),
         };
         Self(classes.map(class).collect())
     }
--- a/crates/sidecar/src/limits/shutdown.rs
+++ b/crates/sidecar/src/limits/shutdown.rs
@@ -1,27 +1,27 @@
-//! What follows a SIGTERM.
+//! Time limits of a shutdown.
 
 use std::time::Duration;
 
 use super::inputs::LimitInputs;
 
-/// SIGKILL comes no earlier than the longest deadline, taken as this where it is longer, and 0.7 s
-/// after SIGTERM (the protocol page).
+/// Upper bound on the longest deadline when the end of a shutdown is computed: SIGKILL follows
+/// SIGTERM no earlier than the smaller of the two plus 0.7 s, as the protocol defines.
 const MAX_SHUTDOWN_DEADLINE: Duration = Duration::from_secs(3);
-/// New connections come for 0.4 s after SIGTERM (the protocol page).
-const ACCEPT_FOR: Duration = Duration::from_millis(500);
-/// The latest request that is accepted has its deadline by then.
-const ANSWER_MARGIN: Duration = Duration::from_millis(550);
-/// Leaves 0.1 s to write the last responses, and 0.05 s until the SIGKILL.
+/// Clients may still connect for 0.4 s after SIGTERM, as the protocol defines.
+const ACCEPT_PERIOD: Duration = Duration::from_millis(500);
+/// By then the deadline of the last accepted request has passed.
+const FORCED_RESPONSE_MARGIN: Duration = Duration::from_millis(550);
+/// Leaves 0.1 s to write the last responses, and 0.05 s before the SIGKILL.
 const EXIT_MARGIN: Duration = Duration::from_millis(650);
 
-/// What follows a SIGTERM, each counted from the signal.
+/// Time limits of a shutdown, each measured from the SIGTERM.
 #[derive(Clone, Debug)]
 pub(crate) struct ShutdownLimits {
-    /// Connections are accepted for this long.
-    pub(crate) accept_for: Duration,
-    /// What is still open is answered at once after this long.
-    pub(crate) answer_after: Duration,
-    /// The longest time until the program ends.
+    /// How long connections are still accepted.
+    pub(crate) accept_period: Duration,
+    /// When all requests still in flight get a response at once.
+    pub(crate) forced_response_after: Duration,
+    /// When the process exits at the latest.
     pub(crate) exit_after: Duration,
 }
 
@@ -29,8 +29,8 @@
     pub(super) fn derive(inputs: &LimitInputs) -> Self {
         let longest_deadline = inputs.longest_deadline.min(MAX_SHUTDOWN_DEADLINE);
         Self {
-            accept_for: ACCEPT_FOR,
-            answer_after: longest_deadline + ANSWER_MARGIN,
+            accept_period: ACCEPT_PERIOD,
+            forced_response_after: longest_deadline + FORCED_RESPONSE_MARGIN,
             exit_after: longest_deadline + EXIT_MARGIN,
         }
     }
