--- a/crates/testbed/src/emulator/mod.rs
+++ b/crates/testbed/src/emulator/mod.rs
@@ -16,9 +16,9 @@
 mod lock;
 mod ports;
 mod recorder;
+mod schedule_lag;
 mod shared;
 mod sidecars;
-mod timeliness;
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -127,7 +127,7 @@
         let counters = counter_check::compare(&self.shared, &records, &counters);
         Ok(EmulationResult {
             records,
-            unreliable: self.shared.timeliness.unreliable(),
+            unreliable: self.shared.schedule_lag.unreliable_reason(),
             counters,
         })
     }
--- a/crates/testbed/src/emulator/shared.rs
+++ b/crates/testbed/src/emulator/shared.rs
@@ -6,7 +6,7 @@
 
 use super::clock::Clock;
 use super::recorder::Recorder;
-use super::timeliness::Timeliness;
+use super::schedule_lag::ScheduleLag;
 use crate::event_log::LogEvent;
 use crate::index::{ArrivalNumber, RequestNumber};
 use crate::scenario::{Micros, Scenario, from_ms};
@@ -16,7 +16,7 @@
     pub(super) scenario: Arc<Scenario>,
     pub(super) clock: Clock,
     pub(super) recorder: Recorder,
-    pub(super) timeliness: Timeliness,
+    pub(super) schedule_lag: ScheduleLag,
     next_number: AtomicU64,
     blackholed_attempts: AtomicU64,
     blackholed_health_checks: AtomicU64,
@@ -28,7 +28,7 @@
             scenario: Arc::new(scenario.clone()),
             clock,
             recorder: Recorder::default(),
-            timeliness: Timeliness::default(),
+            schedule_lag: ScheduleLag::default(),
             next_number: AtomicU64::new(1),
             blackholed_attempts: AtomicU64::new(0),
             blackholed_health_checks: AtomicU64::new(0),
@@ -45,7 +45,7 @@
 
     /// Records that something due at `due` is done now.
     pub(super) fn on_done(&self, due: Micros) {
-        self.timeliness.on_done(due, self.clock.now());
+        self.schedule_lag.record(due, self.clock.now());
     }
 
     /// A number for an arrival, never given twice.
