--- a/crates/testbed/src/emulator/discovery/mod.rs
+++ b/crates/testbed/src/emulator/discovery/mod.rs
@@ -18,7 +18,7 @@
 use super::emulated_server::EmulatedServer;
 use super::error::EmulatorError;
 use super::lock::lock;
-use super::ports::free_address;
+use super::ports::allocate_address;
 use super::shared::Shared;
 use crate::conversion::{MICROS_PER_S, count_from_u32, micros_from_f64};
 use crate::event_log::{ListedStatus, LogEvent};
@@ -80,7 +80,7 @@
         let mut addresses = Vec::new();
         let mut listeners = Vec::new();
         for _ in 0..shared.scenario.sidecars.count {
-            let address = free_address()?;
+            let address = allocate_address()?;
             listeners.push(listen(address).await?);
             addresses.push(address);
         }
--- a/crates/testbed/src/emulator/emulated_server/mod.rs
+++ b/crates/testbed/src/emulator/emulated_server/mod.rs
@@ -20,7 +20,7 @@
 
 use super::error::EmulatorError;
 use super::lock::lock;
-use super::ports::free_address;
+use super::ports::allocate_address;
 use super::shared::Shared;
 use crate::event_log::{LogEvent, ServerState};
 use crate::index::{RequestNumber, ServerIndex, SidecarIndex};
@@ -103,7 +103,7 @@
         let random = RandomStream::new(scenario.seed, StreamId::Machines, stream);
         let model = ServerModel::from_scenario(scenario, machine_type, index, 0, group.cold);
         let addresses = (0..scenario.sidecars.count)
-            .map(|_| free_address())
+            .map(|_| allocate_address())
             .collect::<Result<_, _>>()?;
         let network = Network {
             mode: NetworkMode::Open,
--- a/crates/testbed/src/emulator/ports.rs
+++ b/crates/testbed/src/emulator/ports.rs
@@ -1,7 +1,7 @@
-//! Free loopback addresses, from blocks of ports that no other emulator on this machine takes from.
+//! Allocates free loopback ports, from blocks that are exclusive to this process.
 //!
-//! Owns the blocks of this process, which it keeps until it ends. Who listens on an address is not
-//! known here.
+//! A process claims a block by listening on its first port and keeps it until it exits, so that
+//! emulators that run at the same time on one machine never allocate the same port.
 
 #[cfg(test)]
 mod tests;
@@ -14,52 +14,54 @@
 use super::error::EmulatorError;
 use super::lock::lock;
 
-/// The first port, below the range from which the system takes its own: a port that is given up for
-/// a while must not be taken by an outgoing connection.
+/// First port of the first block. All blocks lie below the system's ephemeral port range: while an
+/// emulated server is down, no outgoing connection may take its port.
 const FIRST_PORT: u16 = 12_000;
-/// Ports of a block; the first one marks it.
+/// Ports of a block, with the first one, which marks the block as claimed.
 const BLOCK_SIZE: u16 = 1_000;
-/// Number of blocks, up to the system's own range.
-const BLOCKS: u16 = 20;
-/// Ports of a block that are given out.
-const PORTS_PER_BLOCK: u16 = BLOCK_SIZE - 1;
+/// Number of blocks that fit below the ephemeral port range.
+const BLOCK_COUNT: u16 = 20;
+/// Ports of a block that can be allocated.
+const ALLOCATABLE_PER_BLOCK: u16 = BLOCK_SIZE - 1;
 
-/// A block that is this process's.
-struct Block {
-    /// Listens on the block's first port, so that no other process takes the block.
-    _mark: TcpListener,
+/// A block of ports that this process has claimed.
+struct PortBlock {
+    /// Listens on the block's first port, so that no other process can claim the block.
+    _claim: TcpListener,
     first_port: u16,
 }
 
-/// The blocks of this process, and the next port to be given out.
-struct Ports {
-    blocks: Vec<Block>,
-    next: usize,
+/// Allocates the ports of this process's blocks in turn.
+struct PortAllocator {
+    blocks: Vec<PortBlock>,
+    /// Index of the next port to try, counted over the allocatable ports of all blocks.
+    next_index: usize,
 }
 
-static PORTS: Mutex<Ports> = Mutex::new(Ports {
+static ALLOCATOR: Mutex<PortAllocator> = Mutex::new(PortAllocator {
     blocks: Vec::new(),
-    next: 0,
+    next_index: 0,
 });
 
 fn loopback(port: u16) -> SocketAddr {
     SocketAddr::from((Ipv4Addr::LOCALHOST, port))
 }
 
-fn take_block() -> Option<Block> {
-    let mut first_ports = (0..BLOCKS).map(|block| FIRST_PORT + block * BLOCK_SIZE);
+/// Claims the first block that no process has claimed; `None` if there is none.
+fn claim_block() -> Option<PortBlock> {
+    let mut first_ports = (0..BLOCK_COUNT).map(|block| FIRST_PORT + block * BLOCK_SIZE);
     first_ports.find_map(|first_port| {
-        let mark = TcpListener::bind(loopback(first_port)).ok()?;
-        Some(Block {
-            _mark: mark,
+        let claim = TcpListener::bind(loopback(first_port)).ok()?;
+        Some(PortBlock {
+            _claim: claim,
             first_port,
         })
     })
 }
 
-/// Tries an address without listening there: a sidecar that is started in that very moment holds a
-/// copy of every socket up to its exec, and a copy that listens would keep the address from its
-/// user.
+/// Whether an address can be bound, tried without listening on it: a sidecar process that is being
+/// forked at the same time inherits every socket until its exec, and an inherited listening socket
+/// would keep the address in use.
 fn is_free(address: SocketAddr) -> bool {
     let bound = TcpSocket::new_v4().and_then(|socket| {
         socket
@@ -69,33 +71,34 @@
     bound.is_ok()
 }
 
-impl Ports {
-    /// The next address in turn, from a new block once the present ones are used up, and from the
-    /// first block again once there are no more; nothing if there is no block at all.
-    fn next_address(&mut self) -> Option<SocketAddr> {
-        let ports_per_block = usize::from(PORTS_PER_BLOCK);
-        if self.next / ports_per_block >= self.blocks.len() {
-            match take_block() {
+impl PortAllocator {
+    /// The next candidate address, which may be in use. Claims a new block once the present ones
+    /// are used up, and starts over at the first block once no block is left to claim; `None` if
+    /// this process has no block at all.
+    fn next_candidate(&mut self) -> Option<SocketAddr> {
+        let per_block = usize::from(ALLOCATABLE_PER_BLOCK);
+        if self.next_index / per_block >= self.blocks.len() {
+            match claim_block() {
                 Some(block) => self.blocks.push(block),
-                None => self.next = 0,
+                None => self.next_index = 0,
             }
         }
-        let block = self.blocks.get(self.next / ports_per_block)?;
-        let offset = 1 + u16::try_from(self.next % ports_per_block).ok()?;
-        self.next += 1;
+        let block = self.blocks.get(self.next_index / per_block)?;
+        let offset = 1 + u16::try_from(self.next_index % per_block).ok()?;
+        self.next_index += 1;
         Some(loopback(block.first_port + offset))
     }
 }
 
-/// A free loopback address, from a block that no other process takes from: another emulator on this
-/// machine cannot be given the same one before somebody listens there.
+/// Allocates a free loopback address from a block of this process: no other emulator on this
+/// machine can be given the same address before the caller listens on it.
 ///
 /// # Errors
-/// Where all ports are used.
-pub(super) fn free_address() -> Result<SocketAddr, EmulatorError> {
-    let mut ports = lock(&PORTS);
-    for _ in 0..usize::from(PORTS_PER_BLOCK) * usize::from(BLOCKS) {
-        match ports.next_address() {
+/// If all ports are in use.
+pub(super) fn allocate_address() -> Result<SocketAddr, EmulatorError> {
+    let mut allocator = lock(&ALLOCATOR);
+    for _ in 0..usize::from(ALLOCATABLE_PER_BLOCK) * usize::from(BLOCK_COUNT) {
+        match allocator.next_candidate() {
             Some(address) if is_free(address) => return Ok(address),
             Some(_) => {}
             None => break,
--- a/crates/testbed/src/emulator/ports/tests.rs
+++ b/crates/testbed/src/emulator/ports/tests.rs
@@ -1,20 +1,20 @@
-//! Addresses are given out once, from marked blocks.
+//! Each address is allocated once, from a block that this process has claimed.
 
 use std::collections::HashSet;
 use std::net::TcpListener;
 
-use super::{BLOCK_SIZE, free_address, loopback};
+use super::{BLOCK_SIZE, allocate_address, loopback};
 
 #[test]
-fn addresses_differ_and_lie_in_blocks_that_nobody_else_can_mark() {
-    let taken: Vec<u16> = (0..1_200)
-        .map(|_| free_address().expect("free").port())
+fn allocated_addresses_are_distinct_and_lie_in_claimed_blocks() {
+    let ports: Vec<u16> = (0..1_200)
+        .map(|_| allocate_address().expect("free").port())
         .collect();
-    assert_eq!(taken.iter().collect::<HashSet<_>>().len(), taken.len());
-    for port in taken {
-        let first = port - port % BLOCK_SIZE;
+    assert_eq!(ports.iter().collect::<HashSet<_>>().len(), ports.len());
+    for port in ports {
+        let first_of_block = port - port % BLOCK_SIZE;
         assert!(
-            port != first && TcpListener::bind(loopback(first)).is_err(),
+            port != first_of_block && TcpListener::bind(loopback(first_of_block)).is_err(),
             "{port}"
         );
     }
--- a/crates/testbed/src/emulator/sidecars/mod.rs
+++ b/crates/testbed/src/emulator/sidecars/mod.rs
@@ -20,7 +20,7 @@
 use super::Options;
 use super::discovery::Discovery;
 use super::error::EmulatorError;
-use super::ports::free_address;
+use super::ports::allocate_address;
 use super::shared::Shared;
 use crate::event_log::{LogEvent, ProcessState};
 use crate::index::SidecarIndex;
@@ -85,7 +85,7 @@
         let scenario = &shared.scenario;
         let sidecar = |index: SidecarIndex| {
             let seeds = RandomStream::new(scenario.seed, StreamId::Seeds, index.index());
-            Ok(Sidecar::new(index, free_address()?, seeds))
+            Ok(Sidecar::new(index, allocate_address()?, seeds))
         };
         let sidecars = SidecarIndex::all(scenario.sidecars.count)
             .map(sidecar)
