--- a/crates/testbed/src/emulator/client/request/tests.rs
+++ b/crates/testbed/src/emulator/client/request/tests.rs
@@ -1,7 +1,7 @@
 //! The bytes of a request, and the meaning of a response.
 
 use super::{OutgoingRequest, Response};
-use crate::emulator::http::parsed_response;
+use crate::emulator::http::parse_response;
 use crate::event_log::RequestOutcome;
 use crate::index::{ArrivalNumber, ClassIndex, RequestNumber, TenantIndex};
 use crate::scenario::{Class, Idempotency, Scenario, Tenant};
@@ -77,7 +77,7 @@
 #[test]
 fn a_response_is_served_only_where_a_server_made_it_for_this_request() {
     let outcome = |status: &str, body: &str| {
-        let message = parsed_response(&format!("HTTP/1.1 {status}\r\n\r\n"), body);
+        let message = parse_response(&format!("HTTP/1.1 {status}\r\n\r\n"), body);
         Response::of(&message, REQUEST.number).outcome
     };
     let own = "done 00000000000000ab at s3\n";
@@ -97,7 +97,7 @@
 fn retry_after_is_bounded_and_anything_but_a_number_is_ignored() {
     let pause = |value: &str| {
         let head = format!("HTTP/1.1 503 Service Unavailable\r\nRetry-After: {value}\r\n\r\n");
-        Response::of(&parsed_response(&head, ""), REQUEST.number).retry_after
+        Response::of(&parse_response(&head, ""), REQUEST.number).retry_after
     };
     assert_eq!(pause("0.25"), Some(250_000));
     assert_eq!(pause("-3"), Some(0));
--- a/crates/testbed/src/emulator/discovery/connection.rs
+++ b/crates/testbed/src/emulator/discovery/connection.rs
@@ -10,7 +10,7 @@
 use tokio::net::TcpStream;
 
 use super::{Discovery, Mode};
-use crate::emulator::http::{HttpConnection, response};
+use crate::emulator::http::{HttpConnection, format_response};
 use crate::event_log::LogEvent;
 use crate::index::SidecarIndex;
 
@@ -93,7 +93,7 @@
         sidecar: SidecarIndex,
     ) -> io::Result<()> {
         let (list, notifications) = self.whole_list(sidecar);
-        let text = response("200 OK", "", &format!("{list}\n"));
+        let text = format_response("200 OK", "", &format!("{list}\n"));
         connection.write(&text).await?;
         self.record_notifications(sidecar, &notifications);
         Ok(())
@@ -153,7 +153,7 @@
 }
 
 fn unavailable() -> String {
-    response("503 Service Unavailable", "", "")
+    format_response("503 Service Unavailable", "", "")
 }
 
 async fn write_chunk(connection: &mut HttpConnection, text: &str) -> io::Result<()> {
--- a/crates/testbed/src/emulator/emulated_server/attempt.rs
+++ b/crates/testbed/src/emulator/emulated_server/attempt.rs
@@ -16,7 +16,7 @@
 use super::connection::{Incoming, Reply};
 use crate::conversion::{f64_from_count, f64_from_u64, micros_from_f64};
 use crate::emulator::clock::sleep_for;
-use crate::emulator::http::{HttpConnection, Message, response};
+use crate::emulator::http::{HttpConnection, Message, format_response};
 use crate::emulator::lock::lock;
 use crate::event_log::LogEvent;
 use crate::index::{ClassIndex, RequestNumber, ServerIndex};
@@ -79,7 +79,7 @@
         incoming: &Incoming,
     ) -> io::Result<Reply> {
         let Some(attempt) = Attempt::parse(message) else {
-            return Ok(Reply::Send(response("400 Bad Request", "", "")));
+            return Ok(Reply::Send(format_response("400 Bad Request", "", "")));
         };
         self.record_attempt_started(&attempt, incoming);
         sleep_for(incoming.delay + self.handshake_delay(incoming)).await;
@@ -89,7 +89,7 @@
         }
         let Some(accepted) = self.try_accept(&attempt, incoming) else {
             sleep_for(incoming.delay).await;
-            let rejection = response("503 Service Unavailable", NOT_PROCESSED, "");
+            let rejection = format_response("503 Service Unavailable", NOT_PROCESSED, "");
             return Ok(Reply::Send(rejection));
         };
         let job = accepted.job;
@@ -213,11 +213,11 @@
         format!("X-Server-Load: {load}\r\n")
     });
     if result == ExecutionResult::Error {
-        return response("500 Internal Server Error", &load, "");
+        return format_response("500 Internal Server Error", &load, "");
     }
     let headers = format!("Content-Type: text/plain\r\n{load}");
     let body = format!("done {request} at {server}\n");
-    response("200 OK", &headers, &body)
+    format_response("200 OK", &headers, &body)
 }
 
 /// Waits for the end of an execution, or of its connection.
--- a/crates/testbed/src/emulator/emulated_server/connection.rs
+++ b/crates/testbed/src/emulator/emulated_server/connection.rs
@@ -84,7 +84,7 @@
     ) -> io::Result<()> {
         let same_zone = self.shared.scenario.sidecar_zone(sidecar) == self.zone;
         let mut new_connection = true;
-        while connection.has_next().await? {
+        while connection.has_next_message().await? {
             let first_byte_at = self.shared.clock.now();
             let message = connection.read_request().await?;
             let unit = lock(&self.process).random_unit();
--- a/crates/testbed/src/emulator/emulated_server/health_check.rs
+++ b/crates/testbed/src/emulator/emulated_server/health_check.rs
@@ -10,7 +10,7 @@
 use super::connection::{Incoming, Reply};
 use crate::conversion::f64_from_count;
 use crate::emulator::clock::sleep_for;
-use crate::emulator::http::response;
+use crate::emulator::http::format_response;
 use crate::emulator::lock::lock;
 use crate::event_log::LogEvent;
 
@@ -41,9 +41,9 @@
                     error_rate: Some(load.errors_per_s),
                     queued: Some(f64_from_count(load.queued)),
                 };
-                response("200 OK", "", &body.to_string())
+                format_response("200 OK", "", &body.to_string())
             }
-            None => response("503 Service Unavailable", "", ""),
+            None => format_response("503 Service Unavailable", "", ""),
         })
     }
 }
--- a/crates/testbed/src/emulator/http.rs
+++ b/crates/testbed/src/emulator/http.rs
@@ -1,8 +1,7 @@
-//! The part of HTTP/1.1 that emulated clients, servers and discovery need, byte by byte, since they
-//! also have to misbehave.
+//! A minimal HTTP/1.1 implementation for the emulated clients, servers and discovery service.
 //!
-//! Owns connections, messages and their bodies; `head` parses heads. What a message means is for
-//! its sender and receiver to know.
+//! It writes raw text, since emulated peers also have to send malformed messages and to leave
+//! requests unanswered. This file reads messages from connections; `head` parses their heads.
 
 mod head;
 
@@ -10,7 +9,7 @@
 mod tests;
 
 #[cfg(test)]
-pub(super) use tests::parsed_response;
+pub(super) use tests::parse_response;
 
 use std::io;
 
@@ -20,22 +19,22 @@
 
 use head::{parse_request_head, parse_response_head};
 
-/// Bytes of a head or body beyond which reading fails: far more than any message of an emulation.
+/// Largest head or body, in bytes: far more than any message of an emulation has.
 const MAX_MESSAGE_BYTES: usize = 256 * 1024;
 
-/// A message, read to its last byte.
+/// A complete request or response.
 #[derive(Debug, Default)]
 pub(super) struct Message {
-    /// Target of a request.
+    /// Target of a request; empty for a response.
     pub(super) target: String,
-    /// Status of a response.
+    /// Status of a response; 0 for a request.
     pub(super) status: u16,
     headers: Vec<(String, String)>,
     pub(super) body: BytesMut,
 }
 
 impl Message {
-    /// The value of a header field; names are compared without case.
+    /// The value of the first header field of this name, which is case-insensitive.
     pub(super) fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
@@ -43,7 +42,7 @@
             .map(|(_, value)| value.as_str())
     }
 
-    /// The value of a parameter of the target's query.
+    /// The value of a parameter in the query of the target.
     pub(super) fn query_parameter(&self, name: &str) -> Option<&str> {
         let (_, query) = self.target.split_once('?')?;
         query
@@ -52,21 +51,21 @@
     }
 }
 
-/// Which messages a connection is read for.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Kind {
+enum MessageKind {
     Request,
     Response,
 }
 
-/// A connection, with what was read of it and not yet used.
+/// A connection, on which requests or responses are read one after the other.
 pub(super) struct HttpConnection {
     stream: TcpStream,
+    /// Bytes that were read and do not belong to a message read so far.
     buffer: BytesMut,
 }
 
-fn invalid(why: &str) -> io::Error {
-    io::Error::new(io::ErrorKind::InvalidData, why)
+fn invalid_data(message: &str) -> io::Error {
+    io::Error::new(io::ErrorKind::InvalidData, message)
 }
 
 impl HttpConnection {
@@ -82,31 +81,35 @@
         self.stream.write_all(text.as_bytes()).await
     }
 
-    /// Waits for the first byte of a next message; false at the end of the connection.
-    pub(super) async fn has_next(&mut self) -> io::Result<bool> {
+    /// Waits for the first byte of the next message; false if the peer has closed the connection.
+    pub(super) async fn has_next_message(&mut self) -> io::Result<bool> {
         Ok(!self.buffer.is_empty() || self.stream.read_buf(&mut self.buffer).await? > 0)
     }
 
-    /// Waits until the peer closes, or sends what it should not.
+    /// Waits until the peer closes the connection or sends data that is not expected yet.
     pub(super) async fn closed(&mut self) {
         let _ = self.stream.read_buf(&mut self.buffer).await;
     }
 
-    /// Reads a request to its last byte.
+    /// Reads a request with its body.
     pub(super) async fn read_request(&mut self) -> io::Result<Message> {
         loop {
             if let Some((head_length, message)) = parse_request_head(&self.buffer)? {
-                return self.read_body(head_length, message, Kind::Request).await;
+                return self
+                    .read_body(head_length, message, MessageKind::Request)
+                    .await;
             }
             self.read_more().await?;
         }
     }
 
-    /// Reads a response to its last byte.
+    /// Reads a response with its body.
     pub(super) async fn read_response(&mut self) -> io::Result<Message> {
         loop {
             if let Some((head_length, message)) = parse_response_head(&self.buffer)? {
-                return self.read_body(head_length, message, Kind::Response).await;
+                return self
+                    .read_body(head_length, message, MessageKind::Response)
+                    .await;
             }
             self.read_more().await?;
         }
@@ -114,7 +117,7 @@
 
     async fn read_more(&mut self) -> io::Result<()> {
         if self.buffer.len() > MAX_MESSAGE_BYTES {
-            return Err(invalid("too long"));
+            return Err(invalid_data("message exceeds the size limit"));
         }
         match self.stream.read_buf(&mut self.buffer).await? {
             0 => Err(io::ErrorKind::UnexpectedEof.into()),
@@ -126,21 +129,23 @@
         &mut self,
         head_length: usize,
         mut message: Message,
-        kind: Kind,
+        kind: MessageKind,
     ) -> io::Result<Message> {
         self.buffer.advance(head_length);
         let chunked = message.header("transfer-encoding").is_some();
-        let length = message
-            .header("content-length")
-            .map(|length| length.parse::<usize>().map_err(|_| invalid("length")));
+        let length = message.header("content-length").map(|length| {
+            length
+                .parse::<usize>()
+                .map_err(|_| invalid_data("invalid Content-Length"))
+        });
         match (length.transpose()?, chunked) {
-            (_, true) => self.read_chunks(&mut message.body).await?,
+            (_, true) => self.read_chunked_body(&mut message.body).await?,
             (Some(length), false) if length <= MAX_MESSAGE_BYTES => {
                 message.body = self.read_exactly(length).await?;
             }
-            (Some(_), false) => return Err(invalid("too long")),
-            (None, false) if kind == Kind::Response && message.status == 200 => {
-                return Err(invalid("a response without a length"));
+            (Some(_), false) => return Err(invalid_data("message exceeds the size limit")),
+            (None, false) if kind == MessageKind::Response && message.status == 200 => {
+                return Err(invalid_data("response without Content-Length"));
             }
             (None, false) => {}
         }
@@ -154,14 +159,14 @@
         Ok(self.buffer.split_to(length))
     }
 
-    async fn read_chunks(&mut self, body: &mut BytesMut) -> io::Result<()> {
+    async fn read_chunked_body(&mut self, body: &mut BytesMut) -> io::Result<()> {
         loop {
             let line = self.read_line().await?;
             let digits = std::str::from_utf8(&line).unwrap_or_default().trim();
             let length = usize::from_str_radix(digits, 16)
-                .map_err(|_| invalid("a chunk without a length"))?;
+                .map_err(|_| invalid_data("invalid chunk size"))?;
             if body.len().saturating_add(length) > MAX_MESSAGE_BYTES {
-                return Err(invalid("too long"));
+                return Err(invalid_data("message exceeds the size limit"));
             }
             let chunk = self.read_exactly(length + 2).await?;
             body.extend_from_slice(&chunk[..length]);
@@ -171,6 +176,7 @@
         }
     }
 
+    /// Reads a line with its CRLF.
     async fn read_line(&mut self) -> io::Result<BytesMut> {
         loop {
             match self.buffer.windows(2).position(|pair| pair == b"\r\n") {
@@ -181,8 +187,8 @@
     }
 }
 
-/// A complete response as text; each line of `headers` ends in CRLF.
-pub(super) fn response(status: &str, headers: &str, body: &str) -> String {
+/// Formats a response with a `Content-Length`; each line of `headers` ends in CRLF.
+pub(super) fn format_response(status: &str, headers: &str, body: &str) -> String {
     format!(
         "HTTP/1.1 {status}\r\nContent-Length: {}\r\n{headers}\r\n{body}",
         body.len()
--- a/crates/testbed/src/emulator/http/tests.rs
+++ b/crates/testbed/src/emulator/http/tests.rs
@@ -1,14 +1,14 @@
-//! Messages are read to their last byte, and what is not HTTP is an error.
+//! Messages are read with their bodies, and malformed messages are errors.
 
 use std::io::{self, ErrorKind, Write as _};
 use std::net::TcpListener;
 
 use tokio::net::TcpStream;
 
-use super::{HttpConnection, MAX_MESSAGE_BYTES, Message, parse_response_head, response};
+use super::{HttpConnection, MAX_MESSAGE_BYTES, Message, format_response, parse_response_head};
 
-/// A response of this head and body.
-pub(in crate::emulator) fn parsed_response(head: &str, body: &str) -> Message {
+/// Parses `head` and appends `body` as it is.
+pub(in crate::emulator) fn parse_response(head: &str, body: &str) -> Message {
     let (_, mut message) = parse_response_head(head.as_bytes())
         .expect("a response")
         .expect("complete");
@@ -16,8 +16,8 @@
     message
 }
 
-/// A connection on which the peer has sent this text and closed.
-async fn connection(text: &str) -> HttpConnection {
+/// A connection whose peer has sent `text` and then closed it.
+async fn connection_with(text: &str) -> HttpConnection {
     let listener = TcpListener::bind("127.0.0.1:0").expect("free");
     let address = listener.local_addr().expect("bound");
     let stream = TcpStream::connect(address).await.expect("connects");
@@ -27,15 +27,15 @@
 }
 
 async fn read_response(text: &str) -> io::Result<Message> {
-    connection(text).await.read_response().await
+    connection_with(text).await.read_response().await
 }
 
 #[tokio::test]
-async fn requests_that_follow_each_other_are_read_one_by_one() {
+async fn consecutive_requests_on_a_connection_are_read_one_by_one() {
     let text = "POST /api?w=12.5&c=3 HTTP/1.1\r\nX-Request-ID: ab\r\nContent-Length: 3\r\n\r\nxyz\
                 GET /status/load HTTP/1.1\r\n\r\n";
-    let mut connection = connection(text).await;
-    assert!(connection.has_next().await.expect("open"));
+    let mut connection = connection_with(text).await;
+    assert!(connection.has_next_message().await.expect("open"));
     let first = connection.read_request().await.expect("read");
     assert_eq!(first.query_parameter("w"), Some("12.5"));
     assert_eq!(first.query_parameter("c"), Some("3"));
@@ -44,12 +44,12 @@
     assert_eq!(&first.body[..], b"xyz");
     let second = connection.read_request().await.expect("read");
     assert_eq!(second.target, "/status/load");
-    assert!(!connection.has_next().await.expect("closed"));
+    assert!(!connection.has_next_message().await.expect("closed"));
 }
 
 #[tokio::test]
-async fn responses_are_read_by_length_and_by_chunks() {
-    let text = response("200 OK", "Retry-After: 1\r\n", "done\n");
+async fn responses_are_read_with_content_length_and_chunked_bodies() {
+    let text = format_response("200 OK", "Retry-After: 1\r\n", "done\n");
     let message = read_response(&text).await.expect("read");
     assert_eq!((message.status, &message.body[..]), (200, &b"done\n"[..]));
     assert_eq!(message.header("retry-after"), Some("1"));
@@ -60,7 +60,7 @@
 }
 
 #[tokio::test]
-async fn what_is_malformed_too_long_or_cut_short_is_an_error() {
+async fn malformed_oversized_and_truncated_responses_are_errors() {
     let too_long = format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n",
         MAX_MESSAGE_BYTES + 1
