--- a/crates/testbed/src/emulator/discovery/connection.rs
+++ b/crates/testbed/src/emulator/discovery/connection.rs
@@ -1,7 +1,6 @@
-//! The connections of discovery: polls and watches.
+//! The connections of the emulated discovery service: polls and watches.
 //!
-//! Owns the exchange on a connection: modes of the service, heartbeats and the order of list and
-//! record. What the list says is the service's.
+//! Notifications are recorded only after the list or delta was written.
 
 use std::io;
 use std::sync::Arc;
@@ -9,56 +8,56 @@
 
 use tokio::net::TcpStream;
 
-use super::{Discovery, Mode};
+use super::{Discovery, DiscoveryMode};
 use crate::emulator::http::{HttpConnection, format_response};
 use crate::event_log::LogEvent;
 use crate::index::SidecarIndex;
 
-/// An empty line comes this often on a watch while nothing changes.
-const HEARTBEAT: Duration = Duration::from_secs(2);
-/// Targets of the endpoint list begin with this.
-const ENDPOINTS_TARGET: &str = "/v1/endpoints";
-/// Head of a watch's response, whose body is a line a change.
-const WATCH_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+/// Time between the empty lines that keep a watch alive while the list does not change.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
+/// Prefix of the targets at which the endpoint list is served.
+const ENDPOINTS_TARGET_PREFIX: &str = "/v1/endpoints";
+/// Head of the response to a watch, whose body has one line per change.
+const WATCH_RESPONSE_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// What a watch waits for.
+/// Event on a watch.
 enum WatchEvent {
     ListChanged,
     HeartbeatDue,
-    /// The sidecar has closed, or the emulation ends.
+    /// The sidecar has closed the connection, or the emulation ends.
     Closed,
 }
 
 impl Discovery {
-    /// Serves a connection until it ends, or the service goes down.
+    /// Serves one request on a connection, which is closed when the service goes down.
     pub(super) async fn serve(self: Arc<Self>, stream: TcpStream, sidecar: SidecarIndex) {
         let mut mode = self.mode.subscribe();
         let mut connection = HttpConnection::new(stream);
-        let down = *self.mode.borrow() == Mode::Down;
+        let down = *self.mode.borrow() == DiscoveryMode::Down;
         if down {
-            let _ = connection.write(&unavailable()).await;
+            let _ = connection.write(&unavailable_response()).await;
             return;
         }
-        let goes_down = async {
-            while *mode.borrow_and_update() != Mode::Down {
+        let service_down = async {
+            while *mode.borrow_and_update() != DiscoveryMode::Down {
                 if mode.changed().await.is_err() {
                     return;
                 }
             }
         };
-        let ended = tokio::select! {
-            ended = self.serve_request(&mut connection, sidecar) => ended,
-            () = goes_down => Ok(()),
+        let result = tokio::select! {
+            result = self.serve_request(&mut connection, sidecar) => result,
+            () = service_down => Ok(()),
         };
-        if let Err(error) = ended {
-            tracing::debug!(%sidecar, %error, "emulated discovery's connection failed");
+        if let Err(error) = result {
+            tracing::debug!(%sidecar, %error, "connection to emulated discovery failed");
         }
     }
 
-    /// Waits for as long as the service is silent.
-    async fn while_silent(&self) {
+    /// Waits while the service is silent.
+    async fn wait_while_silent(&self) {
         let mut mode = self.mode.subscribe();
-        while *mode.borrow_and_update() == Mode::Silent {
+        while *mode.borrow_and_update() == DiscoveryMode::Silent {
             if mode.changed().await.is_err() {
                 return;
             }
@@ -72,78 +71,79 @@
     ) -> io::Result<()> {
         let request = connection.read_request().await?;
         self.shared.record(LogEvent::DiscoveryPolled { sidecar });
-        self.while_silent().await;
-        let turn = self.take_turn();
-        self.shared.clock.sleep_until(turn.at).await;
-        if turn.rejected || !request.target.starts_with(ENDPOINTS_TARGET) {
-            return connection.write(&unavailable()).await;
+        self.wait_while_silent().await;
+        let schedule = self.schedule_poll();
+        self.shared.clock.sleep_until(schedule.respond_at).await;
+        if schedule.rejected || !request.target.starts_with(ENDPOINTS_TARGET_PREFIX) {
+            return connection.write(&unavailable_response()).await;
         }
         if request.query_parameter("stream").is_none() {
-            return self.send_whole_list(connection, sidecar).await;
+            return self.send_full_list(connection, sidecar).await;
         }
-        connection.write(WATCH_HEAD).await?;
-        let index = request.query_parameter("index");
-        let since = index.and_then(|index| index.parse().ok()).unwrap_or(0);
+        connection.write(WATCH_RESPONSE_HEAD).await?;
+        let since = request.query_parameter("index");
+        let since = since.and_then(|since| since.parse().ok()).unwrap_or(0);
         self.watch(connection, sidecar, since).await
     }
 
-    async fn send_whole_list(
+    async fn send_full_list(
         &self,
         connection: &mut HttpConnection,
         sidecar: SidecarIndex,
     ) -> io::Result<()> {
-        let (list, notifications) = self.whole_list(sidecar);
+        let (list, notifications) = self.full_list(sidecar);
         let text = format_response("200 OK", "", &format!("{list}\n"));
         connection.write(&text).await?;
         self.record_notifications(sidecar, &notifications);
         Ok(())
     }
 
-    /// Sends what has changed since a version, or the whole list for 0, and then each change.
+    /// Sends the delta since a revision, or the full list for revision 0, and then a delta for each
+    /// change.
     async fn watch(
         &self,
         connection: &mut HttpConnection,
         sidecar: SidecarIndex,
         since: u64,
     ) -> io::Result<()> {
-        let mut versions = self.version.subscribe();
-        let mut since = Some(since).filter(|&version| version > 0);
+        let mut revisions = self.revision.subscribe();
+        let mut since = Some(since).filter(|&revision| revision > 0);
         loop {
-            versions.borrow_and_update();
-            self.while_silent().await;
-            let (list, version, notifications) = self.list_since(sidecar, since);
-            since = Some(version);
+            revisions.borrow_and_update();
+            self.wait_while_silent().await;
+            let (list, revision, notifications) = self.list_or_delta(sidecar, since);
+            since = Some(revision);
             write_chunk(connection, &format!("{list}\n")).await?;
             self.record_notifications(sidecar, &notifications);
-            if !self.next_change(connection, &mut versions).await? {
+            if !self.wait_for_change(connection, &mut revisions).await? {
                 return Ok(());
             }
         }
     }
 
-    /// Sends heartbeats until the list changes; false where the watch ends instead.
-    async fn next_change(
+    /// Sends heartbeats until the list changes; returns false if the watch is closed first.
+    async fn wait_for_change(
         &self,
         connection: &mut HttpConnection,
-        versions: &mut tokio::sync::watch::Receiver<u64>,
+        revisions: &mut tokio::sync::watch::Receiver<u64>,
     ) -> io::Result<bool> {
         loop {
             let event = tokio::select! {
-                changed = versions.changed() => match changed {
+                changed = revisions.changed() => match changed {
                     Ok(()) => WatchEvent::ListChanged,
                     Err(_) => WatchEvent::Closed,
                 },
-                () = tokio::time::sleep(HEARTBEAT) => WatchEvent::HeartbeatDue,
+                () = tokio::time::sleep(HEARTBEAT_INTERVAL) => WatchEvent::HeartbeatDue,
                 () = connection.closed() => WatchEvent::Closed,
             };
             match event {
                 WatchEvent::ListChanged => {
-                    let spread = Duration::from_micros(self.draw_spread());
-                    tokio::time::sleep(spread).await;
+                    let delay = Duration::from_micros(self.draw_notification_delay());
+                    tokio::time::sleep(delay).await;
                     return Ok(true);
                 }
                 WatchEvent::HeartbeatDue => {
-                    self.while_silent().await;
+                    self.wait_while_silent().await;
                     write_chunk(connection, "\n").await?;
                 }
                 WatchEvent::Closed => return Ok(false),
@@ -152,7 +152,7 @@
     }
 }
 
-fn unavailable() -> String {
+fn unavailable_response() -> String {
     format_response("503 Service Unavailable", "", "")
 }
 
--- a/crates/testbed/src/emulator/discovery/endpoint_list.rs
+++ b/crates/testbed/src/emulator/discovery/endpoint_list.rs
@@ -1,6 +1,7 @@
-//! What discovery lists, by version.
+//! The revisions of the emulated endpoint list.
 //!
-//! Owns the versions and which of them an entry is new in; the form on the wire is the platform's.
+//! Each entry carries the revision that last changed it, from which the list or a delta for a
+//! sidecar follows. The platform's `EndpointList` formats them for the wire.
 
 #[cfg(test)]
 mod tests;
@@ -11,51 +12,52 @@
 use crate::index::ServerIndex;
 use crate::scenario::Micros;
 
-/// Version of the list with which a run begins; 0 stands on the wire for a watch that knows none.
-const FIRST_VERSION: u64 = 1;
+/// Revision of the list at the start of a run; a watch that has no list yet requests revision 0.
+const INITIAL_REVISION: u64 = 1;
 
-/// One server as it is listed.
+/// The listed state of a server.
 #[derive(Clone, Copy)]
 pub(super) struct ListEntry {
-    /// Place among the emulated servers.
+    /// Position of the server in the list of emulated servers.
     pub(super) position: usize,
     pub(super) status: ListedStatus,
-    /// When it last started; 0 for before the run.
+    /// When it last started; 0 if it started before the run.
     pub(super) started_at: Micros,
-    /// Version of the list in which this was new.
-    version: u64,
+    /// Revision of the list that set this entry.
+    revision: u64,
 }
 
-/// All servers by their indexes.
+/// The entries of all servers, including those that are gone.
 pub(super) struct EndpointList {
-    version: u64,
+    revision: u64,
     entries: BTreeMap<ServerIndex, ListEntry>,
 }
 
 impl EndpointList {
-    /// A list of servers that are ready, from when they started.
-    pub(super) fn of_ready(started_at: impl Iterator<Item = Micros>) -> Self {
+    /// A list of ready servers, from their start times in the order of their positions.
+    pub(super) fn new_ready(started_at: impl Iterator<Item = Micros>) -> Self {
         let entry = |(position, started_at)| {
             let entry = ListEntry {
                 position,
                 status: ListedStatus::Ready,
                 started_at,
-                version: FIRST_VERSION,
+                revision: INITIAL_REVISION,
             };
             (ServerIndex::from_position(position), entry)
         };
         Self {
-            version: FIRST_VERSION,
+            revision: INITIAL_REVISION,
             entries: started_at.enumerate().map(entry).collect(),
         }
     }
 
-    pub(super) fn version(&self) -> u64 {
-        self.version
+    pub(super) fn revision(&self) -> u64 {
+        self.revision
     }
 
-    /// Lists a new status; false where a later start of the server is listed already.
-    pub(super) fn set(
+    /// Sets the status of a server's incarnation and raises the revision; returns false, without a
+    /// change, if a later incarnation of the server is listed.
+    pub(super) fn set_status(
         &mut self,
         server: ServerIndex,
         position: usize,
@@ -66,29 +68,30 @@
         if listed.is_some_and(|entry| entry.started_at > started_at) {
             return false;
         }
-        self.version += 1;
+        self.revision += 1;
         let entry = ListEntry {
             position,
             status,
             started_at,
-            version: self.version,
+            revision: self.revision,
         };
         self.entries.insert(server, entry);
         true
     }
 
-    /// What is new since a version, or everything that is not gone.
-    pub(super) fn since(
+    /// The entries that changed after a revision; without one, those of all servers that are not
+    /// gone.
+    pub(super) fn changed_since(
         &self,
-        version: Option<u64>,
+        revision: Option<u64>,
     ) -> impl Iterator<Item = (ServerIndex, &ListEntry)> {
-        let wanted = move |entry: &ListEntry| match version {
-            Some(version) => entry.version > version,
+        let included = move |entry: &ListEntry| match revision {
+            Some(revision) => entry.revision > revision,
             None => entry.status != ListedStatus::Gone,
         };
         self.entries
             .iter()
-            .filter(move |(_, entry)| wanted(entry))
+            .filter(move |(_, entry)| included(entry))
             .map(|(&server, entry)| (server, entry))
     }
 }
--- a/crates/testbed/src/emulator/discovery/mod.rs
+++ b/crates/testbed/src/emulator/discovery/mod.rs
@@ -1,7 +1,8 @@
-//! The emulated discovery service: a list that is updated late, polls handled in turn, and watches
-//! on changes.
+//! The emulated discovery service, which answers polls and watches of the endpoint list.
 //!
-//! This file owns the service's state; `endpoint_list` what is listed, `connection` how it is sent.
+//! The list is updated with the scenario's delays, and the service handles a limited rate of polls.
+//! This file holds the service's state; `endpoint_list` has the revisions of the list, and
+//! `connection` serves the connections.
 
 mod connection;
 mod endpoint_list;
@@ -28,38 +29,38 @@
 
 use endpoint_list::{EndpointList, ListEntry};
 
-/// How the service responds.
+/// Whether and how the service responds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Mode {
-    /// As it should.
+pub(super) enum DiscoveryMode {
+    /// Responds normally.
     Up,
-    /// With errors, and every connection is closed.
+    /// Responds with errors, and closes all connections.
     Down,
-    /// Not at all, and every connection stays.
+    /// Does not respond, and keeps all connections open.
     Silent,
 }
 
-/// What a response says of one server: which it is, its status, and when it last started.
+/// What a list or delta tells a sidecar about a server: its index, its status and its last start.
 pub(super) type Notification = (ServerIndex, ListedStatus, Micros);
 
-/// When a poll is responded to, and whether with the list or with an overload rejection.
-struct Turn {
-    at: Micros,
+/// When the service responds to a poll, and whether it rejects the poll because of overload.
+struct PollSchedule {
+    respond_at: Micros,
     rejected: bool,
 }
 
-/// The service; each sidecar has an address of its own at it, which identifies the sidecar.
+/// The service. It has one address per sidecar, which identifies the sidecar that connects.
 pub(super) struct Discovery {
     shared: Arc<Shared>,
     servers: Vec<Arc<EmulatedServer>>,
     addresses: Vec<SocketAddr>,
     list: Mutex<EndpointList>,
-    /// Until when earlier polls keep the service busy.
+    /// When the service will have handled all polls that it accepted.
     busy_until: Mutex<Micros>,
     random: Mutex<RandomStream>,
-    /// The list's version; watches wait for its change.
-    version: watch::Sender<u64>,
-    mode: watch::Sender<Mode>,
+    /// Revision of the list; watches wait for it to change.
+    revision: watch::Sender<u64>,
+    mode: watch::Sender<DiscoveryMode>,
 }
 
 async fn listen(address: SocketAddr) -> Result<TcpListener, EmulatorError> {
@@ -72,7 +73,7 @@
     /// Starts the service with all servers listed as ready.
     ///
     /// # Errors
-    /// Where an address is missing or cannot be listened on.
+    /// If no address is free, or an address cannot be listened on.
     pub(super) async fn start(
         shared: &Arc<Shared>,
         servers: &[Arc<EmulatedServer>],
@@ -84,21 +85,21 @@
             listeners.push(listen(address).await?);
             addresses.push(address);
         }
-        let list = EndpointList::of_ready(servers.iter().map(|server| server.started_at()));
+        let list = EndpointList::new_ready(servers.iter().map(|server| server.started_at()));
         let seed = shared.scenario.seed;
         let discovery = Arc::new(Self {
             shared: Arc::clone(shared),
             servers: servers.to_vec(),
             addresses,
-            version: watch::channel(list.version()).0,
+            revision: watch::channel(list.revision()).0,
             list: Mutex::new(list),
             busy_until: Mutex::new(0),
             random: Mutex::new(RandomStream::new(seed, StreamId::Discovery, 0)),
-            mode: watch::channel(Mode::Up).0,
+            mode: watch::channel(DiscoveryMode::Up).0,
         });
         for (sidecar, listener) in SidecarIndex::all(listeners.len()).zip(listeners) {
-            let accepting = Arc::clone(&discovery).accept(listener, sidecar);
-            tokio::spawn(accepting);
+            let accept_loop = Arc::clone(&discovery).accept(listener, sidecar);
+            tokio::spawn(accept_loop);
         }
         Ok(discovery)
     }
@@ -109,18 +110,19 @@
         }
     }
 
-    /// The service's address for a sidecar.
+    /// Address of the service for a sidecar.
     pub(super) fn address(&self, sidecar: SidecarIndex) -> SocketAddr {
         self.addresses[sidecar.index()]
     }
 
-    pub(super) fn set_mode(&self, mode: Mode) {
+    pub(super) fn set_mode(&self, mode: DiscoveryMode) {
         self.mode.send_replace(mode);
     }
 
-    /// Lists a server's new status, unless a later start of it is listed already. `position`
-    /// is its place among the emulated servers, where a replacement has that of its predecessor.
-    pub(super) fn set(
+    /// Lists the new status of a server, unless a later incarnation of it is listed. `position` is
+    /// its position in the list of emulated servers, which a replacement takes over from the server
+    /// that it replaces.
+    pub(super) fn set_status(
         &self,
         server: ServerIndex,
         position: usize,
@@ -128,19 +130,20 @@
         started_at: Micros,
     ) {
         let mut list = lock(&self.list);
-        if list.set(server, position, status, started_at) {
-            self.version.send_replace(list.version());
+        if list.set_status(server, position, status, started_at) {
+            self.revision.send_replace(list.revision());
         }
     }
 
-    /// The whole list as a sidecar gets it, and what it is notified of by it.
-    pub(super) fn whole_list(&self, sidecar: SidecarIndex) -> (Value, Vec<Notification>) {
-        let (list, _, notifications) = self.list_since(sidecar, None);
+    /// The full list for a sidecar, and the notifications that it contains.
+    pub(super) fn full_list(&self, sidecar: SidecarIndex) -> (Value, Vec<Notification>) {
+        let (list, _, notifications) = self.list_or_delta(sidecar, None);
         (list, notifications)
     }
 
-    /// What has changed since a version, or the whole list, with its version.
-    fn list_since(
+    /// The delta since a revision, or the full list without one; with the revision that it leads to
+    /// and the notifications that it contains.
+    fn list_or_delta(
         &self,
         sidecar: SidecarIndex,
         since: Option<u64>,
@@ -148,16 +151,16 @@
         let list = lock(&self.list);
         let mut endpoints = Vec::new();
         let mut notifications = Vec::new();
-        for (server_index, entry) in list.since(since) {
+        for (server_index, entry) in list.changed_since(since) {
             let Some(server) = self.servers.get(entry.position) else {
                 continue;
             };
             endpoints.push(self.listed_endpoint(sidecar, server_index, server, entry));
             notifications.push((server_index, entry.status, entry.started_at));
         }
-        let version = list.version();
+        let revision = list.revision();
         let message = platform::EndpointList {
-            revision: version,
+            revision,
             kind: if since.is_none() {
                 ListKind::Full
             } else {
@@ -166,10 +169,10 @@
             endpoints,
             skipped: Vec::new(),
         };
-        (message.to_json(), version, notifications)
+        (message.to_json(), revision, notifications)
     }
 
-    /// A server as the list names it, with its address for a sidecar.
+    /// The endpoint list entry of a server, with its address for a sidecar.
     fn listed_endpoint(
         &self,
         sidecar: SidecarIndex,
@@ -194,7 +197,7 @@
         }
     }
 
-    /// Records what a sidecar was notified of.
+    /// Records the notifications that were sent to a sidecar.
     pub(super) fn record_notifications(
         &self,
         sidecar: SidecarIndex,
@@ -210,28 +213,28 @@
         }
     }
 
-    /// Takes the next turn of the service, which handles one poll after the other.
-    fn take_turn(&self) -> Turn {
+    /// Schedules a poll behind those that are pending, since the service handles one at a time.
+    fn schedule_poll(&self) -> PollSchedule {
         let discovery = &self.shared.scenario.discovery;
         let now = self.shared.clock.now();
         let latest_start = now + from_ms(discovery.timeout_ms);
         let mut busy_until = lock(&self.busy_until);
         let start = (*busy_until).max(now);
         if start > latest_start {
-            return Turn {
-                at: latest_start,
+            return PollSchedule {
+                respond_at: latest_start,
                 rejected: true,
             };
         }
         *busy_until = start + micros_from_f64(MICROS_PER_S / discovery.capacity);
-        Turn {
-            at: *busy_until,
+        PollSchedule {
+            respond_at: *busy_until,
             rejected: false,
         }
     }
 
-    /// A delay for the notification of a change, drawn for each watch.
-    fn draw_spread(&self) -> Micros {
+    /// Draws the delay after which a watch is notified of a change, which spreads the notifications.
+    fn draw_notification_delay(&self) -> Micros {
         let unit = lock(&self.random).unit();
         from_ms(self.shared.scenario.discovery.spread_ms * unit)
     }
--- a/crates/testbed/src/emulator/fault_schedule.rs
+++ b/crates/testbed/src/emulator/fault_schedule.rs
@@ -12,7 +12,7 @@
 use tokio::task::JoinSet;
 
 use super::Emulation;
-use super::discovery::{Discovery, Mode};
+use super::discovery::{Discovery, DiscoveryMode};
 use super::emulated_server::{EmulatedServer, NetworkMode, ResponseFault};
 use super::shared::Shared;
 use super::sidecars::Termination;
@@ -34,10 +34,14 @@
                 restart_sidecars(emulation, fault_index, fault, &mut tasks);
             }
             FaultKind::DiscoveryDown => {
-                tasks.spawn(play_discovery_fault(emulation, fault, Mode::Down));
+                tasks.spawn(play_discovery_fault(emulation, fault, DiscoveryMode::Down));
             }
             FaultKind::DiscoverySilent => {
-                tasks.spawn(play_discovery_fault(emulation, fault, Mode::Silent));
+                tasks.spawn(play_discovery_fault(
+                    emulation,
+                    fault,
+                    DiscoveryMode::Silent,
+                ));
             }
             _ => schedule_server_faults(
                 emulation,
@@ -91,7 +95,7 @@
 fn play_discovery_fault(
     emulation: &Emulation,
     fault: &Fault,
-    mode: Mode,
+    mode: DiscoveryMode,
 ) -> impl Future<Output = ()> + Send + 'static {
     let discovery = Arc::clone(&emulation.discovery);
     let clock = emulation.shared.clock;
@@ -101,7 +105,7 @@
         clock.sleep_until(at).await;
         discovery.set_mode(mode);
         clock.sleep_until(at + length).await;
-        discovery.set_mode(Mode::Up);
+        discovery.set_mode(DiscoveryMode::Up);
     }
 }
 
@@ -233,7 +237,7 @@
         let delay = Duration::from_micros(from_ms(delay_ms));
         tokio::spawn(async move {
             tokio::time::sleep(delay).await;
-            discovery.set(server_index, position, status, started_at);
+            discovery.set_status(server_index, position, status, started_at);
         });
     }
 }
--- a/crates/testbed/src/emulator/sidecars/start.rs
+++ b/crates/testbed/src/emulator/sidecars/start.rs
@@ -106,7 +106,7 @@
     /// the servers.
     fn write_configuration(&self, index: SidecarIndex) -> Result<PathBuf, EmulatorError> {
         let sidecar = &self.sidecars[index.index()];
-        let (endpoints, notifications) = self.discovery.whole_list(index);
+        let (endpoints, notifications) = self.discovery.full_list(index);
         self.discovery.record_notifications(index, &notifications);
         let identity = Identity {
             index,
