--- a/crates/testbed/src/emulator/emulated_server/admission.rs
+++ b/crates/testbed/src/emulator/emulated_server/admission.rs
@@ -22,8 +22,8 @@
 
 /// An attempt that was accepted: its number in the model, and its end.
 pub(super) struct AcceptedAttempt {
-    pub(super) job: u64,
-    pub(super) end: oneshot::Receiver<ExecutionResult>,
+    pub(super) job_id: u64,
+    pub(super) result: oneshot::Receiver<ExecutionResult>,
 }
 
 /// How the execution of an attempt ended at the process.
@@ -35,7 +35,7 @@
 
 impl ExecutionResult {
     /// The result of a job of the model that ended in an error, or did not.
-    pub(super) fn of(error: bool) -> Self {
+    pub(super) fn from_error(error: bool) -> Self {
         if error { Self::Error } else { Self::Success }
     }
 }
@@ -52,7 +52,7 @@
 }
 
 /// What is drawn for a response as its attempt ends.
-pub(super) struct ResponseDraw {
+pub(super) struct ResponseOutcome {
     /// Whether the response cannot be parsed.
     pub(super) malformed: bool,
     /// Whether the connection is reset instead.
--- a/crates/testbed/src/emulator/emulated_server/attempt.rs
+++ b/crates/testbed/src/emulator/emulated_server/attempt.rs
@@ -11,9 +11,9 @@
 
 use super::EmulatedServer;
 use super::admission::{
-    AcceptedAttempt, Admission, AdmissionRequest, ExecutionResult, ResponseDraw,
+    AcceptedAttempt, Admission, AdmissionRequest, ExecutionResult, ResponseOutcome,
 };
-use super::connection::{Incoming, Reply};
+use super::connection::{IncomingRequest, Reply};
 use crate::conversion::{f64_from_count, f64_from_u64, micros_from_f64};
 use crate::emulator::clock::sleep_for;
 use crate::emulator::http::{HttpConnection, Message, format_response};
@@ -24,11 +24,11 @@
 
 /// How long an attempt without a timeout may wait, in microseconds: ten minutes, beyond the length
 /// of any run.
-const MAX_WAIT: Micros = 600_000_000;
+const DEFAULT_TIMEOUT: Micros = 600_000_000;
 /// A response whose head cannot be parsed; its connection is of no further use.
 const MALFORMED_RESPONSE: &str = "HTTP/1.1 2oo OK\r\nContent-Length: -7\r\n\r\n";
 /// Header field that promises that a rejected attempt was not executed.
-const NOT_PROCESSED: &str = "X-Not-Processed: 1\r\n";
+const NOT_PROCESSED_HEADER: &str = "X-Not-Processed: 1\r\n";
 
 /// An attempt as its request says it.
 struct Attempt {
@@ -58,9 +58,9 @@
 }
 
 /// How the execution of an attempt ended.
-enum Execution {
+enum ExecutionEnd {
     /// With a response.
-    Ended(ExecutionResult),
+    Finished(ExecutionResult),
     /// Dropped without being executed, or gone with the process.
     Lost,
     /// Its sidecar closed the connection.
@@ -76,38 +76,38 @@
         &self,
         connection: &mut HttpConnection,
         message: &Message,
-        incoming: &Incoming,
+        incoming: &IncomingRequest,
     ) -> io::Result<Reply> {
         let Some(attempt) = Attempt::parse(message) else {
             return Ok(Reply::Send(format_response("400 Bad Request", "", "")));
         };
         self.record_attempt_started(&attempt, incoming);
-        sleep_for(incoming.delay + self.handshake_delay(incoming)).await;
+        sleep_for(incoming.one_way_delay + self.handshake_delay(incoming)).await;
         if self.is_silent() {
             self.shared.on_attempt_blackholed();
-            return Ok(Reply::StaySilent);
+            return Ok(Reply::NoResponse);
         }
         let Some(accepted) = self.try_accept(&attempt, incoming) else {
-            sleep_for(incoming.delay).await;
-            let rejection = format_response("503 Service Unavailable", NOT_PROCESSED, "");
+            sleep_for(incoming.one_way_delay).await;
+            let rejection = format_response("503 Service Unavailable", NOT_PROCESSED_HEADER, "");
             return Ok(Reply::Send(rejection));
         };
-        let job = accepted.job;
-        match executed(connection, accepted.end).await {
-            Execution::Ended(result) => self.respond(&attempt, result, incoming).await,
-            Execution::Lost => Ok(Reply::StaySilent),
-            Execution::ConnectionClosed => Err(self.cancel(job, incoming).await),
+        let job_id = accepted.job_id;
+        match wait_for_execution(connection, accepted.result).await {
+            ExecutionEnd::Finished(result) => self.respond(&attempt, result, incoming).await,
+            ExecutionEnd::Lost => Ok(Reply::NoResponse),
+            ExecutionEnd::ConnectionClosed => Err(self.cancel(job_id, incoming).await),
         }
     }
 
     /// Cancels an attempt whose connection was closed; the error that ends the connection here too.
-    async fn cancel(&self, job: u64, incoming: &Incoming) -> io::Error {
-        sleep_for(incoming.delay).await;
-        self.update(|process, now| process.cancel(now, job));
+    async fn cancel(&self, job_id: u64, incoming: &IncomingRequest) -> io::Error {
+        sleep_for(incoming.one_way_delay).await;
+        self.update_process(|process, now| process.cancel(now, job_id));
         io::ErrorKind::ConnectionAborted.into()
     }
 
-    fn record_attempt_started(&self, attempt: &Attempt, incoming: &Incoming) {
+    fn record_attempt_started(&self, attempt: &Attempt, incoming: &IncomingRequest) {
         self.shared.record_at(
             incoming.first_byte_at,
             LogEvent::AttemptStarted {
@@ -120,16 +120,16 @@
     }
 
     /// Round trips of the handshake of a new connection.
-    fn handshake_delay(&self, incoming: &Incoming) -> Micros {
+    fn handshake_delay(&self, incoming: &IncomingRequest) -> Micros {
         if !incoming.new_connection {
             return 0;
         }
         let round_trips = lock(&self.process).machine_type().handshake_rtts;
-        micros_from_f64(round_trips * 2.0 * f64_from_u64(incoming.delay))
+        micros_from_f64(round_trips * 2.0 * f64_from_u64(incoming.one_way_delay))
     }
 
     /// Asks the process to accept an attempt; nothing where it is rejected.
-    fn try_accept(&self, attempt: &Attempt, incoming: &Incoming) -> Option<AcceptedAttempt> {
+    fn try_accept(&self, attempt: &Attempt, incoming: &IncomingRequest) -> Option<AcceptedAttempt> {
         let classes = &self.shared.scenario.class;
         let request = AdmissionRequest {
             request: attempt.request,
@@ -140,9 +140,9 @@
             new_connection: incoming.new_connection,
             deadline: incoming
                 .first_byte_at
-                .saturating_add(attempt.timeout.unwrap_or(MAX_WAIT)),
+                .saturating_add(attempt.timeout.unwrap_or(DEFAULT_TIMEOUT)),
         };
-        self.update(|process, now| {
+        self.update_process(|process, now| {
             let admission = process.try_accept(now, request);
             self.record_attempt_received(now, attempt.request, incoming.server, &admission);
             admission.accepted
@@ -175,43 +175,45 @@
         &self,
         attempt: &Attempt,
         result: ExecutionResult,
-        incoming: &Incoming,
+        incoming: &IncomingRequest,
     ) -> io::Result<Reply> {
-        let draw = self.update(|process, now| process.draw_response(now));
-        sleep_for(incoming.delay).await;
+        let outcome = self.update_process(|process, now| process.draw_response_outcome(now));
+        sleep_for(incoming.one_way_delay).await;
         if self.is_silent() {
-            return Ok(Reply::StaySilent);
+            return Ok(Reply::NoResponse);
         }
-        if draw.reset {
+        if outcome.reset {
             return Err(io::ErrorKind::ConnectionReset.into());
         }
-        Ok(Reply::Send(final_response(
+        Ok(Reply::Send(execution_response(
             attempt.request,
             incoming.server,
             result,
-            &draw,
+            &outcome,
         )))
     }
 }
 
 /// The response to an attempt that was executed.
-fn final_response(
+fn execution_response(
     request: RequestNumber,
     server: ServerIndex,
     result: ExecutionResult,
-    draw: &ResponseDraw,
+    outcome: &ResponseOutcome,
 ) -> String {
-    if draw.malformed {
+    if outcome.malformed {
         return MALFORMED_RESPONSE.to_owned();
     }
-    let load = draw.reported_in_flight.map_or(String::new(), |in_flight| {
-        let load = ServerLoad {
-            in_flight: f64_from_count(in_flight),
-            error_rate: None,
-            queued: None,
-        };
-        format!("X-Server-Load: {load}\r\n")
-    });
+    let load = outcome
+        .reported_in_flight
+        .map_or(String::new(), |in_flight| {
+            let load = ServerLoad {
+                in_flight: f64_from_count(in_flight),
+                error_rate: None,
+                queued: None,
+            };
+            format!("X-Server-Load: {load}\r\n")
+        });
     if result == ExecutionResult::Error {
         return format_response("500 Internal Server Error", &load, "");
     }
@@ -221,15 +223,15 @@
 }
 
 /// Waits for the end of an execution, or of its connection.
-async fn executed(
+async fn wait_for_execution(
     connection: &mut HttpConnection,
-    end: oneshot::Receiver<ExecutionResult>,
-) -> Execution {
+    result: oneshot::Receiver<ExecutionResult>,
+) -> ExecutionEnd {
     tokio::select! {
-        ended = end => match ended {
-            Ok(result) => Execution::Ended(result),
-            Err(_) => Execution::Lost,
+        received = result => match received {
+            Ok(result) => ExecutionEnd::Finished(result),
+            Err(_) => ExecutionEnd::Lost,
         },
-        () = connection.closed() => Execution::ConnectionClosed,
+        () = connection.closed() => ExecutionEnd::ConnectionClosed,
     }
 }
--- a/crates/testbed/src/emulator/emulated_server/connection.rs
+++ b/crates/testbed/src/emulator/emulated_server/connection.rs
@@ -24,11 +24,11 @@
     /// Sends a response.
     Send(String),
     /// Sends nothing more, and leaves the connection open.
-    StaySilent,
+    NoResponse,
 }
 
 /// A request as it comes in.
-pub(super) struct Incoming {
+pub(super) struct IncomingRequest {
     /// The server that receives it.
     pub(super) server: ServerIndex,
     /// The sidecar that sends it.
@@ -38,7 +38,7 @@
     /// When its first byte came.
     pub(super) first_byte_at: Micros,
     /// One-way delay of the network.
-    pub(super) delay: Micros,
+    pub(super) one_way_delay: Micros,
     /// Whether it is the first on its connection.
     pub(super) new_connection: bool,
 }
@@ -47,7 +47,7 @@
     /// Serves a connection until it ends, or is reset with the process.
     pub(super) async fn serve(self: Arc<Self>, stream: TcpStream, sidecar: SidecarIndex) {
         let mut network = self.network.subscribe();
-        let epoch = network.borrow().epoch;
+        let epoch = network.borrow().connection_epoch;
         let fits = lock(&self.process).connect();
         let _ = stream.set_zero_linger();
         if !fits {
@@ -58,7 +58,7 @@
         });
         let mut connection = HttpConnection::new(stream);
         let reset = async {
-            while network.borrow_and_update().epoch == epoch {
+            while network.borrow_and_update().connection_epoch == epoch {
                 if network.changed().await.is_err() {
                     return;
                 }
@@ -72,7 +72,7 @@
             let server = self.index();
             tracing::debug!(%server, %sidecar, %error, "emulated server's connection failed");
         }
-        if self.network.borrow().epoch == epoch {
+        if self.network.borrow().connection_epoch == epoch {
             lock(&self.process).disconnect();
         }
     }
@@ -88,17 +88,17 @@
             let first_byte_at = self.shared.clock.now();
             let message = connection.read_request().await?;
             let unit = lock(&self.process).random_unit();
-            let incoming = Incoming {
+            let incoming = IncomingRequest {
                 server: self.index(),
                 sidecar,
                 same_zone,
                 first_byte_at,
-                delay: self.shared.network_delay(same_zone, unit),
+                one_way_delay: self.shared.network_delay(same_zone, unit),
                 new_connection,
             };
             match self.reply(connection, &message, &incoming).await? {
                 Reply::Send(response) => connection.write(&response).await?,
-                Reply::StaySilent => pending().await,
+                Reply::NoResponse => pending().await,
             }
             new_connection = false;
         }
@@ -109,7 +109,7 @@
         &self,
         connection: &mut HttpConnection,
         message: &Message,
-        incoming: &Incoming,
+        incoming: &IncomingRequest,
     ) -> io::Result<Reply> {
         if message.target == HEALTH_CHECK_TARGET {
             Ok(self.on_health_check(incoming).await)
--- a/crates/testbed/src/emulator/emulated_server/faults.rs
+++ b/crates/testbed/src/emulator/emulated_server/faults.rs
@@ -14,9 +14,9 @@
 
 /// How often a start tries to listen on the server's addresses: a closed listener's socket may
 /// linger in a process that was being started. After these the server stays unreachable.
-const LISTEN_ATTEMPTS: usize = 50;
+const MAX_LISTEN_ATTEMPTS: usize = 50;
 /// Pause between two of these attempts.
-const LISTEN_PAUSE: Duration = Duration::from_millis(20);
+const LISTEN_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
 /// What goes wrong with a server's responses.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -34,7 +34,7 @@
     pub(in crate::emulator) async fn stop(self: &Arc<Self>, mode: NetworkMode) {
         self.network.send_modify(|network| {
             network.mode = mode;
-            network.epoch += u32::from(mode == NetworkMode::Refusing);
+            network.connection_epoch += u32::from(mode == NetworkMode::Refusing);
         });
         {
             let mut process = lock(&self.process);
@@ -42,7 +42,7 @@
         }
         self.listeners.close().await;
         if mode == NetworkMode::Silent {
-            self.listen_in_silence();
+            self.listen_without_accepting();
         }
     }
 
@@ -57,37 +57,37 @@
         self.record_state_at(now, ServerState::Cold);
         self.network.send_modify(|network| {
             network.mode = NetworkMode::Open;
-            network.epoch += 1;
+            network.connection_epoch += 1;
         });
         self.listen_again().await;
-        self.changed.notify_one();
+        self.process_changed.notify_one();
     }
 
     async fn listen_again(self: &Arc<Self>) {
-        for _ in 0..LISTEN_ATTEMPTS {
+        for _ in 0..MAX_LISTEN_ATTEMPTS {
             let Err(error) = self.listen().await else {
                 return;
             };
             tracing::warn!(server = %self.index(), %error, "emulated server cannot listen yet");
-            tokio::time::sleep(LISTEN_PAUSE).await;
+            tokio::time::sleep(LISTEN_RETRY_INTERVAL).await;
         }
     }
 
     /// The process stands still, as in a long garbage collection.
     pub(in crate::emulator) fn pause(&self) {
-        self.update(|process, now| process.pause(now));
+        self.update_process(|process, now| process.pause(now));
         self.record_state(ServerState::Paused);
     }
 
     /// The process goes on after a pause.
     pub(in crate::emulator) fn resume(&self) {
-        self.update(|process, now| process.resume(now));
+        self.update_process(|process, now| process.resume(now));
         self.record_state(ServerState::Up);
     }
 
     /// Serves slower by a factor; 1 for as usual.
     pub(in crate::emulator) fn set_slowdown(&self, factor: f64) {
-        self.update(|process, now| process.set_slowdown(now, factor));
+        self.update_process(|process, now| process.set_slowdown(now, factor));
         self.record_state(if factor > 1.0 {
             ServerState::Slow
         } else {
@@ -97,13 +97,13 @@
 
     /// Rejects new attempts from now on, and finishes those that it has.
     pub(in crate::emulator) fn set_draining(&self) {
-        self.update(|process, _| process.set_draining());
+        self.update_process(|process, _| process.set_draining());
         self.record_state(ServerState::Draining);
     }
 
     /// Sets what goes wrong with the responses from now on.
     pub(in crate::emulator) fn set_response_fault(&self, fault: ResponseFault) {
-        self.update(|process, _| match fault {
+        self.update_process(|process, _| match fault {
             ResponseFault::Errors(share) => process.set_error_share(share),
             ResponseFault::Malformed(share) => process.set_malformed_share(share),
             ResponseFault::Reset(share) => process.set_reset_share(share),
--- a/crates/testbed/src/emulator/emulated_server/gauges.rs
+++ b/crates/testbed/src/emulator/emulated_server/gauges.rs
@@ -13,10 +13,10 @@
 /// Records what each server has in flight, once a second, for ever.
 pub(in crate::emulator) async fn record_gauges(emulation: &Emulation) {
     let shared = &emulation.shared;
-    for gauge in 1.. {
-        shared.clock.sleep_until(gauge * GAUGE_INTERVAL).await;
+    for sample in 1.. {
+        shared.clock.sleep_until(sample * GAUGE_INTERVAL).await;
         for server in &emulation.servers {
-            let (in_flight, connections) = lock(&server.process).gauge();
+            let (in_flight, connections) = lock(&server.process).gauges();
             shared.record(LogEvent::ServerGauge {
                 server: server.index(),
                 in_flight,
--- a/crates/testbed/src/emulator/emulated_server/health_check.rs
+++ b/crates/testbed/src/emulator/emulated_server/health_check.rs
@@ -7,7 +7,7 @@
 use arrowstand_platform::ServerLoad;
 
 use super::EmulatedServer;
-use super::connection::{Incoming, Reply};
+use super::connection::{IncomingRequest, Reply};
 use crate::conversion::f64_from_count;
 use crate::emulator::clock::sleep_for;
 use crate::emulator::http::format_response;
@@ -15,25 +15,25 @@
 use crate::event_log::LogEvent;
 
 /// How often a health check looks whether a process that stands still goes on.
-const PAUSE_POLL: Duration = Duration::from_millis(20);
+const PAUSE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 impl EmulatedServer {
-    pub(super) async fn on_health_check(&self, incoming: &Incoming) -> Reply {
+    pub(super) async fn on_health_check(&self, incoming: &IncomingRequest) -> Reply {
         self.shared.record(LogEvent::HealthChecked {
             sidecar: incoming.sidecar,
             server: incoming.server,
         });
-        sleep_for(incoming.delay).await;
+        sleep_for(incoming.one_way_delay).await;
         // A process that stands still responds once it goes on.
         while lock(&self.process).is_paused() {
-            tokio::time::sleep(PAUSE_POLL).await;
+            tokio::time::sleep(PAUSE_POLL_INTERVAL).await;
         }
         if self.is_silent() {
             self.shared.on_health_check_blackholed();
-            return Reply::StaySilent;
+            return Reply::NoResponse;
         }
-        let report = self.update(|process, now| process.health_check(now));
-        sleep_for(incoming.delay).await;
+        let report = self.update_process(|process, now| process.health_check(now));
+        sleep_for(incoming.one_way_delay).await;
         Reply::Send(match report {
             Some(load) => {
                 let body = ServerLoad {
--- a/crates/testbed/src/emulator/emulated_server/listeners.rs
+++ b/crates/testbed/src/emulator/emulated_server/listeners.rs
@@ -16,7 +16,7 @@
 use crate::index::SidecarIndex;
 
 /// Time between two looks at whether the listeners' tasks have ended.
-const CLOSE_POLL: Duration = Duration::from_millis(1);
+const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(1);
 /// Looks after which their end is no longer waited for: 200 ms.
 const MAX_CLOSE_POLLS: usize = 200;
 /// Backlog of a listener that holds one connection and accepts none.
@@ -47,7 +47,7 @@
             if tasks.iter().all(AbortHandle::is_finished) {
                 return;
             }
-            tokio::time::sleep(CLOSE_POLL).await;
+            tokio::time::sleep(CLOSE_POLL_INTERVAL).await;
         }
     }
 }
@@ -74,14 +74,17 @@
 
     /// Listens with a full backlog: further connections never open, as with a machine that has
     /// vanished.
-    pub(super) fn listen_in_silence(&self) {
-        let tasks = self.addresses.iter().filter_map(|&a| occupy(a));
+    pub(super) fn listen_without_accepting(&self) {
+        let tasks = self
+            .addresses
+            .iter()
+            .filter_map(|&address| listen_with_full_backlog(address));
         self.listeners.replace(tasks.collect());
     }
 }
 
 /// Listens on an address and fills the backlog; nothing where the address cannot be bound.
-fn occupy(address: SocketAddr) -> Option<AbortHandle> {
+fn listen_with_full_backlog(address: SocketAddr) -> Option<AbortHandle> {
     let socket = TcpSocket::new_v4().ok()?;
     let _ = socket.set_reuseaddr(true);
     socket.bind(address).ok()?;
--- a/crates/testbed/src/emulator/emulated_server/mod.rs
+++ b/crates/testbed/src/emulator/emulated_server/mod.rs
@@ -35,7 +35,7 @@
 pub(super) use gauges::record_gauges;
 
 /// Indexes of the servers' random streams begin here, apart from those of the server models.
-const STREAM_OFFSET: usize = 1 << 20;
+const RANDOM_STREAM_OFFSET: usize = 1 << 20;
 
 /// How the network responds for a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -52,7 +52,7 @@
 #[derive(Clone, Copy)]
 struct Network {
     mode: NetworkMode,
-    epoch: u32,
+    connection_epoch: u32,
 }
 
 /// One server. Each sidecar has an address of its own at it, which identifies the sidecar.
@@ -65,7 +65,7 @@
     process: Mutex<ServerProcess>,
     listeners: Listeners,
     /// Notified when the process was changed, and its next event may be another.
-    changed: Notify,
+    process_changed: Notify,
     network: watch::Sender<Network>,
 }
 
@@ -87,7 +87,7 @@
         } else {
             ServerState::Up
         });
-        tokio::spawn(Arc::clone(&server).drive());
+        tokio::spawn(Arc::clone(&server).run_model());
         Ok(server)
     }
 
@@ -99,7 +99,7 @@
         group: &Servers,
     ) -> Result<Self, EmulatorError> {
         let scenario = &shared.scenario;
-        let stream = STREAM_OFFSET + index.index();
+        let stream = RANDOM_STREAM_OFFSET + index.index();
         let random = RandomStream::new(scenario.seed, StreamId::Machines, stream);
         let model = ServerModel::from_scenario(scenario, machine_type, index, 0, group.cold);
         let addresses = (0..scenario.sidecars.count)
@@ -107,7 +107,7 @@
             .collect::<Result<_, _>>()?;
         let network = Network {
             mode: NetworkMode::Open,
-            epoch: 0,
+            connection_epoch: 0,
         };
         Ok(Self {
             shared: Arc::clone(shared),
@@ -116,7 +116,7 @@
             addresses,
             process: Mutex::new(ServerProcess::new(model, group.cold, random)),
             listeners: Listeners::default(),
-            changed: Notify::new(),
+            process_changed: Notify::new(),
             network: watch::channel(network).0,
         })
     }
@@ -171,7 +171,7 @@
     }
 
     /// Changes the process, hands on what follows from it, and has the driver look again.
-    fn update<T>(&self, change: impl FnOnce(&mut ServerProcess, Micros) -> T) -> T {
+    fn update_process<T>(&self, change: impl FnOnce(&mut ServerProcess, Micros) -> T) -> T {
         let now = self.shared.clock.now();
         let (result, overloaded) = {
             let mut process = lock(&self.process);
@@ -181,9 +181,9 @@
             (result, overloaded)
         };
         if overloaded {
-            self.on_overloaded();
+            self.on_overload_shutdown();
         }
-        self.changed.notify_one();
+        self.process_changed.notify_one();
         result
     }
 
@@ -199,32 +199,32 @@
     }
 
     /// It was overloaded while cold, and its process is gone.
-    fn on_overloaded(&self) {
+    fn on_overload_shutdown(&self) {
         self.record_state(ServerState::OverloadShutdown);
         self.network.send_modify(|network| {
             network.mode = NetworkMode::Refusing;
-            network.epoch += 1;
+            network.connection_epoch += 1;
         });
         self.listeners.abort();
     }
 
     /// Lets the model go on, for as long as the emulation lasts.
-    async fn drive(self: Arc<Self>) {
+    async fn run_model(self: Arc<Self>) {
         loop {
-            match self.advance() {
+            match self.advance_model() {
                 Some(next) => {
                     tokio::select! {
                         () = self.shared.clock.sleep_until(next) => self.shared.on_done(next),
-                        () = self.changed.notified() => {}
+                        () = self.process_changed.notified() => {}
                     }
                 }
-                None => self.changed.notified().await,
+                None => self.process_changed.notified().await,
             }
         }
     }
 
     /// Plays the model up to now; the time of its next event, if there is one.
-    fn advance(&self) -> Option<Micros> {
+    fn advance_model(&self) -> Option<Micros> {
         let mut process = lock(&self.process);
         let now = self.shared.clock.now();
         process.advance(now);
--- a/crates/testbed/src/emulator/emulated_server/process.rs
+++ b/crates/testbed/src/emulator/emulated_server/process.rs
@@ -8,7 +8,7 @@
 use tokio::sync::oneshot;
 
 use super::admission::{
-    AcceptedAttempt, Admission, AdmissionRequest, ExecutionResult, ResponseDraw,
+    AcceptedAttempt, Admission, AdmissionRequest, ExecutionResult, ResponseOutcome,
 };
 use crate::conversion::u32_from_count;
 use crate::index::RequestNumber;
@@ -21,7 +21,7 @@
     request: RequestNumber,
     work: f64,
     /// Gets its result; dropped if it never ends.
-    end: oneshot::Sender<ExecutionResult>,
+    result_sender: oneshot::Sender<ExecutionResult>,
 }
 
 /// The process.
@@ -33,7 +33,7 @@
     reset_share: f64,
     /// By number in the model.
     executions: HashMap<u64, Execution>,
-    next_job: u64,
+    next_job_id: u64,
     random: RandomStream,
     /// What the model did and was not yet handed on.
     events: Vec<Event>,
@@ -48,7 +48,7 @@
             malformed_share: 0.0,
             reset_share: 0.0,
             executions: HashMap::new(),
-            next_job: 1,
+            next_job_id: 1,
             random,
             events: Vec::new(),
         }
@@ -67,7 +67,7 @@
     }
 
     /// Attempts in flight, and open connections.
-    pub(super) fn gauge(&self) -> (u32, u32) {
+    pub(super) fn gauges(&self) -> (u32, u32) {
         (
             u32_from_count(self.model.in_flight()),
             u32_from_count(self.model.connections()),
@@ -100,7 +100,9 @@
                 Event::Completed { id, error } => {
                     if let Some(execution) = self.executions.remove(&id) {
                         on_work_done(execution.request, execution.work);
-                        let _ = execution.end.send(ExecutionResult::of(error));
+                        let _ = execution
+                            .result_sender
+                            .send(ExecutionResult::from_error(error));
                     }
                 }
                 Event::Expired(id) => drop(self.executions.remove(&id)),
@@ -132,11 +134,11 @@
             self.model.handshake(now, &mut self.events);
         }
         let job = Job {
-            id: self.next_job,
+            id: self.next_job_id,
             work,
             deadline: request.deadline,
         };
-        self.next_job += 1;
+        self.next_job_id += 1;
         Admission {
             work,
             capacity,
@@ -156,14 +158,17 @@
         if !accepted {
             return None;
         }
-        let (sender, end) = oneshot::channel();
+        let (result_sender, result) = oneshot::channel();
         let execution = Execution {
             request,
             work: job.work,
-            end: sender,
+            result_sender,
         };
         self.executions.insert(job.id, execution);
-        Some(AcceptedAttempt { job: job.id, end })
+        Some(AcceptedAttempt {
+            job_id: job.id,
+            result,
+        })
     }
 
     /// The draw is made also without noise, so that noise moves no other draw.
@@ -177,15 +182,15 @@
     }
 
     /// Cancels an attempt whose connection was closed, unless it must run to its end.
-    pub(super) fn cancel(&mut self, now: Micros, job: u64) {
-        if self.model.cancel(now, job, &mut self.events) {
-            self.executions.remove(&job);
+    pub(super) fn cancel(&mut self, now: Micros, job_id: u64) {
+        if self.model.cancel(now, job_id, &mut self.events) {
+            self.executions.remove(&job_id);
         }
     }
 
-    pub(super) fn draw_response(&mut self, now: Micros) -> ResponseDraw {
+    pub(super) fn draw_response_outcome(&mut self, now: Micros) -> ResponseOutcome {
         let reported_in_flight = self.model.response_report(now);
-        ResponseDraw {
+        ResponseOutcome {
             malformed: self.random.chance(self.malformed_share),
             reset: self.random.chance(self.reset_share),
             reported_in_flight,
