--- a/crates/testbed/src/emulator/emulated_server/attempt.rs
+++ b/crates/testbed/src/emulator/emulated_server/attempt.rs
@@ -1,8 +1,7 @@
-//! The life of an attempt at an emulated server: received, executed or rejected, responded to or
-//! lost.
+//! Handles an attempt at an emulated server, from its request to its response.
 //!
-//! Owns the order of these steps and the bytes of each response. Whether an attempt is accepted,
-//! and how long it takes, is decided by the process and its model.
+//! An attempt is executed or rejected, and then responded to or lost. The server's process and its
+//! model decide whether an attempt is accepted and how long it takes.
 
 use std::io;
 
@@ -22,22 +21,20 @@
 use crate::index::{ClassIndex, RequestNumber, ServerIndex};
 use crate::scenario::Micros;
 
-/// How long an attempt without a timeout may wait, in microseconds: ten minutes, beyond the length
-/// of any run.
+/// Timeout of an attempt whose request has none, in microseconds: ten minutes, longer than any run.
 const DEFAULT_TIMEOUT: Micros = 600_000_000;
-/// A response whose head cannot be parsed; its connection is of no further use.
+/// A response whose head cannot be parsed, so that the peer has to close the connection.
 const MALFORMED_RESPONSE: &str = "HTTP/1.1 2oo OK\r\nContent-Length: -7\r\n\r\n";
-/// Header field that promises that a rejected attempt was not executed.
+/// Header field of a rejection, which tells that the attempt was not executed.
 const NOT_PROCESSED_HEADER: &str = "X-Not-Processed: 1\r\n";
 
-/// An attempt as its request says it.
+/// An attempt, as parsed from its request.
 struct Attempt {
     request: RequestNumber,
-    /// Expected work.
+    /// Expected work, in microseconds of a standard core.
     work: f64,
-    /// Index of the request class.
     class: ClassIndex,
-    /// How long it may wait from its first byte.
+    /// How long it may wait, from the first byte of its request.
     timeout: Option<Micros>,
 }
 
@@ -59,19 +56,19 @@
 
 /// How the execution of an attempt ended.
 enum ExecutionEnd {
-    /// With a response.
+    /// It was executed to its end.
     Finished(ExecutionResult),
-    /// Dropped without being executed, or gone with the process.
+    /// It expired before it started, or the process stopped.
     Lost,
-    /// Its sidecar closed the connection.
+    /// The sidecar closed the connection.
     ConnectionClosed,
 }
 
 impl EmulatedServer {
-    /// What is to be sent for an attempt.
+    /// Handles an attempt and returns the reply to it.
     ///
     /// # Errors
-    /// Where its connection ends.
+    /// If the connection of the attempt ends.
     pub(super) async fn on_attempt(
         &self,
         connection: &mut HttpConnection,
@@ -100,7 +97,8 @@
         }
     }
 
-    /// Cancels an attempt whose connection was closed; the error that ends the connection here too.
+    /// Cancels an attempt whose connection the sidecar has closed, and returns the error that ends
+    /// the connection on this side.
     async fn cancel(&self, job_id: u64, incoming: &IncomingRequest) -> io::Error {
         sleep_for(incoming.one_way_delay).await;
         self.update_process(|process, now| process.cancel(now, job_id));
@@ -119,7 +117,7 @@
         );
     }
 
-    /// Round trips of the handshake of a new connection.
+    /// Time that the handshake of a new connection takes on the network; 0 on an open connection.
     fn handshake_delay(&self, incoming: &IncomingRequest) -> Micros {
         if !incoming.new_connection {
             return 0;
@@ -128,7 +126,7 @@
         micros_from_f64(round_trips * 2.0 * f64_from_u64(incoming.one_way_delay))
     }
 
-    /// Asks the process to accept an attempt; nothing where it is rejected.
+    /// Asks the process to accept an attempt; `None` if it is rejected.
     fn try_accept(&self, attempt: &Attempt, incoming: &IncomingRequest) -> Option<AcceptedAttempt> {
         let classes = &self.shared.scenario.class;
         let request = AdmissionRequest {
@@ -170,7 +168,7 @@
         }
     }
 
-    /// Responds to an attempt that was executed, unless a fault prevents it.
+    /// Responds to an executed attempt, unless a fault prevents the response.
     async fn respond(
         &self,
         attempt: &Attempt,
@@ -194,7 +192,7 @@
     }
 }
 
-/// The response to an attempt that was executed.
+/// Formats the response to an executed attempt.
 fn execution_response(
     request: RequestNumber,
     server: ServerIndex,
@@ -204,25 +202,24 @@
     if outcome.malformed {
         return MALFORMED_RESPONSE.to_owned();
     }
-    let load = outcome
-        .reported_in_flight
-        .map_or(String::new(), |in_flight| {
-            let load = ServerLoad {
-                in_flight: f64_from_count(in_flight),
-                error_rate: None,
-                queued: None,
-            };
-            format!("X-Server-Load: {load}\r\n")
-        });
+    let reported = outcome.reported_in_flight;
+    let load_header = reported.map_or(String::new(), |in_flight| {
+        let load = ServerLoad {
+            in_flight: f64_from_count(in_flight),
+            error_rate: None,
+            queued: None,
+        };
+        format!("X-Server-Load: {load}\r\n")
+    });
     if result == ExecutionResult::Error {
-        return format_response("500 Internal Server Error", &load, "");
+        return format_response("500 Internal Server Error", &load_header, "");
     }
-    let headers = format!("Content-Type: text/plain\r\n{load}");
+    let headers = format!("Content-Type: text/plain\r\n{load_header}");
     let body = format!("done {request} at {server}\n");
     format_response("200 OK", &headers, &body)
 }
 
-/// Waits for the end of an execution, or of its connection.
+/// Waits for the result of an execution, or until its connection is closed.
 async fn wait_for_execution(
     connection: &mut HttpConnection,
     result: oneshot::Receiver<ExecutionResult>,
--- a/crates/testbed/src/emulator/emulated_server/connection.rs
+++ b/crates/testbed/src/emulator/emulated_server/connection.rs
@@ -1,7 +1,7 @@
-//! The connections of an emulated server, and the requests that come on them.
+//! The connections of an emulated server.
 //!
-//! Owns reading and writing on a connection and its reset with the process. What is responded is
-//! decided by `attempt` and `health_check`.
+//! Reads requests, writes the replies that `attempt` and `health_check` return, and closes the
+//! connections when the server resets them.
 
 use std::future::pending;
 use std::io;
@@ -16,18 +16,18 @@
 use crate::index::{ServerIndex, SidecarIndex};
 use crate::scenario::Micros;
 
-/// Target of the health checks.
+/// Target of health check requests.
 const HEALTH_CHECK_TARGET: &str = "/status/load";
 
-/// What a server does about a request.
+/// What a server does in reply to a request.
 pub(super) enum Reply {
     /// Sends a response.
     Send(String),
-    /// Sends nothing more, and leaves the connection open.
+    /// Sends nothing any more, and keeps the connection open.
     NoResponse,
 }
 
-/// A request as it comes in.
+/// The context in which a request was received.
 pub(super) struct IncomingRequest {
     /// The server that receives it.
     pub(super) server: ServerIndex,
@@ -35,42 +35,42 @@
     pub(super) sidecar: SidecarIndex,
     /// Whether the sidecar is in the server's zone.
     pub(super) same_zone: bool,
-    /// When its first byte came.
+    /// When its first byte was received.
     pub(super) first_byte_at: Micros,
-    /// One-way delay of the network.
+    /// Network delay between sidecar and server, which is emulated by sleeping.
     pub(super) one_way_delay: Micros,
     /// Whether it is the first on its connection.
     pub(super) new_connection: bool,
 }
 
 impl EmulatedServer {
-    /// Serves a connection until it ends, or is reset with the process.
+    /// Serves a connection until it ends, or until the server resets its connections.
     pub(super) async fn serve(self: Arc<Self>, stream: TcpStream, sidecar: SidecarIndex) {
         let mut network = self.network.subscribe();
         let epoch = network.borrow().connection_epoch;
-        let fits = lock(&self.process).connect();
+        let accepted = lock(&self.process).connect();
         let _ = stream.set_zero_linger();
-        if !fits {
+        if !accepted {
             return;
         }
         self.shared.record(LogEvent::ConnectionOpened {
             server: self.index(),
         });
         let mut connection = HttpConnection::new(stream);
-        let reset = async {
+        let connections_reset = async {
             while network.borrow_and_update().connection_epoch == epoch {
                 if network.changed().await.is_err() {
                     return;
                 }
             }
         };
-        let ended = tokio::select! {
-            ended = self.serve_requests(&mut connection, sidecar) => ended,
-            () = reset => Ok(()),
+        let result = tokio::select! {
+            result = self.serve_requests(&mut connection, sidecar) => result,
+            () = connections_reset => Ok(()),
         };
-        if let Err(error) = ended {
+        if let Err(error) = result {
             let server = self.index();
-            tracing::debug!(%server, %sidecar, %error, "emulated server's connection failed");
+            tracing::debug!(%server, %sidecar, %error, "connection to emulated server failed");
         }
         if self.network.borrow().connection_epoch == epoch {
             lock(&self.process).disconnect();
--- a/crates/testbed/src/emulator/emulated_server/faults.rs
+++ b/crates/testbed/src/emulator/emulated_server/faults.rs
@@ -1,7 +1,7 @@
-//! The faults that an emulated server suffers, and its recovery from them.
+//! Applies faults to an emulated server, and ends them: what each fault does to the process, the
+//! listeners and the network.
 //!
-//! Owns what each fault does to process, listeners and network. When it begins and ends is known by
-//! `fault_schedule`.
+//! `fault_schedule` decides when a fault begins and ends.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -12,25 +12,26 @@
 use crate::event_log::ServerState;
 use crate::index::ServerIndex;
 
-/// How often a start tries to listen on the server's addresses: a closed listener's socket may
-/// linger in a process that was being started. After these the server stays unreachable.
+/// How often a restart tries to listen on the server's addresses: a sidecar process that was being
+/// started when the listener closed may have inherited its socket, which keeps the address in use
+/// for a while. If all attempts fail, the server stays unreachable.
 const MAX_LISTEN_ATTEMPTS: usize = 50;
-/// Pause between two of these attempts.
+/// Time between two of these attempts.
 const LISTEN_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What goes wrong with a server's responses.
+/// A fault of the responses, with the share of the responses that it hits.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(in crate::emulator) enum ResponseFault {
-    /// They are errors; the share is the machine type's own if absent.
+    /// Responses are errors; `None` restores the machine type's own share.
     Errors(Option<f64>),
-    /// They cannot be parsed.
+    /// Responses cannot be parsed.
     Malformed(f64),
-    /// The connection is reset instead.
+    /// The connection is reset instead of a response.
     Reset(f64),
 }
 
 impl EmulatedServer {
-    /// The process or its machine is gone, with all that executed in it.
+    /// Stops the process, or the whole machine in the mode `Silent`; all executions are lost.
     pub(in crate::emulator) async fn stop(self: &Arc<Self>, mode: NetworkMode) {
         self.network.send_modify(|network| {
             network.mode = mode;
@@ -38,7 +39,7 @@
         });
         {
             let mut process = lock(&self.process);
-            process.on_stopped(self.shared.clock.now());
+            process.stop(self.shared.clock.now());
         }
         self.listeners.close().await;
         if mode == NetworkMode::Silent {
@@ -46,14 +47,14 @@
         }
     }
 
-    /// Starts it again, cold; under another index where it replaces the one before.
+    /// Starts the server again, cold; a replacement of it has a new index.
     pub(in crate::emulator) async fn restart(self: &Arc<Self>, replacement: Option<ServerIndex>) {
         if let Some(index) = replacement {
             self.index.store(index.value(), Ordering::Relaxed);
         }
         self.listeners.close().await;
         let now = self.shared.clock.now();
-        lock(&self.process).on_started(now);
+        lock(&self.process).start(now);
         self.record_state_at(now, ServerState::Cold);
         self.network.send_modify(|network| {
             network.mode = NetworkMode::Open;
@@ -68,24 +69,23 @@
             let Err(error) = self.listen().await else {
                 return;
             };
-            tracing::warn!(server = %self.index(), %error, "emulated server cannot listen yet");
+            tracing::warn!(server = %self.index(), %error, "emulated server cannot listen on its address yet");
             tokio::time::sleep(LISTEN_RETRY_INTERVAL).await;
         }
     }
 
-    /// The process stands still, as in a long garbage collection.
+    /// Pauses the process, as a long garbage collection does.
     pub(in crate::emulator) fn pause(&self) {
         self.update_process(|process, now| process.pause(now));
         self.record_state(ServerState::Paused);
     }
 
-    /// The process goes on after a pause.
     pub(in crate::emulator) fn resume(&self) {
         self.update_process(|process, now| process.resume(now));
         self.record_state(ServerState::Up);
     }
 
-    /// Serves slower by a factor; 1 for as usual.
+    /// Slows the server down by a factor; 1 restores its normal speed.
     pub(in crate::emulator) fn set_slowdown(&self, factor: f64) {
         self.update_process(|process, now| process.set_slowdown(now, factor));
         self.record_state(if factor > 1.0 {
@@ -95,13 +95,13 @@
         });
     }
 
-    /// Rejects new attempts from now on, and finishes those that it has.
+    /// Rejects new attempts from now on, and completes those that are in flight.
     pub(in crate::emulator) fn set_draining(&self) {
         self.update_process(|process, _| process.set_draining());
         self.record_state(ServerState::Draining);
     }
 
-    /// Sets what goes wrong with the responses from now on.
+    /// Sets a fault of the responses from now on; a share of 0 ends it.
     pub(in crate::emulator) fn set_response_fault(&self, fault: ResponseFault) {
         self.update_process(|process, _| match fault {
             ResponseFault::Errors(share) => process.set_error_share(share),
--- a/crates/testbed/src/emulator/emulated_server/gauges.rs
+++ b/crates/testbed/src/emulator/emulated_server/gauges.rs
@@ -1,16 +1,15 @@
-//! The gauges of the emulated servers: what each has in flight, at regular times.
-//!
-//! Owns when they are taken; what they add up to is for the statistics.
+//! Samples the gauges of the emulated servers for the event log.
 
 use crate::emulator::Emulation;
 use crate::emulator::lock::lock;
 use crate::event_log::LogEvent;
 use crate::scenario::Micros;
 
-/// Between two gauges, in microseconds, as in the simulator.
+/// Time between two samples, in microseconds, as in the simulator.
 const GAUGE_INTERVAL: Micros = 1_000_000;
 
-/// Records what each server has in flight, once a second, for ever.
+/// Records the attempts in flight and the open connections of each server once a second; does not
+/// return.
 pub(in crate::emulator) async fn record_gauges(emulation: &Emulation) {
     let shared = &emulation.shared;
     for sample in 1.. {
--- a/crates/testbed/src/emulator/emulated_server/health_check.rs
+++ b/crates/testbed/src/emulator/emulated_server/health_check.rs
@@ -1,6 +1,6 @@
-//! The response to a health check: a load report.
+//! Handles health checks, to which an emulated server responds with a load report.
 //!
-//! Owns when and whether it is sent; its figures are the model's, its form the platform's.
+//! The model provides the figures of the report; the platform's `ServerLoad` formats it.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 use crate::emulator::lock::lock;
 use crate::event_log::LogEvent;
 
-/// How often a health check looks whether a process that stands still goes on.
+/// Time between two checks whether a paused process has resumed.
 const PAUSE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 impl EmulatedServer {
@@ -24,7 +24,7 @@
             server: incoming.server,
         });
         sleep_for(incoming.one_way_delay).await;
-        // A process that stands still responds once it goes on.
+        // A paused process responds once it is resumed.
         while lock(&self.process).is_paused() {
             tokio::time::sleep(PAUSE_POLL_INTERVAL).await;
         }
--- a/crates/testbed/src/emulator/emulated_server/listeners.rs
+++ b/crates/testbed/src/emulator/emulated_server/listeners.rs
@@ -1,7 +1,6 @@
-//! The listeners of an emulated server: one for each sidecar, or none that ever accepts.
+//! The listeners of an emulated server, one per sidecar.
 //!
-//! Owns the tasks that accept; a connection that was accepted is served by `connection` and
-//! outlives its listener.
+//! Accepted connections are served by `connection` and outlive their listener.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -15,14 +14,14 @@
 use crate::emulator::lock::lock;
 use crate::index::SidecarIndex;
 
-/// Time between two looks at whether the listeners' tasks have ended.
+/// Time between two checks whether the listeners' tasks have ended.
 const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(1);
-/// Looks after which their end is no longer waited for: 200 ms.
+/// Number of checks after which to stop waiting for their end: 200 ms.
 const MAX_CLOSE_POLLS: usize = 200;
-/// Backlog of a listener that holds one connection and accepts none.
+/// Backlog of a listener that never accepts: it holds one connection, and then is full.
 const FULL_BACKLOG: u32 = 0;
 
-/// The tasks that listen.
+/// The tasks that hold the listening sockets.
 #[derive(Default)]
 pub(super) struct Listeners {
     tasks: Mutex<Vec<AbortHandle>>,
@@ -33,14 +32,14 @@
         *lock(&self.tasks) = tasks;
     }
 
-    /// Ends the tasks without waiting for their end.
+    /// Aborts the tasks without waiting for their end.
     pub(super) fn abort(&self) -> Vec<AbortHandle> {
         let tasks = std::mem::take(&mut *lock(&self.tasks));
         tasks.iter().for_each(AbortHandle::abort);
         tasks
     }
 
-    /// Ends the tasks and waits until their sockets are closed.
+    /// Aborts the tasks and waits until they have ended, which closes their sockets.
     pub(super) async fn close(&self) {
         let tasks = self.abort();
         for _ in 0..MAX_CLOSE_POLLS {
@@ -53,7 +52,7 @@
 }
 
 impl EmulatedServer {
-    /// Listens on all addresses and serves what connects.
+    /// Listens on all addresses and serves the connections.
     pub(super) async fn listen(self: &Arc<Self>) -> Result<(), EmulatorError> {
         let mut tasks = Vec::new();
         for (sidecar, &address) in SidecarIndex::all(self.addresses.len()).zip(&self.addresses) {
@@ -72,8 +71,8 @@
         Ok(())
     }
 
-    /// Listens with a full backlog: further connections never open, as with a machine that has
-    /// vanished.
+    /// Listens with a full backlog, so that connection attempts time out as they do with a machine
+    /// that has failed.
     pub(super) fn listen_without_accepting(&self) {
         let tasks = self
             .addresses
@@ -83,16 +82,16 @@
     }
 }
 
-/// Listens on an address and fills the backlog; nothing where the address cannot be bound.
+/// Listens on an address and fills the backlog; `None` if the address cannot be bound.
 fn listen_with_full_backlog(address: SocketAddr) -> Option<AbortHandle> {
     let socket = TcpSocket::new_v4().ok()?;
     let _ = socket.set_reuseaddr(true);
     socket.bind(address).ok()?;
     let listener = socket.listen(FULL_BACKLOG).ok()?;
     let task = tokio::spawn(async move {
-        let filling = TcpStream::connect(address).await;
+        let filler = TcpStream::connect(address).await;
         std::future::pending::<()>().await;
-        drop((listener, filling));
+        drop((listener, filler));
     });
     Some(task.abort_handle())
 }
--- a/crates/testbed/src/emulator/emulated_server/mod.rs
+++ b/crates/testbed/src/emulator/emulated_server/mod.rs
@@ -1,7 +1,8 @@
-//! Emulated servers: a server model behind HTTP/1.1, with everything that can go wrong on the wire.
+//! Emulated servers: server models behind HTTP/1.1, with faults of the process, the network and the
+//! responses.
 //!
-//! This file owns a server's identity and how its process is changed; the other files its
-//! listeners, its connections, what it responds, and the faults that it suffers.
+//! This file sets a server up, changes its process and runs its model. The other files have its
+//! listeners, its connections, its replies and its faults.
 
 mod admission;
 mod attempt;
@@ -34,37 +35,39 @@
 pub(super) use faults::ResponseFault;
 pub(super) use gauges::record_gauges;
 
-/// Indexes of the servers' random streams begin here, apart from those of the server models.
+/// Offset of the indexes of the servers' random streams, which keeps them apart from those of the
+/// server models.
 const RANDOM_STREAM_OFFSET: usize = 1 << 20;
 
-/// How the network responds for a server.
+/// How the network at a server behaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum NetworkMode {
-    /// Connections open.
+    /// Connections are accepted.
     Open,
-    /// Connections are refused: the process is gone.
+    /// Connections are refused: the process is not running.
     Refusing,
-    /// Nothing responds: the machine has vanished.
+    /// Connection attempts and requests get no answer: the machine has failed.
     Silent,
 }
 
-/// The network at a server: its mode, and a number that rises as all open connections are reset.
+/// State of the network at a server.
 #[derive(Clone, Copy)]
 struct Network {
     mode: NetworkMode,
+    /// Incremented to reset all open connections.
     connection_epoch: u32,
 }
 
-/// One server. Each sidecar has an address of its own at it, which identifies the sidecar.
+/// An emulated server. It has one address per sidecar, which identifies the sidecar that connects.
 pub(super) struct EmulatedServer {
     shared: Arc<Shared>,
-    /// Its index in the event log; a replacement at the same addresses has another.
+    /// Index in the event log; changes when a replacement takes over the addresses.
     index: AtomicU32,
     zone: u32,
     addresses: Vec<SocketAddr>,
     process: Mutex<ServerProcess>,
     listeners: Listeners,
-    /// Notified when the process was changed, and its next event may be another.
+    /// Notified of each change to the process, which may change the time of its next event.
     process_changed: Notify,
     network: watch::Sender<Network>,
 }
@@ -73,7 +76,7 @@
     /// Starts a server of the scenario.
     ///
     /// # Errors
-    /// Where an address is missing or cannot be listened on.
+    /// If no address is free, or an address cannot be listened on.
     pub(super) async fn start(
         shared: &Arc<Shared>,
         index: ServerIndex,
@@ -121,28 +124,28 @@
         })
     }
 
-    /// Its index in the event log.
+    /// Index in the event log.
     pub(super) fn index(&self) -> ServerIndex {
         ServerIndex::new(self.index.load(Ordering::Relaxed))
     }
 
-    /// Index of its zone.
+    /// Index of the zone.
     pub(super) fn zone(&self) -> u32 {
         self.zone
     }
 
-    /// Its address for a sidecar.
+    /// Address of the server for a sidecar.
     pub(super) fn address(&self, sidecar: SidecarIndex) -> SocketAddr {
         self.addresses[sidecar.index()]
     }
 
-    /// When it last started; 0 for before the run.
+    /// When the process last started; 0 if it was warm when the run began.
     pub(super) fn started_at(&self) -> Micros {
         lock(&self.process).started_at()
     }
 
-    /// The machine type that the endpoint list names; empty where sidecars do not know machine
-    /// types, as in the simulator.
+    /// The machine type in the endpoint list; empty if sidecars do not know machine types, as in the
+    /// simulator.
     pub(super) fn listed_machine_type(&self) -> String {
         if self.shared.scenario.sidecars.knows_machine_types {
             lock(&self.process).machine_type().name.clone()
@@ -170,7 +173,7 @@
         self.network.borrow().mode == NetworkMode::Silent
     }
 
-    /// Changes the process, hands on what follows from it, and has the driver look again.
+    /// Changes the process, applies the events of its model, and wakes the task that runs the model.
     fn update_process<T>(&self, change: impl FnOnce(&mut ServerProcess, Micros) -> T) -> T {
         let now = self.shared.clock.now();
         let (result, overloaded) = {
@@ -198,7 +201,7 @@
         );
     }
 
-    /// It was overloaded while cold, and its process is gone.
+    /// Handles that the process was overloaded while cold and has shut down.
     fn on_overload_shutdown(&self) {
         self.record_state(ServerState::OverloadShutdown);
         self.network.send_modify(|network| {
@@ -208,7 +211,7 @@
         self.listeners.abort();
     }
 
-    /// Lets the model go on, for as long as the emulation lasts.
+    /// Runs the model for as long as the emulation lasts.
     async fn run_model(self: Arc<Self>) {
         loop {
             match self.advance_model() {
@@ -223,7 +226,7 @@
         }
     }
 
-    /// Plays the model up to now; the time of its next event, if there is one.
+    /// Advances the model to the present; returns the time of its next event, if there is one.
     fn advance_model(&self) -> Option<Micros> {
         let mut process = lock(&self.process);
         let now = self.shared.clock.now();
--- a/crates/testbed/src/emulator/emulated_server/process.rs
+++ b/crates/testbed/src/emulator/emulated_server/process.rs
@@ -1,7 +1,7 @@
-//! The process of an emulated server: its model, and the attempts that execute in it.
+//! The process of an emulated server: its model, the attempts in execution, and the shares of
+//! responses that faults hit.
 //!
-//! Owns the attempts in execution and the shares of responses that faults spoil. It knows no
-//! sockets and no clock: callers hand the time in and send what follows.
+//! It has no sockets and no clock: callers pass the time and send the responses.
 
 use std::collections::HashMap;
 
@@ -16,26 +16,27 @@
 use crate::scenario::{MachineType, Micros};
 use crate::server_model::{Event, Job, LoadReport, ServerModel, State};
 
-/// An attempt in the model.
+/// An attempt that executes or waits in the model.
 struct Execution {
     request: RequestNumber,
     work: f64,
-    /// Gets its result; dropped if it never ends.
+    /// Sends the result; dropped without one if the attempt is lost.
     result_sender: oneshot::Sender<ExecutionResult>,
 }
 
-/// The process.
+/// The process of a server.
 pub(super) struct ServerProcess {
     model: ServerModel,
+    /// When it last started; 0 if it was warm when the run began, 1 if it was cold.
     started_at: Micros,
     draining: bool,
     malformed_share: f64,
     reset_share: f64,
-    /// By number in the model.
+    /// By id of the job in the model.
     executions: HashMap<u64, Execution>,
     next_job_id: u64,
     random: RandomStream,
-    /// What the model did and was not yet handed on.
+    /// Events of the model that are not applied yet.
     events: Vec<Event>,
 }
 
@@ -66,7 +67,7 @@
         self.model.state() == State::Paused
     }
 
-    /// Attempts in flight, and open connections.
+    /// The attempts in flight and the open connections.
     pub(super) fn gauges(&self) -> (u32, u32) {
         (
             u32_from_count(self.model.in_flight()),
@@ -74,7 +75,7 @@
         )
     }
 
-    /// A random number from 0 to 1.
+    /// Draws a random number from 0 to 1.
     pub(super) fn random_unit(&mut self) -> f64 {
         self.random.unit()
     }
@@ -87,8 +88,8 @@
         self.model.advance(now, &mut self.events);
     }
 
-    /// Hands on what the model did; true if it was overloaded and is gone. `on_work_done` gets the
-    /// request and the work of each execution that ended.
+    /// Applies the events of the model; returns true if the server was overloaded and shut down.
+    /// `on_work_done` is called with the request and the work of each completed execution.
     pub(super) fn apply_events(
         &mut self,
         mut on_work_done: impl FnMut(RequestNumber, f64),
@@ -112,7 +113,7 @@
         overloaded
     }
 
-    /// False where no further connection fits.
+    /// Opens a connection; false if the server is at its limit of connections.
     pub(super) fn connect(&mut self) -> bool {
         self.model.connect()
     }
@@ -121,7 +122,7 @@
         self.model.disconnect();
     }
 
-    /// The load report of a health check; nothing where it is rejected.
+    /// The load report of a health check; `None` if the check is rejected.
     pub(super) fn health_check(&mut self, now: Micros) -> Option<LoadReport> {
         self.model.health_check(now, &mut self.events)
     }
@@ -147,7 +148,7 @@
         }
     }
 
-    /// Hands a job to the model; nothing where it is rejected.
+    /// Starts a job in the model; `None` if it is rejected.
     fn try_start(
         &mut self,
         now: Micros,
@@ -171,7 +172,8 @@
         })
     }
 
-    /// The draw is made also without noise, so that noise moves no other draw.
+    /// Draws the actual work. The random number is drawn even if there is no noise, so that noise
+    /// does not shift later draws.
     fn draw_work(&mut self, expected: f64, noise: f64) -> f64 {
         let factor = noise * self.random.normal() - noise * noise / 2.0;
         if noise > 0.0 {
@@ -181,7 +183,7 @@
         }
     }
 
-    /// Cancels an attempt whose connection was closed, unless it must run to its end.
+    /// Cancels an attempt whose connection was closed, unless the model must complete it.
     pub(super) fn cancel(&mut self, now: Micros, job_id: u64) {
         if self.model.cancel(now, job_id, &mut self.events) {
             self.executions.remove(&job_id);
@@ -197,14 +199,13 @@
         }
     }
 
-    /// The process is gone, with all that executed in it.
-    pub(super) fn on_stopped(&mut self, now: Micros) {
+    /// Stops the process; all executions are lost.
+    pub(super) fn stop(&mut self, now: Micros) {
         self.model.set_state(now, State::Down, &mut self.events);
         self.executions.clear();
     }
 
-    /// The process starts anew.
-    pub(super) fn on_started(&mut self, now: Micros) {
+    pub(super) fn start(&mut self, now: Micros) {
         self.model.set_state(now, State::Up, &mut self.events);
         self.draining = false;
         self.started_at = now;
@@ -232,7 +233,7 @@
         self.draining = true;
     }
 
-    /// `share` of the attempts end in an error; the machine type's own share if absent.
+    /// Sets the share of attempts that end in an error; `None` restores the machine type's own.
     pub(super) fn set_error_share(&mut self, share: Option<f64>) {
         self.model.set_error_rate(share);
     }
