--- a/crates/testbed/src/emulator/discovery/mod.rs
+++ b/crates/testbed/src/emulator/discovery/mod.rs
@@ -233,7 +233,7 @@
         }
     }
 
-    /// Draws the delay after which a watch is notified of a change, which spreads the notifications.
+    /// Draws the delay after which a watch is notified, which spreads the notifications.
     fn draw_notification_delay(&self) -> Micros {
         let unit = lock(&self.random).unit();
         from_ms(self.shared.scenario.discovery.spread_ms * unit)
--- a/crates/testbed/src/emulator/emulated_server/faults.rs
+++ b/crates/testbed/src/emulator/emulated_server/faults.rs
@@ -69,7 +69,7 @@
             let Err(error) = self.listen().await else {
                 return;
             };
-            tracing::warn!(server = %self.index(), %error, "emulated server cannot listen on its address yet");
+            tracing::warn!(server = %self.index(), %error, "emulated server cannot listen yet");
             tokio::time::sleep(LISTEN_RETRY_INTERVAL).await;
         }
     }
--- a/crates/testbed/src/emulator/emulated_server/listeners.rs
+++ b/crates/testbed/src/emulator/emulated_server/listeners.rs
@@ -16,7 +16,7 @@
 
 /// Time between two checks whether the listeners' tasks have ended.
 const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(1);
-/// Number of checks after which to stop waiting for their end: 200 ms.
+/// Number of checks before giving up on them: 200 ms in all.
 const MAX_CLOSE_POLLS: usize = 200;
 /// Backlog of a listener that never accepts: it holds one connection, and then is full.
 const FULL_BACKLOG: u32 = 0;
--- a/crates/testbed/src/emulator/emulated_server/mod.rs
+++ b/crates/testbed/src/emulator/emulated_server/mod.rs
@@ -144,8 +144,8 @@
         lock(&self.process).started_at()
     }
 
-    /// The machine type in the endpoint list; empty if sidecars do not know machine types, as in the
-    /// simulator.
+    /// The machine type in the endpoint list; empty if sidecars do not know machine types, as in
+    /// the simulator.
     pub(super) fn listed_machine_type(&self) -> String {
         if self.shared.scenario.sidecars.knows_machine_types {
             lock(&self.process).machine_type().name.clone()
@@ -173,7 +173,7 @@
         self.network.borrow().mode == NetworkMode::Silent
     }
 
-    /// Changes the process, applies the events of its model, and wakes the task that runs the model.
+    /// Changes the process, applies the events of its model, and wakes the model's task.
     fn update_process<T>(&self, change: impl FnOnce(&mut ServerProcess, Micros) -> T) -> T {
         let now = self.shared.clock.now();
         let (result, overloaded) = {
