--- a/crates/testbed/src/simulator/clients/mod.rs
+++ b/crates/testbed/src/simulator/clients/mod.rs
@@ -67,9 +67,9 @@
 impl Patience {
     /// Schedules how the client ends a request that has no response.
     fn schedule(&self, request: RequestKey, context: &mut Context<'_>) {
-        context.at(self.due, SimulatorEvent::ClientTimeout(request));
+        context.schedule_at(self.due, SimulatorEvent::ClientTimeout(request));
         if let Some(at) = self.disconnects_at {
-            context.at(at, SimulatorEvent::ClientDisconnect(request));
+            context.schedule_at(at, SimulatorEvent::ClientDisconnect(request));
         }
     }
 }
@@ -124,7 +124,7 @@
         context: &mut Context<'_>,
     ) {
         if let Some(arrival) = self.by_sidecar[sidecar.index()].arrivals.next() {
-            context.at(arrival.at, SimulatorEvent::Arrival(sidecar, arrival));
+            context.schedule_at(arrival.at, SimulatorEvent::Arrival(sidecar, arrival));
         }
     }
 
@@ -206,7 +206,7 @@
             arrives_at: context.now() + client_delay,
             due: patience.due,
         });
-        context.after(client_delay, SimulatorEvent::RequestAtSidecar(request));
+        context.schedule_after(client_delay, SimulatorEvent::RequestAtSidecar(request));
         patience.schedule(request, context);
     }
 
--- a/crates/testbed/src/simulator/clients/responses.rs
+++ b/crates/testbed/src/simulator/clients/responses.rs
@@ -77,7 +77,7 @@
         let idempotency = scenario.class[arrival.class.index()].idempotency;
         if may_retry(outcome, idempotency) && retries_left && in_time {
             let retry = SimulatorEvent::RetryDue(arrival.sidecar, key);
-            context.after(wait, retry);
+            context.schedule_after(wait, retry);
         } else {
             self.close_arrival(key, outcome, context);
         }
--- a/crates/testbed/src/simulator/context.rs
+++ b/crates/testbed/src/simulator/context.rs
@@ -35,18 +35,18 @@
     }
 
     /// Schedules an event; one whose time has passed comes now, after what is already due.
-    pub(super) fn at(&mut self, at: Micros, event: SimulatorEvent) {
-        self.timeline.at(at, event);
+    pub(super) fn schedule_at(&mut self, at: Micros, event: SimulatorEvent) {
+        self.timeline.schedule_at(at, event);
     }
 
-    /// Schedules an event after a span from now.
-    pub(super) fn after(&mut self, span: Micros, event: SimulatorEvent) {
-        self.timeline.after(span, event);
+    /// Schedules an event after a delay from now.
+    pub(super) fn schedule_after(&mut self, delay: Micros, event: SimulatorEvent) {
+        self.timeline.schedule_after(delay, event);
     }
 
     /// Moves on to the next event that comes until `end`; nothing where there is none.
     pub(super) fn next_event(&mut self, end: Micros) -> Option<SimulatorEvent> {
-        self.timeline.next(end)
+        self.timeline.next_event(end)
     }
 
     /// Writes to the event log what happens now.
--- a/crates/testbed/src/simulator/discovery/mod.rs
+++ b/crates/testbed/src/simulator/discovery/mod.rs
@@ -111,7 +111,7 @@
         let spread_ms = context.scenario().discovery.spread_ms;
         for process in watching {
             let delay = from_ms(spread_ms * self.random.unit());
-            context.after(delay, SimulatorEvent::WatchNotification(process));
+            context.schedule_after(delay, SimulatorEvent::WatchNotification(process));
         }
     }
 
@@ -123,7 +123,7 @@
             Availability::Down => (now + REFUSAL_DELAY, true),
             Availability::Up => self.queue_poll(now, &context.scenario().discovery),
         };
-        context.at(at, SimulatorEvent::PollResult(PollResult { poll, lost }));
+        context.schedule_at(at, SimulatorEvent::PollResult(PollResult { poll, lost }));
     }
 
     /// When a poll that queues behind the others is served, or given up; true where it is given up.
--- a/crates/testbed/src/simulator/faults/schedule.rs
+++ b/crates/testbed/src/simulator/faults/schedule.rs
@@ -84,7 +84,7 @@
         _ => {
             let end = start + from_s(fault.for_s);
             for (at, starts) in [(start, true), (end, false)] {
-                context.at(at, SimulatorEvent::Fault { index, starts });
+                context.schedule_at(at, SimulatorEvent::Fault { index, starts });
             }
         }
     }
@@ -96,5 +96,5 @@
         down_time: from_s(fault.down_s),
         kill: fault.kill,
     };
-    context.at(at, SimulatorEvent::SidecarRestart(restart));
+    context.schedule_at(at, SimulatorEvent::SidecarRestart(restart));
 }
--- a/crates/testbed/src/simulator/fleet/attempts.rs
+++ b/crates/testbed/src/simulator/fleet/attempts.rs
@@ -32,7 +32,7 @@
         if let Some(start) = server.connect() {
             attempt.on_connected(start);
             let open = SimulatorEvent::ConnectionOpen(attempt.details.sidecar, key);
-            context.after(attempt.details.delay, open);
+            context.schedule_after(attempt.details.delay, open);
         } else {
             send_result(key, attempt, Outcome::ConnectFailed, context);
         }
@@ -190,5 +190,5 @@
 fn send_result(key: AttemptKey, attempt: &Attempt, outcome: Outcome, context: &mut Context<'_>) {
     let details = &attempt.details;
     let result = SimulatorEvent::ResultAtSidecar(details.sidecar, key, outcome);
-    context.after(details.delay, result);
+    context.schedule_after(details.delay, result);
 }
--- a/crates/testbed/src/simulator/fleet/health_checks.rs
+++ b/crates/testbed/src/simulator/fleet/health_checks.rs
@@ -24,14 +24,14 @@
         let server = self.server_mut(check.server);
         if server.refuses(check) {
             let refused = result(check, Outcome::ConnectFailed, None);
-            context.after(delay, refused);
+            context.schedule_after(delay, refused);
             return None;
         }
         if !server.answers_health_checks() {
             server.on_unanswered_health_check();
             let timeout = from_ms(context.scenario().permissions.health_check_timeout_ms);
             let timed_out = result(check, Outcome::TimedOut, None);
-            context.after(timeout.saturating_sub(2 * delay), timed_out);
+            context.schedule_after(timeout.saturating_sub(2 * delay), timed_out);
             return None;
         }
         let start = self.answer_health_check(check, context);
@@ -57,7 +57,7 @@
             Outcome::Rejected
         };
         let answer = result(check, outcome, report);
-        context.after(check.delay, answer);
+        context.schedule_after(check.delay, answer);
         if check.new_connection {
             context.record(LogEvent::ConnectionOpened {
                 server: check.server,
--- a/crates/testbed/src/simulator/fleet/mod.rs
+++ b/crates/testbed/src/simulator/fleet/mod.rs
@@ -138,7 +138,7 @@
             status,
             incarnation: self.started_at(server),
         });
-        context.after(from_ms(notice_ms), noticed);
+        context.schedule_after(from_ms(notice_ms), noticed);
     }
 
     fn record_state(&self, server: ServerIndex, state: ServerState, context: &mut Context<'_>) {
--- a/crates/testbed/src/simulator/handover.rs
+++ b/crates/testbed/src/simulator/handover.rs
@@ -41,7 +41,7 @@
         }
         self.faults.schedule(&mut self.context);
         let tick = SimulatorEvent::GaugeTick;
-        self.context.after(GAUGE_INTERVAL, tick);
+        self.context.schedule_after(GAUGE_INTERVAL, tick);
     }
 
     /// A client of a sidecar wants something.
@@ -192,6 +192,6 @@
         self.sidecars
             .close_idle_connections(&mut self.fleet, &self.context);
         let tick = SimulatorEvent::GaugeTick;
-        self.context.after(GAUGE_INTERVAL, tick);
+        self.context.schedule_after(GAUGE_INTERVAL, tick);
     }
 }
--- a/crates/testbed/src/simulator/sidecars/connecting.rs
+++ b/crates/testbed/src/simulator/sidecars/connecting.rs
@@ -29,9 +29,11 @@
         let handshake = scaled_micros(delay, further_round_trips * 2.0);
         write(key, environment);
         let timeout = SimulatorEvent::AttemptTimeout(self.index, key);
-        environment.context.at(due, timeout);
+        environment.context.schedule_at(due, timeout);
         let arrives = SimulatorEvent::AttemptAtServer(key);
-        environment.context.after(delay + handshake, arrives);
+        environment
+            .context
+            .schedule_after(delay + handshake, arrives);
     }
 }
 
@@ -47,13 +49,13 @@
         let context = &mut *environment.context;
         let connect_timeout = from_ms(context.scenario().permissions.connect_timeout_ms);
         let connect_due = context.now() + connect_timeout;
-        context.after(delay, SimulatorEvent::ConnectAtServer(key));
-        context.at(due.min(connect_due), timeout);
+        context.schedule_after(delay, SimulatorEvent::ConnectAtServer(key));
+        context.schedule_at(due.min(connect_due), timeout);
     } else {
         write(key, environment);
         let context = &mut *environment.context;
-        context.after(delay, SimulatorEvent::AttemptAtServer(key));
-        context.at(due, timeout);
+        context.schedule_after(delay, SimulatorEvent::AttemptAtServer(key));
+        context.schedule_at(due, timeout);
     }
 }
 
@@ -91,6 +93,8 @@
             server_start,
             job: attempt.job(),
         });
-        environment.context.after(attempt.details.delay, noticed);
+        environment
+            .context
+            .schedule_after(attempt.details.delay, noticed);
     }
 }
--- a/crates/testbed/src/simulator/sidecars/endpoints.rs
+++ b/crates/testbed/src/simulator/sidecars/endpoints.rs
@@ -128,7 +128,7 @@
                 number: self.subscription.polls,
             };
             let result = PollResult { poll, lost: true };
-            context.after(noticed_after, SimulatorEvent::PollResult(result));
+            context.schedule_after(noticed_after, SimulatorEvent::PollResult(result));
         }
     }
 
--- a/crates/testbed/src/simulator/sidecars/health_checks.rs
+++ b/crates/testbed/src/simulator/sidecars/health_checks.rs
@@ -36,7 +36,7 @@
             delay,
             new_connection,
         });
-        environment.context.after(arrives_after, check);
+        environment.context.schedule_after(arrives_after, check);
     }
 
     /// The end of a health check is known.
--- a/crates/testbed/src/simulator/sidecars/host.rs
+++ b/crates/testbed/src/simulator/sidecars/host.rs
@@ -112,7 +112,7 @@
     fn set_timer(&self, token: u64, after: Micros, environment: &mut Environment<'_, '_>) {
         let process = self.process();
         let timer = SimulatorEvent::BalancerTimer(BalancerTimer { process, token });
-        environment.context.after(after, timer);
+        environment.context.schedule_after(after, timer);
     }
 
     /// A timer of the balancer fires.
--- a/crates/testbed/src/simulator/sidecars/requests.rs
+++ b/crates/testbed/src/simulator/sidecars/requests.rs
@@ -59,7 +59,7 @@
         self.open_requests.insert(request.number, open);
         let respond_by = request.due.saturating_sub(RESPONSE_MARGIN);
         let due = SimulatorEvent::ResponseDue(self.index, request.number);
-        context.at(respond_by, due);
+        context.schedule_at(respond_by, due);
         let arrived = request_arrived(&request, context.now());
         self.handle_balancer_event(arrived, environment);
     }
@@ -156,5 +156,5 @@
         outcome,
         retry_after,
     });
-    context.after(delay, response);
+    context.schedule_after(delay, response);
 }
--- a/crates/testbed/src/simulator/sidecars/sidecar.rs
+++ b/crates/testbed/src/simulator/sidecars/sidecar.rs
@@ -103,7 +103,7 @@
             down_time: restart.down_time.saturating_sub(SHUTDOWN_GRACE),
             kill: true,
         });
-        environment.context.after(SHUTDOWN_GRACE, kill);
+        environment.context.schedule_after(SHUTDOWN_GRACE, kill);
     }
 
     fn kill(&mut self, down_time: Micros, environment: &mut Environment<'_, '_>) {
@@ -120,7 +120,7 @@
             request.on_process_lost(environment);
         }
         let up = SimulatorEvent::SidecarUp(self.index);
-        environment.context.after(down_time, up);
+        environment.context.schedule_after(down_time, up);
     }
 
     fn record_state(&self, state: ProcessState, environment: &mut Environment<'_, '_>) {
--- a/crates/testbed/src/simulator/timeline.rs
+++ b/crates/testbed/src/simulator/timeline.rs
@@ -25,17 +25,17 @@
     }
 
     /// Schedules an event; one whose time has passed comes now, after what is already due.
-    pub(super) fn at(&mut self, at: Micros, event: SimulatorEvent) {
+    pub(super) fn schedule_at(&mut self, at: Micros, event: SimulatorEvent) {
         self.queue.push(at.max(self.now), event);
     }
 
-    /// Schedules an event after a span from now.
-    pub(super) fn after(&mut self, span: Micros, event: SimulatorEvent) {
-        self.at(self.now + span, event);
+    /// Schedules an event after a delay from now.
+    pub(super) fn schedule_after(&mut self, delay: Micros, event: SimulatorEvent) {
+        self.schedule_at(self.now + delay, event);
     }
 
     /// Moves on to the next event that comes until `end`; nothing where there is none.
-    pub(super) fn next(&mut self, end: Micros) -> Option<SimulatorEvent> {
+    pub(super) fn next_event(&mut self, end: Micros) -> Option<SimulatorEvent> {
         let (at, event) = self.queue.pop().filter(|(at, _)| *at <= end)?;
         self.now = at;
         Some(event)
