--- a/crates/testbed/src/simulator/attempts.rs
+++ b/crates/testbed/src/simulator/attempts.rs
@@ -23,7 +23,7 @@
     pub(super) server: ServerIndex,
     pub(super) sent_at: Micros,
     /// When its sidecar gives up.
-    pub(super) due: Micros,
+    pub(super) deadline: Micros,
     /// Work in microseconds of a standard core.
     pub(super) work: f64,
     /// One way to the server, in microseconds.
--- a/crates/testbed/src/simulator/clients/mod.rs
+++ b/crates/testbed/src/simulator/clients/mod.rs
@@ -204,7 +204,7 @@
             work: arrival.work,
             work_hint: arrival.work_hint,
             arrives_at: context.now() + client_delay,
-            due: patience.due,
+            deadline: patience.due,
         });
         context.schedule_after(client_delay, SimulatorEvent::RequestAtSidecar(request));
         patience.schedule(request, context);
--- a/crates/testbed/src/simulator/discovery/mod.rs
+++ b/crates/testbed/src/simulator/discovery/mod.rs
@@ -118,12 +118,12 @@
     /// A sidecar polls: schedules when it has the answer, or notices that there is none.
     pub(super) fn on_poll(&mut self, poll: EndpointPoll, context: &mut Context<'_>) {
         let now = context.now();
-        let (at, lost) = match self.availability {
+        let (at, failed) = match self.availability {
             Availability::Silent => (now + POLL_TIMEOUT, true),
             Availability::Down => (now + REFUSAL_DELAY, true),
             Availability::Up => self.queue_poll(now, &context.scenario().discovery),
         };
-        context.schedule_at(at, SimulatorEvent::PollResult(PollResult { poll, lost }));
+        context.schedule_at(at, SimulatorEvent::PollResult(PollResult { poll, failed }));
     }
 
     /// When a poll that queues behind the others is served, or given up; true where it is given up.
--- a/crates/testbed/src/simulator/discovery/tests.rs
+++ b/crates/testbed/src/simulator/discovery/tests.rs
@@ -44,7 +44,7 @@
     }
 }
 
-/// Polls for one sidecar after the other, and gives when each is over and whether it is lost.
+/// Polls for one sidecar after the other, and gives when each is over and whether it failed.
 fn poll(discovery: &mut Discovery, scenario: &Scenario, count: u32) -> Vec<(Micros, bool)> {
     let mut log: Vec<LogRecord> = Vec::new();
     let mut context = Context::new(scenario, &mut log);
@@ -57,10 +57,10 @@
     }
     let mut ends = Vec::new();
     while let Some(event) = context.next_event(END) {
-        let SimulatorEvent::PollResult(PollResult { lost, .. }) = event else {
+        let SimulatorEvent::PollResult(PollResult { failed, .. }) = event else {
             panic!("only polls end");
         };
-        ends.push((context.now(), lost));
+        ends.push((context.now(), failed));
     }
     ends
 }
--- a/crates/testbed/src/simulator/event.rs
+++ b/crates/testbed/src/simulator/event.rs
@@ -26,7 +26,7 @@
     /// A timer of a balancer fires.
     BalancerTimer(BalancerTimer),
     /// The last moment at which a sidecar can respond in time.
-    ResponseDue(SidecarIndex, RequestNumber),
+    ResponseDeadline(SidecarIndex, RequestNumber),
     /// A client's timeout is over.
     ClientTimeout(RequestKey),
     /// A client disconnects early.
@@ -40,13 +40,13 @@
     /// An attempt's last byte is at the server.
     AttemptAtServer(AttemptKey),
     /// The end of an attempt is at its sidecar.
-    ResultAtSidecar(SidecarIndex, AttemptKey, Outcome),
+    AttemptResultAtSidecar(SidecarIndex, AttemptKey, Outcome),
     /// An attempt's time is over, or the time in which its connection must be open.
     AttemptTimeout(SidecarIndex, AttemptKey),
     /// A server notices that an attempt's connection was closed.
     CancellationAtServer(Cancellation),
     /// A server has something to do by itself; the number tells stale events from the present one.
-    ServerDue(ServerIndex, u32),
+    ServerTimer(ServerIndex, u32),
     /// A health check is at its server.
     HealthCheckAtServer(HealthCheck),
     /// The end of a health check is at its sidecar.
@@ -121,7 +121,7 @@
 pub(super) struct PollResult {
     pub(super) poll: EndpointPoll,
     /// Whether it failed, or the watch that followed was cut.
-    pub(super) lost: bool,
+    pub(super) failed: bool,
 }
 
 /// A restart of a sidecar.
--- a/crates/testbed/src/simulator/fleet/attempts.rs
+++ b/crates/testbed/src/simulator/fleet/attempts.rs
@@ -189,6 +189,6 @@
 /// Sends the end of an attempt on its way to the sidecar.
 fn send_result(key: AttemptKey, attempt: &Attempt, outcome: Outcome, context: &mut Context<'_>) {
     let details = &attempt.details;
-    let result = SimulatorEvent::ResultAtSidecar(details.sidecar, key, outcome);
+    let result = SimulatorEvent::AttemptResultAtSidecar(details.sidecar, key, outcome);
     context.schedule_after(details.delay, result);
 }
--- a/crates/testbed/src/simulator/fleet/model.rs
+++ b/crates/testbed/src/simulator/fleet/model.rs
@@ -37,7 +37,7 @@
         self.model_events = events;
         let server = self.server_mut(server_index);
         if let Some((generation, at)) = server.reschedule(context.now()) {
-            context.schedule_at(at, SimulatorEvent::ServerDue(server_index, generation));
+            context.schedule_at(at, SimulatorEvent::ServerTimer(server_index, generation));
         }
     }
 
--- a/crates/testbed/src/simulator/fleet/server/mod.rs
+++ b/crates/testbed/src/simulator/fleet/server/mod.rs
@@ -132,7 +132,7 @@
         let job = Job {
             id: attempt.job(),
             work: attempt.details.work,
-            deadline: attempt.details.due,
+            deadline: attempt.details.deadline,
         };
         let accepted = !self.draining && self.model.try_accept(now, job, events);
         if accepted {
--- a/crates/testbed/src/simulator/fleet/tests.rs
+++ b/crates/testbed/src/simulator/fleet/tests.rs
@@ -34,7 +34,7 @@
         sidecar: SIDECAR,
         server: SERVER,
         sent_at: 0,
-        due: 1_000_000,
+        deadline: 1_000_000,
         work: 20_000.0,
         delay: DELAY,
     };
@@ -57,10 +57,10 @@
 ) -> Option<(Micros, Outcome)> {
     while let Some(event) = context.next_event(END) {
         match event {
-            SimulatorEvent::ResultAtSidecar(_, _, outcome) => {
+            SimulatorEvent::AttemptResultAtSidecar(_, _, outcome) => {
                 return Some((context.now(), outcome));
             }
-            SimulatorEvent::ServerDue(server, generation) => {
+            SimulatorEvent::ServerTimer(server, generation) => {
                 fleet.on_server_due(server, generation, attempts, context);
             }
             _ => {}
--- a/crates/testbed/src/simulator/handover.rs
+++ b/crates/testbed/src/simulator/handover.rs
@@ -131,7 +131,7 @@
     }
 
     /// A server has something to do by itself.
-    pub(super) fn on_server_due(&mut self, server: ServerIndex, generation: u32) {
+    pub(super) fn on_server_timer(&mut self, server: ServerIndex, generation: u32) {
         let attempts = &mut self.attempts;
         let context = &mut self.context;
         self.fleet
--- a/crates/testbed/src/simulator/mod.rs
+++ b/crates/testbed/src/simulator/mod.rs
@@ -111,8 +111,8 @@
             Event::RetryDue(sidecar, arrival) => self.on_retry_due(sidecar, arrival),
             Event::RequestAtSidecar(request) => self.on_request_at_sidecar(request),
             Event::BalancerTimer(timer) => sidecars.on_balancer_timer(&timer, others),
-            Event::ResponseDue(sidecar, request) => {
-                sidecars.at(sidecar).on_response_due(request, others);
+            Event::ResponseDeadline(sidecar, request) => {
+                sidecars.at(sidecar).on_response_deadline(request, others);
             }
             Event::ClientTimeout(request) => self.on_client_timeout(request),
             Event::ClientDisconnect(request) => self.on_client_disconnect(request),
@@ -122,7 +122,7 @@
                 sidecars.at(sidecar).on_connection_open(attempt, others);
             }
             Event::AttemptAtServer(attempt) => self.on_attempt_at_server(attempt),
-            Event::ResultAtSidecar(sidecar, attempt, outcome) => {
+            Event::AttemptResultAtSidecar(sidecar, attempt, outcome) => {
                 let sidecar = sidecars.at(sidecar);
                 sidecar.on_attempt_result(attempt, outcome, others);
             }
@@ -130,7 +130,7 @@
                 sidecars.at(sidecar).on_attempt_timeout(attempt, others);
             }
             Event::CancellationAtServer(cancellation) => self.on_cancellation(&cancellation),
-            Event::ServerDue(server, generation) => self.on_server_due(server, generation),
+            Event::ServerTimer(server, generation) => self.on_server_timer(server, generation),
             Event::HealthCheckAtServer(check) => self.on_health_check_at_server(&check),
             Event::HealthCheckResult(result) => sidecars.on_health_check_result(&result, others),
             Event::PollResult(result) => sidecars.on_poll_result(&result, others),
--- a/crates/testbed/src/simulator/request.rs
+++ b/crates/testbed/src/simulator/request.rs
@@ -32,5 +32,5 @@
     /// When its last byte is at the sidecar.
     pub(super) arrives_at: Micros,
     /// When its client gives up.
-    pub(super) due: Micros,
+    pub(super) deadline: Micros,
 }
--- a/crates/testbed/src/simulator/sidecars/attempts.rs
+++ b/crates/testbed/src/simulator/sidecars/attempts.rs
@@ -87,7 +87,7 @@
             return;
         };
         // The timeout of the connection, which has opened since.
-        let is_early = attempt.is_written() && environment.context.now() < attempt.details.due;
+        let is_early = attempt.is_written() && environment.context.now() < attempt.details.deadline;
         if attempt.has_ended() || is_early {
             return;
         }
@@ -163,14 +163,14 @@
     now: Micros,
 ) -> AttemptDetails {
     let request = &open.request;
-    let time_left = request.due.saturating_sub(now);
+    let time_left = request.deadline.saturating_sub(now);
     AttemptDetails {
         request: request.number,
         index: u32_from_count(open.attempts.len()),
         sidecar: request.process.sidecar,
         server,
         sent_at: now,
-        due: now + timeout.map_or(time_left, |timeout| timeout.min(time_left)),
+        deadline: now + timeout.map_or(time_left, |timeout| timeout.min(time_left)),
         work: request.work,
         delay: 0,
     }
--- a/crates/testbed/src/simulator/sidecars/connecting.rs
+++ b/crates/testbed/src/simulator/sidecars/connecting.rs
@@ -22,14 +22,14 @@
             environment.attempts.remove(key);
             return;
         }
-        let due = attempt.details.due;
+        let deadline = attempt.details.deadline;
         let delay = attempt.details.delay;
         let machine_type = environment.fleet.machine_type(attempt.details.server);
         let further_round_trips = (machine_type.handshake_rtts - 1.0).max(0.0);
         let handshake = scaled_micros(delay, further_round_trips * 2.0);
         write(key, environment);
         let timeout = SimulatorEvent::AttemptTimeout(self.index, key);
-        environment.context.schedule_at(due, timeout);
+        environment.context.schedule_at(deadline, timeout);
         let arrives = SimulatorEvent::AttemptAtServer(key);
         environment
             .context
@@ -43,19 +43,19 @@
         return;
     };
     let delay = attempt.details.delay;
-    let due = attempt.details.due;
+    let deadline = attempt.details.deadline;
     let timeout = SimulatorEvent::AttemptTimeout(attempt.details.sidecar, key);
     if attempt.opens_connection() {
         let context = &mut *environment.context;
         let connect_timeout = from_ms(context.scenario().permissions.connect_timeout_ms);
-        let connect_due = context.now() + connect_timeout;
+        let connect_deadline = context.now() + connect_timeout;
         context.schedule_after(delay, SimulatorEvent::ConnectAtServer(key));
-        context.schedule_at(due.min(connect_due), timeout);
+        context.schedule_at(deadline.min(connect_deadline), timeout);
     } else {
         write(key, environment);
         let context = &mut *environment.context;
         context.schedule_after(delay, SimulatorEvent::AttemptAtServer(key));
-        context.schedule_at(due, timeout);
+        context.schedule_at(deadline, timeout);
     }
 }
 
--- a/crates/testbed/src/simulator/sidecars/endpoints.rs
+++ b/crates/testbed/src/simulator/sidecars/endpoints.rs
@@ -102,8 +102,8 @@
     }
 
     /// The poll that it waits for is answered, or `lost`.
-    pub(super) fn on_poll_result(&mut self, lost: bool, environment: &mut Environment<'_, '_>) {
-        if lost || !environment.discovery.is_up() {
+    pub(super) fn on_poll_result(&mut self, failed: bool, environment: &mut Environment<'_, '_>) {
+        if failed || !environment.discovery.is_up() {
             self.on_endpoints_lost(environment);
         } else {
             self.subscription.watches = true;
@@ -127,7 +127,7 @@
                 process: self.process(),
                 number: self.subscription.polls,
             };
-            let result = PollResult { poll, lost: true };
+            let result = PollResult { poll, failed: true };
             context.schedule_after(noticed_after, SimulatorEvent::PollResult(result));
         }
     }
--- a/crates/testbed/src/simulator/sidecars/mod.rs
+++ b/crates/testbed/src/simulator/sidecars/mod.rs
@@ -130,7 +130,7 @@
     ) {
         let sidecar = self.at(result.poll.process.sidecar);
         if sidecar.awaits_poll(result.poll) {
-            sidecar.on_poll_result(result.lost, environment);
+            sidecar.on_poll_result(result.failed, environment);
         }
     }
 
--- a/crates/testbed/src/simulator/sidecars/requests.rs
+++ b/crates/testbed/src/simulator/sidecars/requests.rs
@@ -49,7 +49,7 @@
             arrival: request.arrival_number,
             sidecar: self.index,
             class: request.class,
-            due: request.due,
+            due: request.deadline,
         });
         let open = OpenRequest {
             key,
@@ -57,9 +57,9 @@
             attempts: Vec::new(),
         };
         self.open_requests.insert(request.number, open);
-        let respond_by = request.due.saturating_sub(RESPONSE_MARGIN);
-        let due = SimulatorEvent::ResponseDue(self.index, request.number);
-        context.schedule_at(respond_by, due);
+        let respond_by = request.deadline.saturating_sub(RESPONSE_MARGIN);
+        let deadline = SimulatorEvent::ResponseDeadline(self.index, request.number);
+        context.schedule_at(respond_by, deadline);
         let arrived = request_arrived(&request, context.now());
         self.handle_balancer_event(arrived, environment);
     }
@@ -70,7 +70,7 @@
     }
 
     /// The sidecar's last moment for a request that its balancer has not decided.
-    pub(in crate::simulator) fn on_response_due(
+    pub(in crate::simulator) fn on_response_deadline(
         &mut self,
         number: RequestNumber,
         environment: &mut Environment<'_, '_>,
@@ -133,7 +133,7 @@
     BalancerEvent::RequestArrived(IncomingRequest {
         id: RequestId(request.number.value()),
         class: ClassId(request.class.value()),
-        time_left: request.due.saturating_sub(now),
+        time_left: request.deadline.saturating_sub(now),
         work_hint: request.work_hint,
     })
 }
