--- a/crates/testbed/src/simulator/event_queue.rs
+++ b/crates/testbed/src/simulator/event_queue.rs
@@ -10,32 +10,32 @@
 use crate::scenario::Micros;
 
 /// Microseconds of a slice, as a power of two.
-const SLICE_BITS: u32 = 11;
+const SLOT_BITS: u32 = 11;
 /// Slices on the wheel: some 8 s; what lies beyond is kept by its slice.
-const WHEEL_SLICES: u64 = 4_096;
+const WHEEL_SLOTS: u64 = 4_096;
 
-struct Queued<T> {
+struct QueuedEvent<T> {
     at: Micros,
     /// Counts all pushes: orders events of one moment.
     sequence: u64,
     event: T,
 }
 
-impl<T> PartialEq for Queued<T> {
+impl<T> PartialEq for QueuedEvent<T> {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other) == Ordering::Equal
     }
 }
 
-impl<T> Eq for Queued<T> {}
+impl<T> Eq for QueuedEvent<T> {}
 
-impl<T> PartialOrd for Queued<T> {
+impl<T> PartialOrd for QueuedEvent<T> {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl<T> Ord for Queued<T> {
+impl<T> Ord for QueuedEvent<T> {
     /// The earliest is the greatest; among equals the one that was queued first.
     fn cmp(&self, other: &Self) -> Ordering {
         (other.at, other.sequence).cmp(&(self.at, self.sequence))
@@ -45,13 +45,13 @@
 /// Gives back events by time, and within one moment in the order of their push.
 pub(super) struct EventQueue<T> {
     /// The present slice.
-    slice: u64,
+    current_slot: u64,
     /// Events of the present slice, sorted.
-    near: BinaryHeap<Queued<T>>,
+    current: BinaryHeap<QueuedEvent<T>>,
     /// Events of the slices on the wheel, unsorted.
-    wheel: Vec<Vec<Queued<T>>>,
+    wheel: Vec<Vec<QueuedEvent<T>>>,
     /// Events beyond the wheel by slice, unsorted.
-    far: BTreeMap<u64, Vec<Queued<T>>>,
+    overflow: BTreeMap<u64, Vec<QueuedEvent<T>>>,
     sequence: u64,
     count: usize,
 }
@@ -59,12 +59,12 @@
 impl<T> EventQueue<T> {
     /// An empty queue.
     pub(super) fn new() -> Self {
-        let wheel = (0..WHEEL_SLICES).map(|_| Vec::new()).collect();
+        let wheel = (0..WHEEL_SLOTS).map(|_| Vec::new()).collect();
         Self {
-            slice: 0,
-            near: BinaryHeap::new(),
+            current_slot: 0,
+            current: BinaryHeap::new(),
             wheel,
-            far: BTreeMap::new(),
+            overflow: BTreeMap::new(),
             sequence: 0,
             count: 0,
         }
@@ -75,45 +75,50 @@
         self.sequence += 1;
         self.count += 1;
         let sequence = self.sequence;
-        let queued = Queued {
+        let queued = QueuedEvent {
             at,
             sequence,
             event,
         };
-        let slice = at >> SLICE_BITS;
-        match slice.saturating_sub(self.slice) {
-            0 => self.near.push(queued),
-            ahead if ahead < WHEEL_SLICES => {
-                self.wheel[wheel_position(slice)].push(queued);
+        let slot = at >> SLOT_BITS;
+        match slot.saturating_sub(self.current_slot) {
+            0 => self.current.push(queued),
+            ahead if ahead < WHEEL_SLOTS => {
+                self.wheel[wheel_index(slot)].push(queued);
             }
-            _ => self.far.entry(slice).or_default().push(queued),
+            _ => self.overflow.entry(slot).or_default().push(queued),
         }
     }
 
     /// Takes the next event with its time; nothing where the queue is empty.
     pub(super) fn pop(&mut self) -> Option<(Micros, T)> {
-        while self.near.is_empty() {
+        while self.current.is_empty() {
             if self.count == 0 {
                 return None;
             }
-            self.advance_slice();
+            self.advance_slot();
         }
         self.count -= 1;
-        self.near.pop().map(|queued| (queued.at, queued.event))
+        self.current.pop().map(|queued| (queued.at, queued.event))
     }
 
-    fn advance_slice(&mut self) {
-        self.slice += 1;
-        let on_wheel = &mut self.wheel[wheel_position(self.slice)];
+    fn advance_slot(&mut self) {
+        self.current_slot += 1;
+        let on_wheel = &mut self.wheel[wheel_index(self.current_slot)];
         let mut events = std::mem::take(on_wheel);
-        events.extend(self.far.remove(&self.slice).into_iter().flatten());
-        self.near = events.into();
+        events.extend(
+            self.overflow
+                .remove(&self.current_slot)
+                .into_iter()
+                .flatten(),
+        );
+        self.current = events.into();
     }
 }
 
 /// Where a slice lies on the wheel.
-fn wheel_position(slice: u64) -> usize {
-    (slice % WHEEL_SLICES) as usize
+fn wheel_index(slot: u64) -> usize {
+    (slot % WHEEL_SLOTS) as usize
 }
 
 #[cfg(test)]
--- a/crates/testbed/src/simulator/event_queue/tests.rs
+++ b/crates/testbed/src/simulator/event_queue/tests.rs
@@ -5,7 +5,7 @@
 proptest! {
     /// Whatever is put in while time goes on comes out as from one sorted list.
     #[test]
-    fn events_come_out_by_time_and_within_a_moment_in_the_order_of_their_push(spans in prop::collection::vec((0u64..40_000_000, any::<bool>()), 1..200)) {
+    fn events_are_popped_by_time_and_in_push_order_at_equal_times(spans in prop::collection::vec((0u64..40_000_000, any::<bool>()), 1..200)) {
         let mut queue = EventQueue::new();
         let mut list = Vec::new();
         let mut now = 0;
