--- a/crates/testbed/src/simulator/network.rs
+++ b/crates/testbed/src/simulator/network.rs
@@ -8,7 +8,7 @@
 use crate::scenario::{Micros, Scenario, from_ms};
 
 /// A sidecar's place in the network.
-struct Origin {
+struct SidecarNode {
     zone: u32,
     /// Draws delays, and the noise of attempts.
     random: RandomStream,
@@ -16,26 +16,26 @@
 
 /// The ways from each sidecar to the servers.
 pub(super) struct Network {
-    origins: Vec<Origin>,
+    sidecars: Vec<SidecarNode>,
 }
 
 impl Network {
     /// The network of a scenario's sidecars.
     pub(super) fn new(scenario: &Scenario) -> Self {
-        let origin = |sidecar: SidecarIndex| Origin {
+        let node = |sidecar: SidecarIndex| SidecarNode {
             zone: scenario.sidecar_zone(sidecar),
             random: RandomStream::new(scenario.seed, StreamId::Network, sidecar.index()),
         };
         Self {
-            origins: SidecarIndex::all(scenario.sidecars.count)
-                .map(origin)
+            sidecars: SidecarIndex::all(scenario.sidecars.count)
+                .map(node)
                 .collect(),
         }
     }
 
     /// Whether the way from a sidecar to a server in this zone leads out of the sidecar's zone.
     pub(super) fn is_cross_zone(&self, sidecar: SidecarIndex, server_zone: u32) -> bool {
-        self.origins[sidecar.index()].zone != server_zone
+        self.sidecars[sidecar.index()].zone != server_zone
     }
 
     /// One way between a sidecar and a server in this zone in microseconds, drawn by the sidecar's
@@ -52,7 +52,7 @@
         } else {
             network.same_ms
         };
-        let random = &mut self.origins[sidecar.index()].random;
+        let random = &mut self.sidecars[sidecar.index()].random;
         from_ms(base_ms * (1.0 + network.jitter * random.unit()))
     }
 
@@ -68,7 +68,7 @@
         let class = scenario.class.get(class.index());
         let noise = class.map_or(0.0, |class| class.noise);
         if noise > 0.0 {
-            let random = &mut self.origins[sidecar.index()].random;
+            let random = &mut self.sidecars[sidecar.index()].random;
             // The subtrahend keeps the mean of the lognormal factor at 1.
             work * (noise * random.normal() - noise * noise / 2.0).exp()
         } else {
--- a/crates/testbed/src/simulator/network/tests.rs
+++ b/crates/testbed/src/simulator/network/tests.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_way_out_of_the_sidecars_zone_takes_longer() {
+fn a_cross_zone_delay_is_longer() {
     let scenario = scenario(0.0, 0.0);
     let mut network = Network::new(&scenario);
     let sidecar = SidecarIndex::new(1);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_delay_is_up_to_the_jitter_longer() {
+fn jitter_lengthens_a_delay_by_at_most_its_share() {
     let scenario = scenario(0.2, 0.0);
     let mut network = Network::new(&scenario);
     let sidecar = SidecarIndex::new(0);
@@ -56,20 +56,20 @@
 }
 
 #[test]
-fn a_sidecars_draws_leave_those_of_another_as_they_are() {
+fn sidecars_draw_from_independent_random_streams() {
     let scenario = scenario(0.2, 0.0);
     let mut alone = Network::new(&scenario);
-    let mut beside = Network::new(&scenario);
+    let mut shared = Network::new(&scenario);
 
-    beside.draw_delay(SidecarIndex::new(1), 0, &scenario);
+    shared.draw_delay(SidecarIndex::new(1), 0, &scenario);
 
     let sidecar = SidecarIndex::new(0);
     let expected = alone.draw_delay(sidecar, 0, &scenario);
-    assert_eq!(beside.draw_delay(sidecar, 0, &scenario), expected);
+    assert_eq!(shared.draw_delay(sidecar, 0, &scenario), expected);
 }
 
 #[test]
-fn an_attempts_work_is_its_requests_without_noise_and_differs_with_it() {
+fn attempt_work_differs_from_request_work_only_with_noise() {
     let sidecar = SidecarIndex::new(0);
     let draw = |noise| {
         let scenario = scenario(0.0, noise);
