--- a/crates/testbed/src/simulator/attempts.rs
+++ b/crates/testbed/src/simulator/attempts.rs
@@ -136,16 +136,16 @@
     pub(super) fn start(
         &mut self,
         details: AttemptDetails,
-        kept_connection: Option<u32>,
+        reused_connection: Option<u32>,
     ) -> AttemptKey {
         let job = self.next_job;
         self.next_job += 1;
         self.open.insert(Attempt {
             details,
             job,
-            connection: kept_connection,
-            new_connection: kept_connection.is_none(),
-            written: kept_connection.is_some(),
+            connection: reused_connection,
+            new_connection: reused_connection.is_none(),
+            written: reused_connection.is_some(),
             ended: false,
             reset_pending: false,
             reported_in_flight: None,
--- a/crates/testbed/src/simulator/discovery/endpoint_list.rs
+++ b/crates/testbed/src/simulator/discovery/endpoint_list.rs
@@ -66,7 +66,7 @@
     }
 
     /// The servers that are not gone, in the order of their numbers.
-    pub(super) fn present(&self) -> impl Iterator<Item = ListedEndpoint> {
+    pub(super) fn current(&self) -> impl Iterator<Item = ListedEndpoint> {
         let endpoints = self.entries.values().map(|entry| entry.endpoint);
         endpoints.filter(|endpoint| endpoint.status != ListedStatus::Gone)
     }
--- a/crates/testbed/src/simulator/discovery/mod.rs
+++ b/crates/testbed/src/simulator/discovery/mod.rs
@@ -65,8 +65,8 @@
     }
 
     /// The servers that are listed and not gone, in the order of their numbers.
-    pub(super) fn present_endpoints(&self) -> impl Iterator<Item = ListedEndpoint> {
-        self.list.present()
+    pub(super) fn current_endpoints(&self) -> impl Iterator<Item = ListedEndpoint> {
+        self.list.current()
     }
 
     /// What the list says anew since a version, in the order of the servers' numbers.
--- a/crates/testbed/src/simulator/discovery/tests.rs
+++ b/crates/testbed/src/simulator/discovery/tests.rs
@@ -45,7 +45,11 @@
 }
 
 /// Polls for one sidecar after the other, and gives when each is over and whether it failed.
-fn poll(discovery: &mut Discovery, scenario: &Scenario, count: u32) -> Vec<(Micros, bool)> {
+fn poll_from_each_sidecar(
+    discovery: &mut Discovery,
+    scenario: &Scenario,
+    count: u32,
+) -> Vec<(Micros, bool)> {
     let mut log: Vec<LogRecord> = Vec::new();
     let mut context = Context::new(scenario, &mut log);
     for sidecar in 0..count {
@@ -66,7 +70,7 @@
 }
 
 #[test]
-fn a_change_raises_the_version_and_is_told_to_those_who_watch() {
+fn a_change_increments_the_version_and_notifies_watching_sidecars() {
     let scenario = scenario();
     let mut log: Vec<LogRecord> = Vec::new();
     let mut context = Context::new(&scenario, &mut log);
@@ -76,25 +80,25 @@
     discovery.on_list_change(gone(0), 0, watching, &mut context);
 
     assert_eq!(discovery.version(), 2);
-    assert_eq!(discovery.present_endpoints().count(), 0);
+    assert_eq!(discovery.current_endpoints().count(), 0);
     let changes = discovery.changes_since(1);
     assert_eq!(changes.len(), 1);
     assert!(changes[0].status == ListedStatus::Gone);
     assert!(discovery.changes_since(2).is_empty());
-    let mut told = Vec::new();
+    let mut notified = Vec::new();
     while let Some(event) = context.next_event(END) {
         let SimulatorEvent::WatchNotification(process) = event else {
-            panic!("only watches are told");
+            panic!("only watches are notified");
         };
         assert!(context.now() < 300_000, "within the spread");
-        told.push(process.sidecar.value());
+        notified.push(process.sidecar.value());
     }
-    told.sort_unstable();
-    assert_eq!(told, [3, 5]);
+    notified.sort_unstable();
+    assert_eq!(notified, [3, 5]);
 }
 
 #[test]
-fn a_death_that_is_noticed_after_the_return_is_not_listed() {
+fn a_removal_noticed_after_the_server_restarted_is_ignored() {
     let scenario = scenario();
     let mut log: Vec<LogRecord> = Vec::new();
     let mut context = Context::new(&scenario, &mut log);
@@ -105,12 +109,12 @@
     discovery.on_list_change(gone(0), restarted_at, watching, &mut context);
 
     assert_eq!(discovery.version(), 1);
-    assert_eq!(discovery.present_endpoints().count(), 1);
+    assert_eq!(discovery.current_endpoints().count(), 1);
     assert!(context.next_event(END).is_none());
 }
 
 #[test]
-fn a_change_while_it_is_down_is_listed_and_told_to_nobody() {
+fn a_change_while_discovery_is_down_is_listed_without_notifications() {
     let scenario = scenario();
     let mut log: Vec<LogRecord> = Vec::new();
     let mut context = Context::new(&scenario, &mut log);
@@ -125,11 +129,11 @@
 }
 
 #[test]
-fn polls_are_served_one_after_the_other_and_fail_where_they_wait_too_long() {
+fn polls_are_served_in_order_and_fail_after_the_queue_timeout() {
     let scenario = scenario();
     let mut discovery = discovery_of_one_server(&scenario);
 
-    let ends = poll(&mut discovery, &scenario, 4);
+    let ends = poll_from_each_sidecar(&mut discovery, &scenario, 4);
 
     // Four a second: the third would begin at 500 ms, which is beyond the 400 that a poll waits.
     let expected = [
@@ -142,20 +146,29 @@
 }
 
 #[test]
-fn polls_are_refused_while_it_is_down_and_time_out_while_it_is_silent() {
+fn polls_are_refused_while_discovery_is_down_and_time_out_while_it_is_silent() {
     let scenario = scenario();
     let mut discovery = discovery_of_one_server(&scenario);
 
     discovery.on_availability_changed(Availability::Down, 0);
-    assert_eq!(poll(&mut discovery, &scenario, 1), [(2_000, true)]);
+    assert_eq!(
+        poll_from_each_sidecar(&mut discovery, &scenario, 1),
+        [(2_000, true)]
+    );
     discovery.on_availability_changed(Availability::Silent, 0);
-    assert_eq!(poll(&mut discovery, &scenario, 1), [(5_000_000, true)]);
+    assert_eq!(
+        poll_from_each_sidecar(&mut discovery, &scenario, 1),
+        [(5_000_000, true)]
+    );
     discovery.on_availability_changed(Availability::Up, 0);
-    assert_eq!(poll(&mut discovery, &scenario, 1), [(250_000, false)]);
+    assert_eq!(
+        poll_from_each_sidecar(&mut discovery, &scenario, 1),
+        [(250_000, false)]
+    );
 }
 
 #[test]
-fn watches_end_soon_where_it_goes_down_and_late_where_it_falls_silent() {
+fn watches_end_quickly_when_discovery_goes_down_and_late_when_it_falls_silent() {
     let mut discovery = discovery_of_one_server(&scenario());
 
     let down = discovery.on_availability_changed(Availability::Down, 0);
--- a/crates/testbed/src/simulator/handover.rs
+++ b/crates/testbed/src/simulator/handover.rs
@@ -35,7 +35,7 @@
     pub(super) fn start(&mut self) {
         for index in self.sidecars.indexes() {
             let (sidecars, mut environment) = self.sidecars_with_environment();
-            sidecars.at(index).start(&mut environment);
+            sidecars.get_mut(index).start(&mut environment);
             let context = &mut self.context;
             self.clients.schedule_next_arrival(index, context);
         }
@@ -70,7 +70,7 @@
         };
         if self.sidecars.is_running(request.process) {
             let (sidecars, mut environment) = self.sidecars_with_environment();
-            let sidecar = sidecars.at(request.process.sidecar);
+            let sidecar = sidecars.get_mut(request.process.sidecar);
             sidecar.accept_request(key, request, &mut environment);
         } else {
             let unreachable = ClientResponse {
@@ -89,7 +89,7 @@
         };
         if self.sidecars.awaits_response(&request, self.context.now()) {
             let (sidecars, mut environment) = self.sidecars_with_environment();
-            let sidecar = sidecars.at(request.process.sidecar);
+            let sidecar = sidecars.get_mut(request.process.sidecar);
             sidecar.abandon_request(request.number, &mut environment);
             self.clients.on_timed_out(key, &mut self.context);
         }
@@ -105,7 +105,7 @@
                 request: request.number,
             });
             let (sidecars, mut environment) = self.sidecars_with_environment();
-            let sidecar = sidecars.at(request.process.sidecar);
+            let sidecar = sidecars.get_mut(request.process.sidecar);
             sidecar.abandon_request(request.number, &mut environment);
             self.clients.on_disconnected(key, &mut self.context);
         }
@@ -141,7 +141,7 @@
     /// Discovery notices what has happened to a server, and tells those who watch its list.
     pub(super) fn on_list_change(&mut self, endpoint: ListedEndpoint) {
         let started_at = self.fleet.started_at(endpoint.server);
-        let watching = self.sidecars.watching();
+        let watching = self.sidecars.watching_processes();
         self.discovery
             .on_list_change(endpoint, started_at, watching, &mut self.context);
     }
@@ -156,7 +156,7 @@
             .on_health_check(check, is_running, attempts, context);
         if let Some(server_start) = kept {
             let idle_since = self.context.now() + check.delay;
-            let sidecar = self.sidecars.at(check.process.sidecar);
+            let sidecar = self.sidecars.get_mut(check.process.sidecar);
             sidecar.keep_connection(check.server, idle_since, server_start, &mut self.fleet);
         }
     }
@@ -181,8 +181,8 @@
     fn on_availability_changed(&mut self, availability: Availability) {
         let now = self.context.now();
         let watches_end = self.discovery.on_availability_changed(availability, now);
-        if let Some(noticed_after) = watches_end {
-            self.sidecars.end_watches(noticed_after, &mut self.context);
+        if let Some(notice_delay) = watches_end {
+            self.sidecars.end_watches(notice_delay, &mut self.context);
         }
     }
 
--- a/crates/testbed/src/simulator/mod.rs
+++ b/crates/testbed/src/simulator/mod.rs
@@ -46,7 +46,7 @@
 /// Where the balancers' clock stands when the run begins: servers' incarnations count from here.
 const EPOCH: Micros = 1_000_000_000_000;
 /// How long after the last arrival the run goes on at most, in microseconds.
-const MAX_RUN_OUT: Micros = 120_000_000;
+const MAX_TIME_AFTER_LAST_ARRIVAL: Micros = 120_000_000;
 
 /// A scenario being simulated.
 struct Simulator<'a> {
@@ -58,7 +58,7 @@
     fleet: Fleet,
     discovery: Discovery,
     faults: Faults,
-    events_played: u64,
+    events_processed: u64,
 }
 
 impl<'a> Simulator<'a> {
@@ -76,20 +76,23 @@
             faults: Faults::new(scenario, &fleet.zones()),
             fleet,
             discovery,
-            events_played: 0,
+            events_processed: 0,
         };
         simulator.start();
         Ok(simulator)
     }
 
     /// Plays until nothing is open after the last arrival, or the run has gone on for too long.
-    fn play(&mut self) {
+    fn run_to_completion(&mut self) {
         let last_arrival = from_s(self.context.scenario().seconds);
-        while let Some(event) = self.context.next_event(last_arrival + MAX_RUN_OUT) {
+        while let Some(event) = self
+            .context
+            .next_event(last_arrival + MAX_TIME_AFTER_LAST_ARRIVAL)
+        {
             if self.context.now() > last_arrival && self.clients.is_idle() {
                 return;
             }
-            self.events_played += 1;
+            self.events_processed += 1;
             self.handle(event);
         }
     }
@@ -97,7 +100,7 @@
     /// What the run has taken so far.
     fn run_statistics(&self) -> RunStatistics {
         RunStatistics {
-            events_played: self.events_played,
+            events_processed: self.events_processed,
             not_played: self.clients.not_played(),
         }
     }
@@ -105,40 +108,40 @@
     /// Passes an event to the component that handles it, or to `handover` where several do.
     fn handle(&mut self, event: SimulatorEvent) {
         use SimulatorEvent as Event;
-        let (sidecars, others) = &mut self.sidecars_with_environment();
+        let (sidecars, env) = &mut self.sidecars_with_environment();
         match event {
             Event::Arrival(sidecar, arrival) => self.on_arrival(sidecar, &arrival),
             Event::RetryDue(sidecar, arrival) => self.on_retry_due(sidecar, arrival),
             Event::RequestAtSidecar(request) => self.on_request_at_sidecar(request),
-            Event::BalancerTimer(timer) => sidecars.on_balancer_timer(&timer, others),
+            Event::BalancerTimer(timer) => sidecars.on_balancer_timer(&timer, env),
             Event::ResponseDeadline(sidecar, request) => {
-                sidecars.at(sidecar).on_response_deadline(request, others);
+                sidecars.get_mut(sidecar).on_response_deadline(request, env);
             }
             Event::ClientTimeout(request) => self.on_client_timeout(request),
             Event::ClientDisconnect(request) => self.on_client_disconnect(request),
             Event::ResponseAtClient(response) => self.on_response_at_client(&response),
             Event::ConnectAtServer(attempt) => self.on_connect_at_server(attempt),
             Event::ConnectionOpen(sidecar, attempt) => {
-                sidecars.at(sidecar).on_connection_open(attempt, others);
+                sidecars.get_mut(sidecar).on_connection_open(attempt, env);
             }
             Event::AttemptAtServer(attempt) => self.on_attempt_at_server(attempt),
             Event::AttemptResultAtSidecar(sidecar, attempt, outcome) => {
-                let sidecar = sidecars.at(sidecar);
-                sidecar.on_attempt_result(attempt, outcome, others);
+                let sidecar = sidecars.get_mut(sidecar);
+                sidecar.on_attempt_result(attempt, outcome, env);
             }
             Event::AttemptTimeout(sidecar, attempt) => {
-                sidecars.at(sidecar).on_attempt_timeout(attempt, others);
+                sidecars.get_mut(sidecar).on_attempt_timeout(attempt, env);
             }
             Event::CancellationAtServer(cancellation) => self.on_cancellation(&cancellation),
             Event::ServerTimer(server, generation) => self.on_server_timer(server, generation),
             Event::HealthCheckAtServer(check) => self.on_health_check_at_server(&check),
-            Event::HealthCheckResult(result) => sidecars.on_health_check_result(&result, others),
-            Event::PollResult(result) => sidecars.on_poll_result(&result, others),
-            Event::WatchNotification(process) => sidecars.on_watch_notification(process, others),
+            Event::HealthCheckResult(result) => sidecars.on_health_check_result(&result, env),
+            Event::PollResult(result) => sidecars.on_poll_result(&result, env),
+            Event::WatchNotification(process) => sidecars.on_watch_notification(process, env),
             Event::ListChange(endpoint) => self.on_list_change(endpoint),
             Event::Fault { index, starts } => self.on_fault(index, starts),
-            Event::SidecarRestart(restart) => sidecars.on_restart(&restart, others),
-            Event::SidecarUp(sidecar) => sidecars.at(sidecar).start(others),
+            Event::SidecarRestart(restart) => sidecars.on_restart(&restart, env),
+            Event::SidecarUp(sidecar) => sidecars.get_mut(sidecar).start(env),
             Event::GaugeTick => self.on_gauge_tick(),
         }
     }
--- a/crates/testbed/src/simulator/run.rs
+++ b/crates/testbed/src/simulator/run.rs
@@ -11,28 +11,28 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RunStatistics {
     /// Events played.
-    pub events_played: u64,
+    pub events_processed: u64,
     /// Arrivals that were not played, as too many requests were open.
     pub not_played: u64,
 }
 
-/// Simulates a scenario and sums it up; `further` readers see the event log too.
+/// Simulates a scenario and sums it up; `extra_log` receives the event log too.
 ///
 /// # Errors
 /// Settings that the balancer refuses.
 pub fn run(
     scenario: &Scenario,
-    further: Option<&mut dyn EventLog>,
+    extra_log: Option<&mut dyn EventLog>,
 ) -> Result<(Report, RunStatistics), SimulatorError> {
     let mut auditor = Auditor::new(scenario, 0);
     let mut statistics = Statistics::new(scenario);
     let mut readers = Tee {
         first: &mut auditor,
         second: &mut statistics,
-        further,
+        further: extra_log,
     };
     let mut simulator = Simulator::new(scenario, &mut readers)?;
-    simulator.play();
+    simulator.run_to_completion();
     let run_statistics = simulator.run_statistics();
     let overload = overload_remark(&simulator);
     auditor.finish();
@@ -50,8 +50,8 @@
 
 fn overload_remark(simulator: &Simulator<'_>) -> String {
     let slowed = simulator.fleet.count_slowed();
-    let held = simulator.fleet.max_in_flight();
-    format!("{slowed} servers were slowed by overload for a time; one held {held} at most")
+    let max_in_flight = simulator.fleet.max_in_flight();
+    format!("{slowed} servers were slowed by overload for a time; one held {max_in_flight} at most")
 }
 
 fn not_played_remark(scenario: &Scenario, run_statistics: RunStatistics) -> String {
--- a/crates/testbed/src/simulator/sidecars/attempts.rs
+++ b/crates/testbed/src/simulator/sidecars/attempts.rs
@@ -8,7 +8,7 @@
     AttemptEnd, Event as BalancerEvent, LoadReport, Outcome, RequestId, ServerId,
 };
 
-use super::connecting::{close_connection, schedule};
+use super::connecting::{close_connection, schedule_attempt};
 use super::environment::Environment;
 use super::requests::OpenRequest;
 use super::sidecar::Sidecar;
@@ -34,19 +34,19 @@
         let class = open.request.class;
         let now = environment.context.now();
         let mut details = attempt_details(open, server, timeout, now);
-        let is_known = environment.fleet.contains(server);
-        environment.draw_attempt(&mut details, class, is_known);
-        let kept_connection = if is_known {
+        let server_exists = environment.fleet.contains(server);
+        environment.draw_attempt(&mut details, class, server_exists);
+        let reused_connection = if server_exists {
             self.reuse_connection(server, environment)
         } else {
             None
         };
-        let key = environment.attempts.start(details, kept_connection);
+        let key = environment.attempts.start(details, reused_connection);
         if let Some(open) = self.open_requests.get_mut(&number) {
             open.attempts.push(key);
         }
-        if is_known {
-            schedule(key, environment);
+        if server_exists {
+            schedule_attempt(key, environment);
         } else {
             self.end_attempt(key, Outcome::NotSent, events, environment);
         }
@@ -87,8 +87,8 @@
             return;
         };
         // The timeout of the connection, which has opened since.
-        let is_early = attempt.is_written() && environment.context.now() < attempt.details.deadline;
-        if attempt.has_ended() || is_early {
+        let is_stale = attempt.is_written() && environment.context.now() < attempt.details.deadline;
+        if attempt.has_ended() || is_stale {
             return;
         }
         let server = attempt.details.server;
--- a/crates/testbed/src/simulator/sidecars/connecting.rs
+++ b/crates/testbed/src/simulator/sidecars/connecting.rs
@@ -25,20 +25,20 @@
         let deadline = attempt.details.deadline;
         let delay = attempt.details.delay;
         let machine_type = environment.fleet.machine_type(attempt.details.server);
-        let further_round_trips = (machine_type.handshake_rtts - 1.0).max(0.0);
-        let handshake = scaled_micros(delay, further_round_trips * 2.0);
-        write(key, environment);
+        let extra_round_trips = (machine_type.handshake_rtts - 1.0).max(0.0);
+        let handshake = scaled_micros(delay, extra_round_trips * 2.0);
+        write_request(key, environment);
         let timeout = SimulatorEvent::AttemptTimeout(self.index, key);
         environment.context.schedule_at(deadline, timeout);
-        let arrives = SimulatorEvent::AttemptAtServer(key);
+        let arrival = SimulatorEvent::AttemptAtServer(key);
         environment
             .context
-            .schedule_after(delay + handshake, arrives);
+            .schedule_after(delay + handshake, arrival);
     }
 }
 
 /// Schedules what follows as an attempt starts: the opening of its connection, or its arrival.
-pub(super) fn schedule(key: AttemptKey, environment: &mut Environment<'_, '_>) {
+pub(super) fn schedule_attempt(key: AttemptKey, environment: &mut Environment<'_, '_>) {
     let Some(attempt) = environment.attempts.get(key) else {
         return;
     };
@@ -52,7 +52,7 @@
         context.schedule_after(delay, SimulatorEvent::ConnectAtServer(key));
         context.schedule_at(deadline.min(connect_deadline), timeout);
     } else {
-        write(key, environment);
+        write_request(key, environment);
         let context = &mut *environment.context;
         context.schedule_after(delay, SimulatorEvent::AttemptAtServer(key));
         context.schedule_at(deadline, timeout);
@@ -60,7 +60,7 @@
 }
 
 /// Writes an attempt's request to its connection.
-fn write(key: AttemptKey, environment: &mut Environment<'_, '_>) {
+fn write_request(key: AttemptKey, environment: &mut Environment<'_, '_>) {
     let Some(attempt) = environment.attempts.get_mut(key) else {
         return;
     };
@@ -88,13 +88,13 @@
     let server = attempt.details.server;
     environment.fleet.close_connection(server, server_start);
     if attempt.is_written() {
-        let noticed = SimulatorEvent::CancellationAtServer(Cancellation {
+        let cancellation = SimulatorEvent::CancellationAtServer(Cancellation {
             server,
             server_start,
             job: attempt.job(),
         });
         environment
             .context
-            .schedule_after(attempt.details.delay, noticed);
+            .schedule_after(attempt.details.delay, cancellation);
     }
 }
--- a/crates/testbed/src/simulator/sidecars/connections.rs
+++ b/crates/testbed/src/simulator/sidecars/connections.rs
@@ -13,7 +13,7 @@
 use crate::simulator::fleet::Fleet;
 
 /// Share of the servers' idle timeout after which a sidecar no longer uses a connection.
-const REUSE_SHARE: f64 = 0.75;
+const REUSE_TIMEOUT_SHARE: f64 = 0.75;
 
 /// A connection that carries nothing.
 #[derive(Clone, Copy)]
@@ -76,7 +76,7 @@
     ) -> Option<u32> {
         let open_start = environment.fleet.open_start(server);
         let connection = self.connections.take(server, open_start)?;
-        if connection.idle_since + reuse_time(environment.context) > environment.context.now() {
+        if connection.idle_since + reuse_timeout(environment.context) > environment.context.now() {
             return Some(connection.server_start);
         }
         environment
@@ -106,7 +106,7 @@
 
     /// Closes connections that have been idle for too long.
     pub(super) fn close_idle_connections(&mut self, fleet: &mut Fleet, context: &Context<'_>) {
-        let Some(before) = context.now().checked_sub(reuse_time(context)) else {
+        let Some(before) = context.now().checked_sub(reuse_timeout(context)) else {
             return;
         };
         self.connections
@@ -117,7 +117,7 @@
 }
 
 /// How long a sidecar uses an idle connection, in microseconds.
-fn reuse_time(context: &Context<'_>) -> Micros {
+fn reuse_timeout(context: &Context<'_>) -> Micros {
     let idle_timeout = from_s(context.scenario().permissions.idle_timeout_s);
-    scaled_micros(idle_timeout, REUSE_SHARE)
+    scaled_micros(idle_timeout, REUSE_TIMEOUT_SHARE)
 }
--- a/crates/testbed/src/simulator/sidecars/endpoints.rs
+++ b/crates/testbed/src/simulator/sidecars/endpoints.rs
@@ -27,16 +27,16 @@
 impl CachedEndpoints {
     /// The list as discovery holds it now.
     pub(super) fn new(discovery: &Discovery) -> Self {
-        let present = discovery.present_endpoints();
+        let current = discovery.current_endpoints();
         Self {
             version: discovery.version(),
-            endpoints: present
+            endpoints: current
                 .map(|endpoint| (endpoint.server, endpoint))
                 .collect(),
         }
     }
 
-    fn on_listed(&mut self, endpoint: ListedEndpoint) {
+    fn apply(&mut self, endpoint: ListedEndpoint) {
         if endpoint.status == ListedStatus::Gone {
             self.endpoints.remove(&endpoint.server);
         } else {
@@ -49,9 +49,9 @@
 pub(super) struct Subscription {
     cached: CachedEndpoints,
     /// Whether it watches the list.
-    watches: bool,
+    is_watching: bool,
     /// Polls of the list so far: only the last one's result counts.
-    polls: u32,
+    poll_count: u32,
 }
 
 impl Subscription {
@@ -59,33 +59,33 @@
     pub(super) fn new(cached: CachedEndpoints) -> Self {
         Self {
             cached,
-            watches: false,
-            polls: 0,
+            is_watching: false,
+            poll_count: 0,
         }
     }
 
     /// It no longer watches the list.
     pub(super) fn on_watch_ended(&mut self) {
-        self.watches = false;
+        self.is_watching = false;
     }
 
     /// Ends the watch, and gives the poll's number.
     fn on_poll_started(&mut self) -> u32 {
-        self.watches = false;
-        self.polls += 1;
-        self.polls
+        self.is_watching = false;
+        self.poll_count += 1;
+        self.poll_count
     }
 }
 
 impl Sidecar {
     /// Whether it watches the list.
     pub(super) fn is_watching(&self) -> bool {
-        self.subscription.watches
+        self.subscription.is_watching
     }
 
     /// Whether it still waits for the result of a poll, or the end of the watch that followed.
     pub(super) fn awaits_poll(&self, poll: EndpointPoll) -> bool {
-        self.is_running(poll.process) && self.subscription.polls == poll.number
+        self.is_running(poll.process) && self.subscription.poll_count == poll.number
     }
 
     /// Polls the list, and watches it from then on.
@@ -106,29 +106,29 @@
         if failed || !environment.discovery.is_up() {
             self.on_endpoints_lost(environment);
         } else {
-            self.subscription.watches = true;
-            self.take_changes(environment);
+            self.subscription.is_watching = true;
+            self.apply_changes(environment);
         }
     }
 
     /// A change has reached its watch.
     pub(super) fn on_watch_notification(&mut self, environment: &mut Environment<'_, '_>) {
         let discovery = &*environment.discovery;
-        let is_news = self.subscription.cached.version < discovery.version();
-        if self.subscription.watches && discovery.is_up() && is_news {
-            self.take_changes(environment);
+        let has_changes = self.subscription.cached.version < discovery.version();
+        if self.subscription.is_watching && discovery.is_up() && has_changes {
+            self.apply_changes(environment);
         }
     }
 
     /// Discovery ends its watch, which it notices after a span.
-    pub(super) fn end_watch(&mut self, noticed_after: Micros, context: &mut Context<'_>) {
-        if std::mem::take(&mut self.subscription.watches) {
+    pub(super) fn end_watch(&mut self, notice_delay: Micros, context: &mut Context<'_>) {
+        if std::mem::take(&mut self.subscription.is_watching) {
             let poll = EndpointPoll {
                 process: self.process(),
-                number: self.subscription.polls,
+                number: self.subscription.poll_count,
             };
             let result = PollResult { poll, failed: true };
-            context.schedule_after(noticed_after, SimulatorEvent::PollResult(result));
+            context.schedule_after(notice_delay, SimulatorEvent::PollResult(result));
         }
     }
 
@@ -141,7 +141,7 @@
     }
 
     /// Takes over what has changed since its list, which may be nothing.
-    fn take_changes(&mut self, environment: &mut Environment<'_, '_>) {
+    fn apply_changes(&mut self, environment: &mut Environment<'_, '_>) {
         let discovery = &*environment.discovery;
         let version = discovery.version();
         let changes = discovery.changes_since(self.subscription.cached.version);
@@ -175,7 +175,7 @@
                 status: endpoint.status,
                 incarnation: endpoint.incarnation,
             });
-            self.subscription.cached.on_listed(endpoint);
+            self.subscription.cached.apply(endpoint);
             endpoints.push(balancer_endpoint(endpoint, environment.fleet, scenario));
         }
         self.subscription.cached.version = version;
--- a/crates/testbed/src/simulator/sidecars/environment.rs
+++ b/crates/testbed/src/simulator/sidecars/environment.rs
@@ -31,11 +31,11 @@
         &mut self,
         details: &mut AttemptDetails,
         class: ClassIndex,
-        server_is_known: bool,
+        server_exists: bool,
     ) {
         let sidecar = details.sidecar;
         // The delay is drawn before the work: the order is part of what a seed means.
-        if server_is_known {
+        if server_exists {
             details.delay = self.draw_delay(sidecar, details.server);
         }
         let scenario = self.context.scenario();
--- a/crates/testbed/src/simulator/sidecars/health_checks.rs
+++ b/crates/testbed/src/simulator/sidecars/health_checks.rs
@@ -10,7 +10,7 @@
 use crate::simulator::event::{HealthCheck, HealthCheckResult, SimulatorEvent};
 
 /// One-way delays until a health check on a new connection has arrived.
-const DELAYS_OF_NEW_CONNECTION: Micros = 3;
+const NEW_CONNECTION_ONE_WAY_DELAYS: Micros = 3;
 
 impl Sidecar {
     /// Sends a health check, on a kept connection where there is one.
@@ -26,7 +26,7 @@
         let delay = environment.draw_delay(self.index, server);
         let new_connection = self.reuse_connection(server, environment).is_none();
         let arrives_after = if new_connection {
-            DELAYS_OF_NEW_CONNECTION * delay
+            NEW_CONNECTION_ONE_WAY_DELAYS * delay
         } else {
             delay
         };
--- a/crates/testbed/src/simulator/sidecars/host.rs
+++ b/crates/testbed/src/simulator/sidecars/host.rs
@@ -33,7 +33,7 @@
             let mut actions = std::mem::take(&mut self.actions);
             balancer.handle(now, event, &mut actions);
             for action in actions.drain(..) {
-                self.execute(action, &mut events, environment);
+                self.execute_action(action, &mut events, environment);
             }
             self.actions = actions;
         }
@@ -51,7 +51,7 @@
     }
 
     /// Carries out an action; what the balancer is to learn of it is added to `events`.
-    fn execute(
+    fn execute_action(
         &mut self,
         action: Action,
         events: &mut VecDeque<BalancerEvent>,
@@ -64,18 +64,26 @@
                 timeout,
             } => {
                 let server = ServerIndex::new(server.0);
-                self.send_attempt(number(request), server, timeout, events, environment);
+                self.send_attempt(
+                    request_number(request),
+                    server,
+                    timeout,
+                    events,
+                    environment,
+                );
             }
             Action::Cancel { request, attempt } => {
-                if let Some(key) = self.attempt_of(number(request), attempt) {
+                if let Some(key) = self.attempt_key(request_number(request), attempt) {
                     self.cancel_attempt(key, events, environment);
                 }
             }
             Action::Reject {
                 request,
                 retry_after,
-            } => self.reject_request(number(request), retry_after, events, environment),
-            Action::Fail { request } => self.fail_request(number(request), events, environment),
+            } => self.reject_request(request_number(request), retry_after, events, environment),
+            Action::Fail { request } => {
+                self.fail_request(request_number(request), events, environment);
+            }
             Action::SetTimer { token, after } => self.set_timer(token, after, environment),
             Action::HealthCheck { server } => {
                 self.send_health_check(ServerIndex::new(server.0), environment);
@@ -127,6 +135,6 @@
 }
 
 /// The number of a request as the balancer names it.
-fn number(request: RequestId) -> RequestNumber {
+fn request_number(request: RequestId) -> RequestNumber {
     RequestNumber::new(request.0)
 }
--- a/crates/testbed/src/simulator/sidecars/mod.rs
+++ b/crates/testbed/src/simulator/sidecars/mod.rs
@@ -56,7 +56,7 @@
     }
 
     /// One sidecar, to be told what has reached it.
-    pub(super) fn at(&mut self, sidecar: SidecarIndex) -> &mut Sidecar {
+    pub(super) fn get_mut(&mut self, sidecar: SidecarIndex) -> &mut Sidecar {
         &mut self.sidecars[sidecar.index()]
     }
 
@@ -79,15 +79,15 @@
     }
 
     /// The processes that watch the endpoint list.
-    pub(super) fn watching(&self) -> impl Iterator<Item = SidecarProcess> {
+    pub(super) fn watching_processes(&self) -> impl Iterator<Item = SidecarProcess> {
         let watching = self.sidecars.iter().filter(|sidecar| sidecar.is_watching());
         watching.map(Sidecar::process)
     }
 
     /// All watches of the endpoint list end, which sidecars notice after a span.
-    pub(super) fn end_watches(&mut self, noticed_after: Micros, context: &mut Context<'_>) {
+    pub(super) fn end_watches(&mut self, notice_delay: Micros, context: &mut Context<'_>) {
         for sidecar in &mut self.sidecars {
-            sidecar.end_watch(noticed_after, context);
+            sidecar.end_watch(notice_delay, context);
         }
     }
 
@@ -104,7 +104,7 @@
         timer: &BalancerTimer,
         environment: &mut Environment<'_, '_>,
     ) {
-        let sidecar = self.at(timer.process.sidecar);
+        let sidecar = self.get_mut(timer.process.sidecar);
         if sidecar.is_current(timer.process) {
             sidecar.on_balancer_timer(timer.token, environment);
         }
@@ -116,7 +116,7 @@
         result: &HealthCheckResult,
         environment: &mut Environment<'_, '_>,
     ) {
-        let sidecar = self.at(result.process.sidecar);
+        let sidecar = self.get_mut(result.process.sidecar);
         if sidecar.is_current(result.process) {
             sidecar.on_health_check_result(result, environment);
         }
@@ -128,7 +128,7 @@
         result: &PollResult,
         environment: &mut Environment<'_, '_>,
     ) {
-        let sidecar = self.at(result.poll.process.sidecar);
+        let sidecar = self.get_mut(result.poll.process.sidecar);
         if sidecar.awaits_poll(result.poll) {
             sidecar.on_poll_result(result.failed, environment);
         }
@@ -140,7 +140,7 @@
         process: SidecarProcess,
         environment: &mut Environment<'_, '_>,
     ) {
-        let sidecar = self.at(process.sidecar);
+        let sidecar = self.get_mut(process.sidecar);
         if sidecar.is_current(process) {
             sidecar.on_watch_notification(environment);
         }
@@ -152,7 +152,7 @@
         restart: &SidecarRestart,
         environment: &mut Environment<'_, '_>,
     ) {
-        let sidecar = self.at(restart.sidecar);
+        let sidecar = self.get_mut(restart.sidecar);
         if sidecar.is_up() {
             sidecar.on_restart(restart, environment);
         }
--- a/crates/testbed/src/simulator/sidecars/requests.rs
+++ b/crates/testbed/src/simulator/sidecars/requests.rs
@@ -26,7 +26,7 @@
 
 impl OpenRequest {
     /// Its sidecar's process is gone, and all connections with it.
-    pub(super) fn on_process_lost(self, environment: &mut Environment<'_, '_>) {
+    pub(super) fn on_process_killed(self, environment: &mut Environment<'_, '_>) {
         for attempt in self.attempts {
             close_connection(attempt, environment);
         }
@@ -123,7 +123,7 @@
     }
 
     /// The attempt of an open request by its index.
-    pub(super) fn attempt_of(&self, number: RequestNumber, index: u32) -> Option<AttemptKey> {
+    pub(super) fn attempt_key(&self, number: RequestNumber, index: u32) -> Option<AttemptKey> {
         let open = self.open_requests.get(&number)?;
         open.attempts.get(index as usize).copied()
     }
--- a/crates/testbed/src/simulator/sidecars/settings.rs
+++ b/crates/testbed/src/simulator/sidecars/settings.rs
@@ -90,19 +90,19 @@
 fn slow_start_settings(scenario: &Scenario) -> SlowStartSettings {
     let machine_types = &scenario.machine_type;
     SlowStartSettings {
-        initial_capacity: least_cold_capacity_share(machine_types),
-        duration: longest_slow_start(machine_types),
+        initial_capacity: min_cold_capacity_share(machine_types),
+        duration: max_slow_start(machine_types),
         overload_factor: scenario.rules.cold_overload_factor,
         overload_window: from_ms(scenario.rules.cold_overload_window_ms),
     }
 }
 
-fn least_cold_capacity_share(machine_types: &[MachineType]) -> f64 {
+fn min_cold_capacity_share(machine_types: &[MachineType]) -> f64 {
     let shares = machine_types.iter().map(|t| t.cold_capacity_share);
     shares.fold(1.0, f64::min)
 }
 
-fn longest_slow_start(machine_types: &[MachineType]) -> Micros {
+fn max_slow_start(machine_types: &[MachineType]) -> Micros {
     let seconds = machine_types.iter().map(|t| t.slow_start_s);
     from_s(seconds.fold(0.0, f64::max))
 }
--- a/crates/testbed/src/simulator/sidecars/sidecar.rs
+++ b/crates/testbed/src/simulator/sidecars/sidecar.rs
@@ -117,7 +117,7 @@
         }
         let open_requests = std::mem::take(&mut self.open_requests);
         for request in open_requests.into_values() {
-            request.on_process_lost(environment);
+            request.on_process_killed(environment);
         }
         let up = SimulatorEvent::SidecarUp(self.index);
         environment.context.schedule_after(down_time, up);
