--- a/crates/testbed/src/simulator/discovery/endpoint_list.rs
+++ b/crates/testbed/src/simulator/discovery/endpoint_list.rs
@@ -1,6 +1,6 @@
-//! The endpoint list as discovery holds it: entries with the versions at which they changed.
+//! The endpoint list of the discovery service: entries with the versions at which they changed.
 //!
-//! Owns no time: when a change is noticed, and who learns of it, is `discovery`'s.
+//! When a change is noticed, and which sidecars are notified, is decided in `discovery`.
 
 use std::collections::BTreeMap;
 
@@ -8,31 +8,32 @@
 use crate::index::ServerIndex;
 use crate::scenario::Micros;
 
-/// An entry of the list, as it is noticed by discovery and given to sidecars.
+/// The state of a server that discovery lists and sends to sidecars.
 #[derive(Clone, Copy)]
 pub(in crate::simulator) struct ListedEndpoint {
     pub(in crate::simulator) server: ServerIndex,
     pub(in crate::simulator) status: ListedStatus,
-    /// Start of the server's process; 0 where it was there before the run.
+    /// When the server's process started, in microseconds; 0 if it started before the run.
     pub(in crate::simulator) incarnation: Micros,
 }
 
-/// One server in the list.
+/// An entry of the list.
 #[derive(Clone, Copy)]
 struct ListEntry {
     endpoint: ListedEndpoint,
-    /// The list's version at which the entry changed last.
+    /// The version of the list in which the entry last changed.
     version: u64,
 }
 
-/// All servers that were ever listed, with those that are gone.
+/// All servers that were ever listed, including those that are gone.
 pub(super) struct EndpointList {
     version: u64,
     entries: BTreeMap<ServerIndex, ListEntry>,
 }
 
 impl EndpointList {
-    /// The first version, of servers that were there before the run.
+    /// Creates version 1 of the list, with the initial servers and the start times of their
+    /// processes.
     pub(super) fn new(servers: impl Iterator<Item = (ServerIndex, Micros)>) -> Self {
         let mut list = Self {
             version: 1,
@@ -48,12 +49,12 @@
         list
     }
 
-    /// The list's version, which each change raises by one.
+    /// Returns the version, which each change increments.
     pub(super) fn version(&self) -> u64 {
         self.version
     }
 
-    /// Lists a server anew, as a further version.
+    /// Adds or replaces a server's entry in a new version of the list.
     pub(super) fn update(&mut self, endpoint: ListedEndpoint) {
         self.version += 1;
         self.set_entry(endpoint);
@@ -65,13 +66,13 @@
         self.entries.insert(endpoint.server, entry);
     }
 
-    /// The servers that are not gone, in the order of their numbers.
+    /// Returns the servers that are not gone, ordered by index.
     pub(super) fn current(&self) -> impl Iterator<Item = ListedEndpoint> {
         let endpoints = self.entries.values().map(|entry| entry.endpoint);
         endpoints.filter(|endpoint| endpoint.status != ListedStatus::Gone)
     }
 
-    /// What has changed since a version, in the order of the servers' numbers.
+    /// Returns the entries that changed after a version, ordered by server index.
     pub(super) fn changes_since(&self, version: u64) -> Vec<ListedEndpoint> {
         let changed = self.entries.values().filter(|e| e.version > version);
         changed.map(|entry| entry.endpoint).collect()
--- a/crates/testbed/src/simulator/discovery/mod.rs
+++ b/crates/testbed/src/simulator/discovery/mod.rs
@@ -1,8 +1,8 @@
-//! The simulator's discovery: it learns late of what happens to servers, and sidecars poll and
-//! watch its list.
+//! The simulator's discovery service, which notices changes of servers with a delay and whose
+//! endpoint list sidecars poll and watch.
 //!
-//! Owns the list (`endpoint_list`), whether it answers, and the polls that wait. What a sidecar
-//! knows of the list, and which poll it still waits for, is `sidecars`'.
+//! Owns the list (`endpoint_list`), the availability of the service and its queue of polls. A
+//! sidecar's copy of the list, and the poll that it waits for, belong to `sidecars`.
 
 mod endpoint_list;
 
@@ -18,39 +18,39 @@
 
 pub(super) use endpoint_list::ListedEndpoint;
 
-/// A poll without a response is given up after this, in microseconds.
+/// Timeout of a poll without a response, in microseconds.
 const POLL_TIMEOUT: Micros = 5_000_000;
-/// A refused poll is back after this, in microseconds.
+/// Delay until a sidecar learns that its poll was refused, in microseconds.
 const REFUSAL_DELAY: Micros = 2_000;
-/// A watch that says nothing is given up after this, in microseconds.
+/// Delay until a sidecar gives up a silent watch, in microseconds.
 const WATCH_TIMEOUT: Micros = 3_000_000;
-/// The end of a watch that discovery closes is noticed after this, in microseconds.
+/// Delay until a sidecar notices that discovery has closed its watch, in microseconds.
 const WATCH_CLOSE_DELAY: Micros = 1_000;
-/// Microseconds of a second, in which polls are counted against the capacity.
+/// Microseconds per second; the capacity is a number of polls per second.
 const MICROS_PER_S: f64 = 1e6;
 
-/// Whether discovery answers.
+/// Availability of the discovery service.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Availability {
     Up,
-    /// It refuses polls and ends watches.
+    /// Refuses polls and closes watches.
     Down,
-    /// It says nothing and keeps connections open.
+    /// Sends nothing and keeps connections open.
     Silent,
 }
 
-/// The service that lists servers.
+/// The discovery service.
 pub(super) struct Discovery {
     list: EndpointList,
     availability: Availability,
-    /// When the polls that wait will have been served.
+    /// When all queued polls will have been served.
     busy_until: Micros,
-    /// Draws how long a change takes to reach each watch.
+    /// Random stream of the delays until changes reach the watching sidecars.
     random: RandomStream,
 }
 
 impl Discovery {
-    /// Discovery that lists the servers which were there before the run, with the starts of their
+    /// Creates a discovery service that lists the initial servers with the start times of their
     /// processes.
     pub(super) fn new(
         scenario: &Scenario,
@@ -64,29 +64,29 @@
         }
     }
 
-    /// The servers that are listed and not gone, in the order of their numbers.
+    /// Returns the listed servers that are not gone, ordered by index.
     pub(super) fn current_endpoints(&self) -> impl Iterator<Item = ListedEndpoint> {
         self.list.current()
     }
 
-    /// What the list says anew since a version, in the order of the servers' numbers.
+    /// Returns the entries that changed after a version of the list, ordered by server index.
     pub(super) fn changes_since(&self, version: u64) -> Vec<ListedEndpoint> {
         self.list.changes_since(version)
     }
 
-    /// The list's version.
+    /// Returns the list's version.
     pub(super) fn version(&self) -> u64 {
         self.list.version()
     }
 
-    /// Whether polls are answered and watches learn of changes.
+    /// Whether the service answers polls and notifies watches.
     pub(super) fn is_up(&self) -> bool {
         self.availability == Availability::Up
     }
 
-    /// A change of a server that started last at `started_at` is noticed, and those who watch the
-    /// list learn of it. It says nothing new where the server has started since: a death that is
-    /// noticed after the return is none, and what came back is not listed as it was before.
+    /// Handles a change of a server that discovery notices, and notifies the watching processes.
+    /// The change is ignored if the server has started again since, at `started_at`: a removal
+    /// noticed after the restart is obsolete, and so is any other state of the earlier process.
     pub(super) fn on_list_change(
         &mut self,
         endpoint: ListedEndpoint,
@@ -115,7 +115,8 @@
         }
     }
 
-    /// A sidecar polls: schedules when it has the answer, or notices that there is none.
+    /// Handles a sidecar's poll: schedules its answer, or the time at which the sidecar notices
+    /// that it failed.
     pub(super) fn on_poll(&mut self, poll: EndpointPoll, context: &mut Context<'_>) {
         let now = context.now();
         let (at, failed) = match self.availability {
@@ -126,7 +127,8 @@
         context.schedule_at(at, SimulatorEvent::PollResult(PollResult { poll, failed }));
     }
 
-    /// When a poll that queues behind the others is served, or given up; true where it is given up.
+    /// Queues a poll behind the others. Returns when it ends, and whether it fails because the wait
+    /// would exceed the timeout.
     fn queue_poll(&mut self, now: Micros, settings: &scenario::Discovery) -> (Micros, bool) {
         let start = self.busy_until.max(now);
         let timeout = from_ms(settings.timeout_ms);
@@ -137,8 +139,8 @@
         (self.busy_until, false)
     }
 
-    /// Discovery goes down or silent, or comes back. Gives back after which time sidecars notice that
-    /// their watches have ended, in microseconds; nothing where these go on.
+    /// Changes the availability. Returns the delay in microseconds after which sidecars notice that
+    /// their watches have ended, or `None` if the watches stay open.
     pub(super) fn on_availability_changed(
         &mut self,
         availability: Availability,
--- a/crates/testbed/src/simulator/discovery/tests.rs
+++ b/crates/testbed/src/simulator/discovery/tests.rs
@@ -1,4 +1,4 @@
-//! Discovery alone: what it lists and when, whom it tells, and how polls end.
+//! Tests of the endpoint list, of the notifications of its changes, and of the results of polls.
 
 use super::{Availability, Discovery, ListedEndpoint};
 use crate::event_log::{ListedStatus, LogRecord};
@@ -8,7 +8,7 @@
 use crate::simulator::event::{EndpointPoll, PollResult, SimulatorEvent};
 use crate::simulator::process::SidecarProcess;
 
-/// Long after everything that a test schedules.
+/// Later than every event that a test schedules.
 const END: Micros = 60_000_000;
 const SERVER: ServerIndex = ServerIndex::new(0);
 
@@ -24,7 +24,7 @@
     }
 }
 
-/// Discovery that lists one server, which was there before the run.
+/// A discovery service that lists one server, which started before the run.
 fn discovery_of_one_server(scenario: &Scenario) -> Discovery {
     Discovery::new(scenario, [(SERVER, 0)].into_iter())
 }
@@ -44,7 +44,7 @@
     }
 }
 
-/// Polls for one sidecar after the other, and gives when each is over and whether it failed.
+/// Polls once for each of `count` sidecars and returns when each poll ended and whether it failed.
 fn poll_from_each_sidecar(
     discovery: &mut Discovery,
     scenario: &Scenario,
@@ -62,7 +62,7 @@
     let mut ends = Vec::new();
     while let Some(event) = context.next_event(END) {
         let SimulatorEvent::PollResult(PollResult { failed, .. }) = event else {
-            panic!("only polls end");
+            panic!("expected only poll results");
         };
         ends.push((context.now(), failed));
     }
@@ -88,9 +88,9 @@
     let mut notified = Vec::new();
     while let Some(event) = context.next_event(END) {
         let SimulatorEvent::WatchNotification(process) = event else {
-            panic!("only watches are notified");
+            panic!("expected only watch notifications");
         };
-        assert!(context.now() < 300_000, "within the spread");
+        assert!(context.now() < 300_000, "the delay exceeds spread_ms");
         notified.push(process.sidecar.value());
     }
     notified.sort_unstable();
@@ -135,7 +135,7 @@
 
     let ends = poll_from_each_sidecar(&mut discovery, &scenario, 4);
 
-    // Four a second: the third would begin at 500 ms, which is beyond the 400 that a poll waits.
+    // At four polls a second, the third would begin at 500 ms, after the 400 ms that a poll waits.
     let expected = [
         (250_000, false),
         (400_000, true),
--- a/crates/testbed/src/simulator/network.rs
+++ b/crates/testbed/src/simulator/network.rs
@@ -1,26 +1,26 @@
-//! The network between sidecars and servers: how long a way takes, and what is drawn on it.
+//! The network between sidecars and servers: random delays, and the noise of attempts' work.
 //!
-//! Owns each sidecar's zone and its random stream. What travels, and what happens at either end, is
-//! the sidecars' and the fleet's.
+//! Owns each sidecar's zone and its random stream. Messages and their effects are handled by
+//! `sidecars` and `fleet`.
 
 use crate::index::{ClassIndex, SidecarIndex};
 use crate::random::{RandomStream, StreamId};
 use crate::scenario::{Micros, Scenario, from_ms};
 
-/// A sidecar's place in the network.
+/// A sidecar's position in the network.
 struct SidecarNode {
     zone: u32,
-    /// Draws delays, and the noise of attempts.
+    /// Random stream of delays and of the noise of attempts' work.
     random: RandomStream,
 }
 
-/// The ways from each sidecar to the servers.
+/// The network paths from each sidecar to the servers.
 pub(super) struct Network {
     sidecars: Vec<SidecarNode>,
 }
 
 impl Network {
-    /// The network of a scenario's sidecars.
+    /// Creates the network of a scenario's sidecars.
     pub(super) fn new(scenario: &Scenario) -> Self {
         let node = |sidecar: SidecarIndex| SidecarNode {
             zone: scenario.sidecar_zone(sidecar),
@@ -33,13 +33,13 @@
         }
     }
 
-    /// Whether the way from a sidecar to a server in this zone leads out of the sidecar's zone.
+    /// Whether a server in this zone is outside the sidecar's zone.
     pub(super) fn is_cross_zone(&self, sidecar: SidecarIndex, server_zone: u32) -> bool {
         self.sidecars[sidecar.index()].zone != server_zone
     }
 
-    /// One way between a sidecar and a server in this zone in microseconds, drawn by the sidecar's
-    /// stream.
+    /// Draws a one-way delay in microseconds between a sidecar and a server in this zone from the
+    /// sidecar's random stream.
     pub(super) fn draw_delay(
         &mut self,
         sidecar: SidecarIndex,
@@ -56,8 +56,8 @@
         from_ms(base_ms * (1.0 + network.jitter * random.unit()))
     }
 
-    /// Work of one attempt, which differs from the request's by its class's noise; in microseconds
-    /// of a standard core.
+    /// Draws the work of one attempt, which varies around the request's work by the noise of its
+    /// class, in microseconds of a standard core.
     pub(super) fn draw_attempt_work(
         &mut self,
         sidecar: SidecarIndex,
--- a/crates/testbed/src/simulator/network/tests.rs
+++ b/crates/testbed/src/simulator/network/tests.rs
@@ -1,4 +1,4 @@
-//! The network alone: delays by zone, and the noise of attempts.
+//! Tests of delays by zone and of the noise of attempts' work.
 
 use super::Network;
 use crate::index::{ClassIndex, SidecarIndex};
@@ -6,7 +6,7 @@
 
 const CLASS: ClassIndex = ClassIndex::new(0);
 
-/// Two zones with a sidecar in each, and a class whose work differs by `noise`.
+/// A scenario of two zones with a sidecar in each, and a class whose work varies by `noise`.
 fn scenario(jitter: f64, noise: f64) -> Scenario {
     let class = Class {
         noise,
