--- a/crates/testbed/src/simulator/attempts.rs
+++ b/crates/testbed/src/simulator/attempts.rs
@@ -1,8 +1,7 @@
-//! Attempts under way between sidecars and servers.
+//! Attempts in flight between sidecars and servers.
 //!
-//! Owns the attempts' records and their numbers. A sidecar opens, writes and ends an attempt, the
-//! server that it reaches notes what becomes of it; each says so by a method, and a record is
-//! removed by whoever learns last that the attempt is over.
+//! Owns the attempts' records and assigns their job numbers. The sidecar and the server update a
+//! record through its methods; whichever of them learns last that the attempt is over removes it.
 
 use slotmap::{SlotMap, new_key_type};
 
@@ -10,121 +9,124 @@
 use crate::scenario::Micros;
 
 new_key_type! {
-    /// Names an attempt; one that is removed is no longer found.
+    /// Key of an attempt, which finds nothing once the attempt is removed.
     pub(super) struct AttemptKey;
 }
 
-/// What an attempt is from its start on.
+/// The properties of an attempt, which are fixed when it starts.
 pub(super) struct AttemptDetails {
     pub(super) request: RequestNumber,
-    /// Counts the request's attempts from 0.
+    /// Index among the request's attempts, from 0.
     pub(super) index: u32,
     pub(super) sidecar: SidecarIndex,
     pub(super) server: ServerIndex,
     pub(super) sent_at: Micros,
-    /// When its sidecar gives up.
+    /// When the sidecar stops waiting for its result.
     pub(super) deadline: Micros,
     /// Work in microseconds of a standard core.
     pub(super) work: f64,
-    /// One way to the server, in microseconds.
+    /// One-way network delay to the server, in microseconds.
     pub(super) delay: Micros,
 }
 
-/// One attempt of a sidecar at a server.
+/// An attempt of a sidecar to have a server process a request.
 pub(super) struct Attempt {
     pub(super) details: AttemptDetails,
-    /// Its number at the server's model.
+    /// Job number in the server model.
     job: u64,
-    /// Its connection, by the server's start that this belongs to.
+    /// Start number of the server process that the connection belongs to; absent without a
+    /// connection.
     connection: Option<u32>,
-    /// Whether it opens a connection of its own.
+    /// Whether the attempt opens a new connection.
     new_connection: bool,
-    /// Its last byte is written.
+    /// Whether the sidecar has written all of it to a connection.
     written: bool,
-    /// Its sidecar knows how it ended.
+    /// Whether the sidecar knows how it ended.
     ended: bool,
-    /// Its connection will be reset before the response.
+    /// Whether the server will reset the connection before the response.
     reset_pending: bool,
-    /// Requests in flight that its response reports.
+    /// Number of requests in flight that the response reports.
     reported_in_flight: Option<usize>,
 }
 
 impl Attempt {
-    /// Its number at the server's model.
+    /// Returns the job number in the server model.
     pub(super) fn job(&self) -> u64 {
         self.job
     }
 
-    /// The server's start that its connection belongs to; absent while it has none.
+    /// Returns the start number of the server process that the connection belongs to, or `None`
+    /// without a connection.
     pub(super) fn connection(&self) -> Option<u32> {
         self.connection
     }
 
-    /// Whether it opens a connection of its own.
+    /// Whether it opens a new connection rather than reusing an idle one.
     pub(super) fn opens_connection(&self) -> bool {
         self.new_connection
     }
 
-    /// Whether its last byte is written.
+    /// Whether the sidecar has written all of it to a connection.
     pub(super) fn is_written(&self) -> bool {
         self.written
     }
 
-    /// Whether its sidecar knows how it ended.
+    /// Whether the sidecar knows how it ended.
     pub(super) fn has_ended(&self) -> bool {
         self.ended
     }
 
-    /// Whether its connection will be reset before the response.
+    /// Whether the server will reset the connection before the response.
     pub(super) fn is_reset_pending(&self) -> bool {
         self.reset_pending
     }
 
-    /// Requests in flight that its response reports.
+    /// Returns the number of requests in flight that the response reports.
     pub(super) fn reported_in_flight(&self) -> Option<usize> {
         self.reported_in_flight
     }
 
-    /// The server has accepted its connection, in the start of this number.
+    /// Records that the server process with this start number has accepted the connection.
     pub(super) fn on_connected(&mut self, server_start: u32) {
         self.connection = Some(server_start);
     }
 
-    /// Its last byte is written.
+    /// Records that the sidecar has written all of it.
     pub(super) fn on_written(&mut self) {
         self.written = true;
     }
 
-    /// The server has all of it, and may reset its connection before the response.
+    /// Records that the server has received all of it, and whether the server will reset the
+    /// connection before the response.
     pub(super) fn on_received(&mut self, reset_pending: bool) {
         self.reset_pending = reset_pending;
     }
 
-    /// The server has done its work; the response reports so many requests in flight.
+    /// Records that the server has completed the work, and the number of requests in flight that
+    /// the response reports.
     pub(super) fn on_work_done(&mut self, reported_in_flight: Option<usize>) {
         self.reported_in_flight = reported_in_flight;
     }
 
-    /// It no longer has its connection, which is given back to be closed or kept.
+    /// Takes the connection out of the attempt for the caller to close or to keep for reuse.
     pub(super) fn take_connection(&mut self) -> Option<u32> {
         self.connection.take()
     }
 
-    /// Its sidecar knows how it ended.
+    /// Records that the sidecar knows how it ended.
     pub(super) fn on_ended(&mut self) {
         self.ended = true;
     }
 }
 
-/// All attempts that either end still knows of.
+/// All attempts that the sidecar or the server still refers to.
 pub(super) struct Attempts {
     open: SlotMap<AttemptKey, Attempt>,
-    /// The next number of an attempt at a server's model.
+    /// The next job number.
     next_job: u64,
 }
 
 impl Attempts {
-    /// Nothing is under way yet.
     pub(super) fn new() -> Self {
         Self {
             open: SlotMap::with_key(),
@@ -132,7 +134,8 @@
         }
     }
 
-    /// An attempt starts, on a connection that its sidecar has kept or on a new one.
+    /// Starts an attempt on `reused_connection`, or without a connection if the sidecar must open
+    /// a new one.
     pub(super) fn start(
         &mut self,
         details: AttemptDetails,
@@ -152,22 +155,22 @@
         })
     }
 
-    /// An attempt that is not removed.
+    /// Returns an attempt, unless it was removed.
     pub(super) fn get(&self, key: AttemptKey) -> Option<&Attempt> {
         self.open.get(key)
     }
 
-    /// An attempt that is not removed, to be told what happened.
+    /// Returns a mutable reference to an attempt, unless it was removed.
     pub(super) fn get_mut(&mut self, key: AttemptKey) -> Option<&mut Attempt> {
         self.open.get_mut(key)
     }
 
-    /// Forgets an attempt that nothing more will happen to.
+    /// Removes an attempt that no further event concerns.
     pub(super) fn remove(&mut self, key: AttemptKey) {
         self.open.remove(key);
     }
 
-    /// Forgets an attempt whose sidecar knows its end; one that has not ended waits for its timeout.
+    /// Removes an attempt whose end the sidecar knows; any other stays until its timeout.
     pub(super) fn remove_if_ended(&mut self, key: AttemptKey) {
         if self.get(key).is_some_and(Attempt::has_ended) {
             self.remove(key);
--- a/crates/testbed/src/simulator/context.rs
+++ b/crates/testbed/src/simulator/context.rs
@@ -1,13 +1,13 @@
-//! What every component of the simulator works with: the scenario, virtual time and the event log.
+//! What all components of the simulator share: the scenario, virtual time and the event log.
 //!
-//! Owns the timeline and the way to the log. Holds no state of clients, sidecars or servers.
+//! Holds no state of clients, sidecars or servers.
 
 use super::event::SimulatorEvent;
 use super::timeline::Timeline;
 use crate::event_log::{EventLog, LogEvent, LogRecord};
 use crate::scenario::{Micros, Scenario};
 
-/// The scenario that is simulated, the timeline and the event log.
+/// The simulated scenario, the timeline and the event log.
 pub(super) struct Context<'a> {
     scenario: &'a Scenario,
     timeline: Timeline,
@@ -15,7 +15,7 @@
 }
 
 impl<'a> Context<'a> {
-    /// The start of a run.
+    /// Creates the context of a run that starts at time 0.
     pub(super) fn new(scenario: &'a Scenario, log: &'a mut dyn EventLog) -> Self {
         Self {
             scenario,
@@ -24,32 +24,33 @@
         }
     }
 
-    /// The scenario, which outlives the run.
+    /// Returns the scenario, which outlives the run.
     pub(super) fn scenario(&self) -> &'a Scenario {
         self.scenario
     }
 
-    /// Microseconds since the start of the run.
+    /// Returns the virtual time in microseconds since the start of the run.
     pub(super) fn now(&self) -> Micros {
         self.timeline.now()
     }
 
-    /// Schedules an event; one whose time has passed comes now, after what is already due.
+    /// Schedules an event. A time in the past counts as the present: the event then follows the
+    /// events that are already scheduled for now.
     pub(super) fn schedule_at(&mut self, at: Micros, event: SimulatorEvent) {
         self.timeline.schedule_at(at, event);
     }
 
-    /// Schedules an event after a delay from now.
+    /// Schedules an event after a delay in microseconds.
     pub(super) fn schedule_after(&mut self, delay: Micros, event: SimulatorEvent) {
         self.timeline.schedule_after(delay, event);
     }
 
-    /// Moves on to the next event that comes until `end`; nothing where there is none.
+    /// Advances the clock to the next event and returns it, or `None` if there is none until `end`.
     pub(super) fn next_event(&mut self, end: Micros) -> Option<SimulatorEvent> {
         self.timeline.next_event(end)
     }
 
-    /// Writes to the event log what happens now.
+    /// Writes an event to the event log with the current virtual time.
     pub(super) fn record(&mut self, event: LogEvent) {
         let at = self.timeline.now();
         self.log.record(&LogRecord { at, event });
--- a/crates/testbed/src/simulator/error.rs
+++ b/crates/testbed/src/simulator/error.rs
@@ -1,11 +1,11 @@
-//! Why a scenario cannot be simulated.
+//! Errors of the simulator.
 
 use arrowstand_balancer::SettingsError;
 
-/// Why a scenario cannot be simulated.
+/// The reason why a scenario cannot be simulated.
 #[derive(Debug, thiserror::Error)]
 pub enum SimulatorError {
-    /// The balancer refuses the settings that the scenario asks for.
+    /// The balancer rejects the settings that the scenario asks for.
     #[error(transparent)]
     Settings(#[from] SettingsError),
 }
--- a/crates/testbed/src/simulator/event.rs
+++ b/crates/testbed/src/simulator/event.rs
@@ -1,7 +1,6 @@
-//! What happens in the simulator at a moment: arrivals, messages that reach their end, timeouts,
-//! faults.
+//! The simulator's events: arrivals, message deliveries, timeouts and faults.
 //!
-//! Only the types; each is handled in the file of whom it reaches.
+//! Defines the types only; the component that an event reaches handles it.
 
 use arrowstand_balancer::Outcome;
 
@@ -17,60 +16,63 @@
 
 /// An event on the timeline.
 pub(super) enum SimulatorEvent {
-    /// A client of this sidecar wants something.
+    /// A client of this sidecar has a new arrival.
     Arrival(SidecarIndex, Arrival),
-    /// A client's backoff is over.
+    /// The backoff before a client's retry has ended.
     RetryDue(SidecarIndex, ArrivalKey),
-    /// A request's last byte is at its sidecar.
+    /// A request's last byte reaches its sidecar.
     RequestAtSidecar(RequestKey),
-    /// A timer of a balancer fires.
     BalancerTimer(BalancerTimer),
-    /// The last moment at which a sidecar can respond in time.
+    /// The latest time at which a sidecar can still respond before its client gives up.
     ResponseDeadline(SidecarIndex, RequestNumber),
-    /// A client's timeout is over.
+    /// A client stops waiting for the response to a request.
     ClientTimeout(RequestKey),
-    /// A client disconnects early.
+    /// A client disconnects before its timeout.
     ClientDisconnect(RequestKey),
-    /// The response is at the client.
+    /// A response reaches its client.
     ResponseAtClient(ClientResponse),
-    /// A new connection's first packet is at the server.
+    /// A new connection's first packet reaches the server.
     ConnectAtServer(AttemptKey),
-    /// The sidecar knows that its connection is open.
+    /// A sidecar learns that an attempt's connection is open.
     ConnectionOpen(SidecarIndex, AttemptKey),
-    /// An attempt's last byte is at the server.
+    /// An attempt's last byte reaches the server.
     AttemptAtServer(AttemptKey),
-    /// The end of an attempt is at its sidecar.
+    /// The result of an attempt reaches its sidecar.
     AttemptResultAtSidecar(SidecarIndex, AttemptKey, Outcome),
-    /// An attempt's time is over, or the time in which its connection must be open.
+    /// The timeout of an attempt, or of opening its connection, expires.
     AttemptTimeout(SidecarIndex, AttemptKey),
-    /// A server notices that an attempt's connection was closed.
+    /// A server notices that the sidecar has closed an attempt's connection.
     CancellationAtServer(Cancellation),
-    /// A server has something to do by itself; the number tells stale events from the present one.
+    /// A timer of a server model fires. The number is the generation of the timer, which identifies
+    /// stale events.
     ServerTimer(ServerIndex, u32),
-    /// A health check is at its server.
+    /// A health check reaches its server.
     HealthCheckAtServer(HealthCheck),
-    /// The end of a health check is at its sidecar.
+    /// The result of a health check reaches its sidecar.
     HealthCheckResult(HealthCheckResult),
-    /// The answer to a poll of the endpoint list is at its sidecar, or its loss is noticed.
+    /// The answer to a poll of the endpoint list reaches its sidecar, or the sidecar notices that
+    /// the poll failed or that the watch ended.
     PollResult(PollResult),
-    /// A change of the endpoint list has reached a sidecar's watch.
+    /// A change of the endpoint list reaches a sidecar through its watch.
     WatchNotification(SidecarProcess),
-    /// Discovery notices what has happened to a server.
+    /// Discovery notices a change of a server.
     ListChange(ListedEndpoint),
     /// The fault of this index starts, or ends.
-    Fault { index: usize, starts: bool },
-    /// A sidecar is to be restarted.
+    Fault {
+        index: usize,
+        starts: bool,
+    },
+    /// A restart of a sidecar begins, or the grace period of its shutdown ends.
     SidecarRestart(SidecarRestart),
-    /// A sidecar is up again.
+    /// A sidecar starts again after a restart.
     SidecarUp(SidecarIndex),
-    /// Gauges are recorded, and idle connections closed.
+    /// Records the servers' gauges and closes idle connections.
     GaugeTick,
 }
 
-/// A timer of a balancer.
 pub(super) struct BalancerTimer {
     pub(super) process: SidecarProcess,
-    /// The balancer's own name for it.
+    /// The balancer's identifier of the timer.
     pub(super) token: u64,
 }
 
@@ -78,57 +80,59 @@
 pub(super) struct ClientResponse {
     pub(super) request: RequestKey,
     pub(super) outcome: RequestOutcome,
-    /// Retry-After in microseconds.
+    /// The Retry-After in microseconds.
     pub(super) retry_after: Micros,
 }
 
-/// An attempt whose connection was closed by its sidecar.
+/// An attempt whose connection its sidecar has closed.
 pub(super) struct Cancellation {
     pub(super) server: ServerIndex,
-    /// The server's start that the connection belongs to.
+    /// Start number of the server process that the connection belongs to.
     pub(super) server_start: u32,
+    /// The attempt's job number in the server model.
     pub(super) job: u64,
 }
 
-/// A health check on its way.
+/// A health check on its way to a server.
 pub(super) struct HealthCheck {
     pub(super) process: SidecarProcess,
     pub(super) server: ServerIndex,
-    /// One way to the server, in microseconds.
+    /// One-way network delay to the server, in microseconds.
     pub(super) delay: Micros,
-    /// Whether it opens a connection of its own.
+    /// Whether it opens a new connection.
     pub(super) new_connection: bool,
 }
 
-/// How a health check ended.
+/// The result of a health check.
 pub(super) struct HealthCheckResult {
     pub(super) process: SidecarProcess,
     pub(super) server: ServerIndex,
     pub(super) outcome: Outcome,
-    /// What a response reports.
+    /// Load report in the response, if there is one.
     pub(super) load: Option<LoadReport>,
 }
 
-/// A sidecar's poll of the endpoint list, and the watch that follows it.
+/// A sidecar's poll of the endpoint list, and the watch that follows.
 #[derive(Clone, Copy)]
 pub(super) struct EndpointPoll {
     pub(super) process: SidecarProcess,
-    /// The sidecar's number of the poll: results of earlier ones are void.
+    /// The sidecar's number for the poll; results of earlier polls are ignored.
     pub(super) number: u32,
 }
 
-/// How a poll of the endpoint list ended.
+/// The result of a poll of the endpoint list.
 pub(super) struct PollResult {
     pub(super) poll: EndpointPoll,
-    /// Whether it failed, or the watch that followed was cut.
+    /// Whether the poll failed, or the watch that followed it ended.
     pub(super) failed: bool,
 }
 
 /// A restart of a sidecar.
 pub(super) struct SidecarRestart {
     pub(super) sidecar: SidecarIndex,
-    /// How long it is down, in microseconds.
+    /// How long the sidecar is down, in microseconds.
     pub(super) down_time: Micros,
-    /// Whether it is killed; else it responds first to what it has accepted.
+    /// Whether the process is killed at once; otherwise it first responds to the requests that it
+    /// has accepted.
     pub(super) kill: bool,
 }
--- a/crates/testbed/src/simulator/event_queue.rs
+++ b/crates/testbed/src/simulator/event_queue.rs
@@ -1,22 +1,21 @@
-//! The queue of events: a wheel of short slices of time, of which only the present one is kept
-//! sorted.
+//! The event queue: a timing wheel of short time slots, of which only the current one is sorted.
 //!
-//! A run of a thousand sidecars has hundreds of thousands of timeouts ahead, most of which never
-//! matter; one heap of them all took a quarter of the simulator's time in cache misses.
+//! A run of a thousand sidecars has hundreds of thousands of pending timeouts, most of which have
+//! no effect; with a single heap, cache misses took a quarter of the simulator's time.
 
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BinaryHeap};
 
 use crate::scenario::Micros;
 
-/// Microseconds of a slice, as a power of two.
+/// Length of a slot in microseconds, as a power of two.
 const SLOT_BITS: u32 = 11;
-/// Slices on the wheel: some 8 s; what lies beyond is kept by its slice.
+/// Number of slots in the wheel, about 8 s; later events go to the overflow map.
 const WHEEL_SLOTS: u64 = 4_096;
 
 struct QueuedEvent<T> {
     at: Micros,
-    /// Counts all pushes: orders events of one moment.
+    /// Number of pushes so far, which orders events with equal times.
     sequence: u64,
     event: T,
 }
@@ -36,28 +35,28 @@
 }
 
 impl<T> Ord for QueuedEvent<T> {
-    /// The earliest is the greatest; among equals the one that was queued first.
+    /// Reverses the order for the max-heap: the earliest event is the greatest, and among events
+    /// with equal times the one that was pushed first.
     fn cmp(&self, other: &Self) -> Ordering {
         (other.at, other.sequence).cmp(&(self.at, self.sequence))
     }
 }
 
-/// Gives back events by time, and within one moment in the order of their push.
+/// A priority queue that yields events by time, and in push order at equal times.
 pub(super) struct EventQueue<T> {
-    /// The present slice.
+    /// Number of the current slot, counted from time 0.
     current_slot: u64,
-    /// Events of the present slice, sorted.
+    /// Events of the current slot, as a heap.
     current: BinaryHeap<QueuedEvent<T>>,
-    /// Events of the slices on the wheel, unsorted.
+    /// Unsorted events of the slots that the wheel covers.
     wheel: Vec<Vec<QueuedEvent<T>>>,
-    /// Events beyond the wheel by slice, unsorted.
+    /// Unsorted events beyond the wheel, by slot number.
     overflow: BTreeMap<u64, Vec<QueuedEvent<T>>>,
     sequence: u64,
     count: usize,
 }
 
 impl<T> EventQueue<T> {
-    /// An empty queue.
     pub(super) fn new() -> Self {
         let wheel = (0..WHEEL_SLOTS).map(|_| Vec::new()).collect();
         Self {
@@ -70,7 +69,7 @@
         }
     }
 
-    /// Adds an event; `at` must not lie before the event that was popped last.
+    /// Adds an event; `at` must not be earlier than the time of the last popped event.
     pub(super) fn push(&mut self, at: Micros, event: T) {
         self.sequence += 1;
         self.count += 1;
@@ -90,7 +89,7 @@
         }
     }
 
-    /// Takes the next event with its time; nothing where the queue is empty.
+    /// Removes the next event and returns it with its time, or `None` if the queue is empty.
     pub(super) fn pop(&mut self) -> Option<(Micros, T)> {
         while self.current.is_empty() {
             if self.count == 0 {
@@ -116,7 +115,7 @@
     }
 }
 
-/// Where a slice lies on the wheel.
+/// Index of a slot in the wheel.
 fn wheel_index(slot: u64) -> usize {
     (slot % WHEEL_SLOTS) as usize
 }
--- a/crates/testbed/src/simulator/handover.rs
+++ b/crates/testbed/src/simulator/handover.rs
@@ -1,7 +1,7 @@
-//! Events that several components have a part in: what one says of them is handed to the next here,
-//! and each component gets the others that it needs.
+//! Handlers of the events that involve several components: each passes the result of one component
+//! on to the next, and gives each component the other components that it needs.
 //!
-//! Holds no state and decides nothing.
+//! Holds no state and makes no decisions.
 
 use super::Simulator;
 use super::attempts::AttemptKey;
@@ -15,11 +15,11 @@
 use crate::scenario::Micros;
 use crate::workload::Arrival;
 
-/// Between two gauges, in microseconds.
+/// Interval between two recordings of the gauges, in microseconds.
 const GAUGE_INTERVAL: Micros = 1_000_000;
 
 impl<'a> Simulator<'a> {
-    /// The sidecars, and what they reach beside their own state.
+    /// Splits the simulator into the sidecars and the other components that they use.
     pub(super) fn sidecars_with_environment(&mut self) -> (&mut Sidecars, Environment<'_, 'a>) {
         let environment = Environment {
             context: &mut self.context,
@@ -31,7 +31,7 @@
         (&mut self.sidecars, environment)
     }
 
-    /// Starts all sidecars, each with the first arrival of its clients, and then the faults.
+    /// Starts all sidecars and schedules their clients' first arrivals, then the faults.
     pub(super) fn start(&mut self) {
         for index in self.sidecars.indexes() {
             let (sidecars, mut environment) = self.sidecars_with_environment();
@@ -44,26 +44,26 @@
         self.context.schedule_after(GAUGE_INTERVAL, tick);
     }
 
-    /// A client of a sidecar wants something.
+    /// Handles an arrival at a client of a sidecar.
     pub(super) fn on_arrival(&mut self, sidecar: SidecarIndex, arrival: &Arrival) {
         let process = self.sidecars.process(sidecar);
         let context = &mut self.context;
         self.clients.on_arrival(arrival, process, context);
     }
 
-    /// A client's backoff is over.
+    /// Sends the retry of a client whose backoff has ended.
     pub(super) fn on_retry_due(&mut self, sidecar: SidecarIndex, arrival: ArrivalKey) {
         let process = self.sidecars.process(sidecar);
         let context = &mut self.context;
         self.clients.send_request(arrival, process, context);
     }
 
-    /// The response is at the client.
+    /// Handles a response that reaches its client.
     pub(super) fn on_response_at_client(&mut self, response: &ClientResponse) {
         self.clients.on_response(response, &mut self.context);
     }
 
-    /// A request's last byte is at its sidecar, which may be gone.
+    /// Handles a request that reaches its sidecar, whose process may have ended.
     pub(super) fn on_request_at_sidecar(&mut self, key: RequestKey) {
         let Some(request) = self.clients.request(key) else {
             return;
@@ -82,7 +82,7 @@
         }
     }
 
-    /// A client gives up, unless the response is on its way.
+    /// Handles a client's timeout, which has no effect if the response is already on its way.
     pub(super) fn on_client_timeout(&mut self, key: RequestKey) {
         let Some(request) = self.clients.request(key) else {
             return;
@@ -95,7 +95,7 @@
         }
     }
 
-    /// A client disconnects, unless the response is on its way.
+    /// Handles a client's disconnect, which has no effect if the response is already on its way.
     pub(super) fn on_client_disconnect(&mut self, key: RequestKey) {
         let Some(request) = self.clients.request(key) else {
             return;
@@ -111,26 +111,26 @@
         }
     }
 
-    /// A new connection's first packet is at the server.
+    /// Handles a new connection's first packet at the server.
     pub(super) fn on_connect_at_server(&mut self, attempt: AttemptKey) {
         let attempts = &mut self.attempts;
         self.fleet.on_connect(attempt, attempts, &mut self.context);
     }
 
-    /// An attempt's last byte is at the server.
+    /// Handles an attempt that reaches its server.
     pub(super) fn on_attempt_at_server(&mut self, attempt: AttemptKey) {
         let attempts = &mut self.attempts;
         self.fleet.on_attempt(attempt, attempts, &mut self.context);
     }
 
-    /// A server notices that an attempt's connection was closed.
+    /// Handles an attempt's closed connection at the server.
     pub(super) fn on_cancellation(&mut self, cancellation: &Cancellation) {
         let attempts = &mut self.attempts;
         let context = &mut self.context;
         self.fleet.on_cancellation(cancellation, attempts, context);
     }
 
-    /// A server has something to do by itself.
+    /// Handles a timer of a server model; `generation` identifies stale events.
     pub(super) fn on_server_timer(&mut self, server: ServerIndex, generation: u32) {
         let attempts = &mut self.attempts;
         let context = &mut self.context;
@@ -138,7 +138,7 @@
             .on_server_due(server, generation, attempts, context);
     }
 
-    /// Discovery notices what has happened to a server, and tells those who watch its list.
+    /// Handles a change of a server that discovery notices and reports to the watching sidecars.
     pub(super) fn on_list_change(&mut self, endpoint: ListedEndpoint) {
         let started_at = self.fleet.started_at(endpoint.server);
         let watching = self.sidecars.watching_processes();
@@ -146,7 +146,8 @@
             .on_list_change(endpoint, started_at, watching, &mut self.context);
     }
 
-    /// A health check is at its server, whose answer lets the sidecar keep the connection.
+    /// Handles a health check that reaches its server. If the server answers, the sidecar keeps the
+    /// connection for reuse.
     pub(super) fn on_health_check_at_server(&mut self, check: &HealthCheck) {
         let is_running = self.sidecars.is_running(check.process);
         let attempts = &mut self.attempts;
@@ -161,7 +162,7 @@
         }
     }
 
-    /// A fault starts or ends.
+    /// Starts or ends a fault.
     pub(super) fn on_fault(&mut self, index: usize, starts: bool) {
         let fault = &self.context.scenario().fault[index];
         match self.faults.effect(index, fault, starts) {
@@ -186,7 +187,7 @@
         }
     }
 
-    /// Records gauges of all servers, and closes idle connections.
+    /// Records the gauges of all servers and closes idle connections.
     pub(super) fn on_gauge_tick(&mut self) {
         self.fleet.record_gauges(&mut self.context);
         self.sidecars
--- a/crates/testbed/src/simulator/mod.rs
+++ b/crates/testbed/src/simulator/mod.rs
@@ -1,14 +1,15 @@
-//! The simulator: virtual time, one thread, no sockets. Real `arrowstand_balancer` balancers, one
-//! for each sidecar, against servers, network, discovery and clients as the scenario describes
-//! them.
+//! A single-threaded discrete-event simulator in virtual time, without sockets. It runs one real
+//! `arrowstand_balancer` balancer per sidecar against simulated servers, network, discovery and
+//! clients, which behave as the scenario describes.
 //!
-//! `Simulator` owns the components and passes each event to the one that handles it; `handover` has
-//! the events that several have a part in. Each component owns its state and gets the others that it
-//! uses as arguments, with the `context` of scenario, timeline and event log.
+//! `Simulator` owns the components and dispatches each event to the component that handles it;
+//! `handover` handles the events that involve several components. Each component owns its state and
+//! receives the components that it uses as arguments, along with the `context`, which holds the
+//! scenario, the timeline and the event log.
 //!
-//! Everything happens in the order of the queue, and each cause draws from a random stream of its
-//! own, so the same scenario and seed give the same event log to the last entry. Servers' behaviour
-//! is `server_model`'s, and what is asked for is `workload`'s.
+//! A run is deterministic: events are processed in queue order and every source of randomness has
+//! its own random stream, so that a scenario and a seed always produce the same event log. The
+//! behaviour of servers is defined in `server_model`, and the generated load in `workload`.
 
 mod attempts;
 mod clients;
@@ -43,12 +44,13 @@
 pub use error::SimulatorError;
 pub use run::{RunStatistics, run};
 
-/// Where the balancers' clock stands when the run begins: servers' incarnations count from here.
+/// Reading of the balancers' clock at the start of a run, in microseconds; servers' incarnations
+/// are relative to it.
 const EPOCH: Micros = 1_000_000_000_000;
-/// How long after the last arrival the run goes on at most, in microseconds.
-const MAX_TIME_AFTER_LAST_ARRIVAL: Micros = 120_000_000;
+/// Longest time that a run continues after the end of its arrivals, in microseconds.
+const MAX_TIME_AFTER_ARRIVALS: Micros = 120_000_000;
 
-/// A scenario being simulated.
+/// A running simulation of one scenario.
 struct Simulator<'a> {
     context: Context<'a>,
     clients: Clients,
@@ -62,7 +64,7 @@
 }
 
 impl<'a> Simulator<'a> {
-    /// Builds all components, and schedules the first arrivals and the faults.
+    /// Creates all components, starts the sidecars, and schedules the first arrivals and faults.
     fn new(scenario: &'a Scenario, log: &'a mut dyn EventLog) -> Result<Self, SimulatorError> {
         let mut context = Context::new(scenario, log);
         let fleet = Fleet::new(&mut context);
@@ -82,14 +84,15 @@
         Ok(simulator)
     }
 
-    /// Plays until nothing is open after the last arrival, or the run has gone on for too long.
+    /// Processes events until all arrivals are closed after the arrival period, or until
+    /// `MAX_TIME_AFTER_ARRIVALS` has passed since.
     fn run_to_completion(&mut self) {
-        let last_arrival = from_s(self.context.scenario().seconds);
+        let arrivals_end = from_s(self.context.scenario().seconds);
         while let Some(event) = self
             .context
-            .next_event(last_arrival + MAX_TIME_AFTER_LAST_ARRIVAL)
+            .next_event(arrivals_end + MAX_TIME_AFTER_ARRIVALS)
         {
-            if self.context.now() > last_arrival && self.clients.is_idle() {
+            if self.context.now() > arrivals_end && self.clients.is_idle() {
                 return;
             }
             self.events_processed += 1;
@@ -97,7 +100,6 @@
         }
     }
 
-    /// What the run has taken so far.
     fn run_statistics(&self) -> RunStatistics {
         RunStatistics {
             events_processed: self.events_processed,
@@ -105,7 +107,8 @@
         }
     }
 
-    /// Passes an event to the component that handles it, or to `handover` where several do.
+    /// Dispatches an event to the component that handles it, or to `handover` if it involves
+    /// several.
     fn handle(&mut self, event: SimulatorEvent) {
         use SimulatorEvent as Event;
         let (sidecars, env) = &mut self.sidecars_with_environment();
--- a/crates/testbed/src/simulator/process.rs
+++ b/crates/testbed/src/simulator/process.rs
@@ -1,11 +1,11 @@
-//! Which life of a sidecar an event is about.
+//! Identifies one process of a sidecar across restarts.
 
 use crate::index::SidecarIndex;
 
-/// One process of a sidecar: events for an earlier one are void.
+/// One process of a sidecar. Events that refer to an earlier process are ignored.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) struct SidecarProcess {
     pub(super) sidecar: SidecarIndex,
-    /// Counts the sidecar's processes.
+    /// Number of times that the sidecar was killed before this process started.
     pub(super) incarnation: u32,
 }
--- a/crates/testbed/src/simulator/request.rs
+++ b/crates/testbed/src/simulator/request.rs
@@ -1,7 +1,7 @@
-//! A client's request, as it travels to its sidecar.
+//! A client's request to its sidecar.
 //!
-//! Nothing in it changes on the way: what the client makes of it is `clients`', and its attempts
-//! and its response are `sidecars`'.
+//! A request is immutable. `clients` tracks its outcome at the client; `sidecars` owns its attempts
+//! and its response.
 
 use slotmap::new_key_type;
 
@@ -10,27 +10,27 @@
 use crate::scenario::Micros;
 
 new_key_type! {
-    /// Names what a client wants; one that is closed is no longer found.
+    /// Key of an arrival, which finds nothing once the arrival is closed.
     pub(super) struct ArrivalKey;
-    /// Names a request; one that its client no longer waits for is no longer found.
+    /// Key of a request, which finds nothing once the client no longer waits for a response.
     pub(super) struct RequestKey;
 }
 
-/// One request of a client to its sidecar: the first of an arrival or a retry.
+/// A request of a client to its sidecar: the first one of an arrival, or a retry.
 #[derive(Clone, Copy)]
 pub(super) struct Request {
     pub(super) number: RequestNumber,
     pub(super) arrival: ArrivalKey,
     pub(super) arrival_number: ArrivalNumber,
-    /// The process that it was sent to.
+    /// The sidecar process that it was sent to.
     pub(super) process: SidecarProcess,
     pub(super) class: ClassIndex,
     /// Work in microseconds of a standard core.
     pub(super) work: f64,
-    /// What the client hints of the work, in microseconds of a standard core.
+    /// Work hint of the client, in microseconds of a standard core.
     pub(super) work_hint: Option<Micros>,
-    /// When its last byte is at the sidecar.
+    /// When the sidecar receives its last byte.
     pub(super) arrives_at: Micros,
-    /// When its client gives up.
+    /// When the client stops waiting for a response.
     pub(super) deadline: Micros,
 }
--- a/crates/testbed/src/simulator/run.rs
+++ b/crates/testbed/src/simulator/run.rs
@@ -1,4 +1,4 @@
-//! Plays a scenario to its end and sums it up.
+//! Runs a simulation to its end and produces its report.
 
 use super::{Simulator, SimulatorError};
 use crate::audit::Auditor;
@@ -7,19 +7,19 @@
 use crate::scenario::Scenario;
 use crate::statistics::Statistics;
 
-/// What a simulation took, beside its report.
+/// Counters of a simulation that are not part of its report.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RunStatistics {
-    /// Events played.
+    /// Events processed.
     pub events_processed: u64,
-    /// Arrivals that were not played, as too many requests were open.
+    /// Arrivals dropped because too many requests were open.
     pub not_played: u64,
 }
 
-/// Simulates a scenario and sums it up; `extra_log` receives the event log too.
+/// Simulates a scenario and returns its report; `extra_log` receives the event log too.
 ///
 /// # Errors
-/// Settings that the balancer refuses.
+/// Returns an error if the balancer rejects the settings that the scenario asks for.
 pub fn run(
     scenario: &Scenario,
     extra_log: Option<&mut dyn EventLog>,
--- a/crates/testbed/src/simulator/timeline.rs
+++ b/crates/testbed/src/simulator/timeline.rs
@@ -1,17 +1,17 @@
-//! The simulator's virtual time, and what is scheduled on it.
+//! The simulator's virtual clock and its scheduled events.
 
 use super::event::SimulatorEvent;
 use super::event_queue::EventQueue;
 use crate::scenario::Micros;
 
-/// Virtual time: stands still while an event is handled, and jumps to the next.
+/// Virtual time, which stands still while an event is handled and then jumps to the next event.
 pub(super) struct Timeline {
     now: Micros,
     queue: EventQueue<SimulatorEvent>,
 }
 
 impl Timeline {
-    /// A timeline at its start, with nothing scheduled.
+    /// Creates a timeline at time 0 without events.
     pub(super) fn new() -> Self {
         Self {
             now: 0,
@@ -19,22 +19,23 @@
         }
     }
 
-    /// Microseconds since the start of the run.
+    /// Returns the virtual time in microseconds since the start of the run.
     pub(super) fn now(&self) -> Micros {
         self.now
     }
 
-    /// Schedules an event; one whose time has passed comes now, after what is already due.
+    /// Schedules an event. A time in the past counts as the present: the event then follows the
+    /// events that are already scheduled for now.
     pub(super) fn schedule_at(&mut self, at: Micros, event: SimulatorEvent) {
         self.queue.push(at.max(self.now), event);
     }
 
-    /// Schedules an event after a delay from now.
+    /// Schedules an event after a delay in microseconds.
     pub(super) fn schedule_after(&mut self, delay: Micros, event: SimulatorEvent) {
         self.schedule_at(self.now + delay, event);
     }
 
-    /// Moves on to the next event that comes until `end`; nothing where there is none.
+    /// Advances the clock to the next event and returns it, or `None` if there is none until `end`.
     pub(super) fn next_event(&mut self, end: Micros) -> Option<SimulatorEvent> {
         let (at, event) = self.queue.pop().filter(|(at, _)| *at <= end)?;
         self.now = at;
