--- a/crates/testbed/src/simulator/sidecars/attempts.rs
+++ b/crates/testbed/src/simulator/sidecars/attempts.rs
@@ -1,6 +1,6 @@
-//! An attempt at its sidecar: sent on a connection that was kept or a new one, and ended.
+//! The sidecar's side of attempts: how they are sent, end, time out and are cancelled.
 //!
-//! Its connection is `connecting`'s; what its server makes of it is `fleet`'s.
+//! Their connections are handled in `connecting`, and their processing at servers in `fleet`.
 
 use std::collections::VecDeque;
 
@@ -19,7 +19,7 @@
 use crate::simulator::attempts::{Attempt, AttemptDetails, AttemptKey};
 
 impl Sidecar {
-    /// Sends an attempt of an open request; `timeout` is cut to the time that the request has left.
+    /// Sends an attempt of an open request; `timeout` is limited to the request's remaining time.
     pub(super) fn send_attempt(
         &mut self,
         number: RequestNumber,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// The end of an attempt is at its sidecar.
+    /// Handles the result of an attempt that reaches the sidecar.
     pub(in crate::simulator) fn on_attempt_result(
         &mut self,
         key: AttemptKey,
@@ -77,7 +77,7 @@
         environment.attempts.remove(key);
     }
 
-    /// An attempt's time is over, or its connection did not open in time.
+    /// Handles the timeout of an attempt or of opening its connection.
     pub(in crate::simulator) fn on_attempt_timeout(
         &mut self,
         key: AttemptKey,
@@ -86,7 +86,7 @@
         let Some(attempt) = environment.attempts.get(key) else {
             return;
         };
-        // The timeout of the connection, which has opened since.
+        // This is the connect timeout, and the connection has opened in the meantime.
         let is_stale = attempt.is_written() && environment.context.now() < attempt.details.deadline;
         if attempt.has_ended() || is_stale {
             return;
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Closes an attempt's connection, and lets the balancer know that it is cancelled.
+    /// Cancels an attempt: closes its connection and reports the end to the balancer.
     pub(super) fn cancel_attempt(
         &mut self,
         key: AttemptKey,
@@ -119,7 +119,7 @@
         }
     }
 
-    /// An attempt has ended by itself: the balancer learns of it, and decides.
+    /// Reports an attempt that was not cancelled to the balancer, and executes its actions.
     fn on_attempt_ended(
         &mut self,
         key: AttemptKey,
@@ -131,7 +131,7 @@
         self.handle_balancer_events(events, environment);
     }
 
-    /// Lets the balancer know how an attempt ended; a served one is the response.
+    /// Ends an attempt and reports it to the balancer; a served attempt completes its request.
     fn end_attempt(
         &mut self,
         key: AttemptKey,
@@ -155,7 +155,7 @@
     }
 }
 
-/// An attempt's details before its delay and its own work are drawn.
+/// Returns the details of a new attempt; its delay and the noise of its work are drawn later.
 fn attempt_details(
     open: &OpenRequest,
     server: ServerIndex,
@@ -176,7 +176,8 @@
     }
 }
 
-/// How an attempt ended; `finished` where its request needs no further attempt.
+/// Returns the balancer's view of an attempt's end; `finished` if the request needs no further
+/// attempt.
 fn attempt_end(attempt: &Attempt, outcome: Outcome, finished: bool, now: Micros) -> AttemptEnd {
     let details = &attempt.details;
     let load_report = attempt.reported_in_flight().map(|in_flight| LoadReport {
@@ -194,7 +195,7 @@
     }
 }
 
-/// Whether an attempt ended with a complete response, after which its connection can be used again.
+/// Whether an attempt ended with a complete response, so that its connection can be reused.
 fn is_complete_response(outcome: Outcome) -> bool {
     matches!(
         outcome,
--- a/crates/testbed/src/simulator/sidecars/connecting.rs
+++ b/crates/testbed/src/simulator/sidecars/connecting.rs
@@ -1,4 +1,4 @@
-//! An attempt's connection at its sidecar: opened, written to, closed.
+//! The sidecar's side of an attempt's connection: opening, writing and closing it.
 
 use super::environment::Environment;
 use super::sidecar::Sidecar;
@@ -9,7 +9,7 @@
 use crate::simulator::event::{Cancellation, SimulatorEvent};
 
 impl Sidecar {
-    /// The connection of an attempt is open, and its request is written.
+    /// Handles the opening of an attempt's connection: writes the request to it.
     pub(in crate::simulator) fn on_connection_open(
         &mut self,
         key: AttemptKey,
@@ -37,7 +37,8 @@
     }
 }
 
-/// Schedules what follows as an attempt starts: the opening of its connection, or its arrival.
+/// Schedules the first events of an attempt: the opening of its connection, or its arrival at the
+/// server on a reused connection, and its timeout.
 pub(super) fn schedule_attempt(key: AttemptKey, environment: &mut Environment<'_, '_>) {
     let Some(attempt) = environment.attempts.get(key) else {
         return;
@@ -59,7 +60,7 @@
     }
 }
 
-/// Writes an attempt's request to its connection.
+/// Writes an attempt's request to its connection and records the start of the attempt.
 fn write_request(key: AttemptKey, environment: &mut Environment<'_, '_>) {
     let Some(attempt) = environment.attempts.get_mut(key) else {
         return;
@@ -77,7 +78,8 @@
     environment.context.record(started);
 }
 
-/// Closes an attempt's connection; the server notices what it has of it after the way there.
+/// Closes an attempt's connection. If the request was written, the server notices after the one-way
+/// delay.
 pub(super) fn close_connection(key: AttemptKey, environment: &mut Environment<'_, '_>) {
     let Some(attempt) = environment.attempts.get_mut(key) else {
         return;
--- a/crates/testbed/src/simulator/sidecars/connections.rs
+++ b/crates/testbed/src/simulator/sidecars/connections.rs
@@ -1,4 +1,4 @@
-//! A sidecar's idle connections to servers.
+//! A sidecar's pool of idle connections to servers.
 
 use std::collections::VecDeque;
 
@@ -12,18 +12,18 @@
 use crate::simulator::context::Context;
 use crate::simulator::fleet::Fleet;
 
-/// Share of the servers' idle timeout after which a sidecar no longer uses a connection.
+/// Share of the servers' idle timeout after which a sidecar no longer reuses a connection.
 const REUSE_TIMEOUT_SHARE: f64 = 0.75;
 
-/// A connection that carries nothing.
+/// An idle connection.
 #[derive(Clone, Copy)]
 struct IdleConnection {
     idle_since: Micros,
-    /// The server's start that it belongs to.
+    /// Start number of the server process that the connection belongs to.
     server_start: u32,
 }
 
-/// Idle connections by server; the one that was used last is used first.
+/// Idle connections by server; the most recently used one is reused first.
 #[derive(Default)]
 pub(super) struct IdleConnections {
     pools: FxHashMap<ServerIndex, VecDeque<IdleConnection>>,
@@ -34,16 +34,16 @@
         self.pools.entry(server).or_default().push_back(connection);
     }
 
-    /// The connection that was used last, of those to the server's present start; all others are
-    /// forgotten, as the server's process that they belonged to has reset them. `open_start` is
-    /// absent where it refuses.
+    /// Takes the most recently used connection to the server's current process, whose start number
+    /// is `open_start`, or `None` while the server refuses connections. Connections to earlier
+    /// processes are dropped, as those processes have reset them.
     fn take(&mut self, server: ServerIndex, open_start: Option<u32>) -> Option<IdleConnection> {
         let pool = self.pools.get_mut(&server)?;
         pool.retain(|connection| Some(connection.server_start) == open_start);
         pool.pop_back()
     }
 
-    /// Removes the connections that have been idle since before a moment, and calls `close` for
+    /// Removes the connections that have been idle since `before` or earlier, and calls `close` for
     /// each.
     fn remove_idle_since(&mut self, before: Micros, mut close: impl FnMut(ServerIndex, u32)) {
         for (&server, pool) in &mut self.pools {
@@ -58,7 +58,7 @@
         self.pools.retain(|_, pool| !pool.is_empty());
     }
 
-    /// All connections, as server and server's start.
+    /// Returns all connections as pairs of server and start number of its process.
     pub(super) fn into_connections(self) -> impl Iterator<Item = (ServerIndex, u32)> {
         self.pools.into_iter().flat_map(|(server, pool)| {
             pool.into_iter()
@@ -68,7 +68,8 @@
 }
 
 impl Sidecar {
-    /// Takes an idle connection to a server, as the server's start that it belongs to.
+    /// Takes an idle connection to a server out of the pool and returns the start number of the
+    /// server process that it belongs to.
     pub(super) fn reuse_connection(
         &mut self,
         server: ServerIndex,
@@ -85,7 +86,8 @@
         None
     }
 
-    /// Keeps a connection that is idle from a moment on; a sidecar that is down has closed it.
+    /// Adds a connection that is idle from `idle_since` on to the pool, or closes it if the sidecar
+    /// is down.
     pub(in crate::simulator) fn keep_connection(
         &mut self,
         server: ServerIndex,
@@ -104,7 +106,7 @@
         }
     }
 
-    /// Closes connections that have been idle for too long.
+    /// Closes connections that have been idle for longer than the reuse timeout.
     pub(super) fn close_idle_connections(&mut self, fleet: &mut Fleet, context: &Context<'_>) {
         let Some(before) = context.now().checked_sub(reuse_timeout(context)) else {
             return;
@@ -116,7 +118,7 @@
     }
 }
 
-/// How long a sidecar uses an idle connection, in microseconds.
+/// How long an idle connection can be reused, in microseconds.
 fn reuse_timeout(context: &Context<'_>) -> Micros {
     let idle_timeout = from_s(context.scenario().permissions.idle_timeout_s);
     scaled_micros(idle_timeout, REUSE_TIMEOUT_SHARE)
--- a/crates/testbed/src/simulator/sidecars/endpoints.rs
+++ b/crates/testbed/src/simulator/sidecars/endpoints.rs
@@ -1,6 +1,6 @@
-//! The endpoint list at a sidecar: what it knows of it, and how its balancer learns of changes.
+//! A sidecar's copy of the endpoint list, and the delivery of its changes to the balancer.
 //!
-//! Owns the cached list and the state of poll and watch. Which changes there are is `discovery`'s.
+//! Owns the cached list and the state of poll and watch. The list itself belongs to `discovery`.
 
 use std::collections::BTreeMap;
 
@@ -18,14 +18,14 @@
 use crate::simulator::event::{EndpointPoll, PollResult, SimulatorEvent};
 use crate::simulator::fleet::Fleet;
 
-/// The list as a sidecar had it last, which outlives its process.
+/// The last endpoint list that a sidecar received, which survives its restarts.
 pub(super) struct CachedEndpoints {
     version: u64,
     endpoints: BTreeMap<ServerIndex, ListedEndpoint>,
 }
 
 impl CachedEndpoints {
-    /// The list as discovery holds it now.
+    /// Copies the current list of the discovery service.
     pub(super) fn new(discovery: &Discovery) -> Self {
         let current = discovery.current_endpoints();
         Self {
@@ -45,17 +45,17 @@
     }
 }
 
-/// A sidecar's side of discovery.
+/// A sidecar's client state for the discovery service.
 pub(super) struct Subscription {
     cached: CachedEndpoints,
-    /// Whether it watches the list.
+    /// Whether the sidecar watches the list.
     is_watching: bool,
-    /// Polls of the list so far: only the last one's result counts.
+    /// Number of polls so far; results of all but the last are ignored.
     poll_count: u32,
 }
 
 impl Subscription {
-    /// Nothing but a list of an earlier process.
+    /// Creates the state of a sidecar that has only a cached list.
     pub(super) fn new(cached: CachedEndpoints) -> Self {
         Self {
             cached,
@@ -64,12 +64,12 @@
         }
     }
 
-    /// It no longer watches the list.
+    /// Records that the sidecar no longer watches the list.
     pub(super) fn on_watch_ended(&mut self) {
         self.is_watching = false;
     }
 
-    /// Ends the watch, and gives the poll's number.
+    /// Ends the watch and returns the number of the new poll.
     fn on_poll_started(&mut self) -> u32 {
         self.is_watching = false;
         self.poll_count += 1;
@@ -78,17 +78,18 @@
 }
 
 impl Sidecar {
-    /// Whether it watches the list.
+    /// Whether the sidecar watches the list.
     pub(super) fn is_watching(&self) -> bool {
         self.subscription.is_watching
     }
 
-    /// Whether it still waits for the result of a poll, or the end of the watch that followed.
+    /// Whether a poll is the last one of the running process, whose result, or the end of the watch
+    /// that followed, still matters.
     pub(super) fn awaits_poll(&self, poll: EndpointPoll) -> bool {
         self.is_running(poll.process) && self.subscription.poll_count == poll.number
     }
 
-    /// Polls the list, and watches it from then on.
+    /// Polls the list; a watch follows once the poll is answered.
     pub(super) fn poll_endpoints(&mut self, environment: &mut Environment<'_, '_>) {
         let sidecar = self.index;
         environment
@@ -101,7 +102,8 @@
         environment.discovery.on_poll(poll, environment.context);
     }
 
-    /// The poll that it waits for is answered, or `lost`.
+    /// Handles the result of the last poll: applies the changes and starts the watch, or tells the
+    /// balancer that the poll has failed.
     pub(super) fn on_poll_result(&mut self, failed: bool, environment: &mut Environment<'_, '_>) {
         if failed || !environment.discovery.is_up() {
             self.on_endpoints_lost(environment);
@@ -111,7 +113,7 @@
         }
     }
 
-    /// A change has reached its watch.
+    /// Handles a notification of a change of the list.
     pub(super) fn on_watch_notification(&mut self, environment: &mut Environment<'_, '_>) {
         let discovery = &*environment.discovery;
         let has_changes = self.subscription.cached.version < discovery.version();
@@ -120,7 +122,7 @@
         }
     }
 
-    /// Discovery ends its watch, which it notices after a span.
+    /// Ends the watch from discovery's side, which the sidecar notices after a delay.
     pub(super) fn end_watch(&mut self, notice_delay: Micros, context: &mut Context<'_>) {
         if std::mem::take(&mut self.subscription.is_watching) {
             let poll = EndpointPoll {
@@ -132,7 +134,7 @@
         }
     }
 
-    /// Gives a new balancer the list that the sidecar had last.
+    /// Delivers the cached list to a new balancer.
     pub(super) fn restore_endpoints(&mut self, environment: &mut Environment<'_, '_>) {
         let cached = &self.subscription.cached;
         let version = cached.version;
@@ -140,7 +142,7 @@
         self.deliver_endpoints(UpdateKind::Cached, version, &entries, environment);
     }
 
-    /// Takes over what has changed since its list, which may be nothing.
+    /// Applies all changes since the version of the cached list; there may be none.
     fn apply_changes(&mut self, environment: &mut Environment<'_, '_>) {
         let discovery = &*environment.discovery;
         let version = discovery.version();
@@ -148,7 +150,7 @@
         self.deliver_endpoints(UpdateKind::Incremental, version, &changes, environment);
     }
 
-    /// Tells the balancer that its list can no longer be followed.
+    /// Tells the balancer that updates of the endpoint list have stopped.
     fn on_endpoints_lost(&mut self, environment: &mut Environment<'_, '_>) {
         self.subscription.on_watch_ended();
         let lost = BalancerEvent::EndpointsUpdated {
@@ -188,7 +190,7 @@
     }
 }
 
-/// A list entry as balancers take it.
+/// Converts a list entry to the balancer's type.
 fn balancer_endpoint(listed: ListedEndpoint, fleet: &Fleet, scenario: &Scenario) -> Endpoint {
     let zone = fleet.zone(listed.server);
     let machine_type = fleet.machine_type(listed.server);
--- a/crates/testbed/src/simulator/sidecars/environment.rs
+++ b/crates/testbed/src/simulator/sidecars/environment.rs
@@ -1,4 +1,4 @@
-//! What a sidecar reaches beside its own state.
+//! The components that a sidecar uses besides its own state.
 
 use crate::index::{ClassIndex, ServerIndex, SidecarIndex};
 use crate::scenario::Micros;
@@ -8,8 +8,8 @@
 use crate::simulator::fleet::Fleet;
 use crate::simulator::network::Network;
 
-/// The components that a sidecar uses: not the clients, to whom it responds by events, and not the
-/// other sidecars.
+/// The components that a sidecar uses. The clients, to which it responds through events, and the
+/// other sidecars are not among them.
 pub(in crate::simulator) struct Environment<'r, 'a> {
     pub(in crate::simulator) context: &'r mut Context<'a>,
     pub(in crate::simulator) network: &'r mut Network,
@@ -19,14 +19,14 @@
 }
 
 impl Environment<'_, '_> {
-    /// One way from a sidecar to a server in microseconds, drawn.
+    /// Draws the one-way delay from a sidecar to a server, in microseconds.
     pub(super) fn draw_delay(&mut self, sidecar: SidecarIndex, server: ServerIndex) -> Micros {
         let zone = self.fleet.zone(server);
         self.network
             .draw_delay(sidecar, zone, self.context.scenario())
     }
 
-    /// Draws an attempt's delay, where its server is known, and its work of the request's.
+    /// Draws an attempt's delay, if its server exists, and its work from the request's work.
     pub(super) fn draw_attempt(
         &mut self,
         details: &mut AttemptDetails,
@@ -34,7 +34,7 @@
         server_exists: bool,
     ) {
         let sidecar = details.sidecar;
-        // The delay is drawn before the work: the order is part of what a seed means.
+        // The delay is drawn before the work; another order would change the runs of every seed.
         if server_exists {
             details.delay = self.draw_delay(sidecar, details.server);
         }
--- a/crates/testbed/src/simulator/sidecars/health_checks.rs
+++ b/crates/testbed/src/simulator/sidecars/health_checks.rs
@@ -1,4 +1,4 @@
-//! A health check at its sidecar: sent, and answered or given up.
+//! The sidecar's side of health checks: sending them and reporting their results.
 
 use arrowstand_balancer::{Event as BalancerEvent, LoadReport, ServerId};
 
@@ -9,11 +9,12 @@
 use crate::scenario::Micros;
 use crate::simulator::event::{HealthCheck, HealthCheckResult, SimulatorEvent};
 
-/// One-way delays until a health check on a new connection has arrived.
+/// Number of one-way delays until a health check on a new connection reaches the server: one round
+/// trip to connect, and the way of the check.
 const NEW_CONNECTION_ONE_WAY_DELAYS: Micros = 3;
 
 impl Sidecar {
-    /// Sends a health check, on a kept connection where there is one.
+    /// Sends a health check, on an idle connection if there is one.
     pub(super) fn send_health_check(
         &mut self,
         server: ServerIndex,
@@ -39,7 +40,7 @@
         environment.context.schedule_after(arrives_after, check);
     }
 
-    /// The end of a health check is known.
+    /// Reports the result of a health check to the balancer.
     pub(super) fn on_health_check_result(
         &mut self,
         result: &HealthCheckResult,
--- a/crates/testbed/src/simulator/sidecars/host.rs
+++ b/crates/testbed/src/simulator/sidecars/host.rs
@@ -1,7 +1,7 @@
-//! Hosts a sidecar's balancer: gives it events, and carries out the actions that it asks for.
+//! Hosts a sidecar's balancer: passes events to it and executes the actions that it returns.
 //!
-//! Decides nothing itself: what an action means for a request, an attempt or a health check is in
-//! their files.
+//! Makes no decisions itself. How an action affects a request, an attempt or a health check is
+//! defined in `requests`, `attempts` and `health_checks`.
 
 use std::collections::VecDeque;
 
@@ -17,8 +17,8 @@
 use crate::simulator::event::{BalancerTimer, SimulatorEvent};
 
 impl Sidecar {
-    /// Gives an event to the balancer and carries out what it asks for, and what follows from that.
-    /// Nothing happens while the sidecar is down.
+    /// Passes an event to the balancer and executes its actions, along with the events that these
+    /// cause. Does nothing while the sidecar is down.
     pub(super) fn handle_balancer_event(
         &mut self,
         event: BalancerEvent,
@@ -39,7 +39,8 @@
         }
     }
 
-    /// Gives the balancer events one after the other, each with all that follows from it.
+    /// Passes events to the balancer in order. The actions and further events that one causes are
+    /// handled before the next.
     pub(super) fn handle_balancer_events(
         &mut self,
         events: VecDeque<BalancerEvent>,
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Carries out an action; what the balancer is to learn of it is added to `events`.
+    /// Executes an action; the events that it causes for the balancer are added to `events`.
     fn execute_action(
         &mut self,
         action: Action,
@@ -105,7 +106,7 @@
         self.respond(number, outcome, retry_after, events, environment);
     }
 
-    /// Responds with an error where a request is open, and the longest Retry-After.
+    /// Responds to a request that is open with an error and the longest Retry-After.
     pub(super) fn fail_request(
         &mut self,
         number: RequestNumber,
@@ -123,18 +124,17 @@
         environment.context.schedule_after(after, timer);
     }
 
-    /// A timer of the balancer fires.
+    /// Passes a timer that has fired to the balancer.
     pub(super) fn on_balancer_timer(&mut self, token: u64, environment: &mut Environment<'_, '_>) {
         self.handle_balancer_event(BalancerEvent::TimerFired { token }, environment);
     }
 }
 
-/// Longest Retry-After, in microseconds.
+/// The longest Retry-After, in microseconds.
 fn max_retry_after(context: &Context<'_>) -> Micros {
     from_ms(context.scenario().permissions.max_retry_after_ms)
 }
 
-/// The number of a request as the balancer names it.
 fn request_number(request: RequestId) -> RequestNumber {
     RequestNumber::new(request.0)
 }
--- a/crates/testbed/src/simulator/sidecars/mod.rs
+++ b/crates/testbed/src/simulator/sidecars/mod.rs
@@ -1,10 +1,10 @@
-//! The simulator's sidecars: each hosts one balancer as the real program does.
+//! The simulator's sidecars, each of which hosts one balancer like the real program.
 //!
-//! Owns all sidecars, and passes on what concerns more than one. `sidecar` owns one sidecar's state,
-//! its start and its restarts; `host` carries out what its balancer asks for, `requests` is a
-//! request's life there, `attempts` an attempt's, `connecting` that of an attempt's connection,
-//! `health_checks` a health check's, `endpoints` what it knows of the endpoint list, `connections`
-//! the pool of idle connections. What happens at a server is `fleet`'s.
+//! Owns all sidecars, and ignores events for earlier processes of a sidecar. `sidecar` has the
+//! state, start and restarts of one sidecar; `host` executes its balancer's actions. `requests`,
+//! `attempts` and `health_checks` handle the sidecar's side of requests, attempts and health
+//! checks, `connecting` the connections of attempts, `connections` the pool of idle connections,
+//! and `endpoints` the sidecar's copy of the endpoint list. Servers are handled in `fleet`.
 
 mod attempts;
 mod connecting;
@@ -39,7 +39,10 @@
 }
 
 impl Sidecars {
-    /// Sidecars that are down and have the present endpoint list from an earlier process.
+    /// Creates sidecars that are not started, with the current endpoint list in their caches.
+    ///
+    /// # Errors
+    /// Returns an error if the balancer rejects the settings that the scenario asks for.
     pub(super) fn new(scenario: &Scenario, discovery: &Discovery) -> Result<Self, SimulatorError> {
         let mut sidecars = Vec::with_capacity(scenario.sidecars.count);
         for index in SidecarIndex::all(scenario.sidecars.count) {
@@ -50,55 +53,55 @@
         Ok(Self { sidecars })
     }
 
-    /// The indexes of all sidecars, in order.
+    /// Returns the indexes of all sidecars, in order.
     pub(super) fn indexes(&self) -> impl Iterator<Item = SidecarIndex> + use<> {
         SidecarIndex::all(self.sidecars.len())
     }
 
-    /// One sidecar, to be told what has reached it.
+    /// Returns a mutable reference to one sidecar.
     pub(super) fn get_mut(&mut self, sidecar: SidecarIndex) -> &mut Sidecar {
         &mut self.sidecars[sidecar.index()]
     }
 
-    /// The present process of a sidecar.
+    /// Returns the current process of a sidecar.
     pub(super) fn process(&self, sidecar: SidecarIndex) -> SidecarProcess {
         self.sidecars[sidecar.index()].process()
     }
 
-    /// Whether a process is the present one of its sidecar, and up.
+    /// Whether a process is the current one of its sidecar, and up.
     pub(super) fn is_running(&self, process: SidecarProcess) -> bool {
         self.sidecars[process.sidecar.index()].is_running(process)
     }
 
-    /// Whether a client's request is on its way to the sidecar or open there: once the sidecar has
-    /// responded, its response is on its way and comes within the grace.
+    /// Whether a request is still on its way to the sidecar or open there. Otherwise the sidecar's
+    /// response is already on its way, and reaches the client within the response grace.
     pub(super) fn awaits_response(&self, request: &Request, now: Micros) -> bool {
         let has_arrived = request.arrives_at <= now;
         let sidecar = &self.sidecars[request.process.sidecar.index()];
         !has_arrived || sidecar.has_open_request(request.number)
     }
 
-    /// The processes that watch the endpoint list.
+    /// Returns the processes that watch the endpoint list.
     pub(super) fn watching_processes(&self) -> impl Iterator<Item = SidecarProcess> {
         let watching = self.sidecars.iter().filter(|sidecar| sidecar.is_watching());
         watching.map(Sidecar::process)
     }
 
-    /// All watches of the endpoint list end, which sidecars notice after a span.
+    /// Ends all watches of the endpoint list, which the sidecars notice after a delay.
     pub(super) fn end_watches(&mut self, notice_delay: Micros, context: &mut Context<'_>) {
         for sidecar in &mut self.sidecars {
             sidecar.end_watch(notice_delay, context);
         }
     }
 
-    /// Closes connections that have been idle for too long.
+    /// Closes connections that have been idle for longer than the reuse timeout.
     pub(super) fn close_idle_connections(&mut self, fleet: &mut Fleet, context: &Context<'_>) {
         for sidecar in &mut self.sidecars {
             sidecar.close_idle_connections(fleet, context);
         }
     }
 
-    /// A timer of a balancer fires; one of an earlier process is void.
+    /// Handles a balancer's timer, unless it belongs to an earlier process.
     pub(super) fn on_balancer_timer(
         &mut self,
         timer: &BalancerTimer,
@@ -110,7 +113,7 @@
         }
     }
 
-    /// The end of a health check is at its sidecar; that of an earlier process is void.
+    /// Handles the result of a health check, unless it belongs to an earlier process.
     pub(super) fn on_health_check_result(
         &mut self,
         result: &HealthCheckResult,
@@ -122,7 +125,7 @@
         }
     }
 
-    /// The answer to a poll is at its sidecar; that of an earlier process or poll is void.
+    /// Handles the result of a poll, unless it belongs to an earlier process or poll.
     pub(super) fn on_poll_result(
         &mut self,
         result: &PollResult,
@@ -134,7 +137,7 @@
         }
     }
 
-    /// A change of the endpoint list has reached a watch; that of an earlier process is void.
+    /// Handles a change of the endpoint list, unless it was sent to an earlier process.
     pub(super) fn on_watch_notification(
         &mut self,
         process: SidecarProcess,
@@ -146,7 +149,7 @@
         }
     }
 
-    /// A sidecar is to be restarted; one that is down stays so until it is up again by itself.
+    /// Restarts a sidecar; one that is already down is not affected.
     pub(super) fn on_restart(
         &mut self,
         restart: &SidecarRestart,
--- a/crates/testbed/src/simulator/sidecars/requests.rs
+++ b/crates/testbed/src/simulator/sidecars/requests.rs
@@ -1,4 +1,4 @@
-//! A request's life at its sidecar: accepted, attempted, responded to or abandoned.
+//! The lifecycle of a request at its sidecar, from its acceptance to the response.
 
 use std::collections::VecDeque;
 
@@ -16,16 +16,17 @@
 use crate::simulator::event::{ClientResponse, SimulatorEvent};
 use crate::simulator::request::{Request, RequestKey};
 
-/// A request that its sidecar has accepted and not yet responded to.
+/// A request that the sidecar has accepted and not yet responded to.
 pub(super) struct OpenRequest {
     pub(super) key: RequestKey,
     pub(super) request: Request,
-    /// Its attempts, by their indexes.
+    /// The attempts so far, by index.
     pub(super) attempts: Vec<AttemptKey>,
 }
 
 impl OpenRequest {
-    /// Its sidecar's process is gone, and all connections with it.
+    /// Closes the request's connections when the sidecar's process is killed. The client notices
+    /// the loss of its own connection.
     pub(super) fn on_process_killed(self, environment: &mut Environment<'_, '_>) {
         for attempt in self.attempts {
             close_connection(attempt, environment);
@@ -36,7 +37,7 @@
 }
 
 impl Sidecar {
-    /// A request's last byte is at its sidecar, which runs.
+    /// Accepts a request that has reached the running sidecar.
     pub(in crate::simulator) fn accept_request(
         &mut self,
         key: RequestKey,
@@ -64,12 +65,12 @@
         self.handle_balancer_event(arrived, environment);
     }
 
-    /// Whether it has accepted a request and not yet responded to it.
+    /// Whether the sidecar has accepted a request and not yet responded to it.
     pub(super) fn has_open_request(&self, number: RequestNumber) -> bool {
         self.open_requests.contains_key(&number)
     }
 
-    /// The sidecar's last moment for a request that its balancer has not decided.
+    /// Fails a request that is still open shortly before its client gives up.
     pub(in crate::simulator) fn on_response_deadline(
         &mut self,
         number: RequestNumber,
@@ -83,7 +84,7 @@
         self.handle_balancer_events(events, environment);
     }
 
-    /// The client no longer waits: what is still out is cancelled.
+    /// Cancels the outstanding attempts of a request that its client no longer waits for.
     pub(in crate::simulator) fn abandon_request(
         &mut self,
         number: RequestNumber,
@@ -94,7 +95,7 @@
         self.handle_balancer_events(events, environment);
     }
 
-    /// Gives the one final response to a request that is open, and cancels what is still out.
+    /// Sends the final response to a request if it is open, and cancels its outstanding attempts.
     pub(super) fn respond(
         &mut self,
         number: RequestNumber,
@@ -108,7 +109,7 @@
         }
     }
 
-    /// Cancels what is still out of a request that is open, and gives back the client's key.
+    /// Closes a request if it is open, cancels its outstanding attempts and returns its key.
     fn close_request(
         &mut self,
         number: RequestNumber,
@@ -122,7 +123,7 @@
         Some(open.key)
     }
 
-    /// The attempt of an open request by its index.
+    /// Returns the key of an open request's attempt by its index.
     pub(super) fn attempt_key(&self, number: RequestNumber, index: u32) -> Option<AttemptKey> {
         let open = self.open_requests.get(&number)?;
         open.attempts.get(index as usize).copied()
@@ -143,7 +144,7 @@
     BalancerEvent::ClientDisconnected { request }
 }
 
-/// Sends a response, or the end of its connection, on the way to the client.
+/// Schedules the arrival of a response, or of the connection's end, at the client.
 fn send_response(
     request: RequestKey,
     outcome: RequestOutcome,
--- a/crates/testbed/src/simulator/sidecars/settings.rs
+++ b/crates/testbed/src/simulator/sidecars/settings.rs
@@ -1,4 +1,4 @@
-//! The balancer's settings at a scenario's sidecars, as the real program would read them.
+//! The settings of the balancers at a scenario's sidecars, equivalent to those of the real program.
 
 use arrowstand_balancer::{
     self as balancer, BalancerIdentity, Fees, HostCapabilities, PollingSettings, RequestClass,
@@ -12,8 +12,8 @@
     Scenario, from_ms, from_s,
 };
 
-/// A sidecar responds this long before the client gives up, in microseconds: the real program's
-/// `step-ms`.
+/// How long before the client's timeout a sidecar responds at the latest, in microseconds; the real
+/// program's `step-ms`.
 pub(super) const RESPONSE_MARGIN: Micros = 5_000;
 
 fn request_class(class: &Class) -> RequestClass {
@@ -37,7 +37,7 @@
     }
 }
 
-/// The settings of the balancer at a sidecar, by its number.
+/// Returns the settings of the balancer at a sidecar.
 pub(crate) fn balancer_settings(scenario: &Scenario, sidecar_index: SidecarIndex) -> Settings {
     let permissions = &scenario.permissions;
     Settings {
@@ -66,7 +66,7 @@
     }
 }
 
-/// What the site charges; it has no price for an open connection.
+/// Returns the balancer's fees from the scenario's prices, which have none for an open connection.
 fn fees(prices: &Prices) -> Fees {
     Fees {
         health_check: prices.health_check,
--- a/crates/testbed/src/simulator/sidecars/sidecar.rs
+++ b/crates/testbed/src/simulator/sidecars/sidecar.rs
@@ -1,4 +1,4 @@
-//! One sidecar: its state, its start and its restarts.
+//! The state of one sidecar, its start and its restarts.
 
 use std::collections::BTreeMap;
 
@@ -17,30 +17,29 @@
 use crate::simulator::event::{SidecarRestart, SimulatorEvent};
 use crate::simulator::process::SidecarProcess;
 
-/// How long a sidecar goes on responding once it is asked to shut down, in microseconds: the real
-/// program accepts for that long, and drains.
+/// How long a sidecar keeps responding after it is asked to shut down, in microseconds; the real
+/// program accepts requests for as long, and drains.
 const SHUTDOWN_GRACE: Micros = 700_000;
 
-/// A sidecar, and all that is its own.
+/// A sidecar and its state.
 pub(in crate::simulator) struct Sidecar {
     pub(super) index: SidecarIndex,
-    /// Counts its processes.
+    /// Number of times that the sidecar was killed.
     incarnation: u32,
-    /// Absent while it is down.
+    /// Absent while the sidecar is down.
     pub(super) balancer: Option<WorkAwareBalancer>,
-    /// What it knows of the endpoint list.
+    /// The sidecar's copy of the endpoint list, with its poll and watch.
     pub(super) subscription: Subscription,
     pub(super) connections: IdleConnections,
-    /// Open requests by their numbers.
     pub(super) open_requests: BTreeMap<RequestNumber, OpenRequest>,
-    /// Buffer of what its balancer asks for.
+    /// Reusable buffer for the balancer's actions.
     pub(super) actions: Vec<Action>,
-    /// Draws the seeds of its balancers.
+    /// Random stream of the seeds of its balancers.
     seeds: RandomStream,
 }
 
 impl Sidecar {
-    /// A sidecar that is down.
+    /// Creates a sidecar that is not started.
     pub(super) fn new(scenario: &Scenario, index: SidecarIndex, cached: CachedEndpoints) -> Self {
         Self {
             index,
@@ -54,7 +53,7 @@
         }
     }
 
-    /// Starts with nothing but its last endpoint list.
+    /// Starts a new process, whose only earlier state is the cached endpoint list.
     pub(in crate::simulator) fn start(&mut self, environment: &mut Environment<'_, '_>) {
         let settings = balancer_settings(environment.context.scenario(), self.index);
         let seed = self.seeds.number();
@@ -68,7 +67,7 @@
         self.balancer.is_some()
     }
 
-    /// Its present process.
+    /// Returns the current process.
     pub(super) fn process(&self) -> SidecarProcess {
         SidecarProcess {
             sidecar: self.index,
@@ -76,18 +75,18 @@
         }
     }
 
-    /// Whether a process has not been killed since.
+    /// Whether a process is the current one, running or not.
     pub(super) fn is_current(&self, process: SidecarProcess) -> bool {
         self.process() == process
     }
 
-    /// Whether a process is the present one, and up.
+    /// Whether a process is the current one, and up.
     pub(super) fn is_running(&self, process: SidecarProcess) -> bool {
         self.is_current(process) && self.is_up()
     }
 
-    /// Ends it: what it holds is lost where it is killed, and responded to first where it is asked
-    /// to shut down.
+    /// Restarts the sidecar: kills it, which loses its open requests, or shuts it down, which gives
+    /// it `SHUTDOWN_GRACE` to respond to them before it is killed.
     pub(super) fn on_restart(
         &mut self,
         restart: &SidecarRestart,
