--- a/crates/testbed/src/simulator/event_queue.rs
+++ b/crates/testbed/src/simulator/event_queue.rs
@@ -1,119 +1,123 @@
-//! The queue of events: a wheel of short slices of time, of which only the present one is kept
-//! sorted.
+//! The event queue: a timing wheel of short time slots, of which only the current one is sorted.
 //!
-//! A run of a thousand sidecars has hundreds of thousands of timeouts ahead, most of which never
-//! matter; one heap of them all took a quarter of the simulator's time in cache misses.
+//! A run of a thousand sidecars has hundreds of thousands of pending timeouts, most of which have
+//! no effect; with a single heap, cache misses took a quarter of the simulator's time.
 
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BinaryHeap};
 
 use crate::scenario::Micros;
 
-/// Microseconds of a slice, as a power of two.
-const SLICE_BITS: u32 = 11;
-/// Slices on the wheel: some 8 s; what lies beyond is kept by its slice.
-const WHEEL_SLICES: u64 = 4_096;
+/// Length of a slot in microseconds, as a power of two.
+const SLOT_BITS: u32 = 11;
+/// Number of slots in the wheel, about 8 s; later events go to the overflow map.
+const WHEEL_SLOTS: u64 = 4_096;
 
-struct Queued<T> {
+struct QueuedEvent<T> {
     at: Micros,
-    /// Counts all pushes: orders events of one moment.
+    /// Number of pushes so far, which orders events with equal times.
     sequence: u64,
     event: T,
 }
 
-impl<T> PartialEq for Queued<T> {
+impl<T> PartialEq for QueuedEvent<T> {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other) == Ordering::Equal
     }
 }
 
-impl<T> Eq for Queued<T> {}
+impl<T> Eq for QueuedEvent<T> {}
 
-impl<T> PartialOrd for Queued<T> {
+impl<T> PartialOrd for QueuedEvent<T> {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl<T> Ord for Queued<T> {
-    /// The earliest is the greatest; among equals the one that was queued first.
+impl<T> Ord for QueuedEvent<T> {
+    /// Reverses the order for the max-heap: the earliest event is the greatest, and among events
+    /// with equal times the one that was pushed first.
     fn cmp(&self, other: &Self) -> Ordering {
         (other.at, other.sequence).cmp(&(self.at, self.sequence))
     }
 }
 
-/// Gives back events by time, and within one moment in the order of their push.
+/// A priority queue that yields events by time, and in push order at equal times.
 pub(super) struct EventQueue<T> {
-    /// The present slice.
-    slice: u64,
-    /// Events of the present slice, sorted.
-    near: BinaryHeap<Queued<T>>,
-    /// Events of the slices on the wheel, unsorted.
-    wheel: Vec<Vec<Queued<T>>>,
-    /// Events beyond the wheel by slice, unsorted.
-    far: BTreeMap<u64, Vec<Queued<T>>>,
+    /// Number of the current slot, counted from time 0.
+    current_slot: u64,
+    /// Events of the current slot, as a heap.
+    current: BinaryHeap<QueuedEvent<T>>,
+    /// Unsorted events of the slots that the wheel covers.
+    wheel: Vec<Vec<QueuedEvent<T>>>,
+    /// Unsorted events beyond the wheel, by slot number.
+    overflow: BTreeMap<u64, Vec<QueuedEvent<T>>>,
     sequence: u64,
     count: usize,
 }
 
 impl<T> EventQueue<T> {
-    /// An empty queue.
     pub(super) fn new() -> Self {
-        let wheel = (0..WHEEL_SLICES).map(|_| Vec::new()).collect();
+        let wheel = (0..WHEEL_SLOTS).map(|_| Vec::new()).collect();
         Self {
-            slice: 0,
-            near: BinaryHeap::new(),
+            current_slot: 0,
+            current: BinaryHeap::new(),
             wheel,
-            far: BTreeMap::new(),
+            overflow: BTreeMap::new(),
             sequence: 0,
             count: 0,
         }
     }
 
-    /// Adds an event; `at` must not lie before the event that was popped last.
+    /// Adds an event; `at` must not be earlier than the time of the last popped event.
     pub(super) fn push(&mut self, at: Micros, event: T) {
         self.sequence += 1;
         self.count += 1;
         let sequence = self.sequence;
-        let queued = Queued {
+        let queued = QueuedEvent {
             at,
             sequence,
             event,
         };
-        let slice = at >> SLICE_BITS;
-        match slice.saturating_sub(self.slice) {
-            0 => self.near.push(queued),
-            ahead if ahead < WHEEL_SLICES => {
-                self.wheel[wheel_position(slice)].push(queued);
+        let slot = at >> SLOT_BITS;
+        match slot.saturating_sub(self.current_slot) {
+            0 => self.current.push(queued),
+            ahead if ahead < WHEEL_SLOTS => {
+                self.wheel[wheel_index(slot)].push(queued);
             }
-            _ => self.far.entry(slice).or_default().push(queued),
+            _ => self.overflow.entry(slot).or_default().push(queued),
         }
     }
 
-    /// Takes the next event with its time; nothing where the queue is empty.
+    /// Removes the next event and returns it with its time, or `None` if the queue is empty.
     pub(super) fn pop(&mut self) -> Option<(Micros, T)> {
-        while self.near.is_empty() {
+        while self.current.is_empty() {
             if self.count == 0 {
                 return None;
             }
-            self.advance_slice();
+            self.advance_slot();
         }
         self.count -= 1;
-        self.near.pop().map(|queued| (queued.at, queued.event))
+        self.current.pop().map(|queued| (queued.at, queued.event))
     }
 
-    fn advance_slice(&mut self) {
-        self.slice += 1;
-        let on_wheel = &mut self.wheel[wheel_position(self.slice)];
+    fn advance_slot(&mut self) {
+        self.current_slot += 1;
+        let on_wheel = &mut self.wheel[wheel_index(self.current_slot)];
         let mut events = std::mem::take(on_wheel);
-        events.extend(self.far.remove(&self.slice).into_iter().flatten());
-        self.near = events.into();
+        events.extend(
+            self.overflow
+                .remove(&self.current_slot)
+                .into_iter()
+                .flatten(),
+        );
+        self.current = events.into();
     }
 }
 
-/// Where a slice lies on the wheel.
-fn wheel_position(slice: u64) -> usize {
-    (slice % WHEEL_SLICES) as usize
+/// Index of a slot in the wheel.
+fn wheel_index(slot: u64) -> usize {
+    (slot % WHEEL_SLOTS) as usize
 }
 
 #[cfg(test)]
--- a/crates/testbed/src/simulator/mod.rs
+++ b/crates/testbed/src/simulator/mod.rs
@@ -1,14 +1,15 @@
-//! The simulator: virtual time, one thread, no sockets. Real `arrowstand_balancer` balancers, one
-//! for each sidecar, against servers, network, discovery and clients as the scenario describes
-//! them.
+//! A single-threaded discrete-event simulator in virtual time, without sockets. It runs one real
+//! `arrowstand_balancer` balancer per sidecar against simulated servers, network, discovery and
+//! clients, which behave as the scenario describes.
 //!
-//! `Simulator` owns the components and passes each event to the one that handles it; `handover` has
-//! the events that several have a part in. Each component owns its state and gets the others that it
-//! uses as arguments, with the `context` of scenario, timeline and event log.
+//! `Simulator` owns the components and dispatches each event to the component that handles it;
+//! `handover` handles the events that involve several components. Each component owns its state and
+//! receives the components that it uses as arguments, along with the `context`, which holds the
+//! scenario, the timeline and the event log.
 //!
-//! Everything happens in the order of the queue, and each cause draws from a random stream of its
-//! own, so the same scenario and seed give the same event log to the last entry. Servers' behaviour
-//! is `server_model`'s, and what is asked for is `workload`'s.
+//! A run is deterministic: events are processed in queue order and every source of randomness has
+//! its own random stream, so that a scenario and a seed always produce the same event log. The
+//! behaviour of servers is defined in `server_model`, and the generated load in `workload`.
 
 mod attempts;
 mod clients;
@@ -43,12 +44,13 @@
 pub use error::SimulatorError;
 pub use run::{RunStatistics, run};
 
-/// Where the balancers' clock stands when the run begins: servers' incarnations count from here.
+/// Reading of the balancers' clock at the start of a run, in microseconds; servers' incarnations
+/// are relative to it.
 const EPOCH: Micros = 1_000_000_000_000;
-/// How long after the last arrival the run goes on at most, in microseconds.
-const MAX_RUN_OUT: Micros = 120_000_000;
+/// Longest time that a run continues after the end of its arrivals, in microseconds.
+const MAX_TIME_AFTER_ARRIVALS: Micros = 120_000_000;
 
-/// A scenario being simulated.
+/// A running simulation of one scenario.
 struct Simulator<'a> {
     context: Context<'a>,
     clients: Clients,
@@ -58,11 +60,11 @@
     fleet: Fleet,
     discovery: Discovery,
     faults: Faults,
-    events_played: u64,
+    events_processed: u64,
 }
 
 impl<'a> Simulator<'a> {
-    /// Builds all components, and schedules the first arrivals and the faults.
+    /// Creates all components, starts the sidecars, and schedules the first arrivals and faults.
     fn new(scenario: &'a Scenario, log: &'a mut dyn EventLog) -> Result<Self, SimulatorError> {
         let mut context = Context::new(scenario, log);
         let fleet = Fleet::new(&mut context);
@@ -76,69 +78,73 @@
             faults: Faults::new(scenario, &fleet.zones()),
             fleet,
             discovery,
-            events_played: 0,
+            events_processed: 0,
         };
         simulator.start();
         Ok(simulator)
     }
 
-    /// Plays until nothing is open after the last arrival, or the run has gone on for too long.
-    fn play(&mut self) {
-        let last_arrival = from_s(self.context.scenario().seconds);
-        while let Some(event) = self.context.next_event(last_arrival + MAX_RUN_OUT) {
-            if self.context.now() > last_arrival && self.clients.is_idle() {
+    /// Processes events until all arrivals are closed after the arrival period, or until
+    /// `MAX_TIME_AFTER_ARRIVALS` has passed since.
+    fn run_to_completion(&mut self) {
+        let arrivals_end = from_s(self.context.scenario().seconds);
+        while let Some(event) = self
+            .context
+            .next_event(arrivals_end + MAX_TIME_AFTER_ARRIVALS)
+        {
+            if self.context.now() > arrivals_end && self.clients.is_idle() {
                 return;
             }
-            self.events_played += 1;
+            self.events_processed += 1;
             self.handle(event);
         }
     }
 
-    /// What the run has taken so far.
     fn run_statistics(&self) -> RunStatistics {
         RunStatistics {
-            events_played: self.events_played,
+            events_processed: self.events_processed,
             not_played: self.clients.not_played(),
         }
     }
 
-    /// Passes an event to the component that handles it, or to `handover` where several do.
+    /// Dispatches an event to the component that handles it, or to `handover` if it involves
+    /// several.
     fn handle(&mut self, event: SimulatorEvent) {
         use SimulatorEvent as Event;
-        let (sidecars, others) = &mut self.sidecars_with_environment();
+        let (sidecars, env) = &mut self.sidecars_with_environment();
         match event {
             Event::Arrival(sidecar, arrival) => self.on_arrival(sidecar, &arrival),
             Event::RetryDue(sidecar, arrival) => self.on_retry_due(sidecar, arrival),
             Event::RequestAtSidecar(request) => self.on_request_at_sidecar(request),
-            Event::BalancerTimer(timer) => sidecars.on_balancer_timer(&timer, others),
-            Event::ResponseDue(sidecar, request) => {
-                sidecars.at(sidecar).on_response_due(request, others);
+            Event::BalancerTimer(timer) => sidecars.on_balancer_timer(&timer, env),
+            Event::ResponseDeadline(sidecar, request) => {
+                sidecars.get_mut(sidecar).on_response_deadline(request, env);
             }
             Event::ClientTimeout(request) => self.on_client_timeout(request),
             Event::ClientDisconnect(request) => self.on_client_disconnect(request),
             Event::ResponseAtClient(response) => self.on_response_at_client(&response),
             Event::ConnectAtServer(attempt) => self.on_connect_at_server(attempt),
             Event::ConnectionOpen(sidecar, attempt) => {
-                sidecars.at(sidecar).on_connection_open(attempt, others);
+                sidecars.get_mut(sidecar).on_connection_open(attempt, env);
             }
             Event::AttemptAtServer(attempt) => self.on_attempt_at_server(attempt),
-            Event::ResultAtSidecar(sidecar, attempt, outcome) => {
-                let sidecar = sidecars.at(sidecar);
-                sidecar.on_attempt_result(attempt, outcome, others);
+            Event::AttemptResultAtSidecar(sidecar, attempt, outcome) => {
+                let sidecar = sidecars.get_mut(sidecar);
+                sidecar.on_attempt_result(attempt, outcome, env);
             }
             Event::AttemptTimeout(sidecar, attempt) => {
-                sidecars.at(sidecar).on_attempt_timeout(attempt, others);
+                sidecars.get_mut(sidecar).on_attempt_timeout(attempt, env);
             }
             Event::CancellationAtServer(cancellation) => self.on_cancellation(&cancellation),
-            Event::ServerDue(server, generation) => self.on_server_due(server, generation),
+            Event::ServerTimer(server, generation) => self.on_server_timer(server, generation),
             Event::HealthCheckAtServer(check) => self.on_health_check_at_server(&check),
-            Event::HealthCheckResult(result) => sidecars.on_health_check_result(&result, others),
-            Event::PollResult(result) => sidecars.on_poll_result(&result, others),
-            Event::WatchNotification(process) => sidecars.on_watch_notification(process, others),
+            Event::HealthCheckResult(result) => sidecars.on_health_check_result(&result, env),
+            Event::PollResult(result) => sidecars.on_poll_result(&result, env),
+            Event::WatchNotification(process) => sidecars.on_watch_notification(process, env),
             Event::ListChange(endpoint) => self.on_list_change(endpoint),
             Event::Fault { index, starts } => self.on_fault(index, starts),
-            Event::SidecarRestart(restart) => sidecars.on_restart(&restart, others),
-            Event::SidecarUp(sidecar) => sidecars.at(sidecar).start(others),
+            Event::SidecarRestart(restart) => sidecars.on_restart(&restart, env),
+            Event::SidecarUp(sidecar) => sidecars.get_mut(sidecar).start(env),
             Event::GaugeTick => self.on_gauge_tick(),
         }
     }
--- a/crates/testbed/src/simulator/network.rs
+++ b/crates/testbed/src/simulator/network.rs
@@ -1,45 +1,45 @@
-//! The network between sidecars and servers: how long a way takes, and what is drawn on it.
+//! The network between sidecars and servers: random delays, and the noise of attempts' work.
 //!
-//! Owns each sidecar's zone and its random stream. What travels, and what happens at either end, is
-//! the sidecars' and the fleet's.
+//! Owns each sidecar's zone and its random stream. Messages and their effects are handled by
+//! `sidecars` and `fleet`.
 
 use crate::index::{ClassIndex, SidecarIndex};
 use crate::random::{RandomStream, StreamId};
 use crate::scenario::{Micros, Scenario, from_ms};
 
-/// A sidecar's place in the network.
-struct Origin {
+/// A sidecar's position in the network.
+struct SidecarNode {
     zone: u32,
-    /// Draws delays, and the noise of attempts.
+    /// Random stream of delays and of the noise of attempts' work.
     random: RandomStream,
 }
 
-/// The ways from each sidecar to the servers.
+/// The network paths from each sidecar to the servers.
 pub(super) struct Network {
-    origins: Vec<Origin>,
+    sidecars: Vec<SidecarNode>,
 }
 
 impl Network {
-    /// The network of a scenario's sidecars.
+    /// Creates the network of a scenario's sidecars.
     pub(super) fn new(scenario: &Scenario) -> Self {
-        let origin = |sidecar: SidecarIndex| Origin {
+        let node = |sidecar: SidecarIndex| SidecarNode {
             zone: scenario.sidecar_zone(sidecar),
             random: RandomStream::new(scenario.seed, StreamId::Network, sidecar.index()),
         };
         Self {
-            origins: SidecarIndex::all(scenario.sidecars.count)
-                .map(origin)
+            sidecars: SidecarIndex::all(scenario.sidecars.count)
+                .map(node)
                 .collect(),
         }
     }
 
-    /// Whether the way from a sidecar to a server in this zone leads out of the sidecar's zone.
+    /// Whether a server in this zone is outside the sidecar's zone.
     pub(super) fn is_cross_zone(&self, sidecar: SidecarIndex, server_zone: u32) -> bool {
-        self.origins[sidecar.index()].zone != server_zone
+        self.sidecars[sidecar.index()].zone != server_zone
     }
 
-    /// One way between a sidecar and a server in this zone in microseconds, drawn by the sidecar's
-    /// stream.
+    /// Draws a one-way delay in microseconds between a sidecar and a server in this zone from the
+    /// sidecar's random stream.
     pub(super) fn draw_delay(
         &mut self,
         sidecar: SidecarIndex,
@@ -52,12 +52,12 @@
         } else {
             network.same_ms
         };
-        let random = &mut self.origins[sidecar.index()].random;
+        let random = &mut self.sidecars[sidecar.index()].random;
         from_ms(base_ms * (1.0 + network.jitter * random.unit()))
     }
 
-    /// Work of one attempt, which differs from the request's by its class's noise; in microseconds
-    /// of a standard core.
+    /// Draws the work of one attempt, which varies around the request's work by the noise of its
+    /// class, in microseconds of a standard core.
     pub(super) fn draw_attempt_work(
         &mut self,
         sidecar: SidecarIndex,
@@ -68,7 +68,7 @@
         let class = scenario.class.get(class.index());
         let noise = class.map_or(0.0, |class| class.noise);
         if noise > 0.0 {
-            let random = &mut self.origins[sidecar.index()].random;
+            let random = &mut self.sidecars[sidecar.index()].random;
             // The subtrahend keeps the mean of the lognormal factor at 1.
             work * (noise * random.normal() - noise * noise / 2.0).exp()
         } else {
--- a/crates/testbed/src/simulator/sidecars/connecting.rs
+++ b/crates/testbed/src/simulator/sidecars/connecting.rs
@@ -1,4 +1,4 @@
-//! An attempt's connection at its sidecar: opened, written to, closed.
+//! The sidecar's side of an attempt's connection: opening, writing and closing it.
 
 use super::environment::Environment;
 use super::sidecar::Sidecar;
@@ -9,7 +9,7 @@
 use crate::simulator::event::{Cancellation, SimulatorEvent};
 
 impl Sidecar {
-    /// The connection of an attempt is open, and its request is written.
+    /// Handles the opening of an attempt's connection: writes the request to it.
     pub(in crate::simulator) fn on_connection_open(
         &mut self,
         key: AttemptKey,
@@ -22,43 +22,46 @@
             environment.attempts.remove(key);
             return;
         }
-        let due = attempt.details.due;
+        let deadline = attempt.details.deadline;
         let delay = attempt.details.delay;
         let machine_type = environment.fleet.machine_type(attempt.details.server);
-        let further_round_trips = (machine_type.handshake_rtts - 1.0).max(0.0);
-        let handshake = scaled_micros(delay, further_round_trips * 2.0);
-        write(key, environment);
+        let extra_round_trips = (machine_type.handshake_rtts - 1.0).max(0.0);
+        let handshake = scaled_micros(delay, extra_round_trips * 2.0);
+        write_request(key, environment);
         let timeout = SimulatorEvent::AttemptTimeout(self.index, key);
-        environment.context.at(due, timeout);
-        let arrives = SimulatorEvent::AttemptAtServer(key);
-        environment.context.after(delay + handshake, arrives);
+        environment.context.schedule_at(deadline, timeout);
+        let arrival = SimulatorEvent::AttemptAtServer(key);
+        environment
+            .context
+            .schedule_after(delay + handshake, arrival);
     }
 }
 
-/// Schedules what follows as an attempt starts: the opening of its connection, or its arrival.
-pub(super) fn schedule(key: AttemptKey, environment: &mut Environment<'_, '_>) {
+/// Schedules the first events of an attempt: the opening of its connection, or its arrival at the
+/// server on a reused connection, and its timeout.
+pub(super) fn schedule_attempt(key: AttemptKey, environment: &mut Environment<'_, '_>) {
     let Some(attempt) = environment.attempts.get(key) else {
         return;
     };
     let delay = attempt.details.delay;
-    let due = attempt.details.due;
+    let deadline = attempt.details.deadline;
     let timeout = SimulatorEvent::AttemptTimeout(attempt.details.sidecar, key);
     if attempt.opens_connection() {
         let context = &mut *environment.context;
         let connect_timeout = from_ms(context.scenario().permissions.connect_timeout_ms);
-        let connect_due = context.now() + connect_timeout;
-        context.after(delay, SimulatorEvent::ConnectAtServer(key));
-        context.at(due.min(connect_due), timeout);
+        let connect_deadline = context.now() + connect_timeout;
+        context.schedule_after(delay, SimulatorEvent::ConnectAtServer(key));
+        context.schedule_at(deadline.min(connect_deadline), timeout);
     } else {
-        write(key, environment);
+        write_request(key, environment);
         let context = &mut *environment.context;
-        context.after(delay, SimulatorEvent::AttemptAtServer(key));
-        context.at(due, timeout);
+        context.schedule_after(delay, SimulatorEvent::AttemptAtServer(key));
+        context.schedule_at(deadline, timeout);
     }
 }
 
-/// Writes an attempt's request to its connection.
-fn write(key: AttemptKey, environment: &mut Environment<'_, '_>) {
+/// Writes an attempt's request to its connection and records the start of the attempt.
+fn write_request(key: AttemptKey, environment: &mut Environment<'_, '_>) {
     let Some(attempt) = environment.attempts.get_mut(key) else {
         return;
     };
@@ -75,7 +78,8 @@
     environment.context.record(started);
 }
 
-/// Closes an attempt's connection; the server notices what it has of it after the way there.
+/// Closes an attempt's connection. If the request was written, the server notices after the one-way
+/// delay.
 pub(super) fn close_connection(key: AttemptKey, environment: &mut Environment<'_, '_>) {
     let Some(attempt) = environment.attempts.get_mut(key) else {
         return;
@@ -86,11 +90,13 @@
     let server = attempt.details.server;
     environment.fleet.close_connection(server, server_start);
     if attempt.is_written() {
-        let noticed = SimulatorEvent::CancellationAtServer(Cancellation {
+        let cancellation = SimulatorEvent::CancellationAtServer(Cancellation {
             server,
             server_start,
             job: attempt.job(),
         });
-        environment.context.after(attempt.details.delay, noticed);
+        environment
+            .context
+            .schedule_after(attempt.details.delay, cancellation);
     }
 }
--- a/crates/testbed/src/simulator/sidecars/health_checks.rs
+++ b/crates/testbed/src/simulator/sidecars/health_checks.rs
@@ -1,4 +1,4 @@
-//! A health check at its sidecar: sent, and answered or given up.
+//! The sidecar's side of health checks: sending them and reporting their results.
 
 use arrowstand_balancer::{Event as BalancerEvent, LoadReport, ServerId};
 
@@ -9,11 +9,12 @@
 use crate::scenario::Micros;
 use crate::simulator::event::{HealthCheck, HealthCheckResult, SimulatorEvent};
 
-/// One-way delays until a health check on a new connection has arrived.
-const DELAYS_OF_NEW_CONNECTION: Micros = 3;
+/// Number of one-way delays until a health check on a new connection reaches the server: one round
+/// trip to connect, and the way of the check.
+const NEW_CONNECTION_ONE_WAY_DELAYS: Micros = 3;
 
 impl Sidecar {
-    /// Sends a health check, on a kept connection where there is one.
+    /// Sends a health check, on an idle connection if there is one.
     pub(super) fn send_health_check(
         &mut self,
         server: ServerIndex,
@@ -26,7 +27,7 @@
         let delay = environment.draw_delay(self.index, server);
         let new_connection = self.reuse_connection(server, environment).is_none();
         let arrives_after = if new_connection {
-            DELAYS_OF_NEW_CONNECTION * delay
+            NEW_CONNECTION_ONE_WAY_DELAYS * delay
         } else {
             delay
         };
@@ -36,10 +37,10 @@
             delay,
             new_connection,
         });
-        environment.context.after(arrives_after, check);
+        environment.context.schedule_after(arrives_after, check);
     }
 
-    /// The end of a health check is known.
+    /// Reports the result of a health check to the balancer.
     pub(super) fn on_health_check_result(
         &mut self,
         result: &HealthCheckResult,
--- a/crates/testbed/src/simulator/sidecars/settings.rs
+++ b/crates/testbed/src/simulator/sidecars/settings.rs
@@ -1,4 +1,4 @@
-//! The balancer's settings at a scenario's sidecars, as the real program would read them.
+//! The settings of the balancers at a scenario's sidecars, equivalent to those of the real program.
 
 use arrowstand_balancer::{
     self as balancer, BalancerIdentity, Fees, HostCapabilities, PollingSettings, RequestClass,
@@ -12,8 +12,8 @@
     Scenario, from_ms, from_s,
 };
 
-/// A sidecar responds this long before the client gives up, in microseconds: the real program's
-/// `step-ms`.
+/// How long before the client's timeout a sidecar responds at the latest, in microseconds; the real
+/// program's `step-ms`.
 pub(super) const RESPONSE_MARGIN: Micros = 5_000;
 
 fn request_class(class: &Class) -> RequestClass {
@@ -37,7 +37,7 @@
     }
 }
 
-/// The settings of the balancer at a sidecar, by its number.
+/// Returns the settings of the balancer at a sidecar.
 pub(crate) fn balancer_settings(scenario: &Scenario, sidecar_index: SidecarIndex) -> Settings {
     let permissions = &scenario.permissions;
     Settings {
@@ -66,7 +66,7 @@
     }
 }
 
-/// What the site charges; it has no price for an open connection.
+/// Returns the balancer's fees from the scenario's prices, which have none for an open connection.
 fn fees(prices: &Prices) -> Fees {
     Fees {
         health_check: prices.health_check,
@@ -90,19 +90,19 @@
 fn slow_start_settings(scenario: &Scenario) -> SlowStartSettings {
     let machine_types = &scenario.machine_type;
     SlowStartSettings {
-        initial_capacity: least_cold_capacity_share(machine_types),
-        duration: longest_slow_start(machine_types),
+        initial_capacity: min_cold_capacity_share(machine_types),
+        duration: max_slow_start(machine_types),
         overload_factor: scenario.rules.cold_overload_factor,
         overload_window: from_ms(scenario.rules.cold_overload_window_ms),
     }
 }
 
-fn least_cold_capacity_share(machine_types: &[MachineType]) -> f64 {
+fn min_cold_capacity_share(machine_types: &[MachineType]) -> f64 {
     let shares = machine_types.iter().map(|t| t.cold_capacity_share);
     shares.fold(1.0, f64::min)
 }
 
-fn longest_slow_start(machine_types: &[MachineType]) -> Micros {
+fn max_slow_start(machine_types: &[MachineType]) -> Micros {
     let seconds = machine_types.iter().map(|t| t.slow_start_s);
     from_s(seconds.fold(0.0, f64::max))
 }
