--- a/crates/testbed/src/emulator/client/arrival.rs
+++ b/crates/testbed/src/emulator/client/arrival.rs
@@ -98,11 +98,11 @@
         let clients = &self.shared.scenario.clients;
         let time_limit = deadline - arrival.at;
         let [least, most] = clients.timeout_share;
-        let timeout = micros_from_f64(f64_from_u64(time_limit) * random.between(least, most));
+        let timeout = micros_from_f64(f64_from_u64(time_limit) * random.uniform_in(least, most));
         let due = (from + timeout).min(deadline);
-        let disconnects = random.chance(clients.disconnect_share);
+        let disconnects = random.bernoulli(clients.disconnect_share);
         let disconnects_at =
-            from + micros_from_f64(random.unit() * f64_from_u64(due.saturating_sub(from)));
+            from + micros_from_f64(random.uniform() * f64_from_u64(due.saturating_sub(from)));
         OutgoingRequest {
             number: self.shared.next_request_number(),
             arrival: number,
@@ -143,7 +143,7 @@
         response: Response,
     ) -> Micros {
         let [least, most] = self.shared.scenario.clients.backoff_ms;
-        let backoff = from_ms(random.between(least, most));
+        let backoff = from_ms(random.uniform_in(least, most));
         let advised = response
             .retry_after
             .filter(|_| arrival.honours_retry_after && outcome == RequestOutcome::Rejected);
--- a/crates/testbed/src/emulator/discovery/mod.rs
+++ b/crates/testbed/src/emulator/discovery/mod.rs
@@ -232,7 +232,7 @@
 
     /// A delay for the notification of a change, drawn for each watch.
     fn draw_spread(&self) -> Micros {
-        let unit = lock(&self.random).unit();
+        let unit = lock(&self.random).uniform();
         from_ms(self.shared.scenario.discovery.spread_ms * unit)
     }
 }
--- a/crates/testbed/src/emulator/emulated_server/process.rs
+++ b/crates/testbed/src/emulator/emulated_server/process.rs
@@ -76,7 +76,7 @@
 
     /// A random number from 0 to 1.
     pub(super) fn random_unit(&mut self) -> f64 {
-        self.random.unit()
+        self.random.uniform()
     }
 
     pub(super) fn next_event_at(&self) -> Option<Micros> {
@@ -186,8 +186,8 @@
     pub(super) fn draw_response(&mut self, now: Micros) -> ResponseDraw {
         let reported_in_flight = self.model.response_report(now);
         ResponseDraw {
-            malformed: self.random.chance(self.malformed_share),
-            reset: self.random.chance(self.reset_share),
+            malformed: self.random.bernoulli(self.malformed_share),
+            reset: self.random.bernoulli(self.reset_share),
             reported_in_flight,
         }
     }
--- a/crates/testbed/src/emulator/sidecars/process.rs
+++ b/crates/testbed/src/emulator/sidecars/process.rs
@@ -62,7 +62,7 @@
 
     /// The seed of the next process.
     pub(super) fn next_seed(&self) -> u64 {
-        lock(&self.seeds).number()
+        lock(&self.seeds).next_u64()
     }
 
     pub(super) fn on_started(&self, child: Child) {
--- a/crates/testbed/src/random.rs
+++ b/crates/testbed/src/random.rs
@@ -45,35 +45,35 @@
 impl RandomStream {
     /// The stream of a cause and an index within it, such as a sidecar's; the seed is the
     /// scenario's.
-    pub fn new(seed: u64, cause: StreamId, index: usize) -> Self {
+    pub fn new(seed: u64, id: StreamId, index: usize) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        rng.set_stream((cause as u64) << INDEX_BITS | u64_from_count(index));
+        rng.set_stream((id as u64) << INDEX_BITS | u64_from_count(index));
         Self(rng)
     }
 
     /// From 0 up to but not 1.
-    pub fn unit(&mut self) -> f64 {
+    pub fn uniform(&mut self) -> f64 {
         self.0.random()
     }
 
     /// From `least` up to but not `most`.
-    pub fn between(&mut self, least: f64, most: f64) -> f64 {
-        least + (most - least) * self.unit()
+    pub fn uniform_in(&mut self, least: f64, most: f64) -> f64 {
+        least + (most - least) * self.uniform()
     }
 
     /// A whole number below `count`; 0 where that is 0.
-    pub fn below(&mut self, count: usize) -> usize {
+    pub fn index_below(&mut self, count: usize) -> usize {
         self.0.random_range(0..count.max(1))
     }
 
     /// Any whole number.
-    pub fn number(&mut self) -> u64 {
+    pub fn next_u64(&mut self) -> u64 {
         self.0.random()
     }
 
     /// True with this probability. Draws nothing where it is 0.
-    pub fn chance(&mut self, probability: f64) -> bool {
-        probability > 0.0 && self.unit() < probability
+    pub fn bernoulli(&mut self, probability: f64) -> bool {
+        probability > 0.0 && self.uniform() < probability
     }
 
     /// Exponential with mean 1.
@@ -96,7 +96,7 @@
 
     /// An index drawn by weights; the last where rounding leaves a rest.
     pub fn weighted_index(&mut self, weights: &[f64]) -> usize {
-        let mut rest = self.unit() * weights.iter().sum::<f64>();
+        let mut rest = self.uniform() * weights.iter().sum::<f64>();
         let found = weights.iter().position(|weight| {
             rest -= weight;
             rest < 0.0
--- a/crates/testbed/src/server_model/mod.rs
+++ b/crates/testbed/src/server_model/mod.rs
@@ -147,7 +147,7 @@
     ) -> Self {
         let mut random = RandomStream::new(scenario.seed, StreamId::Machines, index.index() + 1);
         let spread = machine_type.speed_spread;
-        let warm_core_speed = machine_type.speed * random.between(1.0 - spread, 1.0 + spread);
+        let warm_core_speed = machine_type.speed * random.uniform_in(1.0 - spread, 1.0 + spread);
         let rule = OverloadRule {
             factor: scenario.rules.cold_overload_factor,
             window: from_ms(scenario.rules.cold_overload_window_ms),
--- a/crates/testbed/src/server_model/service.rs
+++ b/crates/testbed/src/server_model/service.rs
@@ -92,7 +92,7 @@
         let Some(id) = self.running.pop_first() else {
             return;
         };
-        let error = self.random.chance(self.error_rate);
+        let error = self.random.bernoulli(self.error_rate);
         if error {
             self.load_reports.on_error(self.now);
         }
--- a/crates/testbed/src/simulator/clients/mod.rs
+++ b/crates/testbed/src/simulator/clients/mod.rs
@@ -228,10 +228,10 @@
     let class = &scenario.class[arrival.class.index()];
     let [shortest, longest] = scenario.clients.timeout_share;
     let deadline = from_ms(class.deadline_ms);
-    let timeout = scaled_micros(deadline, random.between(shortest, longest));
+    let timeout = scaled_micros(deadline, random.uniform_in(shortest, longest));
     // The moment is drawn whether or not it counts, so that the share moves no other draw.
-    let disconnects = random.chance(scenario.clients.disconnect_share);
-    let disconnects_at = now + scaled_micros(timeout, random.unit());
+    let disconnects = random.bernoulli(scenario.clients.disconnect_share);
+    let disconnects_at = now + scaled_micros(timeout, random.uniform());
     Patience {
         due: (now + timeout).min(arrival.deadline),
         disconnects_at: disconnects.then_some(disconnects_at),
--- a/crates/testbed/src/simulator/clients/responses.rs
+++ b/crates/testbed/src/simulator/clients/responses.rs
@@ -66,7 +66,7 @@
         let random = &mut self.by_sidecar[arrival.sidecar.index()].random;
         let [shortest, longest] = scenario.clients.backoff_ms;
         // Drawn whether or not it counts, so that an outcome moves no other draw.
-        let backoff = from_ms(random.between(shortest, longest));
+        let backoff = from_ms(random.uniform_in(shortest, longest));
         let wait = if arrival.honours_retry_after && outcome == RequestOutcome::Rejected {
             retry_after.max(1)
         } else {
--- a/crates/testbed/src/simulator/discovery/mod.rs
+++ b/crates/testbed/src/simulator/discovery/mod.rs
@@ -110,7 +110,7 @@
     ) {
         let spread_ms = context.scenario().discovery.spread_ms;
         for process in watching {
-            let delay = from_ms(spread_ms * self.random.unit());
+            let delay = from_ms(spread_ms * self.random.uniform());
             context.after(delay, SimulatorEvent::WatchNotification(process));
         }
     }
--- a/crates/testbed/src/simulator/faults/mod.rs
+++ b/crates/testbed/src/simulator/faults/mod.rs
@@ -82,7 +82,7 @@
     let mut random = RandomStream::new(scenario.seed, StreamId::Faults, index);
     let mut drawn = Vec::with_capacity(count);
     while drawn.len() < count && !candidates.is_empty() {
-        drawn.push(candidates.swap_remove(random.below(candidates.len())));
+        drawn.push(candidates.swap_remove(random.index_below(candidates.len())));
     }
     drawn.sort_unstable();
     drawn
--- a/crates/testbed/src/simulator/fleet/attempts.rs
+++ b/crates/testbed/src/simulator/fleet/attempts.rs
@@ -74,7 +74,7 @@
         let server = &mut self.servers[attempt.details.server.index()];
         let capacity = server.model.capacity(now);
         let cold = server.model.is_cold(now);
-        attempt.on_received(self.random.chance(server.reset_share()));
+        attempt.on_received(self.random.bernoulli(server.reset_share()));
         if attempt.opens_connection() {
             server.model.handshake(now, &mut self.model_events);
         }
@@ -105,7 +105,7 @@
         };
         attempt.on_work_done(server.model.response_report(context.now()));
         // Drawn whether or not the connection breaks, so that one fault moves no other's draws.
-        let malformed = self.random.chance(server.malformed_share());
+        let malformed = self.random.bernoulli(server.malformed_share());
         context.record(LogEvent::WorkDone {
             request: attempt.details.request,
             server: server_index,
--- a/crates/testbed/src/simulator/network.rs
+++ b/crates/testbed/src/simulator/network.rs
@@ -53,7 +53,7 @@
             network.same_ms
         };
         let random = &mut self.origins[sidecar.index()].random;
-        from_ms(base_ms * (1.0 + network.jitter * random.unit()))
+        from_ms(base_ms * (1.0 + network.jitter * random.uniform()))
     }
 
     /// Work of one attempt, which differs from the request's by its class's noise; in microseconds
--- a/crates/testbed/src/simulator/sidecars/sidecar.rs
+++ b/crates/testbed/src/simulator/sidecars/sidecar.rs
@@ -57,7 +57,7 @@
     /// Starts with nothing but its last endpoint list.
     pub(in crate::simulator) fn start(&mut self, environment: &mut Environment<'_, '_>) {
         let settings = balancer_settings(environment.context.scenario(), self.index);
-        let seed = self.seeds.number();
+        let seed = self.seeds.next_u64();
         self.balancer = WorkAwareBalancer::new(settings, seed).ok();
         self.subscription.on_watch_ended();
         self.record_state(ProcessState::Up, environment);
--- a/crates/testbed/src/workload.rs
+++ b/crates/testbed/src/workload.rs
@@ -64,7 +64,7 @@
     let mut level: f64 = DRIFT_MIDDLE;
     let seconds = count_from_f64(scenario.seconds.ceil()) + 1;
     let levels = (0..seconds).map(|_| {
-        let step = random.between(-DRIFT_STEP, DRIFT_STEP);
+        let step = random.uniform_in(-DRIFT_STEP, DRIFT_STEP);
         level = (level + step + DRIFT_RETURN * (DRIFT_MIDDLE - level)).clamp(0.0, 1.0);
         level
     });
@@ -99,7 +99,7 @@
 impl ArrivalStream {
     /// The arrivals at a sidecar, which gets a share of the traffic.
     pub fn new(scenario: &Scenario, sidecar: SidecarIndex, traffic_share: f64) -> Self {
-        let stream = |cause| RandomStream::new(scenario.seed, cause, sidecar.index());
+        let stream = |id| RandomStream::new(scenario.seed, id, sidecar.index());
         let tenants = scenario.tenant.iter();
         Self {
             traffic_share,
@@ -122,7 +122,7 @@
         let tenant = TenantIndex::from_position(tenant);
         let work = self.draw_work_of(class);
         let clients = &self.scenario.clients;
-        let honours = self.client_random.chance(clients.honour_retry_after);
+        let honours = self.client_random.bernoulli(clients.honour_retry_after);
         Arrival {
             at: self.now,
             class,
@@ -143,7 +143,7 @@
                 continue;
             }
             // Drawn whether or not it is on, so that a fault moves no other draw.
-            let hit = self.work_random.unit() < fault.share;
+            let hit = self.work_random.uniform() < fault.share;
             if hit && fault.is_on(self.now) {
                 work *= fault.factor;
             }
