--- a/crates/testbed/src/emulator/emulated_server/process.rs
+++ b/crates/testbed/src/emulator/emulated_server/process.rs
@@ -14,7 +14,7 @@
 use crate::index::RequestNumber;
 use crate::random::RandomStream;
 use crate::scenario::{MachineType, Micros};
-use crate::server_model::{Event, Job, LoadReport, ServerModel, State};
+use crate::server_model::{Job, LoadReport, RunState, ServerModel, ServerModelEvent};
 
 /// An attempt in the model.
 struct Execution {
@@ -36,7 +36,7 @@
     next_job: u64,
     random: RandomStream,
     /// What the model did and was not yet handed on.
-    events: Vec<Event>,
+    events: Vec<ServerModelEvent>,
 }
 
 impl ServerProcess {
@@ -63,7 +63,7 @@
     }
 
     pub(super) fn is_paused(&self) -> bool {
-        self.model.state() == State::Paused
+        self.model.state() == RunState::Paused
     }
 
     /// Attempts in flight, and open connections.
@@ -96,15 +96,15 @@
         let mut overloaded = false;
         for event in std::mem::take(&mut self.events) {
             match event {
-                Event::Started(_) => {}
-                Event::Completed { id, error } => {
+                ServerModelEvent::Started(_) => {}
+                ServerModelEvent::Completed { id, error } => {
                     if let Some(execution) = self.executions.remove(&id) {
                         on_work_done(execution.request, execution.work);
                         let _ = execution.end.send(ExecutionResult::of(error));
                     }
                 }
-                Event::Expired(id) => drop(self.executions.remove(&id)),
-                Event::OverloadShutdown => overloaded = true,
+                ServerModelEvent::Expired(id) => drop(self.executions.remove(&id)),
+                ServerModelEvent::OverloadShutdown => overloaded = true,
             }
         }
         overloaded
@@ -112,16 +112,16 @@
 
     /// False where no further connection fits.
     pub(super) fn connect(&mut self) -> bool {
-        self.model.connect()
+        self.model.try_connect()
     }
 
     pub(super) fn disconnect(&mut self) {
-        self.model.disconnect();
+        self.model.on_disconnected();
     }
 
     /// The load report of a health check; nothing where it is rejected.
     pub(super) fn health_check(&mut self, now: Micros) -> Option<LoadReport> {
-        self.model.health_check(now, &mut self.events)
+        self.model.answer_health_check(now, &mut self.events)
     }
 
     pub(super) fn try_accept(&mut self, now: Micros, request: AdmissionRequest) -> Admission {
@@ -129,7 +129,7 @@
         let capacity = self.model.capacity(now);
         let cold = self.model.is_cold(now);
         if request.new_connection {
-            self.model.handshake(now, &mut self.events);
+            self.model.on_handshake(now, &mut self.events);
         }
         let job = Job {
             id: self.next_job,
@@ -184,7 +184,7 @@
     }
 
     pub(super) fn draw_response(&mut self, now: Micros) -> ResponseDraw {
-        let reported_in_flight = self.model.response_report(now);
+        let reported_in_flight = self.model.response_load_report(now);
         ResponseDraw {
             malformed: self.random.bernoulli(self.malformed_share),
             reset: self.random.bernoulli(self.reset_share),
@@ -194,27 +194,27 @@
 
     /// The process is gone, with all that executed in it.
     pub(super) fn on_stopped(&mut self, now: Micros) {
-        self.model.set_state(now, State::Down, &mut self.events);
+        self.model.set_state(now, RunState::Down, &mut self.events);
         self.executions.clear();
     }
 
     /// The process starts anew.
     pub(super) fn on_started(&mut self, now: Micros) {
-        self.model.set_state(now, State::Up, &mut self.events);
+        self.model.set_state(now, RunState::Up, &mut self.events);
         self.draining = false;
         self.started_at = now;
     }
 
     pub(super) fn pause(&mut self, now: Micros) {
-        self.set_state_unless_down(now, State::Paused);
+        self.set_state_unless_down(now, RunState::Paused);
     }
 
     pub(super) fn resume(&mut self, now: Micros) {
-        self.set_state_unless_down(now, State::Up);
+        self.set_state_unless_down(now, RunState::Up);
     }
 
-    fn set_state_unless_down(&mut self, now: Micros, state: State) {
-        if self.model.state() != State::Down {
+    fn set_state_unless_down(&mut self, now: Micros, state: RunState) {
+        if self.model.state() != RunState::Down {
             self.model.set_state(now, state, &mut self.events);
         }
     }
--- a/crates/testbed/src/server_model/contention.rs
+++ b/crates/testbed/src/server_model/contention.rs
@@ -11,14 +11,14 @@
 pub(super) struct ContentionState {
     /// Since when too many jobs are in flight, while it is not slowed.
     overloaded_since: Option<Micros>,
-    slowed: Option<Slowed>,
+    slowed: Option<SlowedPeriod>,
     /// Time for which it was slowed earlier, in microseconds.
-    earlier_slowed_time: Micros,
+    past_slowed_time: Micros,
 }
 
 /// A server is slowed.
 #[derive(Debug)]
-struct Slowed {
+struct SlowedPeriod {
     since: Micros,
     /// Since when few enough jobs are in flight for it to recover.
     recovering_since: Option<Micros>,
@@ -26,7 +26,7 @@
 
 impl ContentionState {
     /// The number of jobs in flight, or the time, has changed.
-    fn on_load(&mut self, contention: &Contention, now: Micros, in_flight: f64, cores: f64) {
+    fn update(&mut self, contention: &Contention, now: Micros, in_flight: f64, cores: f64) {
         if let Some(slowed) = &mut self.slowed {
             let recovering = in_flight < contention.recovery_threshold * cores;
             slowed.recovering_since = recovering.then_some(slowed.recovering_since.unwrap_or(now));
@@ -34,13 +34,13 @@
             let recovered =
                 recovering_since.is_some_and(|at| now >= at + from_s(contention.recovery_s));
             if recovered || now >= slowed.since + from_s(contention.max_s) {
-                self.earlier_slowed_time += now - slowed.since;
+                self.past_slowed_time += now - slowed.since;
                 self.reset();
             }
         } else if in_flight <= contention.overload_threshold * cores {
             self.overloaded_since = None;
         } else if now >= *self.overloaded_since.get_or_insert(now) + from_s(contention.overload_s) {
-            self.slowed = Some(Slowed {
+            self.slowed = Some(SlowedPeriod {
                 since: now,
                 recovering_since: None,
             });
@@ -58,7 +58,7 @@
     }
 
     /// Whether it changes as time passes.
-    pub(super) fn changes_by_itself(&self) -> bool {
+    pub(super) fn is_time_dependent(&self) -> bool {
         self.overloaded_since.is_some() || self.is_slowed()
     }
 
@@ -76,14 +76,14 @@
         let cores = f64::from(self.machine_type.cores);
         if let Some(contention) = &self.machine_type.contention {
             self.contention
-                .on_load(contention, self.now, in_flight, cores);
+                .update(contention, self.now, in_flight, cores);
         }
     }
 
     /// Time for which contention has slowed it so far, in microseconds, including one that goes on.
-    pub fn time_slowed(&self) -> Micros {
+    pub fn slowed_time(&self) -> Micros {
         let slowed = self.contention.slowed.as_ref();
         let present = slowed.map_or(0, |slowed| self.now.saturating_sub(slowed.since));
-        self.contention.earlier_slowed_time + present
+        self.contention.past_slowed_time + present
     }
 }
--- a/crates/testbed/src/server_model/load_report.rs
+++ b/crates/testbed/src/server_model/load_report.rs
@@ -5,7 +5,7 @@
 
 use std::collections::VecDeque;
 
-use super::{Event, ServerModel};
+use super::{ServerModel, ServerModelEvent};
 use crate::conversion::{MICROS_PER_MS, f64_from_count};
 use crate::scenario::{LoadReportSource, LoadReports, Micros, from_ms};
 
@@ -102,25 +102,29 @@
 
 impl ServerModel {
     /// Answers a health check; nothing where it takes no more of them.
-    pub fn health_check(&mut self, now: Micros, events: &mut Vec<Event>) -> Option<LoadReport> {
+    pub fn answer_health_check(
+        &mut self,
+        now: Micros,
+        events: &mut Vec<ServerModelEvent>,
+    ) -> Option<LoadReport> {
         self.advance(now, events);
         let rate = self.machine_type.health_checks_per_s;
-        if !self.health_checks.try_acquire(rate, now) {
+        if !self.health_check_limiter.try_acquire(rate, now) {
             return None;
         }
-        self.side_work += self.machine_type.health_check_ms * MICROS_PER_MS;
+        self.overhead_work += self.machine_type.health_check_ms * MICROS_PER_MS;
         let in_flight = self.in_flight();
         let queued = self.queue.len();
         Some(
-            self.load_reports
+            self.load_reporter
                 .health_check_report(now, in_flight, queued),
         )
     }
 
     /// The requests in flight that a response reports which goes out now; nothing where responses
     /// report none.
-    pub fn response_report(&mut self, now: Micros) -> Option<usize> {
+    pub fn response_load_report(&mut self, now: Micros) -> Option<usize> {
         let in_flight = self.in_flight();
-        self.load_reports.in_flight_to_report(now, in_flight)
+        self.load_reporter.in_flight_to_report(now, in_flight)
     }
 }
--- a/crates/testbed/src/server_model/mod.rs
+++ b/crates/testbed/src/server_model/mod.rs
@@ -43,7 +43,7 @@
 
 /// What a server did by itself; the number is the job's.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Event {
+pub enum ServerModelEvent {
     /// A job started to run.
     Started(u64),
     /// A job was completed.
@@ -72,7 +72,7 @@
 
 /// Whether a server works.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
+pub enum RunState {
     /// It works.
     Up,
     /// It stands still; accepts and answers nothing until it goes on.
@@ -87,21 +87,21 @@
     machine_type: MachineType,
     /// Work of a warm core in a microsecond, in microseconds of a standard core.
     warm_core_speed: f64,
-    state: State,
+    state: RunState,
     /// Up to when time has passed here.
     now: Micros,
     running: RunningJobs,
     queue: VecDeque<Job>,
     /// Work to be done beside the jobs, in microseconds of a standard core.
-    side_work: f64,
+    overhead_work: f64,
     /// How many times slower than usual a fault makes it.
     slowdown: f64,
     error_rate: f64,
     slow_start: SlowStart,
     contention: ContentionState,
     connections: usize,
-    health_checks: HealthCheckLimiter,
-    load_reports: LoadReporter,
+    health_check_limiter: HealthCheckLimiter,
+    load_reporter: LoadReporter,
     random: RandomStream,
     /// What it has counted.
     pub counters: Counters,
@@ -119,18 +119,18 @@
     ) -> Self {
         Self {
             warm_core_speed,
-            state: State::Up,
+            state: RunState::Up,
             now,
             running: RunningJobs::default(),
             queue: VecDeque::new(),
-            side_work: 0.0,
+            overhead_work: 0.0,
             slowdown: 1.0,
             error_rate: machine_type.error_rate,
             slow_start: SlowStart::new(rule, cold.then_some(now)),
             contention: ContentionState::default(),
             connections: 0,
-            health_checks: HealthCheckLimiter::new(machine_type.health_checks_per_s, now),
-            load_reports: LoadReporter::default(),
+            health_check_limiter: HealthCheckLimiter::new(machine_type.health_checks_per_s, now),
+            load_reporter: LoadReporter::default(),
             random,
             counters: Counters::default(),
             machine_type,
@@ -160,7 +160,7 @@
             now,
             cold,
         );
-        server.load_reports = LoadReporter::new(scenario.load_reports.clone());
+        server.load_reporter = LoadReporter::new(scenario.load_reports.clone());
         server
     }
 
@@ -170,7 +170,7 @@
     }
 
     /// Whether it works.
-    pub fn state(&self) -> State {
+    pub fn state(&self) -> RunState {
         self.state
     }
 
@@ -191,21 +191,26 @@
     }
 
     /// Accepts a job. False where it is rejected, or overloads a cold server, which shuts down.
-    pub fn try_accept(&mut self, now: Micros, job: Job, events: &mut Vec<Event>) -> bool {
+    pub fn try_accept(
+        &mut self,
+        now: Micros,
+        job: Job,
+        events: &mut Vec<ServerModelEvent>,
+    ) -> bool {
         self.advance(now, events);
         if self.is_overloaded_by(now, job.work) {
-            self.state = State::Down;
-            events.push(Event::OverloadShutdown);
+            self.state = RunState::Down;
+            events.push(ServerModelEvent::OverloadShutdown);
             return false;
         }
         // A paused process reads nothing: what comes waits, as it would in its socket.
         let queue_full = self.queue.len() >= self.machine_type.queue;
         let full = queue_full && self.running.len() >= self.slots();
-        if self.state == State::Down || full {
+        if self.state == RunState::Down || full {
             return false;
         }
         self.queue.push_back(job);
-        self.start_waiting(events);
+        self.start_queued_jobs(events);
         self.update_contention();
         self.counters.max_in_flight = self.counters.max_in_flight.max(self.in_flight());
         true
--- a/crates/testbed/src/server_model/slow_start.rs
+++ b/crates/testbed/src/server_model/slow_start.rs
@@ -27,7 +27,7 @@
     /// Jobs served since then.
     served: u64,
     /// What it was sent within the rule's window while cold: time and work.
-    sent: VecDeque<(Micros, f64)>,
+    cold_work: VecDeque<(Micros, f64)>,
 }
 
 impl SlowStart {
@@ -36,13 +36,13 @@
             rule,
             cold_since,
             served: 0,
-            sent: VecDeque::new(),
+            cold_work: VecDeque::new(),
         }
     }
 
     /// Share of its warm capacity that a server has: grows with time or with served jobs, whichever
     /// is faster.
-    fn factor(&self, machine_type: &MachineType, now: Micros) -> f64 {
+    fn capacity_factor(&self, machine_type: &MachineType, now: Micros) -> f64 {
         let Some(since) = self.cold_since else {
             return 1.0;
         };
@@ -50,7 +50,7 @@
         let by_time = f64_from_u64(now.saturating_sub(since)) / f64_from_u64(slow_start);
         let by_work = match machine_type.warm_requests {
             0 => 0.0,
-            most => f64_from_u64(self.served) / f64_from_u64(most),
+            warm_requests => f64_from_u64(self.served) / f64_from_u64(warm_requests),
         };
         let cold = machine_type.cold_capacity_share;
         (cold + (1.0 - cold) * by_time.max(by_work)).min(1.0)
@@ -63,24 +63,28 @@
     pub(super) fn on_restarted(&mut self, now: Micros) {
         self.cold_since = Some(now);
         self.served = 0;
-        self.sent.clear();
+        self.cold_work.clear();
     }
 
     /// A cold server of some capacity is sent work; true where that is more than it bears.
-    fn on_sent_while_cold(&mut self, now: Micros, work: f64, capacity: f64) -> bool {
+    fn count_cold_work(&mut self, now: Micros, work: f64, capacity: f64) -> bool {
         let OverloadRule { factor, window } = self.rule;
-        self.sent.push_back((now, work));
-        while self.sent.front().is_some_and(|(at, _)| *at + window <= now) {
-            self.sent.pop_front();
+        self.cold_work.push_back((now, work));
+        while self
+            .cold_work
+            .front()
+            .is_some_and(|(at, _)| *at + window <= now)
+        {
+            self.cold_work.pop_front();
         }
-        let sent: f64 = self.sent.iter().map(|(_, work)| work).sum();
+        let sent: f64 = self.cold_work.iter().map(|(_, work)| work).sum();
         sent > cold_work_limit(factor, capacity, window, work)
     }
 }
 
 impl ServerModel {
     pub(super) fn slow_start_factor(&self, now: Micros) -> f64 {
-        self.slow_start.factor(&self.machine_type, now)
+        self.slow_start.capacity_factor(&self.machine_type, now)
     }
 
     /// Whether it is still warming up.
@@ -91,17 +95,17 @@
     /// Whether work that comes now overloads the cold server.
     pub(super) fn is_overloaded_by(&mut self, now: Micros, work: f64) -> bool {
         if !self.is_cold(now) {
-            self.slow_start.sent.clear();
+            self.slow_start.cold_work.clear();
             return false;
         }
         let capacity = self.capacity(now);
-        self.slow_start.on_sent_while_cold(now, work, capacity)
+        self.slow_start.count_cold_work(now, work, capacity)
     }
 }
 
 /// Work that a cold server may be sent within the window of the overload rule, in microseconds of a
 /// standard core. The slack stands for chance: two requests as large as the largest, as the rule is
 /// about load and not about one request's luck.
-pub fn cold_work_limit(factor: f64, capacity: f64, window: Micros, largest: f64) -> f64 {
-    factor * capacity * f64_from_u64(window) + 2.0 * largest
+pub fn cold_work_limit(factor: f64, capacity: f64, window: Micros, largest_job: f64) -> f64 {
+    factor * capacity * f64_from_u64(window) + 2.0 * largest_job
 }
--- a/crates/testbed/src/server_model/speed.rs
+++ b/crates/testbed/src/server_model/speed.rs
@@ -2,7 +2,7 @@
 //!
 //! Owns the formulas and no state: each factor's state is that of its own file.
 
-use super::{ServerModel, State};
+use super::{RunState, ServerModel};
 use crate::conversion::{count_from_u32, f64_from_count};
 use crate::scenario::Micros;
 
@@ -26,7 +26,7 @@
 
     /// Work that a core does in a microsecond, in microseconds of a standard core.
     pub(super) fn core_speed(&self, now: Micros) -> f64 {
-        if self.state != State::Up {
+        if self.state != RunState::Up {
             return 0.0;
         }
         self.warm_core_speed * self.slow_start_factor(now) * self.connection_factor()
@@ -54,7 +54,7 @@
     }
 
     /// Whether its speed changes while nothing happens to it.
-    pub(super) fn changes_by_itself(&self, now: Micros) -> bool {
-        self.is_cold(now) || self.contention.changes_by_itself()
+    pub(super) fn speed_is_time_dependent(&self, now: Micros) -> bool {
+        self.is_cold(now) || self.contention.is_time_dependent()
     }
 }
--- a/crates/testbed/src/server_model/tests.rs
+++ b/crates/testbed/src/server_model/tests.rs
@@ -3,7 +3,7 @@
 
 use super::load_report::LoadReporter;
 use super::slow_start::OverloadRule;
-use super::{Event, Job, ServerModel, State};
+use super::{Job, RunState, ServerModel, ServerModelEvent};
 use crate::conversion::f64_from_count;
 use crate::random::{RandomStream, StreamId};
 use crate::scenario::{Contention, LoadReportSource, LoadReports, MachineType, Micros};
@@ -40,7 +40,7 @@
     while let Some(at) = server.next_event_at().filter(|&at| at <= until) {
         server.advance(at, &mut events);
         for event in events.drain(..) {
-            if let Event::Completed { id, .. } = event {
+            if let ServerModelEvent::Completed { id, .. } = event {
                 all.push((id, at));
             }
         }
@@ -73,9 +73,9 @@
     let mut events = Vec::new();
     server.try_accept(0, job(1, 10_000.0), &mut events);
     server.set_slowdown(5_000, 2.0, &mut events);
-    server.set_state(10_000, State::Paused, &mut events);
+    server.set_state(10_000, RunState::Paused, &mut events);
     assert_eq!(server.next_event_at(), None);
-    server.set_state(40_000, State::Up, &mut events);
+    server.set_state(40_000, RunState::Up, &mut events);
     let ends = ends(&mut server, 1_000_000);
     // 5 ms at full speed, 5 ms at half, 30 ms of pause, and 2.5 ms of work left at half speed.
     assert_eq!(ends.iter().map(|e| e.1 / 1_000).collect::<Vec<_>>(), [45]);
@@ -106,7 +106,7 @@
         last > 1_200_000,
         "20 x 20 ms take 0.4 s without contention, and took {last} us"
     );
-    assert!(server.time_slowed() > 0);
+    assert!(server.slowed_time() > 0);
     server.advance(last + 2_000_000, &mut events);
     server.try_accept(last + 2_000_000, job(99, 20_000.0), &mut events);
     assert_eq!(
@@ -149,21 +149,29 @@
 #[test]
 fn a_response_reports_the_jobs_held_as_of_the_last_sample_that_is_old_enough() {
     let mut server = server_of(two_cores());
-    server.load_reports = LoadReporter::new(LoadReports {
+    server.load_reporter = LoadReporter::new(LoadReports {
         source: LoadReportSource::Responses,
         every_ms: 100.0,
         delay_ms: 50.0,
     });
     let mut events = Vec::new();
-    assert_eq!(server.response_report(0), None, "nothing is old enough");
+    assert_eq!(
+        server.response_load_report(0),
+        None,
+        "nothing is old enough"
+    );
     server.try_accept(1_000, job(1, 1e6), &mut events);
-    assert_eq!(server.response_report(60_000), Some(0), "as of the start");
     assert_eq!(
-        server.response_report(110_000),
+        server.response_load_report(60_000),
+        Some(0),
+        "as of the start"
+    );
+    assert_eq!(
+        server.response_load_report(110_000),
         Some(0),
         "sampled anew, not reported yet"
     );
-    assert_eq!(server.response_report(170_000), Some(1));
+    assert_eq!(server.response_load_report(170_000), Some(1));
 }
 
 #[test]
@@ -176,8 +184,8 @@
     };
     let mut server = server_of(machine_type);
     let mut events = Vec::new();
-    server.set_state(0, State::Down, &mut events);
-    server.set_state(0, State::Up, &mut events);
+    server.set_state(0, RunState::Down, &mut events);
+    server.set_state(0, RunState::Up, &mut events);
     server.try_accept(0, job(1, 10_000.0), &mut events);
     assert_eq!(
         ends(&mut server, 1_000_000).first().map(|e| e.1 / 1_000),
@@ -188,8 +196,8 @@
         (0..400).take_while(|id| server.try_accept(50_000, job(10 + id, 10_000.0), &mut events));
     let accepted = f64_from_count(accepted.count()) * 0.01;
     assert!((1.8..2.0).contains(&accepted), "{accepted} s of work");
-    assert!(events.contains(&Event::OverloadShutdown));
-    assert_eq!(server.state(), State::Down);
+    assert!(events.contains(&ServerModelEvent::OverloadShutdown));
+    assert_eq!(server.state(), RunState::Down);
 }
 
 #[test]
--- a/crates/testbed/src/simulator/fleet/attempts.rs
+++ b/crates/testbed/src/simulator/fleet/attempts.rs
@@ -29,7 +29,7 @@
             attempts.remove(key);
             return;
         }
-        if let Some(start) = server.connect() {
+        if let Some(start) = server.try_connect() {
             attempt.on_connected(start);
             let open = SimulatorEvent::ConnectionOpen(attempt.details.sidecar, key);
             context.after(attempt.details.delay, open);
@@ -76,10 +76,10 @@
         let cold = server.model.is_cold(now);
         attempt.on_received(self.random.bernoulli(server.reset_share()));
         if attempt.opens_connection() {
-            server.model.handshake(now, &mut self.model_events);
+            server.model.on_handshake(now, &mut self.model_events);
         }
         let accepted = server.try_accept(now, key, attempt, &mut self.model_events);
-        record_arrival(attempt, capacity, cold, context);
+        record_received(attempt, capacity, cold, context);
         if !accepted {
             reject(key, attempt, context);
         }
@@ -103,7 +103,7 @@
         let Some(attempt) = attempts.get_mut(key) else {
             return;
         };
-        attempt.on_work_done(server.model.response_report(context.now()));
+        attempt.on_work_done(server.model.response_load_report(context.now()));
         // Drawn whether or not the connection breaks, so that one fault moves no other's draws.
         let malformed = self.random.bernoulli(server.malformed_share());
         context.record(LogEvent::WorkDone {
@@ -153,7 +153,7 @@
     }
 }
 
-fn record_arrival(attempt: &Attempt, capacity: f64, cold: bool, context: &mut Context<'_>) {
+fn record_received(attempt: &Attempt, capacity: f64, cold: bool, context: &mut Context<'_>) {
     let details = &attempt.details;
     let server = details.server;
     if attempt.opens_connection() {
@@ -178,7 +178,11 @@
 }
 
 /// The connections of attempts are reset by their server.
-pub(super) fn reset(lost: Vec<AttemptKey>, attempts: &Attempts, context: &mut Context<'_>) {
+pub(super) fn reset_attempts(
+    lost: Vec<AttemptKey>,
+    attempts: &Attempts,
+    context: &mut Context<'_>,
+) {
     for key in lost {
         if let Some(attempt) = attempts.get(key) {
             send_result(key, attempt, Outcome::Reset, context);
--- a/crates/testbed/src/simulator/fleet/faults.rs
+++ b/crates/testbed/src/simulator/fleet/faults.rs
@@ -6,7 +6,7 @@
 use crate::event_log::{ListedStatus, ServerState};
 use crate::index::ServerIndex;
 use crate::scenario::{Fault, FaultKind};
-use crate::server_model::State;
+use crate::server_model::RunState;
 use crate::simulator::attempts::Attempts;
 use crate::simulator::context::Context;
 
@@ -72,16 +72,16 @@
 
     fn pause(&mut self, server_index: ServerIndex, context: &mut Context<'_>) {
         let model = &mut self.servers[server_index.index()].model;
-        if model.state() == State::Up {
-            model.set_state(context.now(), State::Paused, &mut self.model_events);
+        if model.state() == RunState::Up {
+            model.set_state(context.now(), RunState::Paused, &mut self.model_events);
             self.record_state(server_index, ServerState::Paused, context);
         }
     }
 
     fn resume(&mut self, server_index: ServerIndex, context: &mut Context<'_>) {
         let model = &mut self.servers[server_index.index()].model;
-        if model.state() == State::Paused {
-            model.set_state(context.now(), State::Up, &mut self.model_events);
+        if model.state() == RunState::Paused {
+            model.set_state(context.now(), RunState::Up, &mut self.model_events);
             self.record_state(server_index, ServerState::Up, context);
         }
     }
@@ -107,7 +107,7 @@
         self.record_state(server_index, ServerState::Down, context);
         self.end_process(server_index, attempts, context);
         let notice_ms = context.scenario().discovery.notice_ms;
-        self.announce(server_index, ListedStatus::Gone, notice_ms, context);
+        self.schedule_list_change(server_index, ListedStatus::Gone, notice_ms, context);
     }
 
     fn silence(&mut self, server_index: ServerIndex, context: &mut Context<'_>) {
@@ -115,14 +115,14 @@
         let server = &mut self.servers[server_index.index()];
         server.on_machine_vanished(context.now(), &mut self.model_events);
         let notice_ms = context.scenario().discovery.silent_notice_ms;
-        self.announce(server_index, ListedStatus::Gone, notice_ms, context);
+        self.schedule_list_change(server_index, ListedStatus::Gone, notice_ms, context);
     }
 
     fn drain(&mut self, server_index: ServerIndex, context: &mut Context<'_>) {
         self.server_mut(server_index).on_drain();
         self.record_state(server_index, ServerState::Draining, context);
         let notice_ms = context.scenario().discovery.notice_ms;
-        self.announce(server_index, ListedStatus::Draining, notice_ms, context);
+        self.schedule_list_change(server_index, ListedStatus::Draining, notice_ms, context);
     }
 
     /// A drained server ends, and is back at once, cold.
@@ -145,10 +145,10 @@
     ) {
         let server = &mut self.servers[server_index.index()];
         let lost = server.on_restarted(context.now(), &mut self.model_events);
-        attempts::reset(lost, attempts, context);
+        attempts::reset_attempts(lost, attempts, context);
         self.record_state(server_index, ServerState::Cold, context);
         let add_ms = context.scenario().discovery.add_ms;
-        self.announce(server_index, ListedStatus::Ready, add_ms, context);
+        self.schedule_list_change(server_index, ListedStatus::Ready, add_ms, context);
     }
 
     /// A new server takes the place of one that has drained.
@@ -156,7 +156,7 @@
         let scenario = context.scenario();
         self.end_process(old, attempts, context);
         self.record_state(old, ServerState::Down, context);
-        self.announce(
+        self.schedule_list_change(
             old,
             ListedStatus::Gone,
             scenario.discovery.notice_ms,
@@ -168,6 +168,6 @@
         let server = Server::new(scenario, &machine_type, new, zone, context.now(), true);
         self.servers.push(server);
         self.record_state(new, ServerState::Cold, context);
-        self.announce(new, ListedStatus::Ready, scenario.discovery.add_ms, context);
+        self.schedule_list_change(new, ListedStatus::Ready, scenario.discovery.add_ms, context);
     }
 }
--- a/crates/testbed/src/simulator/fleet/health_checks.rs
+++ b/crates/testbed/src/simulator/fleet/health_checks.rs
@@ -22,7 +22,7 @@
     ) -> Option<u32> {
         let delay = check.delay;
         let server = self.server_mut(check.server);
-        if server.refuses(check) {
+        if server.refuses_health_check(check) {
             let refused = result(check, Outcome::ConnectFailed, None);
             context.after(delay, refused);
             return None;
@@ -47,10 +47,12 @@
         let now = context.now();
         let server = &mut self.servers[check.server.index()];
         if check.new_connection {
-            server.model.handshake(now, &mut self.model_events);
+            server.model.on_handshake(now, &mut self.model_events);
         }
         let start = server.start();
-        let report = server.model.health_check(now, &mut self.model_events);
+        let report = server
+            .model
+            .answer_health_check(now, &mut self.model_events);
         let outcome = if report.is_some() {
             Outcome::Served
         } else {
--- a/crates/testbed/src/simulator/fleet/mod.rs
+++ b/crates/testbed/src/simulator/fleet/mod.rs
@@ -19,7 +19,7 @@
 use crate::index::ServerIndex;
 use crate::random::{RandomStream, StreamId};
 use crate::scenario::{MachineType, Micros, from_ms};
-use crate::server_model::Event as ServerModelEvent;
+use crate::server_model::ServerModelEvent;
 
 use server::Server;
 
@@ -77,7 +77,7 @@
     }
 
     /// All servers, with the starts of their processes.
-    pub(super) fn starts(&self) -> impl Iterator<Item = (ServerIndex, Micros)> {
+    pub(super) fn start_times(&self) -> impl Iterator<Item = (ServerIndex, Micros)> {
         ServerIndex::all(self.servers.len()).zip(self.servers.iter().map(Server::started_at))
     }
 
@@ -92,13 +92,13 @@
     }
 
     /// Whether a server works on a job, or has it in its queue.
-    pub(super) fn holds_job(&self, server: ServerIndex, job: u64) -> bool {
-        self.server(server).holds_job(job)
+    pub(super) fn has_job(&self, server: ServerIndex, job: u64) -> bool {
+        self.server(server).has_job(job)
     }
 
     /// How many servers were slowed by overload for a time.
-    pub(super) fn count_slowed(&self) -> usize {
-        let slowed = |server: &&Server| server.model.time_slowed() > 0;
+    pub(super) fn slowed_server_count(&self) -> usize {
+        let slowed = |server: &&Server| server.model.slowed_time() > 0;
         self.servers.iter().filter(slowed).count()
     }
 
@@ -126,7 +126,7 @@
     }
 
     /// Something happened to a server that discovery notices after a while, in milliseconds.
-    fn announce(
+    fn schedule_list_change(
         &self,
         server: ServerIndex,
         status: ListedStatus,
@@ -153,7 +153,7 @@
     fn end_process(&mut self, server: ServerIndex, attempts: &Attempts, context: &mut Context<'_>) {
         let ending = &mut self.servers[server.index()];
         let lost = ending.on_process_ended(context.now(), &mut self.model_events);
-        attempts::reset(lost, attempts, context);
+        attempts::reset_attempts(lost, attempts, context);
     }
 
     fn server(&self, server: ServerIndex) -> &Server {
--- a/crates/testbed/src/simulator/fleet/model.rs
+++ b/crates/testbed/src/simulator/fleet/model.rs
@@ -3,7 +3,7 @@
 use super::Fleet;
 use crate::event_log::ServerState;
 use crate::index::ServerIndex;
-use crate::server_model::Event as ServerModelEvent;
+use crate::server_model::ServerModelEvent;
 use crate::simulator::attempts::Attempts;
 use crate::simulator::context::Context;
 use crate::simulator::event::SimulatorEvent;
--- a/crates/testbed/src/simulator/fleet/server/mod.rs
+++ b/crates/testbed/src/simulator/fleet/server/mod.rs
@@ -9,7 +9,7 @@
 
 use crate::index::ServerIndex;
 use crate::scenario::{MachineType, Micros, Scenario};
-use crate::server_model::{Event as ServerModelEvent, Job, ServerModel, State};
+use crate::server_model::{Job, RunState, ServerModel, ServerModelEvent};
 use crate::simulator::attempts::{Attempt, AttemptKey};
 use crate::simulator::event::HealthCheck;
 
@@ -44,7 +44,7 @@
     /// Share of its connections that is reset during a request.
     reset_share: f64,
     /// Counts the changes of its next event: only the last one counts.
-    generation: u32,
+    event_generation: u32,
     /// When its model has something to do by itself.
     next_event_at: Option<Micros>,
 }
@@ -70,7 +70,7 @@
             blackholed: Vec::new(),
             malformed_share: 0.0,
             reset_share: 0.0,
-            generation: 0,
+            event_generation: 0,
             next_event_at: None,
         }
     }
@@ -109,15 +109,15 @@
     }
 
     /// Opens a connection and gives its start; nothing where it is refused.
-    pub(super) fn connect(&mut self) -> Option<u32> {
-        let accepted = self.reachability == Reachability::Open && self.model.connect();
+    pub(super) fn try_connect(&mut self) -> Option<u32> {
+        let accepted = self.reachability == Reachability::Open && self.model.try_connect();
         accepted.then_some(self.start)
     }
 
     /// A connection that belongs to a start is closed; one to an earlier start went with it.
     pub(super) fn close_connection(&mut self, start: u32) {
         if start == self.start {
-            self.model.disconnect();
+            self.model.on_disconnected();
         }
     }
 
@@ -142,7 +142,7 @@
     }
 
     /// Whether it works on a job, or has it in its queue.
-    pub(super) fn holds_job(&self, job: u64) -> bool {
+    pub(super) fn has_job(&self, job: u64) -> bool {
         self.jobs.contains_key(&job)
     }
 
@@ -157,22 +157,22 @@
     }
 
     /// Whether a health check's connection is refused; one that is accepted takes a place.
-    pub(super) fn refuses(&mut self, check: &HealthCheck) -> bool {
+    pub(super) fn refuses_health_check(&mut self, check: &HealthCheck) -> bool {
         match self.reachability {
             Reachability::Refusing => true,
-            Reachability::Open => check.new_connection && !self.model.connect(),
+            Reachability::Open => check.new_connection && !self.model.try_connect(),
             Reachability::Silent => false,
         }
     }
 
     pub(super) fn answers_health_checks(&self) -> bool {
-        self.reachability != Reachability::Silent && self.model.state() == State::Up
+        self.reachability != Reachability::Silent && self.model.state() == RunState::Up
     }
 
     /// The health check's connection is closed, where there is anybody to close it.
     pub(super) fn on_unanswered_health_check(&mut self) {
         if self.reachability == Reachability::Open {
-            self.model.disconnect();
+            self.model.on_disconnected();
         }
     }
 
@@ -184,8 +184,8 @@
             return None;
         }
         self.next_event_at = next;
-        self.generation += 1;
-        next.map(|at| (self.generation, at))
+        self.event_generation += 1;
+        next.map(|at| (self.event_generation, at))
     }
 
     /// Its model does what is due; false where the event of this number is stale.
@@ -195,11 +195,11 @@
         generation: u32,
         events: &mut Vec<ServerModelEvent>,
     ) -> bool {
-        let is_present = self.generation == generation;
-        if is_present {
+        let is_current = self.event_generation == generation;
+        if is_current {
             self.next_event_at = None;
             self.model.advance(now, events);
         }
-        is_present
+        is_current
     }
 }
--- a/crates/testbed/src/simulator/fleet/server/state_change.rs
+++ b/crates/testbed/src/simulator/fleet/server/state_change.rs
@@ -2,7 +2,7 @@
 
 use super::{Reachability, Server};
 use crate::scenario::Micros;
-use crate::server_model::{Event as ServerModelEvent, State};
+use crate::server_model::{RunState, ServerModelEvent};
 use crate::simulator::attempts::AttemptKey;
 
 impl Server {
@@ -29,7 +29,7 @@
     ) -> Vec<AttemptKey> {
         self.reachability = Reachability::Refusing;
         self.start += 1;
-        self.model.set_state(now, State::Down, events);
+        self.model.set_state(now, RunState::Down, events);
         std::mem::take(&mut self.jobs).into_values().collect()
     }
 
@@ -40,7 +40,7 @@
         events: &mut Vec<ServerModelEvent>,
     ) {
         self.reachability = Reachability::Silent;
-        self.model.set_state(now, State::Down, events);
+        self.model.set_state(now, RunState::Down, events);
         let held = std::mem::take(&mut self.jobs).into_values();
         self.blackholed.extend(held);
     }
@@ -55,7 +55,7 @@
         self.reachability = Reachability::Open;
         self.draining = false;
         self.started_at = now;
-        self.model.set_state(now, State::Up, events);
+        self.model.set_state(now, RunState::Up, events);
         std::mem::take(&mut self.blackholed)
     }
 }
--- a/crates/testbed/src/simulator/fleet/tests.rs
+++ b/crates/testbed/src/simulator/fleet/tests.rs
@@ -81,11 +81,11 @@
     fleet.on_attempt(attempt, &mut attempts, &mut context);
 
     let job = attempts.get(attempt).expect("open").job();
-    assert!(fleet.holds_job(SERVER, job));
+    assert!(fleet.has_job(SERVER, job));
     let (at, outcome) = result(&mut fleet, &mut attempts, &mut context).expect("ends");
     assert_eq!(outcome, Outcome::Served);
     assert!(at > DELAY, "it took its work and the way back: {at}");
-    assert!(!fleet.holds_job(SERVER, job));
+    assert!(!fleet.has_job(SERVER, job));
 }
 
 #[test]
--- a/crates/testbed/src/simulator/mod.rs
+++ b/crates/testbed/src/simulator/mod.rs
@@ -66,7 +66,7 @@
     fn new(scenario: &'a Scenario, log: &'a mut dyn EventLog) -> Result<Self, SimulatorError> {
         let mut context = Context::new(scenario, log);
         let fleet = Fleet::new(&mut context);
-        let discovery = Discovery::new(scenario, fleet.starts());
+        let discovery = Discovery::new(scenario, fleet.start_times());
         let mut simulator = Self {
             context,
             sidecars: Sidecars::new(scenario, &discovery)?,
--- a/crates/testbed/src/simulator/run.rs
+++ b/crates/testbed/src/simulator/run.rs
@@ -49,7 +49,7 @@
 }
 
 fn overload_remark(simulator: &Simulator<'_>) -> String {
-    let slowed = simulator.fleet.count_slowed();
+    let slowed = simulator.fleet.slowed_server_count();
     let held = simulator.fleet.max_in_flight();
     format!("{slowed} servers were slowed by overload for a time; one held {held} at most")
 }
--- a/crates/testbed/src/simulator/sidecars/attempts.rs
+++ b/crates/testbed/src/simulator/sidecars/attempts.rs
@@ -100,7 +100,7 @@
         };
         close_connection(key, environment);
         self.on_attempt_ended(key, outcome, environment);
-        if outcome == Outcome::ConnectFailed && !environment.fleet.holds_job(server, job) {
+        if outcome == Outcome::ConnectFailed && !environment.fleet.has_job(server, job) {
             environment.attempts.remove(key);
         }
     }
