--- a/crates/testbed/src/emulator/client/mod.rs
+++ b/crates/testbed/src/emulator/client/mod.rs
@@ -20,7 +20,7 @@
 use super::shared::Shared;
 use super::sidecars::Sidecars;
 use crate::index::{SidecarIndex, TenantIndex};
-use crate::workload::{ArrivalStream, TenantQuota, quotas, traffic_shares};
+use crate::workload::{ArrivalStream, TenantQuota, tenant_quotas, traffic_shares};
 
 use exchange::IdleConnections;
 
@@ -60,7 +60,7 @@
     fn within_quota(&self, tenant: TenantIndex) -> bool {
         lock(&self.load.quotas)
             .get_mut(tenant.index())
-            .is_none_or(|quota| quota.try_take(self.shared.clock.now()))
+            .is_none_or(|quota| quota.try_acquire(self.shared.clock.now()))
     }
 
     /// Plays the sidecar's arrivals to their ends.
@@ -80,7 +80,7 @@
 pub(super) async fn play(emulation: &Emulation) {
     let scenario = &emulation.shared.scenario;
     let load = Arc::new(Load {
-        quotas: Mutex::new(quotas(scenario)),
+        quotas: Mutex::new(tenant_quotas(scenario)),
         open_arrivals: AtomicUsize::new(0),
     });
     let mut all = JoinSet::new();
--- a/crates/testbed/src/emulator/fault_schedule.rs
+++ b/crates/testbed/src/emulator/fault_schedule.rs
@@ -19,7 +19,7 @@
 use crate::event_log::{ListedStatus, ServerState};
 use crate::index::{ServerIndex, SidecarIndex};
 use crate::scenario::{Fault, FaultKind, from_ms, from_s};
-use crate::simulator::faults::{rolling_restart, targets};
+use crate::simulator::faults::{rolling_restart_times, target_servers};
 
 /// Plays the faults of the scenario to their ends.
 pub(super) async fn play(emulation: &Emulation) {
@@ -65,7 +65,7 @@
 ) {
     let scenario = &emulation.shared.scenario;
     let restarts = if fault.kind == FaultKind::RollingRestart {
-        rolling_restart(scenario, fault_index)
+        rolling_restart_times(scenario, fault_index)
     } else {
         let all = SidecarIndex::all(scenario.sidecars.count);
         all.map(|sidecar| (sidecar, 0)).collect()
@@ -113,7 +113,7 @@
     tasks: &mut JoinSet<()>,
 ) {
     let zones: Vec<u32> = emulation.servers.iter().map(|s| s.zone()).collect();
-    for target in targets(&emulation.shared.scenario, fault_index, &zones) {
+    for target in target_servers(&emulation.shared.scenario, fault_index, &zones) {
         let position = target.index();
         let Some(server) = emulation.servers.get(position) else {
             continue;
--- a/crates/testbed/src/simulator/clients/mod.rs
+++ b/crates/testbed/src/simulator/clients/mod.rs
@@ -17,7 +17,7 @@
 use crate::index::{ArrivalNumber, ClassIndex, RequestNumber, SidecarIndex, TenantIndex};
 use crate::random::{RandomStream, StreamId};
 use crate::scenario::{Micros, Scenario, from_ms};
-use crate::workload::{Arrival, ArrivalStream, TenantQuota, quotas, traffic_shares};
+use crate::workload::{Arrival, ArrivalStream, TenantQuota, tenant_quotas, traffic_shares};
 
 /// Number of the first sidecar's stream for its clients' requests, apart from those for their
 /// arrivals.
@@ -59,15 +59,15 @@
 }
 
 /// When a request's client gives up, and when it disconnects before that.
-struct Patience {
-    due: Micros,
+struct RequestTimeout {
+    timeout_at: Micros,
     disconnects_at: Option<Micros>,
 }
 
-impl Patience {
+impl RequestTimeout {
     /// Schedules how the client ends a request that has no response.
     fn schedule(&self, request: RequestKey, context: &mut Context<'_>) {
-        context.at(self.due, SimulatorEvent::ClientTimeout(request));
+        context.at(self.timeout_at, SimulatorEvent::ClientTimeout(request));
         if let Some(at) = self.disconnects_at {
             context.at(at, SimulatorEvent::ClientDisconnect(request));
         }
@@ -94,7 +94,7 @@
         let clients = numbered.map(|(index, share)| SidecarClients::new(scenario, index, share));
         Self {
             by_sidecar: clients.collect(),
-            quotas: quotas(scenario),
+            quotas: tenant_quotas(scenario),
             arrivals: SlotMap::with_key(),
             requests: SlotMap::with_key(),
             next_number: 1,
@@ -151,7 +151,7 @@
         sidecar: SidecarIndex,
         context: &mut Context<'_>,
     ) -> ArrivalKey {
-        let number = ArrivalNumber::new(self.take_number());
+        let number = ArrivalNumber::new(self.allocate_number());
         let now = context.now();
         context.record(LogEvent::ArrivalStarted {
             arrival: number,
@@ -177,7 +177,7 @@
     /// Whether an arrival lies within its tenant's quota; without tenants all do.
     fn within_quota(&mut self, tenant: TenantIndex, now: Micros) -> bool {
         let quota = self.quotas.get_mut(tenant.index());
-        quota.is_none_or(|quota| quota.try_take(now))
+        quota.is_none_or(|quota| quota.try_acquire(now))
     }
 
     /// Sends the first request of an arrival, or a retry, to the present process of its sidecar.
@@ -187,13 +187,13 @@
         process: SidecarProcess,
         context: &mut Context<'_>,
     ) {
-        let number = RequestNumber::new(self.take_number());
+        let number = RequestNumber::new(self.allocate_number());
         let Some(arrival) = self.arrivals.get_mut(key) else {
             return;
         };
         arrival.requests += 1;
         let random = &mut self.by_sidecar[process.sidecar.index()].random;
-        let patience = draw_patience(arrival, random, context);
+        let request_timeout = draw_request_timeout(arrival, random, context);
         let client_delay = from_ms(context.scenario().network.client_ms);
         let request = self.requests.insert(Request {
             number,
@@ -204,13 +204,13 @@
             work: arrival.work,
             work_hint: arrival.work_hint,
             arrives_at: context.now() + client_delay,
-            due: patience.due,
+            due: request_timeout.timeout_at,
         });
         context.after(client_delay, SimulatorEvent::RequestAtSidecar(request));
-        patience.schedule(request, context);
+        request_timeout.schedule(request, context);
     }
 
-    fn take_number(&mut self) -> u64 {
+    fn allocate_number(&mut self) -> u64 {
         let number = self.next_number;
         self.next_number += 1;
         number
@@ -218,11 +218,11 @@
 }
 
 /// How long a client waits for the response to the request that it sends now.
-fn draw_patience(
+fn draw_request_timeout(
     arrival: &OpenArrival,
     random: &mut RandomStream,
     context: &Context<'_>,
-) -> Patience {
+) -> RequestTimeout {
     let scenario = context.scenario();
     let now = context.now();
     let class = &scenario.class[arrival.class.index()];
@@ -232,8 +232,8 @@
     // The moment is drawn whether or not it counts, so that the share moves no other draw.
     let disconnects = random.bernoulli(scenario.clients.disconnect_share);
     let disconnects_at = now + scaled_micros(timeout, random.uniform());
-    Patience {
-        due: (now + timeout).min(arrival.deadline),
+    RequestTimeout {
+        timeout_at: (now + timeout).min(arrival.deadline),
         disconnects_at: disconnects.then_some(disconnects_at),
     }
 }
--- a/crates/testbed/src/simulator/faults/mod.rs
+++ b/crates/testbed/src/simulator/faults/mod.rs
@@ -12,7 +12,7 @@
 
 /// The servers that the fault of this index hits: those named, or a share of them, drawn. `zones`
 /// has each server's zone.
-pub fn targets(scenario: &Scenario, index: usize, zones: &[u32]) -> Vec<ServerIndex> {
+pub fn target_servers(scenario: &Scenario, index: usize, zones: &[u32]) -> Vec<ServerIndex> {
     let fault = &scenario.fault[index];
     if !fault.aims_at_servers() {
         return Vec::new();
@@ -35,21 +35,21 @@
         })
     };
     let mut servers: Vec<ServerIndex> = ServerIndex::all(zones.len()).filter(is_in_zone).collect();
-    let hit = share_of(servers.len(), target_share(fault)).round();
+    let hit = scaled_count(servers.len(), target_share(fault)).round();
     let count = (hit as usize).clamp(1, servers.len().max(1));
-    draw(scenario, index, &mut servers, count)
+    draw_sample(scenario, index, &mut servers, count)
 }
 
 /// When each sidecar goes down in a rolling restart, in microseconds from its start: batch after
 /// batch over its length.
-pub fn rolling_restart(scenario: &Scenario, index: usize) -> Vec<(SidecarIndex, Micros)> {
+pub fn rolling_restart_times(scenario: &Scenario, index: usize) -> Vec<(SidecarIndex, Micros)> {
     let fault = &scenario.fault[index];
     let all = scenario.sidecars.count;
-    let hit = share_of(all, target_share(fault)).round();
+    let hit = scaled_count(all, target_share(fault)).round();
     let count = (hit as usize).clamp(1, all);
     let mut sidecars = SidecarIndex::all(all).collect();
-    let drawn = draw(scenario, index, &mut sidecars, count);
-    let batch = (share_of(all, fault.batch) as usize).max(1);
+    let drawn = draw_sample(scenario, index, &mut sidecars, count);
+    let batch = (scaled_count(all, fault.batch) as usize).max(1);
     let batches = drawn.len().div_ceil(batch);
     let interval = from_s(fault.for_s) / batches.max(1) as Micros;
     let in_turn = drawn.iter().enumerate();
@@ -68,12 +68,12 @@
 }
 
 /// A share of so many, before it is rounded.
-fn share_of(count: usize, share: f64) -> f64 {
+fn scaled_count(count: usize, share: f64) -> f64 {
     count as f64 * share
 }
 
 /// So many of the candidates, drawn by the fault's own stream, in order.
-fn draw<T: Copy + Ord>(
+fn draw_sample<T: Copy + Ord>(
     scenario: &Scenario,
     index: usize,
     candidates: &mut Vec<T>,
--- a/crates/testbed/src/simulator/faults/schedule.rs
+++ b/crates/testbed/src/simulator/faults/schedule.rs
@@ -3,7 +3,7 @@
 //! Owns the servers that each fault hits. What a fault does there is `fleet`'s; what a restart does
 //! is `sidecars`'; bursts and expensive requests are part of the arrivals that `workload` draws.
 
-use super::{rolling_restart, targets};
+use super::{rolling_restart_times, target_servers};
 use crate::index::{ServerIndex, SidecarIndex};
 use crate::scenario::{Fault, FaultKind, Micros, Scenario, from_s};
 use crate::simulator::context::Context;
@@ -13,7 +13,7 @@
 /// The scenario's faults, by their indexes there.
 pub(in crate::simulator) struct Faults {
     /// Servers that each fault hits.
-    targets: Vec<Vec<ServerIndex>>,
+    target_servers: Vec<Vec<ServerIndex>>,
 }
 
 /// What changes as a fault starts or ends.
@@ -31,8 +31,8 @@
     pub(in crate::simulator) fn new(scenario: &Scenario, zones: &[u32]) -> Self {
         let indexes = 0..scenario.fault.len();
         Self {
-            targets: indexes
-                .map(|index| targets(scenario, index, zones))
+            target_servers: indexes
+                .map(|index| target_servers(scenario, index, zones))
                 .collect(),
         }
     }
@@ -61,7 +61,7 @@
             | FaultKind::ExpensiveRequests
             | FaultKind::RollingRestart
             | FaultKind::RestartAll => FaultEffect::Nothing,
-            _ => FaultEffect::Servers(&self.targets[index]),
+            _ => FaultEffect::Servers(&self.target_servers[index]),
         }
     }
 }
@@ -72,7 +72,7 @@
     let start = from_s(fault.at_s);
     match fault.kind {
         FaultKind::RollingRestart => {
-            for (sidecar, later) in rolling_restart(scenario, index) {
+            for (sidecar, later) in rolling_restart_times(scenario, index) {
                 schedule_restart(sidecar, start + later, fault, context);
             }
         }
--- a/crates/testbed/src/workload.rs
+++ b/crates/testbed/src/workload.rs
@@ -10,14 +10,14 @@
 use crate::random::{RandomStream, StreamId};
 use crate::scenario::{Class, FaultKind, Micros, Scenario, WorkDistribution, from_s};
 
-pub use quota::{TenantQuota, quotas};
+pub use quota::{TenantQuota, tenant_quotas};
 
 /// Largest step of the load's drift in a second, as a share of its range.
-const DRIFT_STEP: f64 = 0.12;
+const MAX_DRIFT_STEP: f64 = 0.12;
 /// Middle of the load's drift, from which it starts.
-const DRIFT_MIDDLE: f64 = 0.5;
+const DRIFT_MEAN: f64 = 0.5;
 /// Part of its distance to the middle that it goes back in a second.
-const DRIFT_RETURN: f64 = 0.05;
+const DRIFT_REVERSION: f64 = 0.05;
 /// Index of the stream for the sidecars' shares of the traffic.
 const TRAFFIC_SHARES_STREAM: usize = 1 << 20;
 /// Longest time between two arrivals, in microseconds: beyond any scenario's length.
@@ -49,7 +49,7 @@
     arrival_random: RandomStream,
     work_random: RandomStream,
     client_random: RandomStream,
-    hint_random: RandomStream,
+    work_hint_random: RandomStream,
     /// How the load drifts, second by second.
     load_drift: Vec<f64>,
     /// The last arrival drawn.
@@ -61,11 +61,11 @@
 /// How the load drifts between 0 and 1, second by second: alike at all sidecars.
 fn load_drift(scenario: &Scenario) -> Vec<f64> {
     let mut random = RandomStream::new(scenario.seed, StreamId::LoadDrift, 0);
-    let mut level: f64 = DRIFT_MIDDLE;
+    let mut level: f64 = DRIFT_MEAN;
     let seconds = count_from_f64(scenario.seconds.ceil()) + 1;
     let levels = (0..seconds).map(|_| {
-        let step = random.uniform_in(-DRIFT_STEP, DRIFT_STEP);
-        level = (level + step + DRIFT_RETURN * (DRIFT_MIDDLE - level)).clamp(0.0, 1.0);
+        let step = random.uniform_in(-MAX_DRIFT_STEP, MAX_DRIFT_STEP);
+        level = (level + step + DRIFT_REVERSION * (DRIFT_MEAN - level)).clamp(0.0, 1.0);
         level
     });
     levels.collect()
@@ -106,7 +106,7 @@
             arrival_random: stream(StreamId::Arrivals),
             work_random: stream(StreamId::Work),
             client_random: stream(StreamId::Clients),
-            hint_random: stream(StreamId::WorkHints),
+            work_hint_random: stream(StreamId::WorkHints),
             load_drift: load_drift(scenario),
             now: 0,
             class_weights: scenario.class.iter().map(|class| class.share).collect(),
@@ -120,7 +120,7 @@
         let class = ClassIndex::from_position(class);
         let tenant = self.work_random.weighted_index(&self.tenant_weights);
         let tenant = TenantIndex::from_position(tenant);
-        let work = self.draw_work_of(class);
+        let work = self.draw_work_with_faults(class);
         let clients = &self.scenario.clients;
         let honours = self.client_random.bernoulli(clients.honour_retry_after);
         Arrival {
@@ -128,18 +128,18 @@
             class,
             tenant,
             work,
-            work_hint: self.draw_hint(work),
+            work_hint: self.draw_work_hint(work),
             honours_retry_after: honours,
         }
     }
 
     /// Work of a request of a class now, in microseconds of a standard core, faults included.
-    fn draw_work_of(&mut self, class: ClassIndex) -> f64 {
+    fn draw_work_with_faults(&mut self, class: ClassIndex) -> f64 {
         let class = &self.scenario.class[class.index()];
         let mut work = draw_work(&mut self.work_random, class);
         for fault in &self.scenario.fault {
-            let of_class = fault.class.as_ref().is_none_or(|name| *name == class.name);
-            if fault.kind != FaultKind::ExpensiveRequests || !of_class {
+            let matches_class = fault.class.as_ref().is_none_or(|name| *name == class.name);
+            if fault.kind != FaultKind::ExpensiveRequests || !matches_class {
                 continue;
             }
             // Drawn whether or not it is on, so that a fault moves no other draw.
@@ -152,9 +152,9 @@
     }
 
     /// A hint of some work, off by a random factor, where clients give hints.
-    fn draw_hint(&mut self, work: f64) -> Option<Micros> {
+    fn draw_work_hint(&mut self, work: f64) -> Option<Micros> {
         let spread = self.scenario.load.work_hints?;
-        let factor = (spread * self.hint_random.normal()).exp();
+        let factor = (spread * self.work_hint_random.normal()).exp();
         Some(micros_from_f64((work * factor).max(1.0)))
     }
 
@@ -163,7 +163,7 @@
         let load_drift = self.load_drift.get(second_of(self.now)).copied();
         let all = self
             .scenario
-            .rate_at(self.now, load_drift.unwrap_or(DRIFT_MIDDLE));
+            .rate_at(self.now, load_drift.unwrap_or(DRIFT_MEAN));
         all * self.traffic_share
     }
 }
--- a/crates/testbed/src/workload/quota.rs
+++ b/crates/testbed/src/workload/quota.rs
@@ -26,7 +26,7 @@
     }
 
     /// Takes a token; false for what lies beyond the quota.
-    pub fn try_take(&mut self, now: Micros) -> bool {
+    pub fn try_acquire(&mut self, now: Micros) -> bool {
         let passed_s = s_from_micros(now.saturating_sub(self.refilled_at));
         self.tokens = (self.tokens + passed_s * self.rate).min(self.rate.max(1.0));
         self.refilled_at = now;
@@ -37,7 +37,7 @@
 }
 
 /// One quota for each tenant, full at the start.
-pub fn quotas(scenario: &Scenario) -> Vec<TenantQuota> {
+pub fn tenant_quotas(scenario: &Scenario) -> Vec<TenantQuota> {
     let all = scenario.full_rate() * scenario.rules.quota_of_capacity;
     let tenants = scenario.tenant.iter();
     tenants
