--- a/crates/testbed/src/random.rs
+++ b/crates/testbed/src/random.rs
@@ -1,6 +1,7 @@
-//! Random streams, one for each cause, so that a further server does not reshuffle arrivals.
+//! Independent random streams, one per purpose and index, so that adding a server, say, does not
+//! change the arrivals.
 //!
-//! Draws numbers only; what they decide is their users'.
+//! Only draws numbers; the callers decide what to use them for.
 
 use rand::{RngExt as _, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
@@ -8,34 +9,35 @@
 
 use crate::conversion::u64_from_count;
 
-/// What a stream is drawn for. The numbers are part of what a seed means: they stay.
+/// What a stream is used for. The values select the streams of a seed, so changing one changes the
+/// result of every seed.
 #[derive(Clone, Copy, Debug)]
 pub enum StreamId {
-    /// Times of arrivals, by sidecar.
+    /// Times of arrivals; indexed by sidecar.
     Arrivals = 1,
-    /// Class, tenant and work of arrivals, by sidecar.
+    /// Class, tenant and work of arrivals; indexed by sidecar.
     Work = 2,
-    /// What clients do, by sidecar or by arrival.
+    /// Timeouts, disconnects and backoffs of clients; indexed by sidecar or by arrival.
     Clients = 3,
-    /// Delays, and the noise of attempts, by sidecar.
+    /// Network delays, and the noise of attempts; indexed by sidecar.
     Network = 4,
-    /// Speed and errors of servers, by server; resets and malformed responses.
+    /// Speed and errors of servers, indexed by server; also resets and malformed responses.
     Machines = 5,
-    /// Shares of the traffic that sidecars get.
+    /// Shares of the traffic that the sidecars receive.
     TrafficShares = 6,
-    /// Whom faults hit, by fault.
+    /// Targets of faults; indexed by fault.
     Faults = 7,
-    /// How long changes of the endpoint list take.
+    /// Propagation delays of changes to the endpoint list.
     Discovery = 8,
-    /// Seeds of balancers, by sidecar.
+    /// Seeds of the balancers; indexed by sidecar.
     Seeds = 9,
-    /// How the load drifts.
+    /// Drift of the load.
     LoadDrift = 10,
-    /// Errors of work hints, by sidecar.
+    /// Errors of work hints; indexed by sidecar.
     WorkHints = 11,
 }
 
-/// Bits of a stream's index within its cause, which stands above them.
+/// Bits of a stream number that hold the index; the [`StreamId`] is stored above them.
 const INDEX_BITS: u32 = 40;
 
 /// One random stream.
@@ -43,35 +45,34 @@
 pub struct RandomStream(ChaCha8Rng);
 
 impl RandomStream {
-    /// The stream of a cause and an index within it, such as a sidecar's; the seed is the
-    /// scenario's.
+    /// The stream for a purpose and an index, such as that of a sidecar. `seed` is the scenario's.
     pub fn new(seed: u64, id: StreamId, index: usize) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         rng.set_stream((id as u64) << INDEX_BITS | u64_from_count(index));
         Self(rng)
     }
 
-    /// From 0 up to but not 1.
+    /// Uniform in [0, 1).
     pub fn uniform(&mut self) -> f64 {
         self.0.random()
     }
 
-    /// From `least` up to but not `most`.
-    pub fn uniform_in(&mut self, least: f64, most: f64) -> f64 {
-        least + (most - least) * self.uniform()
+    /// Uniform in [`low`, `high`).
+    pub fn uniform_in(&mut self, low: f64, high: f64) -> f64 {
+        low + (high - low) * self.uniform()
     }
 
-    /// A whole number below `count`; 0 where that is 0.
+    /// Uniform integer below `count`; 0 if `count` is 0.
     pub fn index_below(&mut self, count: usize) -> usize {
         self.0.random_range(0..count.max(1))
     }
 
-    /// Any whole number.
+    /// Uniform over all `u64` values.
     pub fn next_u64(&mut self) -> u64 {
         self.0.random()
     }
 
-    /// True with this probability. Draws nothing where it is 0.
+    /// True with this probability. Draws nothing if the probability is not positive.
     pub fn bernoulli(&mut self, probability: f64) -> bool {
         probability > 0.0 && self.uniform() < probability
     }
@@ -86,20 +87,20 @@
         StandardNormal.sample(&mut self.0)
     }
 
-    /// Lognormal with mean 1 and this coefficient of variation; 1 where there is no such
-    /// distribution.
+    /// Lognormal with mean 1 and this coefficient of variation; 1 if the parameter is not valid.
     pub fn lognormal(&mut self, coefficient_of_variation: f64) -> f64 {
         let variance = (1.0 + coefficient_of_variation * coefficient_of_variation).ln();
         let distribution = LogNormal::new(-variance / 2.0, variance.sqrt());
         distribution.map_or(1.0, |lognormal| lognormal.sample(&mut self.0))
     }
 
-    /// An index drawn by weights; the last where rounding leaves a rest.
+    /// An index drawn with probability proportional to its weight; the last index if rounding
+    /// leaves a remainder.
     pub fn weighted_index(&mut self, weights: &[f64]) -> usize {
-        let mut rest = self.uniform() * weights.iter().sum::<f64>();
+        let mut remaining = self.uniform() * weights.iter().sum::<f64>();
         let found = weights.iter().position(|weight| {
-            rest -= weight;
-            rest < 0.0
+            remaining -= weight;
+            remaining < 0.0
         });
         found.unwrap_or(weights.len().saturating_sub(1))
     }
--- a/crates/testbed/src/workload.rs
+++ b/crates/testbed/src/workload.rs
@@ -1,7 +1,8 @@
-//! What clients ask for, and when: drawn alike for both engines, one sidecar's clients at a time.
+//! Generates the arrivals at each sidecar: when they come, their class, tenant and work. The
+//! simulator and the emulator draw the same arrivals.
 //!
-//! Owns the arrivals, their work and the sidecars' shares of them; `quota` has the tenants' quotas.
-//! What clients do about slow and failed requests is the engines'.
+//! Also draws the sidecars' shares of the traffic; `quota` has the tenants' quotas. Timeouts and
+//! retries of clients are implemented by the simulator and the emulator.
 
 mod quota;
 
@@ -12,53 +13,54 @@
 
 pub use quota::{TenantQuota, tenant_quotas};
 
-/// Largest step of the load's drift in a second, as a share of its range.
+/// Largest random step of the load drift per second, as a fraction of its range.
 const MAX_DRIFT_STEP: f64 = 0.12;
-/// Middle of the load's drift, from which it starts.
+/// Initial and long-term mean of the load drift.
 const DRIFT_MEAN: f64 = 0.5;
-/// Part of its distance to the middle that it goes back in a second.
+/// Fraction of its distance from the mean by which the load drift reverts per second.
 const DRIFT_REVERSION: f64 = 0.05;
-/// Index of the stream for the sidecars' shares of the traffic.
+/// Index of the random stream for the sidecars' shares of the traffic.
 const TRAFFIC_SHARES_STREAM: usize = 1 << 20;
-/// Longest time between two arrivals, in microseconds: beyond any scenario's length.
+/// Longest time between two arrivals, in microseconds; longer than any scenario.
 const MAX_INTERVAL: f64 = 1e13;
 
-/// What a client wants, drawn.
+/// One operation that a client wants done. It leads to one request, or to several if the client
+/// retries.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Arrival {
-    /// When, in microseconds from the start of the run.
+    /// Microseconds since the start of the run.
     pub at: Micros,
-    /// Index of its class.
+    /// Request class.
     pub class: ClassIndex,
-    /// Index of its tenant.
+    /// Tenant that the client belongs to.
     pub tenant: TenantIndex,
     /// Work in microseconds of a standard core.
     pub work: f64,
-    /// What its client hints of the work, in microseconds of a standard core.
+    /// Work hint that the client sends, in microseconds of a standard core.
     pub work_hint: Option<Micros>,
-    /// Whether its client keeps to a Retry-After.
+    /// Whether the client waits as long as a Retry-After header asks.
     pub honours_retry_after: bool,
 }
 
-/// The arrivals at one sidecar, in the order of their times.
+/// Iterator over the arrivals at one sidecar, in order of time.
 #[derive(Clone, Debug)]
 pub struct ArrivalStream {
     scenario: Scenario,
-    /// The sidecar's share of the traffic.
+    /// Fraction of all traffic that this sidecar receives.
     traffic_share: f64,
     arrival_random: RandomStream,
     work_random: RandomStream,
     client_random: RandomStream,
     work_hint_random: RandomStream,
-    /// How the load drifts, second by second.
+    /// Load drift for each second, from 0 to 1.
     load_drift: Vec<f64>,
-    /// The last arrival drawn.
+    /// Time of the last arrival drawn.
     now: Micros,
     class_weights: Vec<f64>,
     tenant_weights: Vec<f64>,
 }
 
-/// How the load drifts between 0 and 1, second by second: alike at all sidecars.
+/// Draws the load drift for each second, from 0 to 1. It is the same at all sidecars.
 fn load_drift(scenario: &Scenario) -> Vec<f64> {
     let mut random = RandomStream::new(scenario.seed, StreamId::LoadDrift, 0);
     let mut level: f64 = DRIFT_MEAN;
@@ -71,7 +73,7 @@
     levels.collect()
 }
 
-/// Shares of the traffic that the sidecars get, adding up to 1.
+/// Draws the fraction of all traffic that each sidecar receives; the fractions add up to 1.
 pub fn traffic_shares(scenario: &Scenario) -> Vec<f64> {
     let mut random = RandomStream::new(
         scenario.seed,
@@ -86,7 +88,7 @@
     weights.into_iter().map(|weight| weight / sum).collect()
 }
 
-/// Work of a request of a class, in microseconds of a standard core.
+/// Draws the work of an arrival of a class without faults, in microseconds of a standard core.
 fn draw_work(random: &mut RandomStream, class: &Class) -> f64 {
     let mean = class.work_ms * MICROS_PER_MS;
     match class.dist {
@@ -97,16 +99,16 @@
 }
 
 impl ArrivalStream {
-    /// The arrivals at a sidecar, which gets a share of the traffic.
+    /// The arrivals at a sidecar that receives this fraction of all traffic.
     pub fn new(scenario: &Scenario, sidecar: SidecarIndex, traffic_share: f64) -> Self {
-        let stream = |id| RandomStream::new(scenario.seed, id, sidecar.index());
+        let random_stream = |id| RandomStream::new(scenario.seed, id, sidecar.index());
         let tenants = scenario.tenant.iter();
         Self {
             traffic_share,
-            arrival_random: stream(StreamId::Arrivals),
-            work_random: stream(StreamId::Work),
-            client_random: stream(StreamId::Clients),
-            work_hint_random: stream(StreamId::WorkHints),
+            arrival_random: random_stream(StreamId::Arrivals),
+            work_random: random_stream(StreamId::Work),
+            client_random: random_stream(StreamId::Clients),
+            work_hint_random: random_stream(StreamId::WorkHints),
             load_drift: load_drift(scenario),
             now: 0,
             class_weights: scenario.class.iter().map(|class| class.share).collect(),
@@ -122,18 +124,19 @@
         let tenant = TenantIndex::from_position(tenant);
         let work = self.draw_work_with_faults(class);
         let clients = &self.scenario.clients;
-        let honours = self.client_random.bernoulli(clients.honour_retry_after);
+        let honours_retry_after = self.client_random.bernoulli(clients.honour_retry_after);
         Arrival {
             at: self.now,
             class,
             tenant,
             work,
             work_hint: self.draw_work_hint(work),
-            honours_retry_after: honours,
+            honours_retry_after,
         }
     }
 
-    /// Work of a request of a class now, in microseconds of a standard core, faults included.
+    /// Draws the work of an arrival of a class now, in microseconds of a standard core. Faults that
+    /// make requests expensive are applied.
     fn draw_work_with_faults(&mut self, class: ClassIndex) -> f64 {
         let class = &self.scenario.class[class.index()];
         let mut work = draw_work(&mut self.work_random, class);
@@ -142,29 +145,30 @@
             if fault.kind != FaultKind::ExpensiveRequests || !matches_class {
                 continue;
             }
-            // Drawn whether or not it is on, so that a fault moves no other draw.
-            let hit = self.work_random.uniform() < fault.share;
-            if hit && fault.is_on(self.now) {
+            // Drawn even while the fault is off, so that a fault doesn't shift later draws.
+            let is_affected = self.work_random.uniform() < fault.share;
+            if is_affected && fault.is_on(self.now) {
                 work *= fault.factor;
             }
         }
         work
     }
 
-    /// A hint of some work, off by a random factor, where clients give hints.
+    /// Draws the work hint of an arrival: its work times a random factor. Absent if clients send no
+    /// hints.
     fn draw_work_hint(&mut self, work: f64) -> Option<Micros> {
         let spread = self.scenario.load.work_hints?;
         let factor = (spread * self.work_hint_random.normal()).exp();
         Some(micros_from_f64((work * factor).max(1.0)))
     }
 
-    /// Arrivals a second now.
+    /// Arrivals per second at this sidecar now.
     fn rate(&self) -> f64 {
         let load_drift = self.load_drift.get(second_of(self.now)).copied();
-        let all = self
+        let total_rate = self
             .scenario
             .rate_at(self.now, load_drift.unwrap_or(DRIFT_MEAN));
-        all * self.traffic_share
+        total_rate * self.traffic_share
     }
 }
 
@@ -175,7 +179,7 @@
         let end = from_s(self.scenario.seconds);
         loop {
             let rate = self.rate();
-            // A load that is nothing now may rise: it is looked at again in a second.
+            // The rate may become positive later, so it is checked again after a second.
             let interval = if rate > 0.0 {
                 self.arrival_random.exponential() / rate * MICROS_PER_S
             } else {
--- a/crates/testbed/src/workload/quota.rs
+++ b/crates/testbed/src/workload/quota.rs
@@ -1,22 +1,22 @@
-//! The tenants' quotas, which decide how much an arrival is worth.
+//! Token buckets for the tenants' quotas.
 //!
-//! Owns the token buckets; what an arrival beyond its quota counts for is known by `statistics`.
+//! Decides whether an arrival is within its tenant's quota; `statistics` applies the weight of an
+//! arrival over its quota.
 
 use crate::conversion::s_from_micros;
 use crate::scenario::{Micros, Scenario};
 
-/// A tenant's quota: a token bucket, filled at the tenant's share of what all tenants are entitled
-/// to.
+/// A tenant's quota: a token bucket, refilled at the tenant's share of the total quota.
 #[derive(Clone, Copy, Debug)]
 pub struct TenantQuota {
-    /// Tokens a second.
+    /// Tokens per second.
     rate: f64,
     tokens: f64,
     refilled_at: Micros,
 }
 
 impl TenantQuota {
-    /// A full bucket; `rate` in requests a second.
+    /// A full bucket; `rate` is in requests per second.
     fn new(rate: f64) -> Self {
         Self {
             rate,
@@ -25,10 +25,10 @@
         }
     }
 
-    /// Takes a token; false for what lies beyond the quota.
+    /// Takes a token; returns false if none is left, that is, if the request is over the quota.
     pub fn try_acquire(&mut self, now: Micros) -> bool {
-        let passed_s = s_from_micros(now.saturating_sub(self.refilled_at));
-        self.tokens = (self.tokens + passed_s * self.rate).min(self.rate.max(1.0));
+        let elapsed_s = s_from_micros(now.saturating_sub(self.refilled_at));
+        self.tokens = (self.tokens + elapsed_s * self.rate).min(self.rate.max(1.0));
         self.refilled_at = now;
         let within_quota = self.tokens >= 1.0;
         self.tokens -= if within_quota { 1.0 } else { 0.0 };
@@ -36,11 +36,11 @@
     }
 }
 
-/// One quota for each tenant, full at the start.
+/// The quota of each tenant; every bucket is full at the start.
 pub fn tenant_quotas(scenario: &Scenario) -> Vec<TenantQuota> {
-    let all = scenario.full_rate() * scenario.rules.quota_of_capacity;
+    let total_rate = scenario.full_rate() * scenario.rules.quota_of_capacity;
     let tenants = scenario.tenant.iter();
     tenants
-        .map(|tenant| TenantQuota::new(tenant.share * all))
+        .map(|tenant| TenantQuota::new(tenant.share * total_rate))
         .collect()
 }
