--- a/crates/testbed/src/server_model/contention.rs
+++ b/crates/testbed/src/server_model/contention.rs
@@ -1,31 +1,32 @@
-//! Lasting overload, which slows a server until it has had a rest.
+//! Slowdown of a server after sustained overload, until the load has been low for a while.
 //!
-//! Owns how long overload and rest have lasted; thresholds are the machine type's.
+//! Tracks since when the server is overloaded, slowed or recovering; the thresholds are settings of
+//! the machine type.
 
 use super::ServerModel;
 use crate::conversion::f64_from_count;
 use crate::scenario::{Contention, Micros, from_s};
 
-/// Whether a server is overloaded, or slowed by it.
+/// Whether a server is overloaded, or slowed after overload.
 #[derive(Debug, Default)]
 pub(super) struct ContentionState {
-    /// Since when too many jobs are in flight, while it is not slowed.
+    /// Since when too many jobs are in flight; only tracked while the server is not slowed.
     overloaded_since: Option<Micros>,
     slowed: Option<SlowedPeriod>,
-    /// Time for which it was slowed earlier, in microseconds.
+    /// Total length of the slowed periods that have ended, in microseconds.
     past_slowed_time: Micros,
 }
 
-/// A server is slowed.
+/// A period in which the server is slowed.
 #[derive(Debug)]
 struct SlowedPeriod {
     since: Micros,
-    /// Since when few enough jobs are in flight for it to recover.
+    /// Since when the jobs in flight are below the recovery threshold.
     recovering_since: Option<Micros>,
 }
 
 impl ContentionState {
-    /// The number of jobs in flight, or the time, has changed.
+    /// Updates the state after the time or the number of jobs in flight has changed.
     fn update(&mut self, contention: &Contention, now: Micros, in_flight: f64, cores: f64) {
         if let Some(slowed) = &mut self.slowed {
             let recovering = in_flight < contention.recovery_threshold * cores;
@@ -47,7 +48,8 @@
         }
     }
 
-    /// Neither overloaded nor slowed any more; the time for which it was slowed stays.
+    /// Ends overload and slowdown, for example at a restart. Keeps the total of earlier slowed
+    /// periods.
     pub(super) fn reset(&mut self) {
         self.overloaded_since = None;
         self.slowed = None;
@@ -57,12 +59,12 @@
         self.slowed.is_some()
     }
 
-    /// Whether it changes as time passes.
+    /// Whether the state can change with time alone.
     pub(super) fn is_time_dependent(&self) -> bool {
         self.overloaded_since.is_some() || self.is_slowed()
     }
 
-    /// How many times slower it makes the server.
+    /// Factor by which contention slows the server; 1 for none.
     pub(super) fn slowdown(&self, contention: Option<&Contention>) -> f64 {
         contention
             .filter(|_| self.is_slowed())
@@ -80,10 +82,11 @@
         }
     }
 
-    /// Time for which contention has slowed it so far, in microseconds, including one that goes on.
+    /// Total time for which contention has slowed the server, in microseconds, including the current
+    /// period.
     pub fn slowed_time(&self) -> Micros {
         let slowed = self.contention.slowed.as_ref();
-        let present = slowed.map_or(0, |slowed| self.now.saturating_sub(slowed.since));
-        self.contention.past_slowed_time + present
+        let current = slowed.map_or(0, |slowed| self.now.saturating_sub(slowed.since));
+        self.contention.past_slowed_time + current
     }
 }
--- a/crates/testbed/src/server_model/health_check_limiter.rs
+++ b/crates/testbed/src/server_model/health_check_limiter.rs
@@ -1,11 +1,12 @@
-//! The rate limit on the health checks that a server answers.
+//! Rate limit on the health checks that a server answers.
 //!
-//! Owns the token bucket; the rate is the machine type's.
+//! Holds the token bucket; the rate is a setting of the machine type.
 
 use crate::conversion::s_from_micros;
 use crate::scenario::Micros;
 
-/// A token bucket, one token for each health check: it holds those of a second, and one at least.
+/// A token bucket with one token per health check. Its capacity is the tokens of one second, but at
+/// least one.
 #[derive(Debug)]
 pub(super) struct HealthCheckLimiter {
     tokens: f64,
@@ -13,7 +14,7 @@
 }
 
 impl HealthCheckLimiter {
-    /// A full bucket; `rate` in health checks a second.
+    /// A bucket with the tokens of one second; `rate` is in health checks per second.
     pub(super) fn new(rate: f64, now: Micros) -> Self {
         Self {
             tokens: rate,
@@ -21,13 +22,13 @@
         }
     }
 
-    /// Whether a health check is answered; without a rate all are.
+    /// Takes a token for a health check; returns false if none is left. A rate of 0 means no limit.
     pub(super) fn try_acquire(&mut self, rate: f64, now: Micros) -> bool {
         if rate <= 0.0 {
             return true;
         }
-        let passed_s = s_from_micros(now.saturating_sub(self.refilled_at));
-        self.tokens = (self.tokens + passed_s * rate).min(rate.max(1.0));
+        let elapsed_s = s_from_micros(now.saturating_sub(self.refilled_at));
+        self.tokens = (self.tokens + elapsed_s * rate).min(rate.max(1.0));
         self.refilled_at = now;
         if self.tokens < 1.0 {
             return false;
--- a/crates/testbed/src/server_model/load_report.rs
+++ b/crates/testbed/src/server_model/load_report.rs
@@ -1,7 +1,7 @@
-//! What a server reports of its load, in responses to health checks and in others.
+//! Load reports of a server, in responses to health checks and to other requests.
 //!
-//! Owns samples and errors, and how old they are when they are reported. The wire form is not known
-//! here.
+//! Holds the samples and errors, and decides how old they are when reported. The wire format is the
+//! emulator's.
 
 use std::collections::VecDeque;
 
@@ -9,41 +9,42 @@
 use crate::conversion::{MICROS_PER_MS, f64_from_count};
 use crate::scenario::{LoadReportSource, LoadReports, Micros, from_ms};
 
-/// Microseconds for which a load report for health checks stays as it is, like those of the
-/// operators' servers.
+/// Microseconds for which a load report for health checks is reused, as the operators' real servers
+/// do.
 const REFRESH_INTERVAL: Micros = 3_000;
-/// Span in which errors count for the error rate, in microseconds: a second, as the rate is one per
-/// second.
+/// Window of the error rate, in microseconds: one second, so that the number of errors in it is the
+/// rate per second.
 const ERROR_WINDOW: Micros = 1_000_000;
 
 /// A load report in the response to a health check.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests that wait and run.
+    /// Requests in flight: queued and running.
     pub in_flight: usize,
-    /// Requests that wait.
+    /// Requests in the queue.
     pub queued: usize,
-    /// Jobs that ended in an error in the last second.
+    /// Jobs that failed in the last second.
     pub errors_per_s: f64,
 }
 
-/// Jobs in flight at a moment.
+/// Number of jobs in flight at one time.
 #[derive(Clone, Copy, Debug)]
 struct Sample {
     at: Micros,
     in_flight: usize,
 }
 
-/// What a server has measured of its load, and reports later.
+/// Samples a server's load and makes its load reports.
 #[derive(Debug, Default)]
 pub(super) struct LoadReporter {
     settings: LoadReports,
-    /// When jobs ended in errors, within the window.
+    /// Times at which jobs failed, within the error window.
     errors: VecDeque<Micros>,
+    /// The last load report for health checks.
     report: LoadReport,
-    /// When the report was made; 0 before the first.
+    /// When `report` was made; 0 before the first.
     reported_at: Micros,
-    /// Samples for responses: the one that is reported, and younger ones.
+    /// Samples for responses: the reported one, then those not yet old enough to report.
     samples: VecDeque<Sample>,
 }
 
@@ -63,11 +64,11 @@
         self.samples.clear();
     }
 
-    /// The report for a health check: the last one while it is fresh.
+    /// The load report for a health check; reuses the last one within the refresh interval.
     fn health_check_report(&mut self, now: Micros, in_flight: usize, queued: usize) -> LoadReport {
         if now >= self.reported_at + REFRESH_INTERVAL || self.reported_at == 0 {
-            let is_old = |at: &Micros| *at + ERROR_WINDOW <= now;
-            while self.errors.front().is_some_and(is_old) {
+            let is_expired = |at: &Micros| *at + ERROR_WINDOW <= now;
+            while self.errors.front().is_some_and(is_expired) {
                 self.errors.pop_front();
             }
             self.reported_at = now;
@@ -80,7 +81,8 @@
         self.report
     }
 
-    /// The jobs that a response reports: those of the last sample that is old enough.
+    /// The jobs in flight that a response reports, from the latest sample that is at least the report
+    /// delay old.
     fn in_flight_to_report(&mut self, now: Micros, in_flight: usize) -> Option<usize> {
         if self.settings.source != LoadReportSource::Responses {
             return None;
@@ -101,7 +103,7 @@
 }
 
 impl ServerModel {
-    /// Answers a health check; nothing where it takes no more of them.
+    /// Answers a health check; `None` if the rate limit rejects it.
     pub fn answer_health_check(
         &mut self,
         now: Micros,
@@ -121,8 +123,8 @@
         )
     }
 
-    /// The requests in flight that a response reports which goes out now; nothing where responses
-    /// report none.
+    /// The requests in flight that a response sent now reports; `None` if responses carry no load
+    /// report, or if no sample is old enough.
     pub fn response_load_report(&mut self, now: Micros) -> Option<usize> {
         let in_flight = self.in_flight();
         self.load_reporter.in_flight_to_report(now, in_flight)
--- a/crates/testbed/src/server_model/mod.rs
+++ b/crates/testbed/src/server_model/mod.rs
@@ -1,10 +1,10 @@
-//! A server as a machine: cores, a queue, slow start, slowdown, contention, failures. No I/O and no
-//! clock: both engines hand the time in, so that simulated and emulated servers are the same
-//! machine.
+//! Model of a server: cores, a queue, slow start, slowdown, contention and failures. It does no I/O
+//! and reads no clock: the simulator and the emulator pass in the time, so that both run the same
+//! server.
 //!
-//! All running requests progress alike: `running_jobs` has their progress, `service` lets it grow
-//! with time at the `speed` of the moment. Slow start, contention and load reports each own their
-//! state.
+//! All running jobs progress at the same rate (processor sharing): `running_jobs` holds their
+//! progress, and `service` advances it over time at the rate that `speed` computes. Slow start,
+//! contention and load reports each own their state.
 
 mod contention;
 mod health_check_limiter;
@@ -30,71 +30,71 @@
 pub use load_report::LoadReport;
 pub use slow_start::cold_work_limit;
 
-/// Work handed to a server.
+/// A request as the server model sees it.
 #[derive(Clone, Copy, Debug)]
 pub struct Job {
     /// Unique at this server.
     pub id: u64,
     /// Work in microseconds of a standard core.
     pub work: f64,
-    /// When its sender stops waiting for it.
+    /// When the sender stops waiting for the response.
     pub deadline: Micros,
 }
 
-/// What a server did by itself; the number is the job's.
+/// What happened in a server as time passed. Numbers are job ids.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ServerModelEvent {
     /// A job started to run.
     Started(u64),
-    /// A job was completed.
+    /// A job completed.
     Completed {
-        /// The job.
+        /// Id of the job.
         id: u64,
-        /// Whether it ended in an error.
+        /// Whether it failed with an error response.
         error: bool,
     },
-    /// A job expired in the queue and was dropped.
+    /// A job's deadline passed in the queue, and the job was dropped.
     Expired(u64),
-    /// The cold server received more work than it bears, and shut down.
+    /// The cold server received more work than the overload rule allows, and shut down.
     OverloadShutdown,
 }
 
-/// What a server has counted since it was built.
+/// Counts since the model was created.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Counters {
-    /// Jobs that expired in the queue.
+    /// Jobs dropped because their deadline passed in the queue.
     pub expired: u64,
-    /// Jobs that were cancelled, waiting or running.
+    /// Jobs cancelled while queued or running.
     pub cancelled: u64,
-    /// Most jobs in flight at once, waiting and running.
+    /// Maximum number of jobs in flight (queued and running).
     pub max_in_flight: usize,
 }
 
-/// Whether a server works.
+/// Whether a server's process is running.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunState {
-    /// It works.
+    /// Running.
     Up,
-    /// It stands still; accepts and answers nothing until it goes on.
+    /// Stopped for a time: no job progresses and nothing is answered until it resumes.
     Paused,
-    /// It is gone, with all that was in flight.
+    /// Not running; all jobs in flight are lost.
     Down,
 }
 
-/// A server's machine.
+/// State of one modelled server.
 #[derive(Debug)]
 pub struct ServerModel {
     machine_type: MachineType,
-    /// Work of a warm core in a microsecond, in microseconds of a standard core.
+    /// Work that a warm core does per microsecond, in microseconds of a standard core.
     warm_core_speed: f64,
     state: RunState,
-    /// Up to when time has passed here.
+    /// The time up to which the model has been advanced.
     now: Micros,
     running: RunningJobs,
     queue: VecDeque<Job>,
-    /// Work to be done beside the jobs, in microseconds of a standard core.
+    /// Work still to be done for handshakes and health checks, in microseconds of a standard core.
     overhead_work: f64,
-    /// How many times slower than usual a fault makes it.
+    /// Factor by which a fault slows the server; 1 for none.
     slowdown: f64,
     error_rate: f64,
     slow_start: SlowStart,
@@ -103,12 +103,12 @@
     health_check_limiter: HealthCheckLimiter,
     load_reporter: LoadReporter,
     random: RandomStream,
-    /// What it has counted.
+    /// Counts since the model was created.
     pub counters: Counters,
 }
 
 impl ServerModel {
-    /// A server of a machine type, at the speed that was drawn for it; up from now on.
+    /// A server that starts now, with a core speed already drawn.
     fn new(
         machine_type: MachineType,
         warm_core_speed: f64,
@@ -137,7 +137,8 @@
         }
     }
 
-    /// The scenario's server of this index. Its speed is drawn, alike in both engines.
+    /// The scenario's server of this index. Its speed is drawn from the scenario's seed, so that the
+    /// simulator and the emulator use the same one.
     pub fn from_scenario(
         scenario: &Scenario,
         machine_type: &MachineType,
@@ -164,33 +165,34 @@
         server
     }
 
-    /// Its machine type.
+    /// The machine type that the server runs on.
     pub fn machine_type(&self) -> &MachineType {
         &self.machine_type
     }
 
-    /// Whether it works.
+    /// Whether the server is up, paused or down.
     pub fn state(&self) -> RunState {
         self.state
     }
 
-    /// Jobs in flight: those that wait and those that run.
+    /// Jobs in flight: queued and running.
     pub fn in_flight(&self) -> usize {
         self.running.len() + self.queue.len()
     }
 
-    /// Open connections.
+    /// Number of open connections.
     pub fn connections(&self) -> usize {
         self.connections
     }
 
-    /// Work that it can do in a microsecond while it warms up, in microseconds of a standard core;
-    /// faults and contention are left aside.
+    /// Work that the server can do per microsecond with slow start taken into account, in
+    /// microseconds of a standard core. Faults and contention are ignored.
     pub fn capacity(&self, now: Micros) -> f64 {
         f64::from(self.machine_type.cores) * self.warm_core_speed * self.slow_start_factor(now)
     }
 
-    /// Accepts a job. False where it is rejected, or overloads a cold server, which shuts down.
+    /// Offers a job to the server. Returns false if the job is rejected, or if it overloads a cold
+    /// server, which then shuts down.
     pub fn try_accept(
         &mut self,
         now: Micros,
@@ -203,7 +205,7 @@
             events.push(ServerModelEvent::OverloadShutdown);
             return false;
         }
-        // A paused process reads nothing: what comes waits, as it would in its socket.
+        // A paused process reads nothing, so jobs wait in the queue as they would in its socket.
         let queue_full = self.queue.len() >= self.machine_type.queue;
         let full = queue_full && self.running.len() >= self.slots();
         if self.state == RunState::Down || full {
--- a/crates/testbed/src/server_model/running_jobs.rs
+++ b/crates/testbed/src/server_model/running_jobs.rs
@@ -1,18 +1,18 @@
-//! The jobs that run on a server, and how far they have come.
+//! The running jobs of a server and their progress, as in a processor-sharing queue.
 //!
-//! `progress` is the work that one core has done for a job that has run all along: a job ends once
-//! it has grown by the job's work. Pauses, slow start and contention change only the speed at which
-//! it grows.
+//! `progress` is the work done so far for a hypothetical job that has run from the start. A job
+//! completes once `progress` has grown by the job's work since the job started. Pauses, slow start
+//! and contention only change the rate at which it grows, so no job has to be updated.
 
 use std::collections::{BTreeSet, HashMap};
 
-/// Jobs that run, by the progress at which they end.
+/// Running jobs, ordered by the progress at which they complete.
 #[derive(Debug, Default)]
 pub(super) struct RunningJobs {
-    /// In microseconds of a standard core.
+    /// Progress so far, in microseconds of a standard core.
     progress: f64,
-    /// Bits of the progress at which a job ends, which sort as the positive numbers do, and the
-    /// job.
+    /// The progress at which a job completes, and the job's id. The progress is kept as the bits of
+    /// an `f64`: those of non-negative numbers sort like the numbers.
     by_end_progress: BTreeSet<(u64, u64)>,
     end_progress_by_job: HashMap<u64, u64>,
 }
@@ -27,7 +27,7 @@
         self.progress
     }
 
-    /// Progress at which the first job ends.
+    /// Progress at which the next job completes.
     pub(super) fn first_end_progress(&self) -> Option<f64> {
         self.by_end_progress
             .first()
@@ -44,20 +44,20 @@
         self.progress = progress;
     }
 
-    /// Removes the first job that ends.
+    /// Removes the job that completes next.
     pub(super) fn pop_first(&mut self) -> Option<u64> {
         let (_, job) = self.by_end_progress.pop_first()?;
         self.end_progress_by_job.remove(&job);
         Some(job)
     }
 
-    /// Stops a job; false where it does not run.
+    /// Removes a job; returns false if it is not running.
     pub(super) fn cancel(&mut self, job: u64) -> bool {
         let end = self.end_progress_by_job.remove(&job);
         end.is_some_and(|end| self.by_end_progress.remove(&(end, job)))
     }
 
-    /// Stops all jobs; progress stays.
+    /// Removes all jobs. The progress is kept.
     pub(super) fn clear(&mut self) {
         self.by_end_progress.clear();
         self.end_progress_by_job.clear();
--- a/crates/testbed/src/server_model/service.rs
+++ b/crates/testbed/src/server_model/service.rs
@@ -1,24 +1,24 @@
-//! How a server works through its jobs as time passes.
+//! Advances a server's jobs over time.
 //!
-//! Owns the steps in which time passes; the speed within a step is that of `speed`.
+//! Time advances in steps; `speed` computes the speed, which is constant within a step.
 
 use super::{RunState, ServerModel, ServerModelEvent};
 use crate::conversion::{f64_from_u64, micros_from_f64};
 use crate::scenario::Micros;
 
-/// Step in which a speed that changes by itself is followed, in microseconds; it is taken as constant
+/// Length of a step in microseconds while the speed depends on time. The speed is taken as constant
 /// within a step.
 const STEP: Micros = 50_000;
-/// Progress by which a job may end early, as progress is rounded: in microseconds of a standard
-/// core.
+/// Tolerance for rounding errors: a job may complete this much progress early, in microseconds of a
+/// standard core.
 const END_TOLERANCE: f64 = 1e-6;
-/// Least speed to divide by, so that a job that stands still ends at a far but finite moment.
+/// Minimum speed to divide by, so that the completion time of a stalled job is finite.
 const MIN_SPEED: f64 = 1e-9;
-/// Least work of a job, in microseconds of a standard core.
+/// Minimum work of a job, in microseconds of a standard core.
 const MIN_WORK: f64 = 1.0;
 
 impl ServerModel {
-    /// When something will happen here by itself; nothing while it idles or stands still.
+    /// When the model has to be advanced next; `None` while the server is idle, paused or down.
     pub fn next_event_at(&self) -> Option<Micros> {
         if self.state != RunState::Up {
             return None;
@@ -31,7 +31,7 @@
             .min()
     }
 
-    /// When the first job ends, at the speed of now.
+    /// When the next job completes if the current speed lasts.
     fn next_completion_at(&self) -> Option<Micros> {
         let end = self.running.first_end_progress()?;
         let work = (end - self.running.progress()).max(0.0);
@@ -41,7 +41,7 @@
         Some(self.now + micros_from_f64(span.ceil()).max(1))
     }
 
-    /// Lets time pass up to `now`, and adds what happened.
+    /// Advances the model to `now`, and appends what happened to `events`.
     pub fn advance(&mut self, now: Micros, events: &mut Vec<ServerModelEvent>) {
         while self.now < now {
             let step_end = if self.speed_is_time_dependent(self.now) {
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Works until a moment, or until the first job ends.
+    /// Runs the jobs until `step_end`, or until the next job completes if that is earlier.
     fn run_until(&mut self, step_end: Micros, events: &mut Vec<ServerModelEvent>) {
         let speed = self.job_speed(self.now);
         let span = self.do_overhead_work(f64_from_u64(step_end - self.now));
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Does work beside the jobs on all cores, before jobs go on; gives the rest of the span in
+    /// Does overhead work on all cores before any job progresses. Returns the rest of the span, in
     /// microseconds.
     fn do_overhead_work(&mut self, span: f64) -> f64 {
         let cores = f64::from(self.machine_type.cores);
@@ -104,7 +104,7 @@
         self.start_queued_jobs(events);
     }
 
-    /// Starts jobs that wait, as far as there are slots.
+    /// Starts queued jobs while slots are free, and drops expired ones if the machine type does so.
     pub(super) fn start_queued_jobs(&mut self, events: &mut Vec<ServerModelEvent>) {
         if self.state != RunState::Up {
             return;
--- a/crates/testbed/src/server_model/slow_start.rs
+++ b/crates/testbed/src/server_model/slow_start.rs
@@ -1,7 +1,7 @@
-//! Slow start: what a cold server can do, and how much work overloads it.
+//! Slow start: the capacity of a cold server, and how much work overloads it.
 //!
-//! Owns since when a server is cold and what it was sent since. That it shuts down is done by its
-//! owner.
+//! Tracks since when a server is cold and the work it has been sent recently. `ServerModel` shuts
+//! the server down.
 
 use std::collections::VecDeque;
 
@@ -9,24 +9,24 @@
 use crate::conversion::f64_from_u64;
 use crate::scenario::{MachineType, Micros, from_s};
 
-/// How much work a cold server bears.
+/// How much work a cold server withstands.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct OverloadRule {
-    /// Multiple of its capacity.
+    /// Multiple of the server's capacity.
     pub(super) factor: f64,
-    /// Over which work is summed up, in microseconds.
+    /// Window over which work is summed up, in microseconds.
     pub(super) window: Micros,
 }
 
-/// Slow start: since when a server is cold, and what it was sent meanwhile.
+/// Slow start state: since when a server is cold, and the work it has been sent since.
 #[derive(Debug)]
 pub(super) struct SlowStart {
     rule: OverloadRule,
-    /// Absent for a server that has never been cold.
+    /// When the process started cold; absent for a server that was warm from the beginning.
     cold_since: Option<Micros>,
-    /// Jobs served since then.
+    /// Jobs completed since then.
     served: u64,
-    /// What it was sent within the rule's window while cold: time and work.
+    /// Jobs sent within the rule's window while cold: time and work.
     cold_work: VecDeque<(Micros, f64)>,
 }
 
@@ -40,20 +40,20 @@
         }
     }
 
-    /// Share of its warm capacity that a server has: grows with time or with served jobs, whichever
-    /// is faster.
+    /// Fraction of its warm capacity that the server has. It grows with time or with completed jobs,
+    /// whichever is faster.
     fn capacity_factor(&self, machine_type: &MachineType, now: Micros) -> f64 {
         let Some(since) = self.cold_since else {
             return 1.0;
         };
-        let slow_start = from_s(machine_type.slow_start_s).max(1);
-        let by_time = f64_from_u64(now.saturating_sub(since)) / f64_from_u64(slow_start);
-        let by_work = match machine_type.warm_requests {
+        let slow_start_time = from_s(machine_type.slow_start_s).max(1);
+        let by_time = f64_from_u64(now.saturating_sub(since)) / f64_from_u64(slow_start_time);
+        let by_requests = match machine_type.warm_requests {
             0 => 0.0,
             warm_requests => f64_from_u64(self.served) / f64_from_u64(warm_requests),
         };
-        let cold = machine_type.cold_capacity_share;
-        (cold + (1.0 - cold) * by_time.max(by_work)).min(1.0)
+        let cold_share = machine_type.cold_capacity_share;
+        (cold_share + (1.0 - cold_share) * by_time.max(by_requests)).min(1.0)
     }
 
     pub(super) fn on_served(&mut self) {
@@ -66,7 +66,8 @@
         self.cold_work.clear();
     }
 
-    /// A cold server of some capacity is sent work; true where that is more than it bears.
+    /// Counts a job sent to the cold server of this capacity. Returns true if the work within the
+    /// window then exceeds the limit.
     fn count_cold_work(&mut self, now: Micros, work: f64, capacity: f64) -> bool {
         let OverloadRule { factor, window } = self.rule;
         self.cold_work.push_back((now, work));
@@ -87,12 +88,12 @@
         self.slow_start.capacity_factor(&self.machine_type, now)
     }
 
-    /// Whether it is still warming up.
+    /// Whether the server is still warming up.
     pub fn is_cold(&self, now: Micros) -> bool {
         self.slow_start_factor(now) < 1.0
     }
 
-    /// Whether work that comes now overloads the cold server.
+    /// Counts a job that arrives now. Returns true if it overloads a cold server.
     pub(super) fn is_overloaded_by(&mut self, now: Micros, work: f64) -> bool {
         if !self.is_cold(now) {
             self.slow_start.cold_work.clear();
@@ -104,8 +105,8 @@
 }
 
 /// Work that a cold server may be sent within the window of the overload rule, in microseconds of a
-/// standard core. The slack stands for chance: two requests as large as the largest, as the rule is
-/// about load and not about one request's luck.
-pub fn cold_work_limit(factor: f64, capacity: f64, window: Micros, largest_job: f64) -> f64 {
-    factor * capacity * f64_from_u64(window) + 2.0 * largest_job
+/// standard core. Two jobs as large as the latest one, `job_work`, are allowed on top, so that the
+/// rule catches sustained load and not a single large job that arrives by chance.
+pub fn cold_work_limit(factor: f64, capacity: f64, window: Micros, job_work: f64) -> f64 {
+    factor * capacity * f64_from_u64(window) + 2.0 * job_work
 }
--- a/crates/testbed/src/server_model/speed.rs
+++ b/crates/testbed/src/server_model/speed.rs
@@ -1,13 +1,13 @@
-//! How fast a server works at a moment.
+//! The current speed of a server.
 //!
-//! Owns the formulas and no state: each factor's state is that of its own file.
+//! Holds only the formulas; the state of each factor is in the factor's own file.
 
 use super::{RunState, ServerModel};
 use crate::conversion::{count_from_u32, f64_from_count};
 use crate::scenario::Micros;
 
 impl ServerModel {
-    /// Jobs that run at a time.
+    /// Maximum number of jobs that run at once; one per core unless the machine type sets it.
     pub(super) fn slots(&self) -> usize {
         let machine_type = &self.machine_type;
         if machine_type.slots == 0 {
@@ -17,14 +17,15 @@
         }
     }
 
-    /// Growth of the jobs' progress in a microsecond: jobs beyond the cores share them.
+    /// Growth of the jobs' progress per microsecond. Jobs share the cores if there are more jobs
+    /// than cores.
     pub(super) fn job_speed(&self, now: Micros) -> f64 {
         let cores = f64::from(self.machine_type.cores);
         let sharing = cores / f64_from_count(self.running.len().max(1));
         self.core_speed(now) * sharing.min(1.0)
     }
 
-    /// Work that a core does in a microsecond, in microseconds of a standard core.
+    /// Work that a core does per microsecond, in microseconds of a standard core.
     pub(super) fn core_speed(&self, now: Micros) -> f64 {
         if self.state != RunState::Up {
             return 0.0;
@@ -37,7 +38,7 @@
             / self.thrashing_factor()
     }
 
-    /// Share of its capacity that its connections leave.
+    /// Fraction of the capacity that is left after the overhead of open connections.
     fn connection_factor(&self) -> f64 {
         let machine_type = &self.machine_type;
         let table_use =
@@ -45,7 +46,7 @@
         1.0 - machine_type.connection_overhead * table_use.min(1.0)
     }
 
-    /// How many times slower the jobs in flight make each other.
+    /// Factor by which jobs in flight beyond the thrashing threshold slow down all jobs; 1 for none.
     fn thrashing_factor(&self) -> f64 {
         let machine_type = &self.machine_type;
         let in_flight_per_core = f64_from_count(self.in_flight()) / f64::from(machine_type.cores);
@@ -53,7 +54,7 @@
         1.0 + machine_type.thrashing * excess
     }
 
-    /// Whether its speed changes while nothing happens to it.
+    /// Whether the speed can change with time alone.
     pub(super) fn speed_is_time_dependent(&self, now: Micros) -> bool {
         self.is_cold(now) || self.contention.is_time_dependent()
     }
--- a/crates/testbed/src/server_model/state_change.rs
+++ b/crates/testbed/src/server_model/state_change.rs
@@ -1,16 +1,17 @@
-//! What is done to a server beside handing it jobs.
+//! Changes to a server's state by faults, connections and cancellations.
 //!
-//! Owns what faults, connections and cancellations change. Time passes in `service`.
+//! Jobs progress in `service`.
 
 use super::{RunState, ServerModel, ServerModelEvent};
 use crate::conversion::MICROS_PER_MS;
 use crate::scenario::{CancellationScope, Micros};
 
-/// Least factor of a slowdown, so that a speed stays finite; 1 is the usual speed.
+/// Minimum slowdown factor, so that the speed stays finite; 1 is normal speed.
 const MIN_SLOWDOWN: f64 = 1e-3;
 
 impl ServerModel {
-    /// Nobody waits for a job any more. True if it had not started and never will.
+    /// Cancels a job that nobody waits for any more, as far as the machine type supports it. Returns
+    /// true if the job was still queued, and so never runs.
     pub fn cancel(&mut self, now: Micros, id: u64, events: &mut Vec<ServerModelEvent>) -> bool {
         self.advance(now, events);
         if self.machine_type.cancel == CancellationScope::None {
@@ -30,29 +31,30 @@
         false
     }
 
-    /// A new connection costs work beside the jobs.
+    /// Adds the work of setting up a new connection.
     pub fn on_handshake(&mut self, now: Micros, events: &mut Vec<ServerModelEvent>) {
         self.advance(now, events);
         self.overhead_work += self.machine_type.handshake_ms * MICROS_PER_MS;
     }
 
-    /// A connection is opened; false where the connection table is full.
+    /// Opens a connection; returns false if the connection table is full.
     pub fn try_connect(&mut self) -> bool {
         let accepted = self.connections < self.machine_type.connections;
         self.connections += usize::from(accepted);
         accepted
     }
 
-    /// A connection is closed.
+    /// Frees the entry of a closed connection.
     pub fn on_disconnected(&mut self) {
         self.connections = self.connections.saturating_sub(1);
     }
 
-    /// Changes whether it works. Going down forgets all jobs; coming up is a cold start.
+    /// Changes the run state. All jobs are lost on going down, and the server is cold when it comes
+    /// up again.
     pub fn set_state(&mut self, now: Micros, state: RunState, events: &mut Vec<ServerModelEvent>) {
         self.advance(now, events);
-        let earlier = std::mem::replace(&mut self.state, state);
-        match (earlier, state) {
+        let previous = std::mem::replace(&mut self.state, state);
+        match (previous, state) {
             (RunState::Down, RunState::Up) => self.on_restarted(now),
             (_, RunState::Down) => {
                 self.running.clear();
@@ -71,13 +73,13 @@
         self.connections = 0;
     }
 
-    /// Makes it so many times slower than usual; 1 for its usual speed.
+    /// Slows the server down by a factor; 1 restores the normal speed.
     pub fn set_slowdown(&mut self, now: Micros, factor: f64, events: &mut Vec<ServerModelEvent>) {
         self.advance(now, events);
         self.slowdown = factor.max(MIN_SLOWDOWN);
     }
 
-    /// Makes it fail this share of its jobs; the machine type's own share where none is given.
+    /// Sets the fraction of jobs that fail; `None` restores that of the machine type.
     pub fn set_error_rate(&mut self, share: Option<f64>) {
         self.error_rate = share.unwrap_or(self.machine_type.error_rate);
     }
--- a/crates/testbed/src/server_model/tests.rs
+++ b/crates/testbed/src/server_model/tests.rs
@@ -1,5 +1,5 @@
-//! A server's queue, speed, slow start, contention and cancellation, each against figures worked
-//! out by hand.
+//! Tests of a server's queue, speed, slow start, contention and cancellation. The expected values
+//! are calculated by hand.
 
 use super::load_report::LoadReporter;
 use super::slow_start::OverloadRule;
@@ -34,7 +34,7 @@
     }
 }
 
-fn ends(server: &mut ServerModel, until: Micros) -> Vec<(u64, Micros)> {
+fn completions(server: &mut ServerModel, until: Micros) -> Vec<(u64, Micros)> {
     let mut all = Vec::new();
     let mut events = Vec::new();
     while let Some(at) = server.next_event_at().filter(|&at| at <= until) {
@@ -56,19 +56,19 @@
         .map(|id| server.try_accept(0, job(id, 10_000.0), &mut events))
         .collect();
     assert_eq!(accepted, [true, true, true, true, true, false]);
-    let ends = ends(&mut server, 1_000_000);
+    let completed = completions(&mut server, 1_000_000);
     assert_eq!(
-        ends.iter().map(|e| e.0).collect::<Vec<_>>(),
+        completed.iter().map(|e| e.0).collect::<Vec<_>>(),
         [0, 1, 2, 3, 4]
     );
     assert_eq!(
-        ends.iter().map(|e| e.1 / 1_000).collect::<Vec<_>>(),
+        completed.iter().map(|e| e.1 / 1_000).collect::<Vec<_>>(),
         [10, 10, 20, 20, 30]
     );
 }
 
 #[test]
-fn a_slowed_and_paused_server_ends_its_job_later_by_what_it_lost() {
+fn slowdown_and_pause_delay_the_completion_of_a_job() {
     let mut server = server_of(two_cores());
     let mut events = Vec::new();
     server.try_accept(0, job(1, 10_000.0), &mut events);
@@ -76,13 +76,16 @@
     server.set_state(10_000, RunState::Paused, &mut events);
     assert_eq!(server.next_event_at(), None);
     server.set_state(40_000, RunState::Up, &mut events);
-    let ends = ends(&mut server, 1_000_000);
+    let completed = completions(&mut server, 1_000_000);
     // 5 ms at full speed, 5 ms at half, 30 ms of pause, and 2.5 ms of work left at half speed.
-    assert_eq!(ends.iter().map(|e| e.1 / 1_000).collect::<Vec<_>>(), [45]);
+    assert_eq!(
+        completed.iter().map(|e| e.1 / 1_000).collect::<Vec<_>>(),
+        [45]
+    );
 }
 
 #[test]
-fn a_server_that_stays_overloaded_is_slowed_until_it_has_rested() {
+fn sustained_overload_slows_a_server_until_it_has_recovered() {
     let contention = Contention {
         overload_threshold: 2.0,
         overload_s: 0.1,
@@ -100,8 +103,8 @@
     let mut server = server_of(machine_type);
     let mut events = Vec::new();
     assert!((0..20).all(|id| server.try_accept(0, job(id, 20_000.0), &mut events)));
-    let crowd = ends(&mut server, 60_000_000);
-    let last = crowd.last().map_or(0, |e| e.1);
+    let completed = completions(&mut server, 60_000_000);
+    let last = completed.last().map_or(0, |e| e.1);
     assert!(
         last > 1_200_000,
         "20 x 20 ms take 0.4 s without contention, and took {last} us"
@@ -110,44 +113,48 @@
     server.advance(last + 2_000_000, &mut events);
     server.try_accept(last + 2_000_000, job(99, 20_000.0), &mut events);
     assert_eq!(
-        ends(&mut server, 60_000_000).last().map(|e| e.1 - last),
+        completions(&mut server, 60_000_000)
+            .last()
+            .map(|e| e.1 - last),
         Some(2_020_000)
     );
 }
 
 #[test]
-fn jobs_beyond_the_cores_share_them_and_slow_each_other_where_they_thrash() {
+fn more_jobs_than_cores_share_them_and_slow_down_further_by_thrashing() {
     let shared = MachineType {
         slots: 8,
         queue: 9,
         ..two_cores()
     };
-    let ends = |machine_type: MachineType, count: u64| {
+    let time_to_finish = |machine_type: MachineType, count: u64| {
         let mut server = server_of(machine_type);
         let mut events = Vec::new();
         (0..count).for_each(|id| assert!(server.try_accept(0, job(id, 10_000.0), &mut events)));
         let mut at = 0;
         while server.in_flight() > 0 {
-            at = server.next_event_at().expect("goes on");
+            at = server
+                .next_event_at()
+                .expect("jobs in flight have a next event");
             server.advance(at, &mut events);
         }
         at
     };
     assert!(
-        ends(shared.clone(), 2).abs_diff(10_000) <= 2
-            && ends(shared.clone(), 4).abs_diff(20_000) <= 2
+        time_to_finish(shared.clone(), 2).abs_diff(10_000) <= 2
+            && time_to_finish(shared.clone(), 4).abs_diff(20_000) <= 2
     );
-    let crowded = MachineType {
+    let thrashing = MachineType {
         thrashing: 0.5,
         thrashing_threshold: 2.0,
         ..shared
     };
-    // Eight at two cores are two a core beyond the bound: twice as slow as without it.
-    assert!(ends(crowded, 8).abs_diff(80_000) <= 8);
+    // 8 jobs on 2 cores are 2 per core over the threshold: twice as slow as without thrashing.
+    assert!(time_to_finish(thrashing, 8).abs_diff(80_000) <= 8);
 }
 
 #[test]
-fn a_response_reports_the_jobs_held_as_of_the_last_sample_that_is_old_enough() {
+fn a_response_reports_the_jobs_in_flight_of_the_last_sample_that_is_old_enough() {
     let mut server = server_of(two_cores());
     server.load_reporter = LoadReporter::new(LoadReports {
         source: LoadReportSource::Responses,
@@ -158,24 +165,24 @@
     assert_eq!(
         server.response_load_report(0),
         None,
-        "nothing is old enough"
+        "no sample is old enough"
     );
     server.try_accept(1_000, job(1, 1e6), &mut events);
     assert_eq!(
         server.response_load_report(60_000),
         Some(0),
-        "as of the start"
+        "the sample at the start"
     );
     assert_eq!(
         server.response_load_report(110_000),
         Some(0),
-        "sampled anew, not reported yet"
+        "the newer sample is not old enough"
     );
     assert_eq!(server.response_load_report(170_000), Some(1));
 }
 
 #[test]
-fn a_cold_server_is_slow_and_goes_down_when_it_is_sent_more_than_the_rule_allows() {
+fn a_cold_server_is_slow_and_shuts_down_when_sent_more_than_the_rule_allows() {
     let machine_type = MachineType {
         cold_capacity_share: 0.25,
         slow_start_s: 10.0,
@@ -188,10 +195,12 @@
     server.set_state(0, RunState::Up, &mut events);
     server.try_accept(0, job(1, 10_000.0), &mut events);
     assert_eq!(
-        ends(&mut server, 1_000_000).first().map(|e| e.1 / 1_000),
+        completions(&mut server, 1_000_000)
+            .first()
+            .map(|e| e.1 / 1_000),
         Some(40)
     );
-    // 2.5 x (2 cores x 0.25) x 1.5 s are 1.875 s of work, and some for chance.
+    // 2.5 x (2 cores x 0.25) x 1.5 s are 1.875 s of work, plus two jobs of 10 ms.
     let accepted =
         (0..400).take_while(|id| server.try_accept(50_000, job(10 + id, 10_000.0), &mut events));
     let accepted = f64_from_count(accepted.count()) * 0.01;
@@ -201,7 +210,7 @@
 }
 
 #[test]
-fn a_cancelled_job_that_waits_never_runs_and_an_expired_one_is_dropped() {
+fn a_cancelled_queued_job_never_runs_and_an_expired_one_is_dropped() {
     let machine_type = MachineType {
         cores: 1,
         queue: 10,
@@ -222,7 +231,7 @@
     assert!(server.cancel(1_000, 2, &mut events));
     assert!(!server.cancel(1_000, 1, &mut events));
     assert_eq!(
-        ends(&mut server, 1_000_000)
+        completions(&mut server, 1_000_000)
             .iter()
             .map(|e| e.0)
             .collect::<Vec<_>>(),
