--- a/crates/testbed/src/server_model/contention.rs
+++ b/crates/testbed/src/server_model/contention.rs
@@ -82,8 +82,8 @@
         }
     }
 
-    /// Total time for which contention has slowed the server, in microseconds, including the current
-    /// period.
+    /// Total time for which contention has slowed the server, in microseconds, including the
+    /// current period.
     pub fn slowed_time(&self) -> Micros {
         let slowed = self.contention.slowed.as_ref();
         let current = slowed.map_or(0, |slowed| self.now.saturating_sub(slowed.since));
--- a/crates/testbed/src/server_model/load_report.rs
+++ b/crates/testbed/src/server_model/load_report.rs
@@ -81,8 +81,8 @@
         self.report
     }
 
-    /// The jobs in flight that a response reports, from the latest sample that is at least the report
-    /// delay old.
+    /// The jobs in flight that a response reports, from the latest sample that is at least the
+    /// report delay old.
     fn in_flight_to_report(&mut self, now: Micros, in_flight: usize) -> Option<usize> {
         if self.settings.source != LoadReportSource::Responses {
             return None;
--- a/crates/testbed/src/server_model/mod.rs
+++ b/crates/testbed/src/server_model/mod.rs
@@ -137,8 +137,8 @@
         }
     }
 
-    /// The scenario's server of this index. Its speed is drawn from the scenario's seed, so that the
-    /// simulator and the emulator use the same one.
+    /// The scenario's server of this index. Its speed is drawn from the scenario's seed, so that
+    /// the simulator and the emulator use the same one.
     pub fn from_scenario(
         scenario: &Scenario,
         machine_type: &MachineType,
--- a/crates/testbed/src/server_model/slow_start.rs
+++ b/crates/testbed/src/server_model/slow_start.rs
@@ -40,8 +40,8 @@
         }
     }
 
-    /// Fraction of its warm capacity that the server has. It grows with time or with completed jobs,
-    /// whichever is faster.
+    /// Fraction of its warm capacity that the server has. It grows with time or with completed
+    /// jobs, whichever is faster.
     fn capacity_factor(&self, machine_type: &MachineType, now: Micros) -> f64 {
         let Some(since) = self.cold_since else {
             return 1.0;
--- a/crates/testbed/src/server_model/speed.rs
+++ b/crates/testbed/src/server_model/speed.rs
@@ -46,7 +46,8 @@
         1.0 - machine_type.connection_overhead * table_use.min(1.0)
     }
 
-    /// Factor by which jobs in flight beyond the thrashing threshold slow down all jobs; 1 for none.
+    /// Factor by which jobs in flight beyond the thrashing threshold slow down all jobs; 1 for
+    /// none.
     fn thrashing_factor(&self) -> f64 {
         let machine_type = &self.machine_type;
         let in_flight_per_core = f64_from_count(self.in_flight()) / f64::from(machine_type.cores);
--- a/crates/testbed/src/server_model/state_change.rs
+++ b/crates/testbed/src/server_model/state_change.rs
@@ -10,8 +10,8 @@
 const MIN_SLOWDOWN: f64 = 1e-3;
 
 impl ServerModel {
-    /// Cancels a job that nobody waits for any more, as far as the machine type supports it. Returns
-    /// true if the job was still queued, and so never runs.
+    /// Cancels a job that nobody waits for any more, as far as the machine type supports it.
+    /// Returns true if the job was still queued, and so never runs.
     pub fn cancel(&mut self, now: Micros, id: u64, events: &mut Vec<ServerModelEvent>) -> bool {
         self.advance(now, events);
         if self.machine_type.cancel == CancellationScope::None {
--- a/crates/testbed/src/simulator/clients/mod.rs
+++ b/crates/testbed/src/simulator/clients/mod.rs
@@ -1,8 +1,8 @@
-//! The simulator's clients: what they ask for, how long they wait, and when they retry.
+//! The simulator's clients: they send requests, time out, disconnect and retry.
 //!
-//! Owns arrivals, the requests that clients wait for, tenants' quotas and the clients' random
-//! streams. `responses` is how a request ends for its client. What a sidecar makes of a request is
-//! `sidecars`'.
+//! Owns the open arrivals, the requests that clients wait for, the tenants' quotas and the clients'
+//! random streams. `responses` handles the end of a request at its client. Sidecars handle requests
+//! in `sidecars`.
 
 mod responses;
 
@@ -19,37 +19,37 @@
 use crate::scenario::{Micros, Scenario, from_ms};
 use crate::workload::{Arrival, ArrivalStream, TenantQuota, tenant_quotas, traffic_shares};
 
-/// Number of the first sidecar's stream for its clients' requests, apart from those for their
-/// arrivals.
+/// Index of the first sidecar's random stream for its clients' requests. It is above the indexes of
+/// the streams for arrivals.
 const REQUEST_STREAMS: usize = 1 << 30;
 
-/// What a client wants, with all its requests.
+/// An arrival that has not ended, with the state of its requests.
 struct OpenArrival {
     number: ArrivalNumber,
     sidecar: SidecarIndex,
     class: ClassIndex,
     /// Work in microseconds of a standard core.
     work: f64,
-    /// What the client hints of the work, in microseconds of a standard core.
+    /// Work hint that the client sends, in microseconds of a standard core.
     work_hint: Option<Micros>,
     deadline: Micros,
-    /// Requests sent so far.
+    /// Number of requests sent so far.
     requests: u32,
-    /// Whether the client keeps to a Retry-After.
+    /// Whether the client waits as long as a Retry-After header asks.
     honours_retry_after: bool,
 }
 
 /// The clients of one sidecar.
 struct SidecarClients {
     arrivals: ArrivalStream,
-    /// Draws timeouts and backoffs.
+    /// Draws timeouts, disconnects and backoffs.
     random: RandomStream,
 }
 
 impl SidecarClients {
-    /// Clients that ask for this share of the traffic.
+    /// The clients of a sidecar, which send this fraction of all traffic.
     fn new(scenario: &Scenario, sidecar: SidecarIndex, traffic_share: f64) -> Self {
-        // Requests draw from a stream of their own, so that arrivals stay as they are.
+        // Requests draw from a separate stream, so that the arrivals do not depend on them.
         let stream = sidecar.index() + REQUEST_STREAMS;
         Self {
             arrivals: ArrivalStream::new(scenario, sidecar, traffic_share),
@@ -58,14 +58,14 @@
     }
 }
 
-/// When a request's client gives up, and when it disconnects before that.
+/// When the client of a request times out, and when it disconnects before that.
 struct RequestTimeout {
     timeout_at: Micros,
     disconnects_at: Option<Micros>,
 }
 
 impl RequestTimeout {
-    /// Schedules how the client ends a request that has no response.
+    /// Schedules the timeout and the disconnect, which apply if no response comes before.
     fn schedule(&self, request: RequestKey, context: &mut Context<'_>) {
         context.at(self.timeout_at, SimulatorEvent::ClientTimeout(request));
         if let Some(at) = self.disconnects_at {
@@ -80,18 +80,18 @@
     quotas: Vec<TenantQuota>,
     arrivals: SlotMap<ArrivalKey, OpenArrival>,
     requests: SlotMap<RequestKey, Request>,
-    /// The next number of an arrival or a request.
+    /// The number of the next arrival or request.
     next_number: u64,
-    /// Arrivals that were not played, as too many requests were open.
+    /// Number of arrivals that were not played because too many requests were open.
     not_played: u64,
 }
 
 impl Clients {
-    /// The clients of a scenario, who have asked for nothing yet.
+    /// The clients of a scenario before their first arrival.
     pub(super) fn new(scenario: &Scenario) -> Self {
         let shares = traffic_shares(scenario);
-        let numbered = SidecarIndex::all(shares.len()).zip(shares);
-        let clients = numbered.map(|(index, share)| SidecarClients::new(scenario, index, share));
+        let indexed = SidecarIndex::all(shares.len()).zip(shares);
+        let clients = indexed.map(|(index, share)| SidecarClients::new(scenario, index, share));
         Self {
             by_sidecar: clients.collect(),
             quotas: tenant_quotas(scenario),
@@ -102,17 +102,17 @@
         }
     }
 
-    /// Whether no client wants anything.
+    /// Whether no arrival is open.
     pub(super) fn is_idle(&self) -> bool {
         self.arrivals.is_empty()
     }
 
-    /// Arrivals that were not played, as too many requests were open.
+    /// Number of arrivals that were not played because too many requests were open.
     pub(super) fn not_played(&self) -> u64 {
         self.not_played
     }
 
-    /// A request that its client still waits for.
+    /// The request of this key, if its client still waits for it.
     pub(super) fn request(&self, key: RequestKey) -> Option<Request> {
         self.requests.get(key).copied()
     }
@@ -128,7 +128,7 @@
         }
     }
 
-    /// A client of a sidecar wants something; `process` is the sidecar's present process.
+    /// Handles an arrival at a sidecar, whose current process is `process`.
     pub(super) fn on_arrival(
         &mut self,
         arrival: &Arrival,
@@ -174,13 +174,13 @@
         })
     }
 
-    /// Whether an arrival lies within its tenant's quota; without tenants all do.
+    /// Whether an arrival is within its tenant's quota; always true without tenants.
     fn within_quota(&mut self, tenant: TenantIndex, now: Micros) -> bool {
         let quota = self.quotas.get_mut(tenant.index());
         quota.is_none_or(|quota| quota.try_acquire(now))
     }
 
-    /// Sends the first request of an arrival, or a retry, to the present process of its sidecar.
+    /// Sends the first request of an arrival, or a retry, to the current process of its sidecar.
     pub(super) fn send_request(
         &mut self,
         key: ArrivalKey,
@@ -217,7 +217,7 @@
     }
 }
 
-/// How long a client waits for the response to the request that it sends now.
+/// Draws when the client times out or disconnects from the request that it sends now.
 fn draw_request_timeout(
     arrival: &OpenArrival,
     random: &mut RandomStream,
@@ -229,7 +229,7 @@
     let [shortest, longest] = scenario.clients.timeout_share;
     let deadline = from_ms(class.deadline_ms);
     let timeout = scaled_micros(deadline, random.uniform_in(shortest, longest));
-    // The moment is drawn whether or not it counts, so that the share moves no other draw.
+    // Drawn even if the client stays connected, so that the share doesn't shift later draws.
     let disconnects = random.bernoulli(scenario.clients.disconnect_share);
     let disconnects_at = now + scaled_micros(timeout, random.uniform());
     RequestTimeout {
--- a/crates/testbed/src/simulator/clients/responses.rs
+++ b/crates/testbed/src/simulator/clients/responses.rs
@@ -1,5 +1,5 @@
-//! How a request ends for its client: a response, a timeout, a disconnect; and whether the client
-//! retries.
+//! Handles the end of a request at its client (response, timeout or disconnect), and decides
+//! whether the client retries.
 
 use super::Clients;
 use crate::event_log::{LogEvent, RequestOutcome};
@@ -9,7 +9,7 @@
 use crate::simulator::request::{ArrivalKey, RequestKey};
 
 impl Clients {
-    /// The response to a request is at its client.
+    /// Handles the response to a request as it arrives at the client.
     pub(in crate::simulator) fn on_response(
         &mut self,
         response: &ClientResponse,
@@ -29,7 +29,7 @@
         self.on_request_ended(request.arrival, outcome, retry_after, context);
     }
 
-    /// A client has given up a request, without a response.
+    /// Handles a client's timeout: the request ends without a response.
     pub(in crate::simulator) fn on_timed_out(
         &mut self,
         key: RequestKey,
@@ -40,7 +40,8 @@
         }
     }
 
-    /// The sidecar has abandoned the request of a client that is gone.
+    /// Closes the arrival of a client that has disconnected, once the sidecar has abandoned its
+    /// request.
     pub(in crate::simulator) fn on_disconnected(
         &mut self,
         key: RequestKey,
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Retries an arrival whose request has ended, or closes it.
+    /// Schedules a retry of an arrival whose request has ended, or closes the arrival.
     fn on_request_ended(
         &mut self,
         key: ArrivalKey,
@@ -65,7 +66,7 @@
         };
         let random = &mut self.by_sidecar[arrival.sidecar.index()].random;
         let [shortest, longest] = scenario.clients.backoff_ms;
-        // Drawn whether or not it counts, so that an outcome moves no other draw.
+        // Drawn even if it is not used, so that the outcome doesn't shift later draws.
         let backoff = from_ms(random.uniform_in(shortest, longest));
         let wait = if arrival.honours_retry_after && outcome == RequestOutcome::Rejected {
             retry_after.max(1)
@@ -99,8 +100,7 @@
     }
 }
 
-/// Whether a client may repeat a request: where it has certainly not run, or where running twice
-/// does no harm.
+/// Whether a client may retry a request: it certainly has not been executed, or it is idempotent.
 fn may_retry(outcome: RequestOutcome, idempotency: Idempotency) -> bool {
     match outcome {
         RequestOutcome::Rejected | RequestOutcome::Unreachable => true,
--- a/crates/testbed/src/simulator/clients/tests.rs
+++ b/crates/testbed/src/simulator/clients/tests.rs
@@ -1,4 +1,4 @@
-//! Clients alone: what they send, when they retry, and how an arrival ends.
+//! Tests of the clients in isolation: requests, retries and the end of an arrival.
 
 use super::Clients;
 use crate::event_log::{LogEvent, LogRecord, RequestOutcome};
@@ -16,7 +16,7 @@
     incarnation: 0,
 };
 
-/// Clients of one class of requests, who all retry, keep to a Retry-After and never disconnect.
+/// Clients with one request class, which all retry once, honour Retry-After and never disconnect.
 fn scenario(idempotency: Idempotency) -> Scenario {
     let class = Class {
         idempotency,
@@ -45,17 +45,17 @@
     }
 }
 
-/// The request that is on its way to the sidecar.
+/// Runs events until a request is at the sidecar, and returns it.
 fn next_request(context: &mut Context<'_>) -> RequestKey {
     while let Some(event) = context.next_event(END) {
         if let SimulatorEvent::RequestAtSidecar(key) = event {
             return key;
         }
     }
-    panic!("no request is sent");
+    panic!("no request was sent");
 }
 
-/// When a retry is due; nothing where there is none.
+/// Runs events until a retry is due, and returns its time; `None` if there is none.
 fn next_retry(context: &mut Context<'_>) -> Option<Micros> {
     while let Some(event) = context.next_event(END) {
         if let SimulatorEvent::RetryDue(..) = event {
@@ -73,8 +73,8 @@
     }
 }
 
-/// How the one arrival of a run ended.
-fn ended(log: &[LogRecord]) -> Vec<RequestOutcome> {
+/// Outcomes of the arrivals that have ended.
+fn arrival_outcomes(log: &[LogRecord]) -> Vec<RequestOutcome> {
     let outcome = |record: &LogRecord| match record.event {
         LogEvent::ArrivalEnded { outcome, .. } => Some(outcome),
         _ => None,
@@ -82,8 +82,9 @@
     log.iter().filter_map(outcome).collect()
 }
 
-/// Answers the first request of an arrival: when its retry is due, and how the arrival ended.
-fn answer(
+/// Responds to the first request of an arrival. Returns the delay of the retry, and the outcome of
+/// the arrival if it has ended.
+fn respond_to_first_request(
     idempotency: Idempotency,
     outcome: RequestOutcome,
 ) -> (Option<Micros>, Vec<RequestOutcome>) {
@@ -96,38 +97,42 @@
 
     clients.on_response(&response(request, outcome), &mut context);
 
-    let answered_at = context.now();
-    let retry_after = next_retry(&mut context).map(|at| at - answered_at);
+    let responded_at = context.now();
+    let retry_after = next_retry(&mut context).map(|at| at - responded_at);
     assert_eq!(clients.is_idle(), retry_after.is_none());
-    (retry_after, ended(&log))
+    (retry_after, arrival_outcomes(&log))
 }
 
 #[test]
 fn a_served_arrival_ends() {
-    let (retry_after, ended) = answer(Idempotency::Idempotent, RequestOutcome::Served);
+    let (retry_after, outcomes) =
+        respond_to_first_request(Idempotency::Idempotent, RequestOutcome::Served);
     assert_eq!(retry_after, None);
-    assert_eq!(ended, [RequestOutcome::Served]);
+    assert_eq!(outcomes, [RequestOutcome::Served]);
 }
 
 #[test]
-fn a_rejected_request_is_retried_after_the_time_that_the_sidecar_asks_for() {
-    let (retry_after, ended) = answer(Idempotency::NonIdempotent, RequestOutcome::Rejected);
+fn a_rejected_request_is_retried_after_the_retry_after_time() {
+    let (retry_after, outcomes) =
+        respond_to_first_request(Idempotency::NonIdempotent, RequestOutcome::Rejected);
     assert_eq!(retry_after, Some(250_000));
-    assert_eq!(ended, []);
+    assert_eq!(outcomes, []);
 }
 
 #[test]
-fn a_failed_request_is_retried_after_the_backoff_where_it_may_run_twice() {
-    let (retry_after, ended) = answer(Idempotency::Idempotent, RequestOutcome::Failed);
+fn a_failed_request_is_retried_after_the_backoff_if_idempotent() {
+    let (retry_after, outcomes) =
+        respond_to_first_request(Idempotency::Idempotent, RequestOutcome::Failed);
     assert_eq!(retry_after, Some(100_000));
-    assert_eq!(ended, []);
-    let (retry_after, ended) = answer(Idempotency::NonIdempotent, RequestOutcome::Failed);
+    assert_eq!(outcomes, []);
+    let (retry_after, outcomes) =
+        respond_to_first_request(Idempotency::NonIdempotent, RequestOutcome::Failed);
     assert_eq!(retry_after, None);
-    assert_eq!(ended, [RequestOutcome::Failed]);
+    assert_eq!(outcomes, [RequestOutcome::Failed]);
 }
 
 #[test]
-fn a_request_without_a_response_times_out_at_its_clients_share_of_the_deadline() {
+fn a_request_without_a_response_times_out_at_the_clients_share_of_the_deadline() {
     let scenario = scenario(Idempotency::NonIdempotent);
     let mut log: Vec<LogRecord> = Vec::new();
     let mut context = Context::new(&scenario, &mut log);
@@ -145,11 +150,11 @@
 
     assert!(clients.is_idle());
     assert!(clients.request(request).is_none());
-    assert_eq!(ended(&log), [RequestOutcome::Unanswered]);
+    assert_eq!(arrival_outcomes(&log), [RequestOutcome::Unanswered]);
 }
 
 #[test]
-fn an_arrival_beyond_the_open_requests_is_not_played() {
+fn an_arrival_over_the_limit_of_open_requests_is_not_played() {
     let mut scenario = scenario(Idempotency::Idempotent);
     scenario.load.max_open_requests = 1;
     let mut log: Vec<LogRecord> = Vec::new();
@@ -160,5 +165,5 @@
     clients.on_arrival(&arrival(), PROCESS, &mut context);
 
     assert_eq!(clients.not_played(), 1);
-    assert_eq!(ended(&log), [RequestOutcome::NotPlayed]);
+    assert_eq!(arrival_outcomes(&log), [RequestOutcome::NotPlayed]);
 }
--- a/crates/testbed/src/simulator/faults/mod.rs
+++ b/crates/testbed/src/simulator/faults/mod.rs
@@ -1,6 +1,7 @@
-//! Whom a scenario's faults hit, and when; alike for simulator and emulator.
+//! Selects the targets of a scenario's faults, and the times of rolling restarts. The simulator and
+//! the emulator use the same ones.
 //!
-//! When a fault starts and ends in the simulator is `schedule`; what it does is its component's.
+//! `schedule` schedules the faults in the simulator; each component implements their effects.
 
 mod schedule;
 
@@ -10,8 +11,8 @@
 use crate::random::{RandomStream, StreamId};
 use crate::scenario::{Fault, Micros, Scenario, from_s};
 
-/// The servers that the fault of this index hits: those named, or a share of them, drawn. `zones`
-/// has each server's zone.
+/// The servers that the fault of this index affects: those that it names, or a random sample of the
+/// servers in its zone. `zones` has each server's zone. Empty if the fault is not one of servers.
 pub fn target_servers(scenario: &Scenario, index: usize, zones: &[u32]) -> Vec<ServerIndex> {
     let fault = &scenario.fault[index];
     if !fault.aims_at_servers() {
@@ -31,34 +32,34 @@
         zone.is_none_or(|zone| {
             zones
                 .get(server.index())
-                .is_some_and(|&z| z as usize == zone)
+                .is_some_and(|&server_zone| server_zone as usize == zone)
         })
     };
     let mut servers: Vec<ServerIndex> = ServerIndex::all(zones.len()).filter(is_in_zone).collect();
-    let hit = scaled_count(servers.len(), target_share(fault)).round();
-    let count = (hit as usize).clamp(1, servers.len().max(1));
+    let scaled = scaled_count(servers.len(), target_share(fault)).round();
+    let count = (scaled as usize).clamp(1, servers.len().max(1));
     draw_sample(scenario, index, &mut servers, count)
 }
 
-/// When each sidecar goes down in a rolling restart, in microseconds from its start: batch after
-/// batch over its length.
+/// When each sidecar restarts in a rolling restart, in microseconds from the start of the restart.
+/// Batches are spread evenly over its length.
 pub fn rolling_restart_times(scenario: &Scenario, index: usize) -> Vec<(SidecarIndex, Micros)> {
     let fault = &scenario.fault[index];
-    let all = scenario.sidecars.count;
-    let hit = scaled_count(all, target_share(fault)).round();
-    let count = (hit as usize).clamp(1, all);
-    let mut sidecars = SidecarIndex::all(all).collect();
+    let total = scenario.sidecars.count;
+    let scaled = scaled_count(total, target_share(fault)).round();
+    let count = (scaled as usize).clamp(1, total);
+    let mut sidecars = SidecarIndex::all(total).collect();
     let drawn = draw_sample(scenario, index, &mut sidecars, count);
-    let batch = (scaled_count(all, fault.batch) as usize).max(1);
+    let batch = (scaled_count(total, fault.batch) as usize).max(1);
     let batches = drawn.len().div_ceil(batch);
     let interval = from_s(fault.for_s) / batches.max(1) as Micros;
-    let in_turn = drawn.iter().enumerate();
-    in_turn
-        .map(|(turn, &sidecar)| (sidecar, (turn / batch) as Micros * interval))
+    let numbered = drawn.iter().enumerate();
+    numbered
+        .map(|(number, &sidecar)| (sidecar, (number / batch) as Micros * interval))
         .collect()
 }
 
-/// The share of the candidates that a fault hits; all of them where none is given.
+/// The fraction of the candidates that a fault affects; 1 if the scenario gives none.
 fn target_share(fault: &Fault) -> f64 {
     if fault.target_share > 0.0 {
         fault.target_share
@@ -67,12 +68,12 @@
     }
 }
 
-/// A share of so many, before it is rounded.
+/// A fraction of a count, not rounded.
 fn scaled_count(count: usize, share: f64) -> f64 {
     count as f64 * share
 }
 
-/// So many of the candidates, drawn by the fault's own stream, in order.
+/// Draws `count` of the candidates from the fault's own random stream; returns them sorted.
 fn draw_sample<T: Copy + Ord>(
     scenario: &Scenario,
     index: usize,
--- a/crates/testbed/src/simulator/faults/schedule.rs
+++ b/crates/testbed/src/simulator/faults/schedule.rs
@@ -1,7 +1,7 @@
-//! When the simulator's faults start and end, and which component each is for.
+//! Schedules the start and end of the simulator's faults, and routes each to its component.
 //!
-//! Owns the servers that each fault hits. What a fault does there is `fleet`'s; what a restart does
-//! is `sidecars`'; bursts and expensive requests are part of the arrivals that `workload` draws.
+//! Holds the target servers of each fault. `fleet` implements the effects on servers, `sidecars`
+//! implements restarts, and `workload` includes bursts and expensive requests in the arrivals.
 
 use super::{rolling_restart_times, target_servers};
 use crate::index::{ServerIndex, SidecarIndex};
@@ -10,24 +10,25 @@
 use crate::simulator::discovery::Availability;
 use crate::simulator::event::{SidecarRestart, SimulatorEvent};
 
-/// The scenario's faults, by their indexes there.
+/// The scenario's faults, by their index in the scenario.
 pub(in crate::simulator) struct Faults {
-    /// Servers that each fault hits.
+    /// Target servers of each fault.
     target_servers: Vec<Vec<ServerIndex>>,
 }
 
-/// What changes as a fault starts or ends.
+/// The component that a fault affects as it starts or ends.
 pub(in crate::simulator) enum FaultEffect<'a> {
-    /// These servers are hit, or hit no longer.
+    /// The fault starts or ends at these servers.
     Servers(&'a [ServerIndex]),
-    /// Discovery answers in this way from now on.
+    /// Discovery has this availability from now on.
     Discovery(Availability),
-    /// Nothing: the fault acts in another way.
+    /// Nothing happens at the event itself: the fault is part of the arrivals, or consists of
+    /// separately scheduled restarts.
     Nothing,
 }
 
 impl Faults {
-    /// Draws the servers that each fault hits; `zones` has each server's zone.
+    /// Draws the target servers of each fault; `zones` has each server's zone.
     pub(in crate::simulator) fn new(scenario: &Scenario, zones: &[u32]) -> Self {
         let indexes = 0..scenario.fault.len();
         Self {
@@ -37,14 +38,14 @@
         }
     }
 
-    /// Schedules when each fault starts and ends.
+    /// Schedules the start and end of every fault.
     pub(in crate::simulator) fn schedule(&self, context: &mut Context<'_>) {
         for (index, fault) in context.scenario().fault.iter().enumerate() {
             schedule(index, fault, context);
         }
     }
 
-    /// What changes as the fault of this index starts or ends.
+    /// The effect of the start or end of the fault of this index.
     pub(in crate::simulator) fn effect(
         &self,
         index: usize,
@@ -66,14 +67,14 @@
     }
 }
 
-/// Schedules a fault's start and end, or the restarts that it consists of.
+/// Schedules the start and end of a fault, or the sidecar restarts that it consists of.
 fn schedule(index: usize, fault: &Fault, context: &mut Context<'_>) {
     let scenario = context.scenario();
     let start = from_s(fault.at_s);
     match fault.kind {
         FaultKind::RollingRestart => {
-            for (sidecar, later) in rolling_restart_times(scenario, index) {
-                schedule_restart(sidecar, start + later, fault, context);
+            for (sidecar, offset) in rolling_restart_times(scenario, index) {
+                schedule_restart(sidecar, start + offset, fault, context);
             }
         }
         FaultKind::RestartAll => {
