--- a/crates/testbed/src/simulator/fleet/attempts.rs
+++ b/crates/testbed/src/simulator/fleet/attempts.rs
@@ -1,4 +1,5 @@
-//! An attempt at its server: connected, received, accepted or rejected, worked on, cancelled.
+//! Handles an attempt at its server: connection, acceptance or rejection, completion and
+//! cancellation.
 
 use arrowstand_balancer::Outcome;
 
@@ -11,7 +12,7 @@
 use crate::simulator::event::{Cancellation, SimulatorEvent};
 
 impl Fleet {
-    /// A new connection's first packet is at the server.
+    /// Handles the first packet of a new connection at the server.
     pub(in crate::simulator) fn on_connect(
         &mut self,
         key: AttemptKey,
@@ -38,7 +39,7 @@
         }
     }
 
-    /// An attempt's last byte is at the server.
+    /// Handles an attempt whose last byte is at the server.
     pub(in crate::simulator) fn on_attempt(
         &mut self,
         key: AttemptKey,
@@ -48,16 +49,17 @@
         let Some(attempt) = attempts.get(key) else {
             return;
         };
-        // Its connection was closed before all of it had arrived.
+        // The connection was closed before the whole attempt had arrived.
         if attempt.has_ended() && attempt.opens_connection() {
             attempts.remove(key);
             return;
         }
         let server = self.server_mut(attempt.details.server);
-        let start = server.start();
+        let start = server.start_number();
         if server.reachability() == Reachability::Silent {
             server.on_blackholed(key);
-        } else if server.open_start().is_none() || attempt.connection().is_some_and(|c| c != start)
+        } else if server.open_start().is_none()
+            || attempt.connection().is_some_and(|number| number != start)
         {
             send_result(key, attempt, Outcome::Reset, context);
         } else {
@@ -65,7 +67,7 @@
         }
     }
 
-    /// Hands an attempt to the server, which accepts or rejects it.
+    /// Passes an attempt to the server, which accepts or rejects it.
     fn deliver(&mut self, key: AttemptKey, attempts: &mut Attempts, context: &mut Context<'_>) {
         let Some(attempt) = attempts.get_mut(key) else {
             return;
@@ -87,7 +89,7 @@
         self.apply_model_events(server, attempts, context);
     }
 
-    /// A server has done an attempt's work; `failed` where it ends in an error.
+    /// Handles the completion of an attempt's work; `failed` if it ended in an error.
     pub(super) fn on_work_done(
         &mut self,
         server_index: ServerIndex,
@@ -104,7 +106,8 @@
             return;
         };
         attempt.on_work_done(server.model.response_load_report(context.now()));
-        // Drawn whether or not the connection breaks, so that one fault moves no other's draws.
+        // Drawn even if the connection is reset, so that one fault doesn't shift the draws of
+        // another.
         let malformed = self.random.bernoulli(server.malformed_share());
         context.record(LogEvent::WorkDone {
             request: attempt.details.request,
@@ -119,7 +122,7 @@
         }
     }
 
-    /// A server notices that an attempt's connection was closed.
+    /// Handles the closing of an attempt's connection, as the server notices it.
     pub(in crate::simulator) fn on_cancellation(
         &mut self,
         cancellation: &Cancellation,
@@ -128,7 +131,7 @@
     ) {
         let server = &mut self.servers[cancellation.server.index()];
         let is_open = server.reachability() == Reachability::Open;
-        if server.start() != cancellation.server_start || !is_open {
+        if server.start_number() != cancellation.server_start || !is_open {
             return;
         }
         let job = cancellation.job;
@@ -142,7 +145,7 @@
     }
 }
 
-/// How a sidecar sees the end of an attempt whose work is done.
+/// The outcome that a sidecar sees for an attempt whose work is done.
 fn response_outcome(attempt: &Attempt, malformed: bool, failed: bool) -> Outcome {
     if attempt.is_reset_pending() || malformed {
         Outcome::Reset
@@ -177,7 +180,7 @@
     send_result(key, attempt, Outcome::Rejected, context);
 }
 
-/// The connections of attempts are reset by their server.
+/// Resets the connections of attempts that their server has lost.
 pub(super) fn reset_attempts(
     lost: Vec<AttemptKey>,
     attempts: &Attempts,
@@ -190,7 +193,7 @@
     }
 }
 
-/// Sends the end of an attempt on its way to the sidecar.
+/// Sends the outcome of an attempt to its sidecar.
 fn send_result(key: AttemptKey, attempt: &Attempt, outcome: Outcome, context: &mut Context<'_>) {
     let details = &attempt.details;
     let result = SimulatorEvent::ResultAtSidecar(details.sidecar, key, outcome);
--- a/crates/testbed/src/simulator/fleet/faults.rs
+++ b/crates/testbed/src/simulator/fleet/faults.rs
@@ -1,4 +1,4 @@
-//! What a fault does to a server.
+//! Applies faults to servers.
 
 use super::Fleet;
 use super::attempts;
@@ -11,7 +11,7 @@
 use crate::simulator::context::Context;
 
 impl Fleet {
-    /// A fault that aims at a server starts there, or ends.
+    /// Starts or ends a fault at one of its target servers.
     pub(in crate::simulator) fn on_fault(
         &mut self,
         server_index: ServerIndex,
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Slows a server by a factor, or ends its slowness.
+    /// Slows a server by a factor; `None` restores the normal speed.
     fn set_slowdown(
         &mut self,
         server_index: ServerIndex,
@@ -113,7 +113,7 @@
     fn silence(&mut self, server_index: ServerIndex, context: &mut Context<'_>) {
         self.record_state(server_index, ServerState::Silent, context);
         let server = &mut self.servers[server_index.index()];
-        server.on_machine_vanished(context.now(), &mut self.model_events);
+        server.on_machine_lost(context.now(), &mut self.model_events);
         let notice_ms = context.scenario().discovery.silent_notice_ms;
         self.schedule_list_change(server_index, ListedStatus::Gone, notice_ms, context);
     }
@@ -125,7 +125,7 @@
         self.schedule_list_change(server_index, ListedStatus::Draining, notice_ms, context);
     }
 
-    /// A drained server ends, and is back at once, cold.
+    /// Ends the process of a drained server and restarts it at once, cold.
     fn restart_drained(
         &mut self,
         server_index: ServerIndex,
@@ -151,7 +151,7 @@
         self.schedule_list_change(server_index, ListedStatus::Ready, add_ms, context);
     }
 
-    /// A new server takes the place of one that has drained.
+    /// Removes a drained server and starts a new one in its place.
     fn replace(&mut self, old: ServerIndex, attempts: &Attempts, context: &mut Context<'_>) {
         let scenario = context.scenario();
         self.end_process(old, attempts, context);
--- a/crates/testbed/src/simulator/fleet/health_checks.rs
+++ b/crates/testbed/src/simulator/fleet/health_checks.rs
@@ -1,4 +1,4 @@
-//! A health check at its server.
+//! Handles a health check at its server.
 
 use arrowstand_balancer::Outcome;
 
@@ -11,8 +11,9 @@
 use crate::simulator::event::{HealthCheck, HealthCheckResult, SimulatorEvent};
 
 impl Fleet {
-    /// A health check is at its server. Gives back the start of the connection that its sidecar may
-    /// keep, where the server answers and `process_is_running`; any other connection is closed.
+    /// Handles a health check at its server. `process_is_running` tells whether the sidecar process
+    /// that sent it still runs. If it does and the server answers, the connection is kept, and its
+    /// start number is returned; otherwise the connection is closed.
     pub(in crate::simulator) fn on_health_check(
         &mut self,
         check: &HealthCheck,
@@ -42,14 +43,14 @@
         process_is_running.then_some(start)
     }
 
-    /// Answers a health check; gives back the start that its connection belongs to.
+    /// Answers a health check; returns the start number that its connection belongs to.
     fn answer_health_check(&mut self, check: &HealthCheck, context: &mut Context<'_>) -> u32 {
         let now = context.now();
         let server = &mut self.servers[check.server.index()];
         if check.new_connection {
             server.model.on_handshake(now, &mut self.model_events);
         }
-        let start = server.start();
+        let start = server.start_number();
         let report = server
             .model
             .answer_health_check(now, &mut self.model_events);
@@ -58,8 +59,8 @@
         } else {
             Outcome::Rejected
         };
-        let answer = result(check, outcome, report);
-        context.after(check.delay, answer);
+        let response = result(check, outcome, report);
+        context.after(check.delay, response);
         if check.new_connection {
             context.record(LogEvent::ConnectionOpened {
                 server: check.server,
--- a/crates/testbed/src/simulator/fleet/mod.rs
+++ b/crates/testbed/src/simulator/fleet/mod.rs
@@ -1,8 +1,8 @@
-//! The simulator's fleet of servers: what happens to attempts and health checks at a server.
+//! The simulator's servers: they handle attempts, health checks and faults.
 //!
-//! Owns the servers and their random stream. `attempts` is an attempt at its server,
-//! `health_checks` a health check, `model` what a server's model does by itself, `faults` what a
-//! fault does. What a sidecar makes of a result, and when discovery lists a server, is theirs.
+//! Owns the servers and their random stream. `attempts` handles attempts at a server,
+//! `health_checks` health checks, `model` the events of a server's model, and `faults` the effects
+//! of faults. `sidecars` handles the results; `discovery` decides when a server is listed.
 
 mod attempts;
 mod faults;
@@ -23,17 +23,17 @@
 
 use server::Server;
 
-/// All servers of a run, with those that replaced others in its course.
+/// All servers of a run, including those that replaced others during the run.
 pub(super) struct Fleet {
     servers: Vec<Server>,
     /// Draws resets and malformed responses.
     random: RandomStream,
-    /// Buffer of what a server's model did, until it is carried out.
+    /// Buffer of events that a server's model returned and that are not applied yet.
     model_events: Vec<ServerModelEvent>,
 }
 
 impl Fleet {
-    /// The servers of a scenario, whose states are recorded.
+    /// Creates the servers of a scenario and records their states.
     pub(super) fn new(context: &mut Context<'_>) -> Self {
         let scenario = context.scenario();
         let mut fleet = Self {
@@ -61,59 +61,60 @@
         self.servers.get(server.index()).is_some()
     }
 
-    /// Zone of a server.
+    /// The zone of a server.
     pub(super) fn zone(&self, server: ServerIndex) -> u32 {
         self.server(server).zone()
     }
 
-    /// Zones of all servers, in the order of their indexes.
+    /// The zones of all servers, ordered by index.
     pub(super) fn zones(&self) -> Vec<u32> {
         self.servers.iter().map(Server::zone).collect()
     }
 
-    /// When a server's process started, in microseconds; 0 where it was there before the run.
+    /// When a server's process started, in microseconds; 0 if it started before the run.
     pub(super) fn started_at(&self, server: ServerIndex) -> Micros {
         self.server(server).started_at()
     }
 
-    /// All servers, with the starts of their processes.
+    /// All servers with the start times of their processes.
     pub(super) fn start_times(&self) -> impl Iterator<Item = (ServerIndex, Micros)> {
         ServerIndex::all(self.servers.len()).zip(self.servers.iter().map(Server::started_at))
     }
 
-    /// The type of machine that a server runs on.
+    /// The machine type of a server.
     pub(super) fn machine_type(&self, server: ServerIndex) -> &MachineType {
         self.server(server).model.machine_type()
     }
 
-    /// The start of a server to which new connections belong; absent where they are refused.
+    /// The start number that a new connection to a server would belong to; `None` if connections
+    /// are refused.
     pub(super) fn open_start(&self, server: ServerIndex) -> Option<u32> {
         self.server(server).open_start()
     }
 
-    /// Whether a server works on a job, or has it in its queue.
+    /// Whether a job is queued or running at a server.
     pub(super) fn has_job(&self, server: ServerIndex, job: u64) -> bool {
         self.server(server).has_job(job)
     }
 
-    /// How many servers were slowed by overload for a time.
+    /// Number of servers that contention slowed at any time.
     pub(super) fn slowed_server_count(&self) -> usize {
-        let slowed = |server: &&Server| server.model.slowed_time() > 0;
-        self.servers.iter().filter(slowed).count()
+        let was_slowed = |server: &&Server| server.model.slowed_time() > 0;
+        self.servers.iter().filter(was_slowed).count()
     }
 
-    /// Most requests that a server had in flight at once.
+    /// Maximum number of requests in flight at one server.
     pub(super) fn max_in_flight(&self) -> usize {
-        let in_flight = |server: &Server| server.model.counters.max_in_flight;
-        self.servers.iter().map(in_flight).max().unwrap_or(0)
+        let max_in_flight = |server: &Server| server.model.counters.max_in_flight;
+        self.servers.iter().map(max_in_flight).max().unwrap_or(0)
     }
 
-    /// A sidecar closes a connection that belongs to a server's start.
+    /// Closes a connection to a server that was opened in the start of this number.
     pub(super) fn close_connection(&mut self, server: ServerIndex, start: u32) {
         self.server_mut(server).close_connection(start);
     }
 
-    /// Records a gauge of each server.
+    /// Records the gauges of each server.
     pub(super) fn record_gauges(&self, context: &mut Context<'_>) {
         for server in ServerIndex::all(self.servers.len()) {
             let model = &self.server(server).model;
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Something happened to a server that discovery notices after a while, in milliseconds.
+    /// Schedules when discovery notices a server's new status, `notice_ms` milliseconds from now.
     fn schedule_list_change(
         &self,
         server: ServerIndex,
@@ -133,12 +134,12 @@
         notice_ms: f64,
         context: &mut Context<'_>,
     ) {
-        let noticed = SimulatorEvent::ListChange(ListedEndpoint {
+        let list_change = SimulatorEvent::ListChange(ListedEndpoint {
             server,
             status,
             incarnation: self.started_at(server),
         });
-        context.after(from_ms(notice_ms), noticed);
+        context.after(from_ms(notice_ms), list_change);
     }
 
     fn record_state(&self, server: ServerIndex, state: ServerState, context: &mut Context<'_>) {
@@ -149,10 +150,10 @@
         });
     }
 
-    /// A server's process ends with resets.
+    /// Ends a server's process, which resets its connections.
     fn end_process(&mut self, server: ServerIndex, attempts: &Attempts, context: &mut Context<'_>) {
-        let ending = &mut self.servers[server.index()];
-        let lost = ending.on_process_ended(context.now(), &mut self.model_events);
+        let server = &mut self.servers[server.index()];
+        let lost = server.on_process_ended(context.now(), &mut self.model_events);
         attempts::reset_attempts(lost, attempts, context);
     }
 
--- a/crates/testbed/src/simulator/fleet/model.rs
+++ b/crates/testbed/src/simulator/fleet/model.rs
@@ -1,4 +1,4 @@
-//! What a server's model does by itself, and when the simulator looks at it next.
+//! Applies the events of a server's model, and schedules when to advance it next.
 
 use super::Fleet;
 use crate::event_log::ServerState;
@@ -9,7 +9,8 @@
 use crate::simulator::event::SimulatorEvent;
 
 impl Fleet {
-    /// A server's model has something to do; `generation` tells stale events from the present one.
+    /// Advances a server's model when its next event is due. An event with an old `generation` is
+    /// ignored.
     pub(in crate::simulator) fn on_server_due(
         &mut self,
         server_index: ServerIndex,
@@ -23,7 +24,7 @@
         }
     }
 
-    /// Carries out what a server's model did, and plans when to look at it next.
+    /// Applies the events that a server's model returned, and schedules its next one.
     pub(super) fn apply_model_events(
         &mut self,
         server_index: ServerIndex,
--- a/crates/testbed/src/simulator/fleet/server/mod.rs
+++ b/crates/testbed/src/simulator/fleet/server/mod.rs
@@ -1,7 +1,7 @@
-//! One server: its model, and what the network does for it.
+//! One simulated server: its model and its reachability over the network.
 //!
-//! Owns whether it is reached and which attempts it works on. Schedules and records nothing: that
-//! is `Fleet`'s. What a fault changes is `state_change`.
+//! Tracks the attempts that the server has accepted. `Fleet` schedules events and writes the event
+//! log. `state_change` has the changes by faults.
 
 mod state_change;
 
@@ -13,44 +13,45 @@
 use crate::simulator::attempts::{Attempt, AttemptKey};
 use crate::simulator::event::HealthCheck;
 
-/// How the network answers for a server.
+/// How a server reacts to packets.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Reachability {
-    /// Its process answers.
+    /// The process accepts connections.
     Open,
-    /// Its process is gone: connections are refused.
+    /// The process has ended: the machine refuses connections.
     Refusing,
-    /// Its machine is gone: nothing responds.
+    /// The machine is gone: packets are lost without a reply.
     Silent,
 }
 
-/// A server: its model, and what the network does for it.
+/// A server: its model, reachability and accepted attempts.
 pub(super) struct Server {
     pub(super) model: ServerModel,
     zone: u32,
     reachability: Reachability,
-    /// Counts its starts: connections belong to one.
-    start: u32,
-    /// When its process started; 0 where it was there before the run.
+    /// Number of process starts so far. A connection belongs to the start in which it was opened.
+    start_number: u32,
+    /// When the process started; 0 if it started before the run.
     started_at: Micros,
-    /// It rejects what is new.
+    /// Whether it drains, and rejects new attempts.
     draining: bool,
-    /// Attempts that it works on, by their jobs.
+    /// Accepted attempts, queued or running, by job id.
     jobs: BTreeMap<u64, AttemptKey>,
-    /// Attempts that were sent into silence.
+    /// Attempts that are lost because the machine is gone. They are reset once it is back.
     blackholed: Vec<AttemptKey>,
-    /// Share of its responses that is malformed.
+    /// Fraction of responses that are malformed.
     malformed_share: f64,
-    /// Share of its connections that is reset during a request.
+    /// Fraction of connections that are reset during an attempt.
     reset_share: f64,
-    /// Counts the changes of its next event: only the last one counts.
+    /// Incremented when the model's next event is rescheduled, so that the scheduled ones become
+    /// stale.
     event_generation: u32,
-    /// When its model has something to do by itself.
+    /// The scheduled time of the model's next event.
     next_event_at: Option<Micros>,
 }
 
 impl Server {
-    /// A server of a machine type, its speed drawn; a cold one has been started now.
+    /// A server whose speed is drawn. A cold one starts now, any other started before the run.
     pub(super) fn new(
         scenario: &Scenario,
         machine_type: &MachineType,
@@ -63,7 +64,7 @@
             model: ServerModel::from_scenario(scenario, machine_type, index, now, cold),
             zone,
             reachability: Reachability::Open,
-            start: 0,
+            start_number: 0,
             started_at: if cold { now.max(1) } else { 0 },
             draining: false,
             jobs: BTreeMap::new(),
@@ -83,45 +84,47 @@
         self.reachability
     }
 
-    /// The number of its present start.
-    pub(super) fn start(&self) -> u32 {
-        self.start
+    /// Number of the current process start.
+    pub(super) fn start_number(&self) -> u32 {
+        self.start_number
     }
 
-    /// When its process started, in microseconds; 0 where it was there before the run.
+    /// When the process started, in microseconds; 0 if it started before the run.
     pub(super) fn started_at(&self) -> Micros {
         self.started_at
     }
 
-    /// Share of its responses that is malformed.
+    /// Fraction of responses that are malformed.
     pub(super) fn malformed_share(&self) -> f64 {
         self.malformed_share
     }
 
-    /// Share of its connections that is reset amid a request.
+    /// Fraction of connections that are reset during an attempt.
     pub(super) fn reset_share(&self) -> f64 {
         self.reset_share
     }
 
-    /// The start to which new connections belong; absent where they are refused.
+    /// The start number that a new connection would belong to; `None` if connections are refused.
     pub(super) fn open_start(&self) -> Option<u32> {
-        (self.reachability != Reachability::Refusing).then_some(self.start)
+        (self.reachability != Reachability::Refusing).then_some(self.start_number)
     }
 
-    /// Opens a connection and gives its start; nothing where it is refused.
+    /// Opens a connection and returns its start number; `None` if it is refused.
     pub(super) fn try_connect(&mut self) -> Option<u32> {
         let accepted = self.reachability == Reachability::Open && self.model.try_connect();
-        accepted.then_some(self.start)
+        accepted.then_some(self.start_number)
     }
 
-    /// A connection that belongs to a start is closed; one to an earlier start went with it.
+    /// Closes a connection that was opened in the start of this number. Those of earlier starts
+    /// ended with their process.
     pub(super) fn close_connection(&mut self, start: u32) {
-        if start == self.start {
+        if start == self.start_number {
             self.model.on_disconnected();
         }
     }
 
-    /// Accepts an attempt's job; false where the server drains, or its model rejects the job.
+    /// Offers an attempt's job to the server. Returns false if the server drains, or if its model
+    /// rejects the job.
     pub(super) fn try_accept(
         &mut self,
         now: Micros,
@@ -141,22 +144,23 @@
         accepted
     }
 
-    /// Whether it works on a job, or has it in its queue.
+    /// Whether a job is queued or running here.
     pub(super) fn has_job(&self, job: u64) -> bool {
         self.jobs.contains_key(&job)
     }
 
-    /// A job is over at its model; gives back the attempt.
+    /// Removes a job that has ended at the model; returns its attempt.
     pub(super) fn on_job_ended(&mut self, job: u64) -> Option<AttemptKey> {
         self.jobs.remove(&job)
     }
 
-    /// An attempt was sent to it while its machine is gone.
+    /// Records an attempt that was sent while the machine is gone.
     pub(super) fn on_blackholed(&mut self, key: AttemptKey) {
         self.blackholed.push(key);
     }
 
-    /// Whether a health check's connection is refused; one that is accepted takes a place.
+    /// Whether the connection of a health check is refused. A new connection that is accepted is
+    /// opened.
     pub(super) fn refuses_health_check(&mut self, check: &HealthCheck) -> bool {
         match self.reachability {
             Reachability::Refusing => true,
@@ -169,15 +173,16 @@
         self.reachability != Reachability::Silent && self.model.state() == RunState::Up
     }
 
-    /// The health check's connection is closed, where there is anybody to close it.
+    /// Closes the connection of a health check that is not answered, if the process is still there.
     pub(super) fn on_unanswered_health_check(&mut self) {
         if self.reachability == Reachability::Open {
             self.model.on_disconnected();
         }
     }
 
-    /// Whether its model's next event has moved since it was scheduled; then gives the number and
-    /// the time of the new one, which is absent where there is none.
+    /// Checks whether the model's next event has changed since it was scheduled. If so, returns the
+    /// generation and time of the new event, which the caller schedules; `None` also if there is no
+    /// next event.
     pub(super) fn reschedule(&mut self, now: Micros) -> Option<(u32, Micros)> {
         let next = self.model.next_event_at();
         if next == self.next_event_at && next.is_none_or(|at| at > now) {
@@ -188,7 +193,7 @@
         next.map(|at| (self.event_generation, at))
     }
 
-    /// Its model does what is due; false where the event of this number is stale.
+    /// Advances the model to `now`; returns false if the event of this generation is stale.
     pub(super) fn advance(
         &mut self,
         now: Micros,
--- a/crates/testbed/src/simulator/fleet/server/state_change.rs
+++ b/crates/testbed/src/simulator/fleet/server/state_change.rs
@@ -1,4 +1,4 @@
-//! What faults, drains and restarts change at a server.
+//! Changes to a server by faults, drains and restarts.
 
 use super::{Reachability, Server};
 use crate::scenario::Micros;
@@ -6,52 +6,53 @@
 use crate::simulator::attempts::AttemptKey;
 
 impl Server {
-    /// From now on it rejects what is new.
+    /// Starts draining: new attempts are rejected from now on.
     pub(in crate::simulator::fleet) fn on_drain(&mut self) {
         self.draining = true;
     }
 
-    /// Sets the share of its responses that is malformed.
+    /// Sets the fraction of responses that are malformed.
     pub(in crate::simulator::fleet) fn set_malformed_share(&mut self, share: f64) {
         self.malformed_share = share;
     }
 
-    /// Sets the share of its connections that is reset amid a request.
+    /// Sets the fraction of connections that are reset during an attempt.
     pub(in crate::simulator::fleet) fn set_reset_share(&mut self, share: f64) {
         self.reset_share = share;
     }
 
-    /// Its process ends with resets; gives back the attempts that it worked on.
+    /// Ends the process; returns the attempts in flight, whose connections are reset.
     pub(in crate::simulator::fleet) fn on_process_ended(
         &mut self,
         now: Micros,
         events: &mut Vec<ServerModelEvent>,
     ) -> Vec<AttemptKey> {
         self.reachability = Reachability::Refusing;
-        self.start += 1;
+        self.start_number += 1;
         self.model.set_state(now, RunState::Down, events);
         std::mem::take(&mut self.jobs).into_values().collect()
     }
 
-    /// Its machine vanishes without a reset.
-    pub(in crate::simulator::fleet) fn on_machine_vanished(
+    /// The machine disappears without resetting its connections.
+    pub(in crate::simulator::fleet) fn on_machine_lost(
         &mut self,
         now: Micros,
         events: &mut Vec<ServerModelEvent>,
     ) {
         self.reachability = Reachability::Silent;
         self.model.set_state(now, RunState::Down, events);
-        let held = std::mem::take(&mut self.jobs).into_values();
-        self.blackholed.extend(held);
+        let in_flight = std::mem::take(&mut self.jobs).into_values();
+        self.blackholed.extend(in_flight);
     }
 
-    /// It is back, cold; gives back the attempts that went into silence.
+    /// Starts the process again, cold; returns the attempts that were lost while the machine was
+    /// gone.
     pub(in crate::simulator::fleet) fn on_restarted(
         &mut self,
         now: Micros,
         events: &mut Vec<ServerModelEvent>,
     ) -> Vec<AttemptKey> {
-        self.start += 1;
+        self.start_number += 1;
         self.reachability = Reachability::Open;
         self.draining = false;
         self.started_at = now;
--- a/crates/testbed/src/simulator/fleet/tests.rs
+++ b/crates/testbed/src/simulator/fleet/tests.rs
@@ -1,4 +1,4 @@
-//! The fleet alone: what becomes of attempts and health checks at a server, also amid faults.
+//! Tests of the fleet in isolation: attempts and health checks at a server, also during faults.
 
 use arrowstand_balancer::Outcome;
 
@@ -14,10 +14,10 @@
 const END: Micros = 60_000_000;
 const SERVER: ServerIndex = ServerIndex::new(0);
 const SIDECAR: SidecarIndex = SidecarIndex::new(0);
-/// One way to the server.
+/// One-way network delay to the server.
 const DELAY: Micros = 500;
 
-/// One server, which was there before the run.
+/// One server that started before the run.
 fn scenario() -> Scenario {
     Scenario {
         machine_type: vec![MachineType::default()],
@@ -26,7 +26,7 @@
     }
 }
 
-/// An attempt that opens a connection, or is sent on one that was kept since the server's start.
+/// Starts an attempt on a kept connection of this server start, or on a new one if `None`.
 fn start_attempt(attempts: &mut Attempts, kept_connection: Option<u32>) -> AttemptKey {
     let details = AttemptDetails {
         request: RequestNumber::new(1),
@@ -48,8 +48,8 @@
     }
 }
 
-/// When the result of an attempt is at its sidecar, and which it is; nothing where there is none.
-/// What the server does by itself is carried out.
+/// Runs events until the result of an attempt is at its sidecar, and returns its time and outcome;
+/// `None` if there is none. Server events are applied.
 fn result(
     fleet: &mut Fleet,
     attempts: &mut Attempts,
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn an_attempt_is_worked_on_and_served() {
+fn an_accepted_attempt_is_served_once_its_work_is_done() {
     let scenario = scenario();
     let mut log: Vec<LogRecord> = Vec::new();
     let mut context = Context::new(&scenario, &mut log);
@@ -84,12 +84,15 @@
     assert!(fleet.has_job(SERVER, job));
     let (at, outcome) = result(&mut fleet, &mut attempts, &mut context).expect("ends");
     assert_eq!(outcome, Outcome::Served);
-    assert!(at > DELAY, "it took its work and the way back: {at}");
+    assert!(
+        at > DELAY,
+        "the result came before the work and the way back: {at}"
+    );
     assert!(!fleet.has_job(SERVER, job));
 }
 
 #[test]
-fn a_connection_to_a_server_whose_process_is_gone_is_refused() {
+fn a_connection_to_a_crashed_server_is_refused() {
     let scenario = scenario();
     let mut log: Vec<LogRecord> = Vec::new();
     let mut context = Context::new(&scenario, &mut log);
@@ -108,7 +111,7 @@
 }
 
 #[test]
-fn a_crash_resets_the_attempts_that_a_server_works_on() {
+fn a_crash_resets_the_attempts_in_flight() {
     let scenario = scenario();
     let mut log: Vec<LogRecord> = Vec::new();
     let mut context = Context::new(&scenario, &mut log);
@@ -125,7 +128,7 @@
 }
 
 #[test]
-fn a_kept_connection_of_an_earlier_start_is_reset_as_it_is_used() {
+fn a_kept_connection_of_an_earlier_start_is_reset_on_use() {
     let scenario = scenario();
     let mut log: Vec<LogRecord> = Vec::new();
     let mut context = Context::new(&scenario, &mut log);
@@ -143,7 +146,7 @@
 }
 
 #[test]
-fn an_attempt_sent_into_silence_is_reset_once_the_server_is_back() {
+fn an_attempt_to_a_silent_server_is_reset_once_the_server_is_back() {
     let scenario = scenario();
     let mut log: Vec<LogRecord> = Vec::new();
     let mut context = Context::new(&scenario, &mut log);
@@ -163,7 +166,7 @@
 }
 
 #[test]
-fn a_server_that_drains_rejects_what_is_new_and_is_listed_so_after_the_notice() {
+fn a_draining_server_rejects_new_attempts_and_is_listed_as_draining_after_the_notice_time() {
     let scenario = scenario();
     let mut log: Vec<LogRecord> = Vec::new();
     let mut context = Context::new(&scenario, &mut log);
@@ -178,14 +181,14 @@
     let ended = result(&mut fleet, &mut attempts, &mut context);
     assert_eq!(ended, Some((DELAY, Outcome::Rejected)));
     let Some(SimulatorEvent::ListChange(endpoint)) = context.next_event(END) else {
-        panic!("discovery notices");
+        panic!("no change of the list was scheduled");
     };
     assert!(endpoint.status == ListedStatus::Draining);
     assert_eq!(context.now(), 1_500_000);
 }
 
 #[test]
-fn the_connection_of_a_health_check_is_kept_only_for_a_process_that_runs() {
+fn the_connection_of_a_health_check_is_kept_only_for_a_running_process() {
     let scenario = scenario();
     let mut log: Vec<LogRecord> = Vec::new();
     let mut context = Context::new(&scenario, &mut log);
