--- a/crates/testbed/src/server_model/mod.rs
+++ b/crates/testbed/src/server_model/mod.rs
@@ -41,7 +41,7 @@
     pub deadline: Micros,
 }
 
-/// What happened in a server as time passed. Numbers are job ids.
+/// An event that the model reports to its caller. Numbers are job ids.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ServerModelEvent {
     /// A job started to run.
--- a/crates/testbed/src/server_model/running_jobs.rs
+++ b/crates/testbed/src/server_model/running_jobs.rs
@@ -28,7 +28,7 @@
     }
 
     /// Progress at which the next job completes.
-    pub(super) fn first_end_progress(&self) -> Option<f64> {
+    pub(super) fn next_end_progress(&self) -> Option<f64> {
         self.by_end_progress
             .first()
             .map(|&(bits, _)| f64::from_bits(bits))
@@ -45,7 +45,7 @@
     }
 
     /// Removes the job that completes next.
-    pub(super) fn pop_first(&mut self) -> Option<u64> {
+    pub(super) fn pop_next(&mut self) -> Option<u64> {
         let (_, job) = self.by_end_progress.pop_first()?;
         self.end_progress_by_job.remove(&job);
         Some(job)
--- a/crates/testbed/src/server_model/service.rs
+++ b/crates/testbed/src/server_model/service.rs
@@ -33,7 +33,7 @@
 
     /// When the next job completes if the current speed lasts.
     fn next_completion_at(&self) -> Option<Micros> {
-        let end = self.running.first_end_progress()?;
+        let end = self.running.next_end_progress()?;
         let work = (end - self.running.progress()).max(0.0);
         let cores = f64::from(self.machine_type.cores);
         let overhead_time = self.overhead_work / cores / self.core_speed(self.now).max(MIN_SPEED);
@@ -63,19 +63,19 @@
         let speed = self.job_speed(self.now);
         let span = self.do_overhead_work(f64_from_u64(step_end - self.now));
         let progress = self.running.progress();
-        let reach = progress + span * speed;
-        let first_end_progress = self.running.first_end_progress();
-        match first_end_progress.filter(|&end| end <= reach + END_TOLERANCE) {
+        let step_end_progress = progress + span * speed;
+        let next_end_progress = self.running.next_end_progress();
+        match next_end_progress.filter(|&end| end <= step_end_progress + END_TOLERANCE) {
             Some(end) => {
                 let used = ((end - progress) / speed).max(0.0);
-                let idle = micros_from_f64((span - used).max(0.0));
-                let ended_at = step_end - idle.min(step_end - self.now);
+                let unused = micros_from_f64((span - used).max(0.0));
+                let ended_at = step_end - unused.min(step_end - self.now);
                 self.now = ended_at.max(self.now);
                 self.running.set_progress(end);
-                self.complete_first_job(events);
+                self.complete_next_job(events);
             }
             None => {
-                self.running.set_progress(reach);
+                self.running.set_progress(step_end_progress);
                 self.now = step_end;
             }
         }
@@ -91,15 +91,15 @@
         span - done / core_speed / cores
     }
 
-    fn complete_first_job(&mut self, events: &mut Vec<ServerModelEvent>) {
-        let Some(id) = self.running.pop_first() else {
+    fn complete_next_job(&mut self, events: &mut Vec<ServerModelEvent>) {
+        let Some(id) = self.running.pop_next() else {
             return;
         };
         let error = self.random.bernoulli(self.error_rate);
         if error {
             self.load_reporter.on_error(self.now);
         }
-        self.slow_start.on_served();
+        self.slow_start.on_completed();
         events.push(ServerModelEvent::Completed { id, error });
         self.start_queued_jobs(events);
     }
--- a/crates/testbed/src/server_model/slow_start.rs
+++ b/crates/testbed/src/server_model/slow_start.rs
@@ -9,7 +9,7 @@
 use crate::conversion::f64_from_u64;
 use crate::scenario::{MachineType, Micros, from_s};
 
-/// How much work a cold server withstands.
+/// The limit on the work that a cold server may be sent without shutting down.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct OverloadRule {
     /// Multiple of the server's capacity.
@@ -25,7 +25,7 @@
     /// When the process started cold; absent for a server that was warm from the beginning.
     cold_since: Option<Micros>,
     /// Jobs completed since then.
-    served: u64,
+    completed: u64,
     /// Jobs sent within the rule's window while cold: time and work.
     cold_work: VecDeque<(Micros, f64)>,
 }
@@ -35,7 +35,7 @@
         Self {
             rule,
             cold_since,
-            served: 0,
+            completed: 0,
             cold_work: VecDeque::new(),
         }
     }
@@ -50,19 +50,19 @@
         let by_time = f64_from_u64(now.saturating_sub(since)) / f64_from_u64(slow_start_time);
         let by_requests = match machine_type.warm_requests {
             0 => 0.0,
-            warm_requests => f64_from_u64(self.served) / f64_from_u64(warm_requests),
+            warm_requests => f64_from_u64(self.completed) / f64_from_u64(warm_requests),
         };
         let cold_share = machine_type.cold_capacity_share;
         (cold_share + (1.0 - cold_share) * by_time.max(by_requests)).min(1.0)
     }
 
-    pub(super) fn on_served(&mut self) {
-        self.served += 1;
+    pub(super) fn on_completed(&mut self) {
+        self.completed += 1;
     }
 
     pub(super) fn on_restarted(&mut self, now: Micros) {
         self.cold_since = Some(now);
-        self.served = 0;
+        self.completed = 0;
         self.cold_work.clear();
     }
 
--- a/crates/testbed/src/simulator/faults/mod.rs
+++ b/crates/testbed/src/simulator/faults/mod.rs
@@ -12,7 +12,7 @@
 use crate::scenario::{Fault, Micros, Scenario, from_s};
 
 /// The servers that the fault of this index affects: those that it names, or a random sample of the
-/// servers in its zone. `zones` has each server's zone. Empty if the fault is not one of servers.
+/// servers in its zone. `zones` has each server's zone. Empty if the fault doesn't target servers.
 pub fn target_servers(scenario: &Scenario, index: usize, zones: &[u32]) -> Vec<ServerIndex> {
     let fault = &scenario.fault[index];
     if !fault.aims_at_servers() {
--- a/crates/testbed/src/simulator/fleet/attempts.rs
+++ b/crates/testbed/src/simulator/fleet/attempts.rs
@@ -30,8 +30,8 @@
             attempts.remove(key);
             return;
         }
-        if let Some(start) = server.try_connect() {
-            attempt.on_connected(start);
+        if let Some(start_number) = server.try_connect() {
+            attempt.on_connected(start_number);
             let open = SimulatorEvent::ConnectionOpen(attempt.details.sidecar, key);
             context.after(attempt.details.delay, open);
         } else {
@@ -55,11 +55,13 @@
             return;
         }
         let server = self.server_mut(attempt.details.server);
-        let start = server.start_number();
+        let start_number = server.start_number();
         if server.reachability() == Reachability::Silent {
             server.on_blackholed(key);
         } else if server.open_start().is_none()
-            || attempt.connection().is_some_and(|number| number != start)
+            || attempt
+                .connection()
+                .is_some_and(|number| number != start_number)
         {
             send_result(key, attempt, Outcome::Reset, context);
         } else {
--- a/crates/testbed/src/simulator/fleet/health_checks.rs
+++ b/crates/testbed/src/simulator/fleet/health_checks.rs
@@ -35,12 +35,12 @@
             context.after(timeout.saturating_sub(2 * delay), timed_out);
             return None;
         }
-        let start = self.answer_health_check(check, context);
+        let start_number = self.answer_health_check(check, context);
         if !process_is_running {
-            self.close_connection(check.server, start);
+            self.close_connection(check.server, start_number);
         }
         self.apply_model_events(check.server, attempts, context);
-        process_is_running.then_some(start)
+        process_is_running.then_some(start_number)
     }
 
     /// Answers a health check; returns the start number that its connection belongs to.
@@ -50,7 +50,7 @@
         if check.new_connection {
             server.model.on_handshake(now, &mut self.model_events);
         }
-        let start = server.start_number();
+        let start_number = server.start_number();
         let report = server
             .model
             .answer_health_check(now, &mut self.model_events);
@@ -66,7 +66,7 @@
                 server: check.server,
             });
         }
-        start
+        start_number
     }
 }
 
--- a/crates/testbed/src/simulator/fleet/mod.rs
+++ b/crates/testbed/src/simulator/fleet/mod.rs
@@ -110,8 +110,8 @@
     }
 
     /// Closes a connection to a server that was opened in the start of this number.
-    pub(super) fn close_connection(&mut self, server: ServerIndex, start: u32) {
-        self.server_mut(server).close_connection(start);
+    pub(super) fn close_connection(&mut self, server: ServerIndex, start_number: u32) {
+        self.server_mut(server).close_connection(start_number);
     }
 
     /// Records the gauges of each server.
--- a/crates/testbed/src/simulator/fleet/server/mod.rs
+++ b/crates/testbed/src/simulator/fleet/server/mod.rs
@@ -117,8 +117,8 @@
 
     /// Closes a connection that was opened in the start of this number. Those of earlier starts
     /// ended with their process.
-    pub(super) fn close_connection(&mut self, start: u32) {
-        if start == self.start_number {
+    pub(super) fn close_connection(&mut self, start_number: u32) {
+        if start_number == self.start_number {
             self.model.on_disconnected();
         }
     }
