--- a/crates/testbed/src/emulator/discovery/mod.rs
+++ b/crates/testbed/src/emulator/discovery/mod.rs
@@ -235,7 +235,7 @@
 
     /// Draws the delay after which a watch is notified, which spreads the notifications.
     fn draw_notification_delay(&self) -> Micros {
-        let unit = lock(&self.random).unit();
+        let unit = lock(&self.random).uniform();
         from_ms(self.shared.scenario.discovery.spread_ms * unit)
     }
 }
--- a/crates/testbed/src/emulator/emulated_server/process.rs
+++ b/crates/testbed/src/emulator/emulated_server/process.rs
@@ -14,7 +14,7 @@
 use crate::index::RequestNumber;
 use crate::random::RandomStream;
 use crate::scenario::{MachineType, Micros};
-use crate::server_model::{Event, Job, LoadReport, ServerModel, State};
+use crate::server_model::{Job, LoadReport, RunState, ServerModel, ServerModelEvent};
 
 /// An attempt that executes or waits in the model.
 struct Execution {
@@ -37,7 +37,7 @@
     next_job_id: u64,
     random: RandomStream,
     /// Events of the model that are not applied yet.
-    events: Vec<Event>,
+    events: Vec<ServerModelEvent>,
 }
 
 impl ServerProcess {
@@ -64,7 +64,7 @@
     }
 
     pub(super) fn is_paused(&self) -> bool {
-        self.model.state() == State::Paused
+        self.model.state() == RunState::Paused
     }
 
     /// The attempts in flight and the open connections.
@@ -77,7 +77,7 @@
 
     /// Draws a random number from 0 to 1.
     pub(super) fn random_unit(&mut self) -> f64 {
-        self.random.unit()
+        self.random.uniform()
     }
 
     pub(super) fn next_event_at(&self) -> Option<Micros> {
@@ -97,8 +97,8 @@
         let mut overloaded = false;
         for event in std::mem::take(&mut self.events) {
             match event {
-                Event::Started(_) => {}
-                Event::Completed { id, error } => {
+                ServerModelEvent::Started(_) => {}
+                ServerModelEvent::Completed { id, error } => {
                     if let Some(execution) = self.executions.remove(&id) {
                         on_work_done(execution.request, execution.work);
                         let _ = execution
@@ -106,8 +106,8 @@
                             .send(ExecutionResult::from_error(error));
                     }
                 }
-                Event::Expired(id) => drop(self.executions.remove(&id)),
-                Event::OverloadShutdown => overloaded = true,
+                ServerModelEvent::Expired(id) => drop(self.executions.remove(&id)),
+                ServerModelEvent::OverloadShutdown => overloaded = true,
             }
         }
         overloaded
@@ -115,16 +115,16 @@
 
     /// Opens a connection; false if the server is at its limit of connections.
     pub(super) fn connect(&mut self) -> bool {
-        self.model.connect()
+        self.model.try_connect()
     }
 
     pub(super) fn disconnect(&mut self) {
-        self.model.disconnect();
+        self.model.on_disconnected();
     }
 
     /// The load report of a health check; `None` if the check is rejected.
     pub(super) fn health_check(&mut self, now: Micros) -> Option<LoadReport> {
-        self.model.health_check(now, &mut self.events)
+        self.model.answer_health_check(now, &mut self.events)
     }
 
     pub(super) fn try_accept(&mut self, now: Micros, request: AdmissionRequest) -> Admission {
@@ -132,7 +132,7 @@
         let capacity = self.model.capacity(now);
         let cold = self.model.is_cold(now);
         if request.new_connection {
-            self.model.handshake(now, &mut self.events);
+            self.model.on_handshake(now, &mut self.events);
         }
         let job = Job {
             id: self.next_job_id,
@@ -191,36 +191,36 @@
     }
 
     pub(super) fn draw_response_outcome(&mut self, now: Micros) -> ResponseOutcome {
-        let reported_in_flight = self.model.response_report(now);
+        let reported_in_flight = self.model.response_load_report(now);
         ResponseOutcome {
-            malformed: self.random.chance(self.malformed_share),
-            reset: self.random.chance(self.reset_share),
+            malformed: self.random.bernoulli(self.malformed_share),
+            reset: self.random.bernoulli(self.reset_share),
             reported_in_flight,
         }
     }
 
     /// Stops the process; all executions are lost.
     pub(super) fn stop(&mut self, now: Micros) {
-        self.model.set_state(now, State::Down, &mut self.events);
+        self.model.set_state(now, RunState::Down, &mut self.events);
         self.executions.clear();
     }
 
     pub(super) fn start(&mut self, now: Micros) {
-        self.model.set_state(now, State::Up, &mut self.events);
+        self.model.set_state(now, RunState::Up, &mut self.events);
         self.draining = false;
         self.started_at = now;
     }
 
     pub(super) fn pause(&mut self, now: Micros) {
-        self.set_state_unless_down(now, State::Paused);
+        self.set_state_unless_down(now, RunState::Paused);
     }
 
     pub(super) fn resume(&mut self, now: Micros) {
-        self.set_state_unless_down(now, State::Up);
+        self.set_state_unless_down(now, RunState::Up);
     }
 
-    fn set_state_unless_down(&mut self, now: Micros, state: State) {
-        if self.model.state() != State::Down {
+    fn set_state_unless_down(&mut self, now: Micros, state: RunState) {
+        if self.model.state() != RunState::Down {
             self.model.set_state(now, state, &mut self.events);
         }
     }
--- a/crates/testbed/src/server_model/contention.rs
+++ b/crates/testbed/src/server_model/contention.rs
@@ -1,32 +1,33 @@
-//! Lasting overload, which slows a server until it has had a rest.
+//! Slowdown of a server after sustained overload, until the load has been low for a while.
 //!
-//! Owns how long overload and rest have lasted; thresholds are the machine type's.
+//! Tracks since when the server is overloaded, slowed or recovering; the thresholds are settings of
+//! the machine type.
 
 use super::ServerModel;
 use crate::conversion::f64_from_count;
 use crate::scenario::{Contention, Micros, from_s};
 
-/// Whether a server is overloaded, or slowed by it.
+/// Whether a server is overloaded, or slowed after overload.
 #[derive(Debug, Default)]
 pub(super) struct ContentionState {
-    /// Since when too many jobs are in flight, while it is not slowed.
+    /// Since when too many jobs are in flight; only tracked while the server is not slowed.
     overloaded_since: Option<Micros>,
-    slowed: Option<Slowed>,
-    /// Time for which it was slowed earlier, in microseconds.
-    earlier_slowed_time: Micros,
+    slowed: Option<SlowedPeriod>,
+    /// Total length of the slowed periods that have ended, in microseconds.
+    past_slowed_time: Micros,
 }
 
-/// A server is slowed.
+/// A period in which the server is slowed.
 #[derive(Debug)]
-struct Slowed {
+struct SlowedPeriod {
     since: Micros,
-    /// Since when few enough jobs are in flight for it to recover.
+    /// Since when the jobs in flight are below the recovery threshold.
     recovering_since: Option<Micros>,
 }
 
 impl ContentionState {
-    /// The number of jobs in flight, or the time, has changed.
-    fn on_load(&mut self, contention: &Contention, now: Micros, in_flight: f64, cores: f64) {
+    /// Updates the state after the time or the number of jobs in flight has changed.
+    fn update(&mut self, contention: &Contention, now: Micros, in_flight: f64, cores: f64) {
         if let Some(slowed) = &mut self.slowed {
             let recovering = in_flight < contention.recovery_threshold * cores;
             slowed.recovering_since = recovering.then_some(slowed.recovering_since.unwrap_or(now));
@@ -34,20 +35,21 @@
             let recovered =
                 recovering_since.is_some_and(|at| now >= at + from_s(contention.recovery_s));
             if recovered || now >= slowed.since + from_s(contention.max_s) {
-                self.earlier_slowed_time += now - slowed.since;
+                self.past_slowed_time += now - slowed.since;
                 self.reset();
             }
         } else if in_flight <= contention.overload_threshold * cores {
             self.overloaded_since = None;
         } else if now >= *self.overloaded_since.get_or_insert(now) + from_s(contention.overload_s) {
-            self.slowed = Some(Slowed {
+            self.slowed = Some(SlowedPeriod {
                 since: now,
                 recovering_since: None,
             });
         }
     }
 
-    /// Neither overloaded nor slowed any more; the time for which it was slowed stays.
+    /// Ends overload and slowdown, for example at a restart. Keeps the total of earlier slowed
+    /// periods.
     pub(super) fn reset(&mut self) {
         self.overloaded_since = None;
         self.slowed = None;
@@ -57,12 +59,12 @@
         self.slowed.is_some()
     }
 
-    /// Whether it changes as time passes.
-    pub(super) fn changes_by_itself(&self) -> bool {
+    /// Whether the state can change with time alone.
+    pub(super) fn is_time_dependent(&self) -> bool {
         self.overloaded_since.is_some() || self.is_slowed()
     }
 
-    /// How many times slower it makes the server.
+    /// Factor by which contention slows the server; 1 for none.
     pub(super) fn slowdown(&self, contention: Option<&Contention>) -> f64 {
         contention
             .filter(|_| self.is_slowed())
@@ -76,14 +78,15 @@
         let cores = f64::from(self.machine_type.cores);
         if let Some(contention) = &self.machine_type.contention {
             self.contention
-                .on_load(contention, self.now, in_flight, cores);
+                .update(contention, self.now, in_flight, cores);
         }
     }
 
-    /// Time for which contention has slowed it so far, in microseconds, including one that goes on.
-    pub fn time_slowed(&self) -> Micros {
+    /// Total time for which contention has slowed the server, in microseconds, including the
+    /// current period.
+    pub fn slowed_time(&self) -> Micros {
         let slowed = self.contention.slowed.as_ref();
-        let present = slowed.map_or(0, |slowed| self.now.saturating_sub(slowed.since));
-        self.contention.earlier_slowed_time + present
+        let current = slowed.map_or(0, |slowed| self.now.saturating_sub(slowed.since));
+        self.contention.past_slowed_time + current
     }
 }
--- a/crates/testbed/src/server_model/mod.rs
+++ b/crates/testbed/src/server_model/mod.rs
@@ -1,10 +1,10 @@
-//! A server as a machine: cores, a queue, slow start, slowdown, contention, failures. No I/O and no
-//! clock: both engines hand the time in, so that simulated and emulated servers are the same
-//! machine.
+//! Model of a server: cores, a queue, slow start, slowdown, contention and failures. It does no I/O
+//! and reads no clock: the simulator and the emulator pass in the time, so that both run the same
+//! server.
 //!
-//! All running requests progress alike: `running_jobs` has their progress, `service` lets it grow
-//! with time at the `speed` of the moment. Slow start, contention and load reports each own their
-//! state.
+//! All running jobs progress at the same rate (processor sharing): `running_jobs` holds their
+//! progress, and `service` advances it over time at the rate that `speed` computes. Slow start,
+//! contention and load reports each own their state.
 
 mod contention;
 mod health_check_limiter;
@@ -30,85 +30,85 @@
 pub use load_report::LoadReport;
 pub use slow_start::cold_work_limit;
 
-/// Work handed to a server.
+/// A request as the server model sees it.
 #[derive(Clone, Copy, Debug)]
 pub struct Job {
     /// Unique at this server.
     pub id: u64,
     /// Work in microseconds of a standard core.
     pub work: f64,
-    /// When its sender stops waiting for it.
+    /// When the sender stops waiting for the response.
     pub deadline: Micros,
 }
 
-/// What a server did by itself; the number is the job's.
+/// An event that the model reports to its caller. Numbers are job ids.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Event {
+pub enum ServerModelEvent {
     /// A job started to run.
     Started(u64),
-    /// A job was completed.
+    /// A job completed.
     Completed {
-        /// The job.
+        /// Id of the job.
         id: u64,
-        /// Whether it ended in an error.
+        /// Whether it failed with an error response.
         error: bool,
     },
-    /// A job expired in the queue and was dropped.
+    /// A job's deadline passed in the queue, and the job was dropped.
     Expired(u64),
-    /// The cold server received more work than it bears, and shut down.
+    /// The cold server received more work than the overload rule allows, and shut down.
     OverloadShutdown,
 }
 
-/// What a server has counted since it was built.
+/// Counts since the model was created.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Counters {
-    /// Jobs that expired in the queue.
+    /// Jobs dropped because their deadline passed in the queue.
     pub expired: u64,
-    /// Jobs that were cancelled, waiting or running.
+    /// Jobs cancelled while queued or running.
     pub cancelled: u64,
-    /// Most jobs in flight at once, waiting and running.
+    /// Maximum number of jobs in flight (queued and running).
     pub max_in_flight: usize,
 }
 
-/// Whether a server works.
+/// Whether a server's process is running.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
-    /// It works.
+pub enum RunState {
+    /// Running.
     Up,
-    /// It stands still; accepts and answers nothing until it goes on.
+    /// Stopped for a time: no job progresses and nothing is answered until it resumes.
     Paused,
-    /// It is gone, with all that was in flight.
+    /// Not running; all jobs in flight are lost.
     Down,
 }
 
-/// A server's machine.
+/// State of one modelled server.
 #[derive(Debug)]
 pub struct ServerModel {
     machine_type: MachineType,
-    /// Work of a warm core in a microsecond, in microseconds of a standard core.
+    /// Work that a warm core does per microsecond, in microseconds of a standard core.
     warm_core_speed: f64,
-    state: State,
-    /// Up to when time has passed here.
+    state: RunState,
+    /// The time up to which the model has been advanced.
     now: Micros,
     running: RunningJobs,
     queue: VecDeque<Job>,
-    /// Work to be done beside the jobs, in microseconds of a standard core.
-    side_work: f64,
-    /// How many times slower than usual a fault makes it.
+    /// Work still to be done for handshakes and health checks, in microseconds of a standard core.
+    overhead_work: f64,
+    /// Factor by which a fault slows the server; 1 for none.
     slowdown: f64,
     error_rate: f64,
     slow_start: SlowStart,
     contention: ContentionState,
     connections: usize,
-    health_checks: HealthCheckLimiter,
-    load_reports: LoadReporter,
+    health_check_limiter: HealthCheckLimiter,
+    load_reporter: LoadReporter,
     random: RandomStream,
-    /// What it has counted.
+    /// Counts since the model was created.
     pub counters: Counters,
 }
 
 impl ServerModel {
-    /// A server of a machine type, at the speed that was drawn for it; up from now on.
+    /// A server that starts now, with a core speed already drawn.
     fn new(
         machine_type: MachineType,
         warm_core_speed: f64,
@@ -119,25 +119,26 @@
     ) -> Self {
         Self {
             warm_core_speed,
-            state: State::Up,
+            state: RunState::Up,
             now,
             running: RunningJobs::default(),
             queue: VecDeque::new(),
-            side_work: 0.0,
+            overhead_work: 0.0,
             slowdown: 1.0,
             error_rate: machine_type.error_rate,
             slow_start: SlowStart::new(rule, cold.then_some(now)),
             contention: ContentionState::default(),
             connections: 0,
-            health_checks: HealthCheckLimiter::new(machine_type.health_checks_per_s, now),
-            load_reports: LoadReporter::default(),
+            health_check_limiter: HealthCheckLimiter::new(machine_type.health_checks_per_s, now),
+            load_reporter: LoadReporter::default(),
             random,
             counters: Counters::default(),
             machine_type,
         }
     }
 
-    /// The scenario's server of this index. Its speed is drawn, alike in both engines.
+    /// The scenario's server of this index. Its speed is drawn from the scenario's seed, so that
+    /// the simulator and the emulator use the same one.
     pub fn from_scenario(
         scenario: &Scenario,
         machine_type: &MachineType,
@@ -147,7 +148,7 @@
     ) -> Self {
         let mut random = RandomStream::new(scenario.seed, StreamId::Machines, index.index() + 1);
         let spread = machine_type.speed_spread;
-        let warm_core_speed = machine_type.speed * random.between(1.0 - spread, 1.0 + spread);
+        let warm_core_speed = machine_type.speed * random.uniform_in(1.0 - spread, 1.0 + spread);
         let rule = OverloadRule {
             factor: scenario.rules.cold_overload_factor,
             window: from_ms(scenario.rules.cold_overload_window_ms),
@@ -160,52 +161,58 @@
             now,
             cold,
         );
-        server.load_reports = LoadReporter::new(scenario.load_reports.clone());
+        server.load_reporter = LoadReporter::new(scenario.load_reports.clone());
         server
     }
 
-    /// Its machine type.
+    /// The machine type that the server runs on.
     pub fn machine_type(&self) -> &MachineType {
         &self.machine_type
     }
 
-    /// Whether it works.
-    pub fn state(&self) -> State {
+    /// Whether the server is up, paused or down.
+    pub fn state(&self) -> RunState {
         self.state
     }
 
-    /// Jobs in flight: those that wait and those that run.
+    /// Jobs in flight: queued and running.
     pub fn in_flight(&self) -> usize {
         self.running.len() + self.queue.len()
     }
 
-    /// Open connections.
+    /// Number of open connections.
     pub fn connections(&self) -> usize {
         self.connections
     }
 
-    /// Work that it can do in a microsecond while it warms up, in microseconds of a standard core;
-    /// faults and contention are left aside.
+    /// Work that the server can do per microsecond with slow start taken into account, in
+    /// microseconds of a standard core. Faults and contention are ignored.
     pub fn capacity(&self, now: Micros) -> f64 {
         f64::from(self.machine_type.cores) * self.warm_core_speed * self.slow_start_factor(now)
     }
 
-    /// Accepts a job. False where it is rejected, or overloads a cold server, which shuts down.
-    pub fn try_accept(&mut self, now: Micros, job: Job, events: &mut Vec<Event>) -> bool {
+    /// Offers a job to the server. Returns false if the job is rejected, or if it overloads a cold
+    /// server, which then shuts down.
+    pub fn try_accept(
+        &mut self,
+        now: Micros,
+        job: Job,
+        events: &mut Vec<ServerModelEvent>,
+    ) -> bool {
         self.advance(now, events);
         if self.is_overloaded_by(now, job.work) {
-            self.state = State::Down;
-            events.push(Event::OverloadShutdown);
+            self.state = RunState::Down;
+            events.push(ServerModelEvent::OverloadShutdown);
             return false;
         }
-        // A paused process reads nothing: what comes waits, as it would in its socket.
+        // A paused process reads nothing, so jobs wait in the queue as they would in its socket.
         let queue_full = self.queue.len() >= self.machine_type.queue;
         let full = queue_full && self.running.len() >= self.slots();
-        if self.state == State::Down || full {
+        if self.state == RunState::Down || full {
             return false;
         }
         self.queue.push_back(job);
-        self.start_waiting(events);
+        self.start_queued_jobs(events);
         self.update_contention();
         self.counters.max_in_flight = self.counters.max_in_flight.max(self.in_flight());
         true
--- a/crates/testbed/src/server_model/running_jobs.rs
+++ b/crates/testbed/src/server_model/running_jobs.rs
@@ -1,25 +1,25 @@
-//! The jobs that run on a server, and how far they have come.
+//! The running jobs of a server and their progress, as in a processor-sharing queue.
 //!
-//! `progress` is the work that one core has done for a job that has run all along: a job ends once
-//! it has grown by the job's work. Pauses, slow start and contention change only the speed at which
-//! it grows.
+//! `progress` is the work done so far for a hypothetical job that has run from the start. A job
+//! completes once `progress` has grown by the job's work since the job started. Pauses, slow start
+//! and contention only change the rate at which it grows, so no job has to be updated.
 
 use std::collections::{BTreeSet, HashMap};
 
-/// Jobs that run, by the progress at which they end.
+/// Running jobs, ordered by the progress at which they complete.
 #[derive(Debug, Default)]
 pub(super) struct RunningJobs {
-    /// In microseconds of a standard core.
+    /// Progress so far, in microseconds of a standard core.
     progress: f64,
-    /// Bits of the progress at which a job ends, which sort as the positive numbers do, and the
-    /// job.
-    ends: BTreeSet<(u64, u64)>,
-    end_by_job: HashMap<u64, u64>,
+    /// The progress at which a job completes, and the job's id. The progress is kept as the bits of
+    /// an `f64`: those of non-negative numbers sort like the numbers.
+    by_end_progress: BTreeSet<(u64, u64)>,
+    end_progress_by_job: HashMap<u64, u64>,
 }
 
 impl RunningJobs {
     pub(super) fn len(&self) -> usize {
-        self.ends.len()
+        self.by_end_progress.len()
     }
 
     /// Progress so far, in microseconds of a standard core.
@@ -27,37 +27,39 @@
         self.progress
     }
 
-    /// Progress at which the first job ends.
-    pub(super) fn first_end(&self) -> Option<f64> {
-        self.ends.first().map(|&(bits, _)| f64::from_bits(bits))
+    /// Progress at which the next job completes.
+    pub(super) fn next_end_progress(&self) -> Option<f64> {
+        self.by_end_progress
+            .first()
+            .map(|&(bits, _)| f64::from_bits(bits))
     }
 
     pub(super) fn on_started(&mut self, job: u64, work: f64) {
         let end = (self.progress + work).to_bits();
-        self.ends.insert((end, job));
-        self.end_by_job.insert(job, end);
+        self.by_end_progress.insert((end, job));
+        self.end_progress_by_job.insert(job, end);
     }
 
-    pub(super) fn on_progress(&mut self, progress: f64) {
+    pub(super) fn set_progress(&mut self, progress: f64) {
         self.progress = progress;
     }
 
-    /// Removes the first job that ends.
-    pub(super) fn pop_first(&mut self) -> Option<u64> {
-        let (_, job) = self.ends.pop_first()?;
-        self.end_by_job.remove(&job);
+    /// Removes the job that completes next.
+    pub(super) fn pop_next(&mut self) -> Option<u64> {
+        let (_, job) = self.by_end_progress.pop_first()?;
+        self.end_progress_by_job.remove(&job);
         Some(job)
     }
 
-    /// Stops a job; false where it does not run.
+    /// Removes a job; returns false if it is not running.
     pub(super) fn cancel(&mut self, job: u64) -> bool {
-        let end = self.end_by_job.remove(&job);
-        end.is_some_and(|end| self.ends.remove(&(end, job)))
+        let end = self.end_progress_by_job.remove(&job);
+        end.is_some_and(|end| self.by_end_progress.remove(&(end, job)))
     }
 
-    /// Stops all jobs; progress stays.
+    /// Removes all jobs. The progress is kept.
     pub(super) fn clear(&mut self) {
-        self.ends.clear();
-        self.end_by_job.clear();
+        self.by_end_progress.clear();
+        self.end_progress_by_job.clear();
     }
 }
--- a/crates/testbed/src/server_model/slow_start.rs
+++ b/crates/testbed/src/server_model/slow_start.rs
@@ -1,7 +1,7 @@
-//! Slow start: what a cold server can do, and how much work overloads it.
+//! Slow start: the capacity of a cold server, and how much work overloads it.
 //!
-//! Owns since when a server is cold and what it was sent since. That it shuts down is done by its
-//! owner.
+//! Tracks since when a server is cold and the work it has been sent recently. `ServerModel` shuts
+//! the server down.
 
 use std::collections::VecDeque;
 
@@ -9,25 +9,25 @@
 use crate::conversion::f64_from_u64;
 use crate::scenario::{MachineType, Micros, from_s};
 
-/// How much work a cold server bears.
+/// The limit on the work that a cold server may be sent without shutting down.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct OverloadRule {
-    /// Multiple of its capacity.
+    /// Multiple of the server's capacity.
     pub(super) factor: f64,
-    /// Over which work is summed up, in microseconds.
+    /// Window over which work is summed up, in microseconds.
     pub(super) window: Micros,
 }
 
-/// Slow start: since when a server is cold, and what it was sent meanwhile.
+/// Slow start state: since when a server is cold, and the work it has been sent since.
 #[derive(Debug)]
 pub(super) struct SlowStart {
     rule: OverloadRule,
-    /// Absent for a server that has never been cold.
+    /// When the process started cold; absent for a server that was warm from the beginning.
     cold_since: Option<Micros>,
-    /// Jobs served since then.
-    served: u64,
-    /// What it was sent within the rule's window while cold: time and work.
-    sent: VecDeque<(Micros, f64)>,
+    /// Jobs completed since then.
+    completed: u64,
+    /// Jobs sent within the rule's window while cold: time and work.
+    cold_work: VecDeque<(Micros, f64)>,
 }
 
 impl SlowStart {
@@ -35,73 +35,78 @@
         Self {
             rule,
             cold_since,
-            served: 0,
-            sent: VecDeque::new(),
+            completed: 0,
+            cold_work: VecDeque::new(),
         }
     }
 
-    /// Share of its warm capacity that a server has: grows with time or with served jobs, whichever
-    /// is faster.
-    fn factor(&self, machine_type: &MachineType, now: Micros) -> f64 {
+    /// Fraction of its warm capacity that the server has. It grows with time or with completed
+    /// jobs, whichever is faster.
+    fn capacity_factor(&self, machine_type: &MachineType, now: Micros) -> f64 {
         let Some(since) = self.cold_since else {
             return 1.0;
         };
-        let slow_start = from_s(machine_type.slow_start_s).max(1);
-        let by_time = f64_from_u64(now.saturating_sub(since)) / f64_from_u64(slow_start);
-        let by_work = match machine_type.warm_requests {
+        let slow_start_time = from_s(machine_type.slow_start_s).max(1);
+        let by_time = f64_from_u64(now.saturating_sub(since)) / f64_from_u64(slow_start_time);
+        let by_requests = match machine_type.warm_requests {
             0 => 0.0,
-            most => f64_from_u64(self.served) / f64_from_u64(most),
+            warm_requests => f64_from_u64(self.completed) / f64_from_u64(warm_requests),
         };
-        let cold = machine_type.cold_capacity_share;
-        (cold + (1.0 - cold) * by_time.max(by_work)).min(1.0)
+        let cold_share = machine_type.cold_capacity_share;
+        (cold_share + (1.0 - cold_share) * by_time.max(by_requests)).min(1.0)
     }
 
-    pub(super) fn on_served(&mut self) {
-        self.served += 1;
+    pub(super) fn on_completed(&mut self) {
+        self.completed += 1;
     }
 
     pub(super) fn on_restarted(&mut self, now: Micros) {
         self.cold_since = Some(now);
-        self.served = 0;
-        self.sent.clear();
+        self.completed = 0;
+        self.cold_work.clear();
     }
 
-    /// A cold server of some capacity is sent work; true where that is more than it bears.
-    fn on_sent_while_cold(&mut self, now: Micros, work: f64, capacity: f64) -> bool {
+    /// Counts a job sent to the cold server of this capacity. Returns true if the work within the
+    /// window then exceeds the limit.
+    fn count_cold_work(&mut self, now: Micros, work: f64, capacity: f64) -> bool {
         let OverloadRule { factor, window } = self.rule;
-        self.sent.push_back((now, work));
-        while self.sent.front().is_some_and(|(at, _)| *at + window <= now) {
-            self.sent.pop_front();
+        self.cold_work.push_back((now, work));
+        while self
+            .cold_work
+            .front()
+            .is_some_and(|(at, _)| *at + window <= now)
+        {
+            self.cold_work.pop_front();
         }
-        let sent: f64 = self.sent.iter().map(|(_, work)| work).sum();
+        let sent: f64 = self.cold_work.iter().map(|(_, work)| work).sum();
         sent > cold_work_limit(factor, capacity, window, work)
     }
 }
 
 impl ServerModel {
     pub(super) fn slow_start_factor(&self, now: Micros) -> f64 {
-        self.slow_start.factor(&self.machine_type, now)
+        self.slow_start.capacity_factor(&self.machine_type, now)
     }
 
-    /// Whether it is still warming up.
+    /// Whether the server is still warming up.
     pub fn is_cold(&self, now: Micros) -> bool {
         self.slow_start_factor(now) < 1.0
     }
 
-    /// Whether work that comes now overloads the cold server.
+    /// Counts a job that arrives now. Returns true if it overloads a cold server.
     pub(super) fn is_overloaded_by(&mut self, now: Micros, work: f64) -> bool {
         if !self.is_cold(now) {
-            self.slow_start.sent.clear();
+            self.slow_start.cold_work.clear();
             return false;
         }
         let capacity = self.capacity(now);
-        self.slow_start.on_sent_while_cold(now, work, capacity)
+        self.slow_start.count_cold_work(now, work, capacity)
     }
 }
 
 /// Work that a cold server may be sent within the window of the overload rule, in microseconds of a
-/// standard core. The slack stands for chance: two requests as large as the largest, as the rule is
-/// about load and not about one request's luck.
-pub fn cold_work_limit(factor: f64, capacity: f64, window: Micros, largest: f64) -> f64 {
-    factor * capacity * f64_from_u64(window) + 2.0 * largest
+/// standard core. Two jobs as large as the latest one, `job_work`, are allowed on top, so that the
+/// rule catches sustained load and not a single large job that arrives by chance.
+pub fn cold_work_limit(factor: f64, capacity: f64, window: Micros, job_work: f64) -> f64 {
+    factor * capacity * f64_from_u64(window) + 2.0 * job_work
 }
--- a/crates/testbed/src/simulator/fleet/attempts.rs
+++ b/crates/testbed/src/simulator/fleet/attempts.rs
@@ -1,4 +1,5 @@
-//! An attempt at its server: connected, received, accepted or rejected, worked on, cancelled.
+//! Handles an attempt at its server: connection, acceptance or rejection, completion and
+//! cancellation.
 
 use arrowstand_balancer::Outcome;
 
@@ -11,7 +12,7 @@
 use crate::simulator::event::{Cancellation, SimulatorEvent};
 
 impl Fleet {
-    /// A new connection's first packet is at the server.
+    /// Handles the first packet of a new connection at the server.
     pub(in crate::simulator) fn on_connect(
         &mut self,
         key: AttemptKey,
@@ -29,8 +30,8 @@
             attempts.remove(key);
             return;
         }
-        if let Some(start) = server.connect() {
-            attempt.on_connected(start);
+        if let Some(start_number) = server.try_connect() {
+            attempt.on_connected(start_number);
             let open = SimulatorEvent::ConnectionOpen(attempt.details.sidecar, key);
             context.schedule_after(attempt.details.delay, open);
         } else {
@@ -38,7 +39,7 @@
         }
     }
 
-    /// An attempt's last byte is at the server.
+    /// Handles an attempt whose last byte is at the server.
     pub(in crate::simulator) fn on_attempt(
         &mut self,
         key: AttemptKey,
@@ -48,16 +49,19 @@
         let Some(attempt) = attempts.get(key) else {
             return;
         };
-        // Its connection was closed before all of it had arrived.
+        // The connection was closed before the whole attempt had arrived.
         if attempt.has_ended() && attempt.opens_connection() {
             attempts.remove(key);
             return;
         }
         let server = self.server_mut(attempt.details.server);
-        let start = server.start();
+        let start_number = server.start_number();
         if server.reachability() == Reachability::Silent {
             server.on_blackholed(key);
-        } else if server.open_start().is_none() || attempt.connection().is_some_and(|c| c != start)
+        } else if server.open_start().is_none()
+            || attempt
+                .connection()
+                .is_some_and(|number| number != start_number)
         {
             send_result(key, attempt, Outcome::Reset, context);
         } else {
@@ -65,7 +69,7 @@
         }
     }
 
-    /// Hands an attempt to the server, which accepts or rejects it.
+    /// Passes an attempt to the server, which accepts or rejects it.
     fn deliver(&mut self, key: AttemptKey, attempts: &mut Attempts, context: &mut Context<'_>) {
         let Some(attempt) = attempts.get_mut(key) else {
             return;
@@ -74,12 +78,12 @@
         let server = &mut self.servers[attempt.details.server.index()];
         let capacity = server.model.capacity(now);
         let cold = server.model.is_cold(now);
-        attempt.on_received(self.random.chance(server.reset_share()));
+        attempt.on_received(self.random.bernoulli(server.reset_share()));
         if attempt.opens_connection() {
-            server.model.handshake(now, &mut self.model_events);
+            server.model.on_handshake(now, &mut self.model_events);
         }
         let accepted = server.try_accept(now, key, attempt, &mut self.model_events);
-        record_arrival(attempt, capacity, cold, context);
+        record_received(attempt, capacity, cold, context);
         if !accepted {
             reject(key, attempt, context);
         }
@@ -87,7 +91,7 @@
         self.apply_model_events(server, attempts, context);
     }
 
-    /// A server has done an attempt's work; `failed` where it ends in an error.
+    /// Handles the completion of an attempt's work; `failed` if it ended in an error.
     pub(super) fn on_work_done(
         &mut self,
         server_index: ServerIndex,
@@ -103,9 +107,10 @@
         let Some(attempt) = attempts.get_mut(key) else {
             return;
         };
-        attempt.on_work_done(server.model.response_report(context.now()));
-        // Drawn whether or not the connection breaks, so that one fault moves no other's draws.
-        let malformed = self.random.chance(server.malformed_share());
+        attempt.on_work_done(server.model.response_load_report(context.now()));
+        // Drawn even if the connection is reset, so that one fault doesn't shift the draws of
+        // another.
+        let malformed = self.random.bernoulli(server.malformed_share());
         context.record(LogEvent::WorkDone {
             request: attempt.details.request,
             server: server_index,
@@ -119,7 +124,7 @@
         }
     }
 
-    /// A server notices that an attempt's connection was closed.
+    /// Handles the closing of an attempt's connection, as the server notices it.
     pub(in crate::simulator) fn on_cancellation(
         &mut self,
         cancellation: &Cancellation,
@@ -128,7 +133,7 @@
     ) {
         let server = &mut self.servers[cancellation.server.index()];
         let is_open = server.reachability() == Reachability::Open;
-        if server.start() != cancellation.server_start || !is_open {
+        if server.start_number() != cancellation.server_start || !is_open {
             return;
         }
         let job = cancellation.job;
@@ -142,7 +147,7 @@
     }
 }
 
-/// How a sidecar sees the end of an attempt whose work is done.
+/// The outcome that a sidecar sees for an attempt whose work is done.
 fn response_outcome(attempt: &Attempt, malformed: bool, failed: bool) -> Outcome {
     if attempt.is_reset_pending() || malformed {
         Outcome::Reset
@@ -153,7 +158,7 @@
     }
 }
 
-fn record_arrival(attempt: &Attempt, capacity: f64, cold: bool, context: &mut Context<'_>) {
+fn record_received(attempt: &Attempt, capacity: f64, cold: bool, context: &mut Context<'_>) {
     let details = &attempt.details;
     let server = details.server;
     if attempt.opens_connection() {
@@ -177,8 +182,12 @@
     send_result(key, attempt, Outcome::Rejected, context);
 }
 
-/// The connections of attempts are reset by their server.
-pub(super) fn reset(lost: Vec<AttemptKey>, attempts: &Attempts, context: &mut Context<'_>) {
+/// Resets the connections of attempts that their server has lost.
+pub(super) fn reset_attempts(
+    lost: Vec<AttemptKey>,
+    attempts: &Attempts,
+    context: &mut Context<'_>,
+) {
     for key in lost {
         if let Some(attempt) = attempts.get(key) {
             send_result(key, attempt, Outcome::Reset, context);
@@ -186,7 +195,7 @@
     }
 }
 
-/// Sends the end of an attempt on its way to the sidecar.
+/// Sends the outcome of an attempt to its sidecar.
 fn send_result(key: AttemptKey, attempt: &Attempt, outcome: Outcome, context: &mut Context<'_>) {
     let details = &attempt.details;
     let result = SimulatorEvent::AttemptResultAtSidecar(details.sidecar, key, outcome);
--- a/crates/testbed/src/simulator/fleet/health_checks.rs
+++ b/crates/testbed/src/simulator/fleet/health_checks.rs
@@ -1,4 +1,4 @@
-//! A health check at its server.
+//! Handles a health check at its server.
 
 use arrowstand_balancer::Outcome;
 
@@ -11,8 +11,9 @@
 use crate::simulator::event::{HealthCheck, HealthCheckResult, SimulatorEvent};
 
 impl Fleet {
-    /// A health check is at its server. Gives back the start of the connection that its sidecar may
-    /// keep, where the server answers and `process_is_running`; any other connection is closed.
+    /// Handles a health check at its server. `process_is_running` tells whether the sidecar process
+    /// that sent it still runs. If it does and the server answers, the connection is kept, and its
+    /// start number is returned; otherwise the connection is closed.
     pub(in crate::simulator) fn on_health_check(
         &mut self,
         check: &HealthCheck,
@@ -22,7 +23,7 @@
     ) -> Option<u32> {
         let delay = check.delay;
         let server = self.server_mut(check.server);
-        if server.refuses(check) {
+        if server.refuses_health_check(check) {
             let refused = result(check, Outcome::ConnectFailed, None);
             context.schedule_after(delay, refused);
             return None;
@@ -34,36 +35,38 @@
             context.schedule_after(timeout.saturating_sub(2 * delay), timed_out);
             return None;
         }
-        let start = self.answer_health_check(check, context);
+        let start_number = self.answer_health_check(check, context);
         if !process_is_running {
-            self.close_connection(check.server, start);
+            self.close_connection(check.server, start_number);
         }
         self.apply_model_events(check.server, attempts, context);
-        process_is_running.then_some(start)
+        process_is_running.then_some(start_number)
     }
 
-    /// Answers a health check; gives back the start that its connection belongs to.
+    /// Answers a health check; returns the start number that its connection belongs to.
     fn answer_health_check(&mut self, check: &HealthCheck, context: &mut Context<'_>) -> u32 {
         let now = context.now();
         let server = &mut self.servers[check.server.index()];
         if check.new_connection {
-            server.model.handshake(now, &mut self.model_events);
+            server.model.on_handshake(now, &mut self.model_events);
         }
-        let start = server.start();
-        let report = server.model.health_check(now, &mut self.model_events);
+        let start_number = server.start_number();
+        let report = server
+            .model
+            .answer_health_check(now, &mut self.model_events);
         let outcome = if report.is_some() {
             Outcome::Served
         } else {
             Outcome::Rejected
         };
-        let answer = result(check, outcome, report);
-        context.schedule_after(check.delay, answer);
+        let response = result(check, outcome, report);
+        context.schedule_after(check.delay, response);
         if check.new_connection {
             context.record(LogEvent::ConnectionOpened {
                 server: check.server,
             });
         }
-        start
+        start_number
     }
 }
 
--- a/crates/testbed/src/simulator/network.rs
+++ b/crates/testbed/src/simulator/network.rs
@@ -53,7 +53,7 @@
             network.same_ms
         };
         let random = &mut self.sidecars[sidecar.index()].random;
-        from_ms(base_ms * (1.0 + network.jitter * random.unit()))
+        from_ms(base_ms * (1.0 + network.jitter * random.uniform()))
     }
 
     /// Draws the work of one attempt, which varies around the request's work by the noise of its
--- a/crates/testbed/src/simulator/sidecars/sidecar.rs
+++ b/crates/testbed/src/simulator/sidecars/sidecar.rs
@@ -56,7 +56,7 @@
     /// Starts a new process, whose only earlier state is the cached endpoint list.
     pub(in crate::simulator) fn start(&mut self, environment: &mut Environment<'_, '_>) {
         let settings = balancer_settings(environment.context.scenario(), self.index);
-        let seed = self.seeds.number();
+        let seed = self.seeds.next_u64();
         self.balancer = WorkAwareBalancer::new(settings, seed).ok();
         self.subscription.on_watch_ended();
         self.record_state(ProcessState::Up, environment);
