--- a/crates/testbed/src/emulator/client/arrival.rs
+++ b/crates/testbed/src/emulator/client/arrival.rs
@@ -1,13 +1,13 @@
-//! The life of an arrival: its requests, one after the other, until a response ends it or its time
-//! is up.
+//! Runs one arrival: its first request and the retries, until an outcome ends it or its deadline
+//! leaves no time for another retry.
 //!
-//! Owns retries, backoff and the draws of timeout and disconnection, made as the simulator makes
-//! them from streams of its own.
+//! Retries, backoff, timeouts and disconnections follow the simulator's rules, but are drawn from
+//! random streams of the emulator.
 
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::Clients;
+use super::SidecarClients;
 use super::request::{OutgoingRequest, Response};
 use crate::conversion::{f64_from_u64, micros_from_f64};
 use crate::event_log::{LogEvent, RequestOutcome};
@@ -16,16 +16,18 @@
 use crate::scenario::{Idempotency, Micros, from_ms};
 use crate::workload::Arrival;
 
-/// Indexes of the arrivals' random streams begin here, apart from those of the sidecars' clients.
-const STREAM_OFFSET: usize = 1 << 38;
-/// Bits of an arrival's place within its sidecar: 2^22 arrivals have streams of their own.
-const STREAM_BITS: usize = 22;
+/// First index of the arrivals' random streams; the streams of the sidecars' clients have lower
+/// indexes.
+const RANDOM_STREAM_OFFSET: usize = 1 << 38;
+/// Bits of a random stream's index that hold the arrival's index at its sidecar: 2^22 arrivals per
+/// sidecar have a stream each.
+const ARRIVAL_INDEX_BITS: usize = 22;
 
-impl Clients {
-    /// Plays an arrival with all its requests; `position` is its place among those at this sidecar.
-    pub(super) async fn play_arrival(self: Arc<Self>, arrival: Arrival, position: usize) {
+impl SidecarClients {
+    /// Runs an arrival with its retries; `arrival_index` counts this sidecar's arrivals from 0.
+    pub(super) async fn run_arrival(self: Arc<Self>, arrival: Arrival, arrival_index: usize) {
         let number = self.shared.next_arrival_number();
-        let within_quota = self.within_quota(arrival.tenant);
+        let within_quota = self.try_take_quota(arrival.tenant);
         self.shared.record_at(
             arrival.at,
             LogEvent::ArrivalStarted {
@@ -37,14 +39,14 @@
                 work: arrival.work,
             },
         );
-        let limit = self.shared.scenario.load.max_open_requests;
-        if !self.load.try_open(limit) {
+        let max_open = self.shared.scenario.load.max_open_requests;
+        if !self.limits.try_open_arrival(max_open) {
             self.record_arrival_ended(number, RequestOutcome::NotPlayed, 0);
             return;
         }
-        let (outcome, requests) = self.send_requests(&arrival, number, position).await;
+        let (outcome, requests) = self.send_requests(&arrival, number, arrival_index).await;
         self.record_arrival_ended(number, outcome, requests);
-        self.load.on_ended();
+        self.limits.on_arrival_ended();
     }
 
     fn record_arrival_ended(&self, arrival: ArrivalNumber, outcome: RequestOutcome, requests: u32) {
@@ -55,58 +57,60 @@
         });
     }
 
-    /// Sends an arrival's request and its retries; the last outcome, and the number of requests.
+    /// Sends an arrival's request and its retries; returns the last outcome and the number of
+    /// requests.
     async fn send_requests(
         &self,
         arrival: &Arrival,
         number: ArrivalNumber,
-        position: usize,
+        arrival_index: usize,
     ) -> (RequestOutcome, u32) {
         let scenario = &self.shared.scenario;
-        let stream = STREAM_OFFSET + ((self.sidecar.index()) << STREAM_BITS) + position;
-        let mut random = RandomStream::new(scenario.seed, StreamId::Clients, stream);
-        let time_limit = from_ms(scenario.class[arrival.class.index()].deadline_ms);
-        let deadline = arrival.at + time_limit;
-        let mut from = arrival.at;
+        let stream_index =
+            RANDOM_STREAM_OFFSET + ((self.sidecar.index()) << ARRIVAL_INDEX_BITS) + arrival_index;
+        let mut random = RandomStream::new(scenario.seed, StreamId::Clients, stream_index);
+        let deadline_span = from_ms(scenario.class[arrival.class.index()].deadline_ms);
+        let deadline = arrival.at + deadline_span;
+        let mut sent_at = arrival.at;
         let mut requests = 0;
         loop {
             requests += 1;
-            let request = self.draw_request(&mut random, arrival, number, from, deadline);
+            let request = self.draw_request(&mut random, arrival, number, sent_at, deadline);
             let response = self.exchange(arrival, &request).await;
-            let outcome = request.outcome(response.outcome);
+            let outcome = request.final_outcome(response.outcome);
             self.record_outcome(request.number, outcome);
-            let pause = self.retry_pause(&mut random, arrival, outcome, response);
-            let too_late = self.shared.clock.now() + pause >= deadline;
-            let retries = scenario.clients.retries;
-            if !self.may_retry(arrival, outcome) || requests > retries || too_late {
+            let delay = self.retry_delay(&mut random, arrival, outcome, response);
+            let too_late = self.shared.clock.now() + delay >= deadline;
+            let max_retries = scenario.clients.retries;
+            if !self.may_retry(arrival, outcome) || requests > max_retries || too_late {
                 return (outcome, requests);
             }
-            tokio::time::sleep(Duration::from_micros(pause)).await;
-            from = self.shared.clock.now();
+            tokio::time::sleep(Duration::from_micros(delay)).await;
+            sent_at = self.shared.clock.now();
         }
     }
 
-    /// Draws when the client times out, and whether it disconnects before.
+    /// Draws when the client times out, and whether and when it disconnects before that.
     fn draw_request(
         &self,
         random: &mut RandomStream,
         arrival: &Arrival,
         number: ArrivalNumber,
-        from: Micros,
+        sent_at: Micros,
         deadline: Micros,
     ) -> OutgoingRequest {
         let clients = &self.shared.scenario.clients;
-        let time_limit = deadline - arrival.at;
-        let [least, most] = clients.timeout_share;
-        let timeout = micros_from_f64(f64_from_u64(time_limit) * random.between(least, most));
-        let due = (from + timeout).min(deadline);
+        let deadline_span = deadline - arrival.at;
+        let [min, max] = clients.timeout_share;
+        let timeout = micros_from_f64(f64_from_u64(deadline_span) * random.between(min, max));
+        let times_out_at = (sent_at + timeout).min(deadline);
         let disconnects = random.chance(clients.disconnect_share);
-        let disconnects_at =
-            from + micros_from_f64(random.unit() * f64_from_u64(due.saturating_sub(from)));
+        let disconnects_at = sent_at
+            + micros_from_f64(random.unit() * f64_from_u64(times_out_at.saturating_sub(sent_at)));
         OutgoingRequest {
             number: self.shared.next_request_number(),
             arrival: number,
-            due,
+            times_out_at,
             disconnects_at: disconnects.then_some(disconnects_at),
         }
     }
@@ -134,19 +138,20 @@
         }
     }
 
-    /// The pause before a retry: that of the rejection where the client keeps to it, or a backoff.
-    fn retry_pause(
+    /// The delay before a retry: the rejection's `Retry-After` if the client honours it, otherwise
+    /// a random backoff.
+    fn retry_delay(
         &self,
         random: &mut RandomStream,
         arrival: &Arrival,
         outcome: RequestOutcome,
         response: Response,
     ) -> Micros {
-        let [least, most] = self.shared.scenario.clients.backoff_ms;
-        let backoff = from_ms(random.between(least, most));
-        let advised = response
+        let [min, max] = self.shared.scenario.clients.backoff_ms;
+        let backoff = from_ms(random.between(min, max));
+        let retry_after = response
             .retry_after
             .filter(|_| arrival.honours_retry_after && outcome == RequestOutcome::Rejected);
-        advised.map_or(backoff, |pause| pause.max(1))
+        retry_after.map_or(backoff, |delay| delay.max(1))
     }
 }
--- a/crates/testbed/src/emulator/client/exchange.rs
+++ b/crates/testbed/src/emulator/client/exchange.rs
@@ -1,7 +1,7 @@
-//! The exchange of one request and its response, on an idle connection or a new one.
+//! Sends one request and reads its response, on an idle connection or a new one.
 //!
-//! Owns the idle connections and the one repetition of a request that crossed the close of its
-//! connection. Retries of a request that had an outcome belong to `arrival`.
+//! Keeps the pool of idle connections, and sends a request again if the sidecar closed the reused
+//! connection while the request was in transit. Retries after an outcome are made by `arrival`.
 
 use std::io;
 use std::sync::Mutex;
@@ -10,7 +10,7 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout_at;
 
-use super::Clients;
+use super::SidecarClients;
 use super::request::{OutgoingRequest, Response};
 use crate::emulator::http::{HttpConnection, Message};
 use crate::emulator::lock::lock;
@@ -18,18 +18,18 @@
 use crate::scenario::{Micros, from_ms};
 use crate::workload::Arrival;
 
-/// An idle connection is used again within this: less than the time after which a sidecar may close
-/// it.
-const IDLE_LIMIT: Duration = Duration::from_millis(1_400);
+/// Idle connections are reused for up to this time, which is shorter than the time after which a
+/// sidecar may close them.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(1_400);
 
-/// The connections that wait for a next request, with the time since which they do.
+/// Connections without an open request, with the time at which each became idle.
 #[derive(Default)]
 pub(super) struct IdleConnections(Mutex<Vec<(Instant, HttpConnection)>>);
 
 impl IdleConnections {
     fn take(&self) -> Option<HttpConnection> {
         let mut idle = lock(&self.0);
-        idle.retain(|(since, _)| since.elapsed() < IDLE_LIMIT);
+        idle.retain(|(since, _)| since.elapsed() < IDLE_TIMEOUT);
         idle.pop().map(|(_, connection)| connection)
     }
 
@@ -42,36 +42,39 @@
     }
 }
 
-/// A connection for a request.
-struct Opened {
+/// A connection on which a request can be sent.
+struct AcquiredConnection {
     connection: HttpConnection,
-    /// Whether it had a request before, so that its close may cross this one.
+    /// Whether it carried an earlier request: the sidecar may then close it while the next request
+    /// is in transit.
     reused: bool,
 }
 
-impl Clients {
+impl SidecarClients {
     /// Sends a request and reads its response, until the client times out or disconnects.
     pub(super) async fn exchange(&self, arrival: &Arrival, request: &OutgoingRequest) -> Response {
-        let until = self.shared.clock.instant(self.waits_until(request));
-        timeout_at(until, self.exchange_without_limit(arrival, request))
+        let wait_end = self.shared.clock.instant(self.response_wait_end(request));
+        timeout_at(wait_end, self.exchange_without_timeout(arrival, request))
             .await
-            .unwrap_or(Response::none(RequestOutcome::Unanswered))
+            .unwrap_or(Response::without_response(RequestOutcome::Unanswered))
     }
 
-    /// When the client gives up. A response on its way at the timeout is still read: whether it
-    /// came in time is for the auditor to judge.
-    fn waits_until(&self, request: &OutgoingRequest) -> Micros {
+    /// When the client stops waiting for a response: at its disconnection, or twice the response
+    /// grace after its timeout. A late response is still read, as the auditor decides whether it
+    /// came in time.
+    fn response_wait_end(&self, request: &OutgoingRequest) -> Micros {
         let rules = &self.shared.scenario.rules;
         let grace = from_ms(rules.response_grace_ms + rules.emulator_extra_ms);
         request
             .disconnects_at
-            .filter(|&at| at < request.due)
-            .unwrap_or(request.due + 2 * grace)
+            .filter(|&at| at < request.times_out_at)
+            .unwrap_or(request.times_out_at + 2 * grace)
     }
 
-    /// A request whose connection was closed as it crossed is sent once more on a new one, unless
-    /// its sidecar was ended in between: then what it did is not known.
-    async fn exchange_without_limit(
+    /// Sends a request again on another connection if the sidecar closed a reused one while the
+    /// request was in transit. If the sidecar process ended in between, the request isn't sent
+    /// again, because the old process may have acted on it.
+    async fn exchange_without_timeout(
         &self,
         arrival: &Arrival,
         request: &OutgoingRequest,
@@ -79,44 +82,45 @@
         let incarnation = self.sidecars.incarnation(self.sidecar);
         let mut accepted = false;
         loop {
-            let Ok(mut opened) = self.open().await else {
-                return self.on_unreachable(request, accepted);
+            let Ok(mut acquired) = self.acquire_connection().await else {
+                return self.on_connect_failed(request, accepted);
             };
-            let sent = self
-                .send(&mut opened.connection, arrival, request, &mut accepted)
+            let result = self
+                .send(&mut acquired.connection, arrival, request, &mut accepted)
                 .await;
-            let error = match sent {
-                Ok(message) => return self.on_response(opened.connection, &message, request),
+            let error = match result {
+                Ok(message) => return self.on_response(acquired.connection, &message, request),
                 Err(error) => error,
             };
             self.sidecars.wait_until_killed(self.sidecar).await;
             let same_process = self.sidecars.incarnation(self.sidecar) == incarnation;
-            if !(opened.reused && is_close(&error) && same_process) {
-                return Response::none(if accepted {
+            if !(acquired.reused && is_connection_closed(&error) && same_process) {
+                return Response::without_response(if accepted {
                     RequestOutcome::ConnectionLost
                 } else {
                     RequestOutcome::Unreachable
                 });
             }
-            self.idle.clear();
+            self.idle_connections.clear();
         }
     }
 
-    async fn open(&self) -> io::Result<Opened> {
-        if let Some(connection) = self.idle.take() {
-            return Ok(Opened {
+    async fn acquire_connection(&self) -> io::Result<AcquiredConnection> {
+        if let Some(connection) = self.idle_connections.take() {
+            return Ok(AcquiredConnection {
                 connection,
                 reused: true,
             });
         }
         let stream = TcpStream::connect(self.address).await?;
-        Ok(Opened {
+        Ok(AcquiredConnection {
             connection: HttpConnection::new(stream),
             reused: false,
         })
     }
 
-    /// Writes the request and reads the response; `accepted` is set once the request is out.
+    /// Writes the request and reads the response. After the first write of the request, sets
+    /// `accepted` and records the request as accepted.
     async fn send(
         &self,
         connection: &mut HttpConnection,
@@ -125,8 +129,8 @@
         accepted: &mut bool,
     ) -> io::Result<Message> {
         let now = self.shared.clock.now();
-        let text = request.text(&self.shared.scenario, arrival, now);
-        connection.write(&text).await?;
+        let message = request.encode(&self.shared.scenario, arrival, now);
+        connection.write(&message).await?;
         if !*accepted {
             *accepted = true;
             self.shared.record(LogEvent::RequestAccepted {
@@ -134,38 +138,39 @@
                 arrival: request.arrival,
                 sidecar: self.sidecar,
                 class: arrival.class,
-                due: request.due,
+                due: request.times_out_at,
             });
         }
         connection.read_response().await
     }
 
-    /// No sidecar listens. A request that was out before has crossed the close of its connection.
-    fn on_unreachable(&self, request: &OutgoingRequest, accepted: bool) -> Response {
+    /// Handles a refused connection. A request that was written before was lost in transit when its
+    /// connection closed, and is recorded as not accepted.
+    fn on_connect_failed(&self, request: &OutgoingRequest, accepted: bool) -> Response {
         if accepted {
             self.shared.recorder.on_request_not_accepted(request.number);
         }
-        Response::none(RequestOutcome::Unreachable)
+        Response::without_response(RequestOutcome::Unreachable)
     }
 
-    /// Keeps the connection for a next request, unless the response closes it.
+    /// Returns the connection to the pool, unless the response closes it.
     fn on_response(
         &self,
         connection: HttpConnection,
         message: &Message,
         request: &OutgoingRequest,
     ) -> Response {
-        let closes = message
+        let closes_connection = message
             .header("connection")
             .is_some_and(|value| value.eq_ignore_ascii_case("close"));
-        if !closes {
-            self.idle.put(connection);
+        if !closes_connection {
+            self.idle_connections.put(connection);
         }
-        Response::of(message, request.number)
+        Response::from_message(message, request.number)
     }
 }
 
-fn is_close(error: &io::Error) -> bool {
+fn is_connection_closed(error: &io::Error) -> bool {
     use io::ErrorKind::{BrokenPipe, ConnectionReset, UnexpectedEof};
     matches!(error.kind(), BrokenPipe | ConnectionReset | UnexpectedEof)
 }
--- a/crates/testbed/src/emulator/client/mod.rs
+++ b/crates/testbed/src/emulator/client/mod.rs
@@ -1,9 +1,10 @@
-//! The load: emulated clients that send on time whatever comes back. An arrival's time runs from
-//! when it was due, not from when it could be sent, so that a stall counts against all that would
-//! have arrived in it.
+//! Open-loop load generator: emulated clients start each arrival at its drawn time, independent of
+//! earlier responses. The latency of an arrival is measured from its drawn time and not from when
+//! it was sent, so that a stall counts against every arrival that was due during it (no coordinated
+//! omission).
 //!
-//! This file starts the arrivals; `arrival` plays one with its retries, `exchange` sends one
-//! request and reads its response, `request` is their form on the wire.
+//! This module starts the arrivals; `arrival` runs one arrival with its retries, `exchange` sends
+//! one request and reads its response, and `request` encodes requests and interprets responses.
 
 mod arrival;
 mod exchange;
@@ -24,77 +25,77 @@
 
 use exchange::IdleConnections;
 
-/// What the clients of all sidecars share.
-struct Load {
+/// Tenant quotas and the count of open arrivals, shared by the clients of all sidecars.
+struct ArrivalLimits {
     quotas: Mutex<Vec<TenantQuota>>,
     open_arrivals: AtomicUsize,
 }
 
-impl Load {
-    /// Counts an arrival as open, unless so many are already.
-    fn try_open(&self, limit: usize) -> bool {
-        if self.open_arrivals.load(Ordering::Relaxed) >= limit {
+impl ArrivalLimits {
+    /// Counts an arrival as open and returns true, unless `max_open` arrivals are open already.
+    fn try_open_arrival(&self, max_open: usize) -> bool {
+        if self.open_arrivals.load(Ordering::Relaxed) >= max_open {
             return false;
         }
         self.open_arrivals.fetch_add(1, Ordering::Relaxed);
         true
     }
 
-    fn on_ended(&self) {
+    fn on_arrival_ended(&self) {
         self.open_arrivals.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// The clients of one sidecar.
-struct Clients {
+/// The emulated clients that send to one sidecar.
+struct SidecarClients {
     shared: Arc<Shared>,
     sidecars: Arc<Sidecars>,
-    load: Arc<Load>,
+    limits: Arc<ArrivalLimits>,
     sidecar: SidecarIndex,
     address: SocketAddr,
-    idle: IdleConnections,
+    idle_connections: IdleConnections,
 }
 
-impl Clients {
-    /// Takes from a tenant's quota; false for what is beyond it.
-    fn within_quota(&self, tenant: TenantIndex) -> bool {
-        lock(&self.load.quotas)
+impl SidecarClients {
+    /// Takes one arrival from the tenant's quota; returns false if the quota is used up.
+    fn try_take_quota(&self, tenant: TenantIndex) -> bool {
+        lock(&self.limits.quotas)
             .get_mut(tenant.index())
             .is_none_or(|quota| quota.try_take(self.shared.clock.now()))
     }
 
-    /// Plays the sidecar's arrivals to their ends.
-    async fn play(self: Arc<Self>, arrivals: ArrivalStream) {
-        let mut open = JoinSet::new();
+    /// Runs the sidecar's arrivals until all have ended.
+    async fn run(self: Arc<Self>, arrivals: ArrivalStream) {
+        let mut open_arrivals = JoinSet::new();
         for (index, arrival) in arrivals.enumerate() {
             self.shared.clock.sleep_until(arrival.at).await;
-            self.shared.on_done(arrival.at);
-            open.spawn(Arc::clone(&self).play_arrival(arrival, index));
-            while open.try_join_next().is_some() {}
+            self.shared.record_delay(arrival.at);
+            open_arrivals.spawn(Arc::clone(&self).run_arrival(arrival, index));
+            while open_arrivals.try_join_next().is_some() {}
         }
-        while open.join_next().await.is_some() {}
+        while open_arrivals.join_next().await.is_some() {}
     }
 }
 
-/// Plays all arrivals to their ends.
-pub(super) async fn play(emulation: &Emulation) {
+/// Runs the arrivals at all sidecars until all have ended.
+pub(super) async fn run(emulation: &Emulation) {
     let scenario = &emulation.shared.scenario;
-    let load = Arc::new(Load {
+    let limits = Arc::new(ArrivalLimits {
         quotas: Mutex::new(quotas(scenario)),
         open_arrivals: AtomicUsize::new(0),
     });
-    let mut all = JoinSet::new();
+    let mut tasks = JoinSet::new();
     for (position, traffic_share) in traffic_shares(scenario).into_iter().enumerate() {
         let sidecar = SidecarIndex::from_position(position);
-        let clients = Arc::new(Clients {
+        let clients = Arc::new(SidecarClients {
             shared: Arc::clone(&emulation.shared),
             sidecars: Arc::clone(&emulation.sidecars),
-            load: Arc::clone(&load),
+            limits: Arc::clone(&limits),
             sidecar,
             address: emulation.sidecars.address(sidecar),
-            idle: IdleConnections::default(),
+            idle_connections: IdleConnections::default(),
         });
-        all.spawn(clients.play(ArrivalStream::new(scenario, sidecar, traffic_share)));
+        tasks.spawn(clients.run(ArrivalStream::new(scenario, sidecar, traffic_share)));
     }
-    while all.join_next().await.is_some() {}
+    while tasks.join_next().await.is_some() {}
 }
--- a/crates/testbed/src/emulator/client/request/tests.rs
+++ b/crates/testbed/src/emulator/client/request/tests.rs
@@ -1,4 +1,4 @@
-//! The bytes of a request, and the meaning of a response.
+//! Encoding of requests, and outcomes of responses.
 
 use super::{OutgoingRequest, Response};
 use crate::emulator::http::parsed_response;
@@ -41,13 +41,13 @@
 const REQUEST: OutgoingRequest = OutgoingRequest {
     number: RequestNumber::new(0xab),
     arrival: ArrivalNumber::new(1),
-    due: 5_000,
+    times_out_at: 5_000,
     disconnects_at: None,
 };
 
 #[test]
-fn a_safe_request_has_no_key_and_no_body() {
-    let text = REQUEST.text(&scenario(), &arrival(0, 0, Some(900)), 2_000);
+fn an_idempotent_request_has_no_key_and_no_body() {
+    let text = REQUEST.encode(&scenario(), &arrival(0, 0, Some(900)), 2_000);
     let expected = "GET /api?w=1234.6&c=0 HTTP/1.1\r\nHost: origin.svc\r\n\
                     X-Request-ID: 00000000000000ab\r\nX-Priority-Class: job-status\r\n\
                     X-Tenant-Id: oita-funai\r\nX-Timeout: 3000u\r\nX-Cost: 900\r\n\r\n";
@@ -55,8 +55,8 @@
 }
 
 #[test]
-fn a_keyed_request_has_its_key_and_one_past_its_time_a_timeout_of_one_microsecond() {
-    let text = REQUEST.text(&scenario(), &arrival(1, 9, None), 6_000);
+fn a_request_with_an_idempotency_key_sends_it_and_an_expired_timeout_is_one_microsecond() {
+    let text = REQUEST.encode(&scenario(), &arrival(1, 9, None), 6_000);
     let expected = "POST /api?w=1234.6&c=1 HTTP/1.1\r\nHost: origin.svc\r\n\
                     X-Request-ID: 00000000000000ab\r\nX-Priority-Class: pay-order\r\n\
                     X-Tenant-Id: none\r\nX-Timeout: 1u\r\nIdempotency-Key: k00000000000000ab\r\n\
@@ -65,8 +65,8 @@
 }
 
 #[test]
-fn an_unsafe_request_has_a_body_and_no_key() {
-    let text = REQUEST.text(&scenario(), &arrival(2, 0, None), 2_000);
+fn a_non_idempotent_request_has_a_body_and_no_key() {
+    let text = REQUEST.encode(&scenario(), &arrival(2, 0, None), 2_000);
     let expected = "POST /api?w=1234.6&c=2 HTTP/1.1\r\nHost: origin.svc\r\n\
                     X-Request-ID: 00000000000000ab\r\nX-Priority-Class: book-slot\r\n\
                     X-Tenant-Id: oita-funai\r\nX-Timeout: 3000u\r\nContent-Length: 10\r\n\r\n\
@@ -75,45 +75,51 @@
 }
 
 #[test]
-fn a_response_is_served_only_where_a_server_made_it_for_this_request() {
+fn a_response_counts_as_served_only_if_its_body_names_the_request() {
     let outcome = |status: &str, body: &str| {
         let message = parsed_response(&format!("HTTP/1.1 {status}\r\n\r\n"), body);
-        Response::of(&message, REQUEST.number).outcome
+        Response::from_message(&message, REQUEST.number).outcome
     };
-    let own = "done 00000000000000ab at s3\n";
-    assert_eq!(outcome("200 OK", own), RequestOutcome::Served);
-    let other = "done 00000000000000ac at s3\n";
-    assert_eq!(outcome("200 OK", other), RequestOutcome::Mismatched);
+    let matching_body = "done 00000000000000ab at s3\n";
+    assert_eq!(outcome("200 OK", matching_body), RequestOutcome::Served);
+    let mismatched_body = "done 00000000000000ac at s3\n";
+    assert_eq!(
+        outcome("200 OK", mismatched_body),
+        RequestOutcome::Mismatched
+    );
     assert_eq!(outcome("200 OK", ""), RequestOutcome::Mismatched);
     for status in ["503 Service Unavailable", "429 Too Many Requests"] {
         assert_eq!(outcome(status, ""), RequestOutcome::Rejected);
     }
     for status in ["500 Internal Server Error", "504 Gateway Timeout"] {
-        assert_eq!(outcome(status, own), RequestOutcome::Failed);
+        assert_eq!(outcome(status, matching_body), RequestOutcome::Failed);
     }
 }
 
 #[test]
-fn retry_after_is_bounded_and_anything_but_a_number_is_ignored() {
-    let pause = |value: &str| {
+fn retry_after_is_clamped_and_ignored_unless_it_is_a_number() {
+    let retry_after = |value: &str| {
         let head = format!("HTTP/1.1 503 Service Unavailable\r\nRetry-After: {value}\r\n\r\n");
-        Response::of(&parsed_response(&head, ""), REQUEST.number).retry_after
+        Response::from_message(&parsed_response(&head, ""), REQUEST.number).retry_after
     };
-    assert_eq!(pause("0.25"), Some(250_000));
-    assert_eq!(pause("-3"), Some(0));
-    assert_eq!(pause("1e9"), Some(600_000_000));
-    assert_eq!(pause("soon"), None);
+    assert_eq!(retry_after("0.25"), Some(250_000));
+    assert_eq!(retry_after("-3"), Some(0));
+    assert_eq!(retry_after("1e9"), Some(600_000_000));
+    assert_eq!(retry_after("soon"), None);
 }
 
 #[test]
-fn only_a_client_that_was_to_disconnect_and_got_nothing_has_disconnected() {
-    let leaves = OutgoingRequest {
+fn only_an_unanswered_request_of_a_disconnecting_client_counts_as_disconnected() {
+    let disconnecting = OutgoingRequest {
         disconnects_at: Some(4_000),
         ..REQUEST
     };
     let unanswered = RequestOutcome::Unanswered;
-    assert_eq!(leaves.outcome(unanswered), RequestOutcome::Disconnected);
-    assert_eq!(REQUEST.outcome(unanswered), unanswered);
+    assert_eq!(
+        disconnecting.final_outcome(unanswered),
+        RequestOutcome::Disconnected
+    );
+    assert_eq!(REQUEST.final_outcome(unanswered), unanswered);
     let served = RequestOutcome::Served;
-    assert_eq!(leaves.outcome(served), served);
+    assert_eq!(disconnecting.final_outcome(served), served);
 }
--- a/crates/testbed/src/emulator/emulated_server/mod.rs
+++ b/crates/testbed/src/emulator/emulated_server/mod.rs
@@ -214,7 +214,7 @@
             match self.advance() {
                 Some(next) => {
                     tokio::select! {
-                        () = self.shared.clock.sleep_until(next) => self.shared.on_done(next),
+                        () = self.shared.clock.sleep_until(next) => self.shared.record_delay(next),
                         () = self.changed.notified() => {}
                     }
                 }
--- a/crates/testbed/src/emulator/mod.rs
+++ b/crates/testbed/src/emulator/mod.rs
@@ -115,7 +115,7 @@
     async fn play(&self) -> Result<EmulationResult, EmulatorError> {
         self.sidecars.start_all().await?;
         let faults = fault_schedule::play(self);
-        let load = client::play(self);
+        let load = client::run(self);
         let gauges = emulated_server::record_gauges(self);
         tokio::select! {
             () = async { tokio::join!(faults, load); } => {}
--- a/crates/testbed/src/emulator/shared.rs
+++ b/crates/testbed/src/emulator/shared.rs
@@ -43,8 +43,8 @@
         self.record_at(self.clock.now(), event);
     }
 
-    /// Records that something due at `due` is done now.
-    pub(super) fn on_done(&self, due: Micros) {
+    /// Records how late an action that was due at `due` happens now.
+    pub(super) fn record_delay(&self, due: Micros) {
         self.timeliness.on_done(due, self.clock.now());
     }
 
