--- a/crates/testbed/src/emulator/counter_check/tests.rs
+++ b/crates/testbed/src/emulator/counter_check/tests.rs
@@ -12,9 +12,9 @@
 
 /// What agrees with [`records`]: one request of each end, one of them over capacity, and four
 /// attempts.
-const COUNTERS: &str = "stopped\nrequests_accepted 4\nrequests_over_capacity 1\nresponses_served 1\n\
-    responses_rejected 1\nresponses_failed 1\nclients_disconnected 1\nattempts_started 4\n\
-    attempts_served 1\nattempts_error 1\nattempts_rejected 1\nattempts_cancelled 1\n\
+const COUNTERS: &str = "stopped\nrequests_accepted 4\nrequests_over_capacity 1\n\
+    responses_served 1\nresponses_rejected 1\nresponses_failed 1\nclients_disconnected 1\n\
+    attempts_started 4\nattempts_served 1\nattempts_error 1\nattempts_rejected 1\nattempts_cancelled 1\n\
     health_checks_sent 3\nhealth_checks_failed 0\n";
 
 fn records() -> Vec<LogRecord> {
@@ -71,7 +71,7 @@
 
 fn fleet(text: &str) -> FleetCounters {
     FleetCounters {
-        sum: Counters::at_end_of(text).expect("printed"),
+        sum: Counters::from_log(text).expect("printed"),
         ..FleetCounters::default()
     }
 }
--- a/crates/testbed/src/emulator/error.rs
+++ b/crates/testbed/src/emulator/error.rs
@@ -1,4 +1,4 @@
-//! Why the emulator cannot play a scenario.
+//! Errors of the emulator.
 
 use std::io;
 use std::net::SocketAddr;
@@ -6,27 +6,27 @@
 use std::process::ExitStatus;
 use std::time::Duration;
 
-/// What could not be set up, started or written.
+/// Why the emulator could not set up or run a scenario.
 #[derive(Debug, thiserror::Error)]
 pub enum EmulatorError {
-    /// The scenario needs more sockets than one machine bears: use fewer servers or sidecars, or
-    /// the simulator.
-    #[error("{pairs} pairs of server and sidecar are more than {max}")]
+    /// The scenario needs more sockets than one machine supports: use fewer servers or sidecars,
+    /// or the simulator.
+    #[error("{pairs} pairs of server and sidecar exceed the limit of {max}")]
     TooManyConnectionPairs {
-        /// Servers times sidecars.
+        /// Number of servers times number of sidecars.
         pairs: usize,
-        /// What the emulator bears.
+        /// The emulator's limit.
         max: usize,
     },
-    /// Other processes use all ports that the emulator takes from: end other emulators.
+    /// All ports of the emulator's range are in use: stop other emulators.
     #[error("no free port on the loopback address")]
     NoFreePort,
-    /// An address cannot be listened on.
-    #[error("{address}: {source}")]
+    /// The emulator cannot listen on an address.
+    #[error("cannot listen on {address}: {source}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What the system says.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// A folder or configuration cannot be written: check `--folder`.
@@ -34,49 +34,49 @@
     Write {
         /// The folder or file.
         path: PathBuf,
-        /// What the system says.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// A sidecar's log cannot be created: check `--folder`.
-    #[error("the log of {sidecar}: {source}")]
+    #[error("cannot create the log of {sidecar}: {source}")]
     CreateLog {
         /// The sidecar's name.
         sidecar: String,
-        /// What the system says.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The sidecar's program cannot be started: check `--arrowstand`.
+    /// The sidecar's program cannot be executed: check `--arrowstand`.
     #[error("{}: {source}", .program.display())]
     Spawn {
         /// The program.
         program: PathBuf,
-        /// What the system says.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// A sidecar ended before it was ready.
-    #[error("{sidecar} ended at its start ({status}): {last_line}")]
-    EndedAtStart {
+    /// A sidecar exited before it was ready.
+    #[error("{sidecar} exited during startup ({status}): {last_line}")]
+    ExitedAtStart {
         /// The sidecar's name.
         sidecar: String,
-        /// How it ended.
+        /// Its exit status.
         status: ExitStatus,
         /// The last line of its log.
         last_line: String,
     },
-    /// A sidecar runs and does not become ready: its log may say why.
-    #[error("{sidecar} was not ready in {limit:?}: {}", .log.display())]
+    /// A sidecar runs but did not become ready in time: check its log.
+    #[error("{sidecar} was not ready within {limit:?}; see {}", .log.display())]
     NotReady {
         /// The sidecar's name.
         sidecar: String,
-        /// How long it was waited for.
+        /// How long the emulator waited.
         limit: Duration,
-        /// Its log.
+        /// The path of its log.
         log: PathBuf,
     },
     /// The asynchronous runtime did not start.
-    #[error("the runtime did not start: {0}")]
+    #[error("cannot start the asynchronous runtime: {0}")]
     Runtime(#[source] io::Error),
-    /// Ctrl-C cannot be waited for.
-    #[error("{0}")]
+    /// The signal handler for Ctrl-C cannot be installed.
+    #[error("cannot wait for Ctrl-C: {0}")]
     Interrupt(#[source] io::Error),
 }
--- a/crates/testbed/src/emulator/mod.rs
+++ b/crates/testbed/src/emulator/mod.rs
@@ -122,7 +122,7 @@
             () = gauges => {}
         }
         tokio::time::sleep(SETTLING_TIME).await;
-        let counters = self.sidecars.end_all().await;
+        let counters = self.sidecars.shut_down_all().await;
         let records = self.shared.recorder.sorted();
         let counters = counter_check::compare(&self.shared, &records, &counters);
         Ok(EmulationResult {
@@ -185,7 +185,7 @@
 ) -> Result<(), EmulatorError> {
     runtime()?.block_on(async {
         let emulation = Emulation::set_up(scenario, options).await?;
-        on_ready(emulation.sidecars.commands()?);
+        on_ready(emulation.sidecars.start_commands()?);
         tokio::select! {
             () = fault_schedule::play_for_ever(&emulation) => {}
             interrupted = tokio::signal::ctrl_c() => {
--- a/crates/testbed/src/emulator/sidecars/counters.rs
+++ b/crates/testbed/src/emulator/sidecars/counters.rs
@@ -1,6 +1,6 @@
-//! The counters that sidecars print as they end.
+//! Reads the counters that a sidecar prints at its exit.
 //!
-//! Owns their form in a sidecar's log. What they must be is known by `counter_check`.
+//! `counter_check` compares them with the event log.
 
 #[cfg(test)]
 mod tests;
@@ -8,16 +8,16 @@
 use std::collections::BTreeMap;
 
 /// The line after which a sidecar prints its counters.
-const COUNTERS_FOLLOW: &str = "stopped\n";
+const COUNTERS_MARKER: &str = "stopped\n";
 
-/// Counts by name.
+/// Counter values by name.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(in crate::emulator) struct Counters(BTreeMap<String, u64>);
 
 impl Counters {
-    /// The counters at the end of a sidecar's log; nothing if it printed none.
-    pub(in crate::emulator) fn at_end_of(log: &str) -> Option<Self> {
-        let (_, text) = log.rsplit_once(COUNTERS_FOLLOW)?;
+    /// Parses the counters at the end of a sidecar's log; `None` if it printed none.
+    pub(in crate::emulator) fn from_log(log: &str) -> Option<Self> {
+        let (_, text) = log.rsplit_once(COUNTERS_MARKER)?;
         let counter = |line: &str| {
             let (name, value) = line.trim().split_once(' ')?;
             Some((name.to_owned(), value.parse().ok()?))
@@ -25,7 +25,7 @@
         Some(Self(text.lines().filter_map(counter).collect()))
     }
 
-    /// A count; 0 if it is not there.
+    /// The value of a counter; 0 if it is missing.
     pub(in crate::emulator) fn get(&self, name: &str) -> u64 {
         self.0.get(name).copied().unwrap_or(0)
     }
@@ -37,12 +37,12 @@
     }
 }
 
-/// What the counters of all sidecars add up to.
+/// The sums of the counters of all sidecars.
 #[derive(Default)]
 pub(in crate::emulator) struct FleetCounters {
     pub(in crate::emulator) sum: Counters,
-    /// Processes that were killed, whose counters are lost.
+    /// Number of processes that were killed, and whose counters are lost.
     pub(in crate::emulator) killed: u32,
-    /// Sidecars that printed no counters at their end.
+    /// Number of sidecars that printed no counters at their exit.
     pub(in crate::emulator) missing: u32,
 }
--- a/crates/testbed/src/emulator/sidecars/mod.rs
+++ b/crates/testbed/src/emulator/sidecars/mod.rs
@@ -1,8 +1,8 @@
-//! The sidecars: real processes that are configured, started, restarted, ended and asked for their
+//! Manages the sidecar processes: configures, starts, restarts and stops them, and reads their
 //! counters.
 //!
-//! This file owns the fleet; `process` one sidecar, `settings` its configuration, `counters` what
-//! it printed.
+//! This module handles the set of all sidecars; `process` is one sidecar, `settings` its
+//! configuration and `counters` the counters that it printed.
 
 mod counters;
 mod process;
@@ -33,28 +33,28 @@
 pub(super) use counters::FleetCounters;
 pub(super) use restart::Termination;
 
-/// How long a sidecar may take to end with the run; it is killed after that.
-const SHUTDOWN_LIMIT: Duration = Duration::from_secs(10);
+/// Time limit for a sidecar's shutdown at the end of the run; it is killed after that.
+const FINAL_SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// All sidecars.
+/// All sidecars of an emulation.
 pub(super) struct Sidecars {
     shared: Arc<Shared>,
     discovery: Arc<Discovery>,
     program: PathBuf,
     folder: PathBuf,
-    /// The operators' table of machine types, read by each sidecar that starts.
-    machine_types: PathBuf,
+    /// The operators' table of machine types, which each sidecar reads at its start.
+    machine_types_path: PathBuf,
     sidecars: Vec<Sidecar>,
 }
 
-fn write(path: PathBuf, text: &str) -> Result<PathBuf, EmulatorError> {
+fn write_file(path: PathBuf, text: &str) -> Result<PathBuf, EmulatorError> {
     match std::fs::write(&path, text) {
         Ok(()) => Ok(path),
         Err(source) => Err(EmulatorError::Write { path, source }),
     }
 }
 
-/// The folder of configurations and logs, which is created if it is missing.
+/// Returns the folder of configurations and logs; creates it if it is missing.
 fn create_folder(options: &Options) -> Result<PathBuf, EmulatorError> {
     let default = || {
         let name = format!("arrowstand-emulator-{}", std::process::id());
@@ -72,10 +72,11 @@
 }
 
 impl Sidecars {
-    /// Sidecars that are not started yet.
+    /// Reserves an address for each sidecar and writes the table of machine types; starts no
+    /// process.
     ///
     /// # Errors
-    /// Where an address is missing, or the folder cannot be written.
+    /// If there is no free port, or the folder cannot be written.
     pub(super) fn new(
         shared: &Arc<Shared>,
         discovery: &Arc<Discovery>,
@@ -90,32 +91,32 @@
         let sidecars = SidecarIndex::all(scenario.sidecars.count)
             .map(sidecar)
             .collect::<Result<_, EmulatorError>>()?;
-        // Written once for all: a sidecar that starts could otherwise read the file while it is
-        // being written for the next one.
+        // Written once for all sidecars: if it were written for each, a starting sidecar could read
+        // the file while it is being written for the next one.
         let machine_types = settings::machine_types(scenario).to_string();
-        let machine_types = write(folder.join("machines.json"), &machine_types)?;
+        let machine_types_path = write_file(folder.join("machines.json"), &machine_types)?;
         Ok(Arc::new(Self {
             shared: Arc::clone(shared),
             discovery: Arc::clone(discovery),
             program: options.program.clone(),
             folder,
-            machine_types,
+            machine_types_path,
             sidecars,
         }))
     }
 
-    /// Where a sidecar listens for clients.
+    /// The address on which a sidecar listens for clients.
     pub(super) fn address(&self, index: SidecarIndex) -> SocketAddr {
         self.sidecars[index.index()].address
     }
 
-    /// A number that rises as a sidecar's process begins to end.
+    /// Number of a sidecar's processes that were killed or have exited.
     pub(super) fn incarnation(&self, index: SidecarIndex) -> u32 {
         self.sidecars[index.index()].incarnation()
     }
 
-    /// Waits until a sidecar that is being killed is recorded as gone: what it closed was lost by
-    /// the kill.
+    /// Waits while a kill of the sidecar is in progress, so that a connection that the kill closed
+    /// is not taken for one that the sidecar closed itself.
     pub(super) async fn wait_until_killed(&self, index: SidecarIndex) {
         self.sidecars[index.index()].wait_until_killed().await;
     }
@@ -131,24 +132,24 @@
         SidecarIndex::all(self.sidecars.len()).zip(&self.sidecars)
     }
 
-    /// The log of a sidecar's present process.
-    fn log(&self, index: SidecarIndex) -> PathBuf {
+    /// Path of the log of a sidecar's present process.
+    fn log_path(&self, index: SidecarIndex) -> PathBuf {
         let sidecar = &self.sidecars[index.index()];
         let name = &sidecar.name;
         let incarnation = sidecar.incarnation();
         self.folder.join(format!("{name}-{incarnation}.log"))
     }
 
-    /// Ends all, and adds up their counters.
-    pub(super) async fn end_all(&self) -> FleetCounters {
+    /// Shuts down all sidecars and adds up their counters.
+    pub(super) async fn shut_down_all(&self) -> FleetCounters {
         let mut fleet = FleetCounters::default();
         for sidecar in &self.sidecars {
             sidecar.signal(Signal::SIGTERM);
         }
         for (index, sidecar) in self.enumerate() {
-            let log = self.log(index);
-            sidecar.wait(SHUTDOWN_LIMIT).await;
-            let printed = sidecar.add_counters_of(&read_log(&log));
+            let log_path = self.log_path(index);
+            sidecar.wait_for_exit(FINAL_SHUTDOWN_TIMEOUT).await;
+            let printed = sidecar.add_logged_counters(&read_log(&log_path));
             fleet.missing += u32::from(!printed);
             fleet.killed += sidecar.kills();
             fleet.sum.add(&sidecar.counters());
--- a/crates/testbed/src/emulator/sidecars/process.rs
+++ b/crates/testbed/src/emulator/sidecars/process.rs
@@ -1,8 +1,6 @@
-//! One sidecar's process: its address, its starts and ends, and the counters of the processes that
-//! ended.
+//! One sidecar: the handle of its present process, and the state that is kept across restarts.
 //!
-//! Owns the handle of the process and what must survive it. What is recorded of its states is the
-//! fleet's.
+//! State changes are recorded by `Sidecars`.
 
 use std::net::SocketAddr;
 use std::process::ExitStatus;
@@ -19,20 +17,20 @@
 use crate::index::SidecarIndex;
 use crate::random::RandomStream;
 
-/// Time between two looks at whether a killed process is gone.
-const KILL_POLL: Duration = Duration::from_millis(1);
+/// Interval between two checks for the exit of a killed process.
+const KILL_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// A sidecar, whose process is started again and again.
+/// A sidecar, and its process if one runs.
 pub(super) struct Sidecar {
     pub(super) name: String,
     pub(super) address: SocketAddr,
-    /// Rises as a process begins to end.
+    /// Number of processes that were killed or have exited.
     incarnation: AtomicU32,
     child: Mutex<Option<Child>>,
-    /// Counters of the processes that ended by themselves.
+    /// Sums of the counters of the processes that shut down gracefully.
     counters: Mutex<Counters>,
     kills: AtomicU32,
-    /// Whether it is killed, and not yet known to be gone.
+    /// Whether SIGKILL was sent and the process is not known to have exited.
     being_killed: AtomicBool,
     seeds: Mutex<RandomStream>,
 }
@@ -60,7 +58,7 @@
         self.kills.load(Ordering::SeqCst)
     }
 
-    /// The seed of the next process.
+    /// Draws the random seed of the next process.
     pub(super) fn next_seed(&self) -> u64 {
         lock(&self.seeds).number()
     }
@@ -69,7 +67,7 @@
         *lock(&self.child) = Some(child);
     }
 
-    /// Counts a process that is killed.
+    /// Counts a killed process; called before the signal is sent.
     pub(super) fn count_kill(&self) {
         self.incarnation.fetch_add(1, Ordering::SeqCst);
         self.kills.fetch_add(1, Ordering::SeqCst);
@@ -83,51 +81,52 @@
         self.being_killed.store(false, Ordering::SeqCst);
     }
 
-    /// The process has ended after it was notified.
-    pub(super) fn on_ended(&self) {
+    /// Called after the process has exited on SIGTERM, or was killed after its timeout.
+    pub(super) fn on_exited(&self) {
         self.incarnation.fetch_add(1, Ordering::SeqCst);
     }
 
-    /// Waits until a process that is being killed is known to be gone.
+    /// Waits while a kill is in progress.
     pub(super) async fn wait_until_killed(&self) {
         while self.being_killed.load(Ordering::SeqCst) {
-            tokio::time::sleep(KILL_POLL).await;
+            tokio::time::sleep(KILL_POLL_INTERVAL).await;
         }
     }
 
-    /// How the process ended, if it has.
+    /// The exit status, if the process has exited.
     pub(super) fn exit_status(&self) -> Option<ExitStatus> {
         lock(&self.child).as_mut()?.try_wait().ok()?
     }
 
-    /// Signals the process, if there is one.
+    /// Sends a signal to the process, if there is one.
     pub(super) fn signal(&self, signal: Signal) {
-        let id = lock(&self.child).as_ref().and_then(Child::id);
-        if let Some(id) = id.and_then(|id| i32::try_from(id).ok()) {
-            let _ = kill(Pid::from_raw(id), signal);
+        let pid = lock(&self.child).as_ref().and_then(Child::id);
+        if let Some(pid) = pid.and_then(|pid| i32::try_from(pid).ok()) {
+            let _ = kill(Pid::from_raw(pid), signal);
         }
     }
 
-    /// Waits for the process to end, and kills it where it takes too long.
-    pub(super) async fn wait(&self, limit: Duration) {
+    /// Waits for the process to exit, and kills it at the timeout.
+    pub(super) async fn wait_for_exit(&self, timeout: Duration) {
         let child = lock(&self.child).take();
         let Some(mut child) = child else { return };
-        if tokio::time::timeout(limit, child.wait()).await.is_err() {
-            tracing::warn!(sidecar = %self.name, ?limit, "sidecar did not end in time");
+        if tokio::time::timeout(timeout, child.wait()).await.is_err() {
+            tracing::warn!(sidecar = %self.name, limit = ?timeout, "sidecar did not exit in time");
             let _ = child.kill().await;
         }
     }
 
-    /// Adds the counters that a process printed at the end of its log; false if it printed none.
-    pub(super) fn add_counters_of(&self, log: &str) -> bool {
-        let counters = Counters::at_end_of(log);
+    /// Adds the counters that a process printed at the end of its log; returns false if there are
+    /// none.
+    pub(super) fn add_logged_counters(&self, log: &str) -> bool {
+        let counters = Counters::from_log(log);
         if let Some(counters) = &counters {
             lock(&self.counters).add(counters);
         }
         counters.is_some()
     }
 
-    /// The counters of all processes that ended by themselves.
+    /// The sums of the counters of all processes that shut down gracefully.
     pub(super) fn counters(&self) -> Counters {
         lock(&self.counters).clone()
     }
--- a/crates/testbed/src/emulator/sidecars/restart.rs
+++ b/crates/testbed/src/emulator/sidecars/restart.rs
@@ -1,49 +1,52 @@
-//! The restart of a sidecar: killed outright, or notified and waited for.
+//! Restarts a sidecar, after SIGKILL or a graceful shutdown.
 //!
-//! Owns the steps of a restart and their records; when it is due is known by `fault_schedule`.
+//! Records each state change of the restart. `fault_schedule` decides when a restart happens.
 
 use std::time::Duration;
 
 use nix::sys::signal::Signal;
 use tokio::time::Instant;
 
-use super::start::READY_LIMIT;
+use super::start::READINESS_TIMEOUT;
 use super::{Sidecars, read_log};
 use crate::event_log::ProcessState;
 use crate::index::SidecarIndex;
 use crate::scenario::{Micros, from_ms};
 
-/// Milliseconds that a sidecar has at least to respond to what it has accepted as it shuts down; a
-/// scenario's longest deadline counts where it is longer.
-const MIN_DEADLINE_MS: f64 = 3_000.0;
-/// Microseconds beyond that deadline after which a sidecar that has not exited is killed.
+/// Lower bound on the time that a sidecar has to respond to its open requests during a graceful
+/// shutdown, in milliseconds; the scenario's longest deadline applies if it is longer.
+const MIN_SHUTDOWN_TIMEOUT_MS: f64 = 3_000.0;
+/// Added to that time before a sidecar that has not exited is killed, in microseconds.
 const SHUTDOWN_MARGIN: Micros = 900_000;
+/// Time limit for a process to exit after SIGKILL.
+const KILL_TIMEOUT: Duration = READINESS_TIMEOUT;
 
-/// How a sidecar's process is ended.
+/// How a sidecar's process is terminated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::emulator) enum Termination {
-    /// Outright, with all that it has in flight.
+    /// With SIGKILL; its open requests are lost.
     Kill,
-    /// It is notified, responds to what it has accepted, and exits.
+    /// With SIGTERM; it responds to its open requests and exits.
     Graceful,
 }
 
 impl Sidecars {
-    /// Restarts a sidecar so that it is back after `down`, or later where its end takes longer.
+    /// Terminates a sidecar and starts it again `downtime` later, or as soon as the old process has
+    /// exited if that takes longer.
     pub(in crate::emulator) async fn restart(
         &self,
         index: SidecarIndex,
-        down: Micros,
+        downtime: Micros,
         termination: Termination,
     ) {
-        let back_at = Instant::now() + Duration::from_micros(down);
+        let start_at = Instant::now() + Duration::from_micros(downtime);
         match termination {
             Termination::Kill => self.kill(index).await,
             Termination::Graceful => self.shut_down(index).await,
         }
-        tokio::time::sleep_until(back_at).await;
+        tokio::time::sleep_until(start_at).await;
         if let Err(error) = self.start(index) {
-            tracing::error!(sidecar = %index, %error, "sidecar did not start again");
+            tracing::error!(sidecar = %index, %error, "failed to restart the sidecar");
         }
     }
 
@@ -53,8 +56,8 @@
         self.record_state(index, ProcessState::Killed);
         sidecar.on_kill_started();
         sidecar.signal(Signal::SIGKILL);
-        sidecar.wait(READY_LIMIT).await;
-        // What came between the signal and its effect was lost by the same kill.
+        sidecar.wait_for_exit(KILL_TIMEOUT).await;
+        // Recorded again, as requests accepted between the signal and the exit are lost too.
         self.record_state(index, ProcessState::Killed);
         sidecar.on_kill_ended();
     }
@@ -62,19 +65,19 @@
     async fn shut_down(&self, index: SidecarIndex) {
         let sidecar = &self.sidecars[index.index()];
         self.record_state(index, ProcessState::ShuttingDown);
-        let log = self.log(index);
+        let log_path = self.log_path(index);
         sidecar.signal(Signal::SIGTERM);
-        sidecar.wait(self.shutdown_limit()).await;
-        sidecar.on_ended();
+        sidecar.wait_for_exit(self.shutdown_timeout()).await;
+        sidecar.on_exited();
         self.record_state(index, ProcessState::Exited);
-        sidecar.add_counters_of(&read_log(&log));
+        sidecar.add_logged_counters(&read_log(&log_path));
     }
 
-    fn shutdown_limit(&self) -> Duration {
+    fn shutdown_timeout(&self) -> Duration {
         let classes = self.shared.scenario.class.iter();
         let longest_ms = classes
             .map(|class| class.deadline_ms)
-            .fold(MIN_DEADLINE_MS, f64::max);
+            .fold(MIN_SHUTDOWN_TIMEOUT_MS, f64::max);
         Duration::from_micros(from_ms(longest_ms) + SHUTDOWN_MARGIN)
     }
 }
--- a/crates/testbed/src/emulator/sidecars/settings.rs
+++ b/crates/testbed/src/emulator/sidecars/settings.rs
@@ -1,7 +1,8 @@
-//! The sidecars' configuration: what a scenario says, in the platform's form.
+//! Builds the sidecars' configuration from a scenario.
 //!
-//! Owns the keys of the configuration's frame and of the table of machine types. The keys of
-//! settings and endpoint list are the platform's, the balancer's settings those of the simulator.
+//! Defines the top-level keys of the configuration and those of the table of machine types. The
+//! keys of the settings and of the endpoint list are defined by `arrowstand_platform`; the
+//! balancer's settings are the simulator's.
 
 #[cfg(test)]
 mod tests;
@@ -19,9 +20,10 @@
 use crate::scenario::{LoadReportSource, Scenario, from_s};
 use crate::simulator::sidecars::settings::balancer_settings;
 
-/// Cores of a sidecar's container; a scenario has no key for them.
+/// CPU cores of a sidecar's container, for which a scenario has no key.
 const CORES: f64 = 1.0;
-/// Of what only the simulator's channels offer, the emulator has none; its discovery is polled.
+/// The emulator supports none of the features that only the simulator's channels have; its sidecars
+/// poll discovery.
 const POLLED_DISCOVERY: SimulatorFeatures = SimulatorFeatures {
     gossip: false,
     retry_after: false,
@@ -29,19 +31,19 @@
     streamed: Vec::new(),
 };
 
-/// What one sidecar's configuration says beside its settings.
-pub(super) struct Identity<'a> {
+/// The values of one sidecar's configuration other than its settings.
+pub(super) struct SidecarIdentity<'a> {
     pub(super) index: SidecarIndex,
     pub(super) address: SocketAddr,
     pub(super) discovery: SocketAddr,
     pub(super) seed: u64,
-    /// The endpoint list that the sidecar starts with.
+    /// The endpoint list with which the sidecar starts.
     pub(super) cached_endpoints: &'a Value,
 }
 
-/// A sidecar's configuration.
-pub(super) fn configuration(scenario: &Scenario, identity: &Identity<'_>) -> Value {
-    let container = &scenario.sidecars;
+/// A sidecar's whole configuration.
+pub(super) fn configuration(scenario: &Scenario, identity: &SidecarIdentity<'_>) -> Value {
+    let sidecars = &scenario.sidecars;
     json!({
         "name": identity.index.to_string(),
         "listen": identity.address.to_string(),
@@ -49,27 +51,34 @@
         "seed": format!("{:016x}", identity.seed),
         "limits": {
             "cores": CORES,
-            "memory_mb": container.memory_mb,
-            "sockets": container.sockets,
+            "memory_mb": sidecars.memory_mb,
+            "sockets": sidecars.sockets,
         },
         "known": identity.cached_endpoints,
         "settings": settings(scenario, identity.index),
     })
 }
 
-/// The operators' table of machine types, empty where sidecars do not know them.
+/// The table of machine types that operators provide; empty if the scenario's sidecars do not know
+/// machine types.
 pub(super) fn machine_types(scenario: &Scenario) -> Value {
     let known = scenario.sidecars.knows_machine_types;
     let machines: Vec<Value> = scenario
         .machine_type
         .iter()
         .filter(|_| known)
-        .map(|machine| json!({"model": machine.name, "cores": machine.cores, "speed": machine.speed}))
+        .map(|machine| {
+            json!({
+                "model": machine.name,
+                "cores": machine.cores,
+                "speed": machine.speed,
+            })
+        })
         .collect();
     json!({ "machines": machines })
 }
 
-/// A sidecar's settings, which tell its balancer what the simulator's are told.
+/// A sidecar's settings; its balancer gets the same ones in the simulator.
 fn settings(scenario: &Scenario, sidecar: SidecarIndex) -> Value {
     let platform = PlatformSettings {
         balancer: balancer_settings(scenario, sidecar),
@@ -91,8 +100,8 @@
     document.to_json()
 }
 
-/// Which of the fields stand where in the load reports of the emulated servers. Those to health
-/// checks have the rate of errors between the two that a balancer reads.
+/// Positions of the fields in the load reports of the emulated servers. In reports on health checks
+/// an error rate stands between the two fields that a balancer reads.
 fn load_report_layout(source: LoadReportSource) -> LoadReportLayout {
     let queued = match source {
         LoadReportSource::HealthChecks => Some(2),
--- a/crates/testbed/src/emulator/sidecars/settings/tests.rs
+++ b/crates/testbed/src/emulator/sidecars/settings/tests.rs
@@ -1,8 +1,8 @@
-//! The configuration equals what was written before, byte for byte.
+//! Compares configurations with recorded files, byte for byte.
 
 use serde_json::json;
 
-use super::{Identity, configuration, machine_types, settings};
+use super::{SidecarIdentity, configuration, machine_types, settings};
 use crate::index::SidecarIndex;
 use crate::scenario::{Scenario, ScenarioFile};
 
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn settings_and_machine_types_of_shipped_scenarios_are_as_recorded() {
+fn settings_and_machine_types_of_shipped_scenarios_equal_the_recorded_files() {
     let recorded = include_str!("../../../../tests/data/records/settings-calm.json");
     assert_eq!(
         settings(&scenario("calm"), SidecarIndex::new(1)).to_string(),
@@ -28,21 +28,21 @@
 }
 
 #[test]
-fn machine_types_are_empty_where_sidecars_do_not_know_them() {
+fn machine_types_are_empty_if_the_sidecars_do_not_know_them() {
     let written = machine_types(&scenario("calm")).to_string();
     assert_eq!(written, r#"{"machines":[]}"#);
 }
 
 #[test]
-fn a_configuration_holds_the_identity_beside_the_settings() {
+fn a_configuration_has_the_identity_and_the_settings_of_its_sidecar() {
     let scenario = scenario("calm");
-    let known = json!({"rev": 1});
-    let identity = Identity {
+    let cached_endpoints = json!({"rev": 1});
+    let identity = SidecarIdentity {
         index: SidecarIndex::new(3),
         address: ([127, 0, 0, 1], 12_001).into(),
         discovery: ([127, 0, 0, 1], 12_002).into(),
         seed: 0xab,
-        cached_endpoints: &known,
+        cached_endpoints: &cached_endpoints,
     };
     let written = configuration(&scenario, &identity);
     let expected = json!({
--- a/crates/testbed/src/emulator/sidecars/start.rs
+++ b/crates/testbed/src/emulator/sidecars/start.rs
@@ -1,7 +1,6 @@
-//! The start of the sidecars, and their configurations.
+//! Starts sidecar processes, writes their configuration files and waits until they are ready.
 //!
-//! Owns the environment of a process and the wait until it is ready; what a configuration says is
-//! known by `settings`.
+//! The contents of a configuration are built by `settings`.
 
 use std::fs::File;
 use std::net::SocketAddr;
@@ -13,40 +12,40 @@
 use tokio::process::Command;
 
 use super::process::Sidecar;
-use super::settings::{Identity, configuration};
-use super::{Sidecars, read_log, write};
+use super::settings::{SidecarIdentity, configuration};
+use super::{Sidecars, read_log, write_file};
 use crate::emulator::error::EmulatorError;
 use crate::emulator::http::{HttpConnection, Message};
 use crate::event_log::ProcessState;
 use crate::index::SidecarIndex;
 
-/// How long a sidecar may take until it is ready.
-pub(super) const READY_LIMIT: Duration = Duration::from_secs(20);
-/// Time between two questions whether it is.
-const READY_POLL: Duration = Duration::from_millis(10);
-/// Target of the question.
-const READY_TARGET: &str = "/ready";
-/// Status of the response that says so.
-const READY_STATUS: u16 = 200;
+/// Time limit for a started sidecar to become ready.
+pub(super) const READINESS_TIMEOUT: Duration = Duration::from_secs(20);
+/// Interval between two readiness requests.
+const READINESS_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Path of the readiness request.
+const READINESS_PATH: &str = "/ready";
+/// Status of the response of a sidecar that is ready.
+const READINESS_STATUS: u16 = 200;
 
 impl Sidecars {
-    /// Starts all and waits until each is ready.
+    /// Starts all sidecars and waits until each is ready.
     ///
     /// # Errors
-    /// Where one cannot be started, ends, or does not become ready in time.
+    /// If a sidecar cannot be started, exits, or does not become ready in time.
     pub(in crate::emulator) async fn start_all(&self) -> Result<(), EmulatorError> {
         for index in SidecarIndex::all(self.sidecars.len()) {
             self.start(index)?;
         }
         for (index, sidecar) in self.enumerate() {
-            let ready = self.ready(index, sidecar);
-            match tokio::time::timeout(READY_LIMIT, ready).await {
+            let ready = self.wait_until_ready(index, sidecar);
+            match tokio::time::timeout(READINESS_TIMEOUT, ready).await {
                 Ok(ready) => ready?,
                 Err(_) => {
                     return Err(EmulatorError::NotReady {
                         sidecar: sidecar.name.clone(),
-                        limit: READY_LIMIT,
-                        log: self.log(index),
+                        limit: READINESS_TIMEOUT,
+                        log: self.log_path(index),
                     });
                 }
             }
@@ -54,41 +53,46 @@
         Ok(())
     }
 
-    /// Waits until a sidecar is ready or has ended.
-    async fn ready(&self, index: SidecarIndex, sidecar: &Sidecar) -> Result<(), EmulatorError> {
+    /// Waits until a sidecar is ready; fails if it exits first.
+    async fn wait_until_ready(
+        &self,
+        index: SidecarIndex,
+        sidecar: &Sidecar,
+    ) -> Result<(), EmulatorError> {
         loop {
-            let response = get(sidecar.address, READY_TARGET).await;
-            if response.is_ok_and(|response| response.status == READY_STATUS) {
+            let response = http_get(sidecar.address, READINESS_PATH).await;
+            if response.is_ok_and(|response| response.status == READINESS_STATUS) {
                 return Ok(());
             }
             if let Some(status) = sidecar.exit_status() {
-                let log = read_log(&self.log(index));
+                let log = read_log(&self.log_path(index));
                 let last_line = log.lines().last().unwrap_or("nothing in its log");
-                return Err(EmulatorError::EndedAtStart {
+                return Err(EmulatorError::ExitedAtStart {
                     sidecar: sidecar.name.clone(),
                     status,
                     last_line: last_line.to_owned(),
                 });
             }
-            tokio::time::sleep(READY_POLL).await;
+            tokio::time::sleep(READINESS_POLL_INTERVAL).await;
         }
     }
 
-    /// Starts a sidecar's next process.
+    /// Starts a new process of a sidecar, with a new configuration and log file.
     pub(super) fn start(&self, index: SidecarIndex) -> Result<(), EmulatorError> {
         self.record_state(index, ProcessState::Up);
         let sidecar = &self.sidecars[index.index()];
         let configuration = self.write_configuration(index)?;
-        let log = File::create(self.log(index)).map_err(|source| EmulatorError::CreateLog {
-            sidecar: sidecar.name.clone(),
-            source,
-        })?;
+        let log =
+            File::create(self.log_path(index)).map_err(|source| EmulatorError::CreateLog {
+                sidecar: sidecar.name.clone(),
+                source,
+            })?;
         let child = Command::new(&self.program)
             .env_remove("NODE_NAME")
             .env_remove("NODE_LISTEN")
             .env_remove("NODE_DISCOVERY")
             .env("NODE_CONFIG", configuration)
-            .env("ARROWSTAND_MACHINES", &self.machine_types)
+            .env("ARROWSTAND_MACHINES", &self.machine_types_path)
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(log)
@@ -102,13 +106,13 @@
         Ok(())
     }
 
-    /// Writes a sidecar's configuration with the present endpoint list, and records what it says of
-    /// the servers.
+    /// Writes a sidecar's configuration with the present endpoint list, and records the server
+    /// states that the list tells the sidecar.
     fn write_configuration(&self, index: SidecarIndex) -> Result<PathBuf, EmulatorError> {
         let sidecar = &self.sidecars[index.index()];
         let (endpoints, notifications) = self.discovery.whole_list(index);
         self.discovery.record_notifications(index, &notifications);
-        let identity = Identity {
+        let identity = SidecarIdentity {
             index,
             address: sidecar.address,
             discovery: self.discovery.address(index),
@@ -116,14 +120,15 @@
             cached_endpoints: &endpoints,
         };
         let text = configuration(&self.shared.scenario, &identity).to_string();
-        write(self.folder.join(format!("{}.json", sidecar.name)), &text)
+        write_file(self.folder.join(format!("{}.json", sidecar.name)), &text)
     }
 
-    /// Writes the configurations; the commands that start the sidecars by hand, a line each.
+    /// Writes the configurations and returns the shell commands that start the sidecars by hand,
+    /// one a line.
     ///
     /// # Errors
-    /// Where a configuration cannot be written.
-    pub(in crate::emulator) fn commands(&self) -> Result<String, EmulatorError> {
+    /// If a configuration cannot be written.
+    pub(in crate::emulator) fn start_commands(&self) -> Result<String, EmulatorError> {
         let program = self.program.display();
         let command = |index| {
             let configuration = self.write_configuration(index)?;
@@ -138,9 +143,9 @@
     }
 }
 
-async fn get(address: SocketAddr, target: &str) -> std::io::Result<Message> {
+async fn http_get(address: SocketAddr, path: &str) -> std::io::Result<Message> {
     let mut connection = HttpConnection::new(TcpStream::connect(address).await?);
-    let request = format!("GET {target} HTTP/1.1\r\nHost: n\r\n\r\n");
+    let request = format!("GET {path} HTTP/1.1\r\nHost: n\r\n\r\n");
     connection.write(&request).await?;
     connection.read_response().await
 }
--- a/crates/testbed/tests/emulator.rs
+++ b/crates/testbed/tests/emulator.rs
@@ -194,7 +194,7 @@
     let error = play("ends", SMALL, "/bin/false".into()).err();
     assert_eq!(
         error.map(|error| error.to_string()).as_deref(),
-        Some("n0 ended at its start (exit status: 1): nothing in its log"),
+        Some("n0 exited during startup (exit status: 1): nothing in its log"),
     );
 }
 
@@ -215,7 +215,7 @@
     let error = play("pairs", &text, "/bin/false".into()).err();
     assert_eq!(
         error.map(|error| error.to_string()).as_deref(),
-        Some("20100 pairs of server and sidecar are more than 20000"),
+        Some("20100 pairs of server and sidecar exceed the limit of 20000"),
     );
 }
 
