--- a/crates/testbed/src/emulator/counter_check.rs
+++ b/crates/testbed/src/emulator/counter_check.rs
@@ -1,7 +1,8 @@
-//! Compares the sidecars' counters with what clients and servers saw, to the last one.
+//! Compares the sidecars' counters with the events that clients and servers recorded.
 //!
-//! An attempt that was cancelled may or may not have reached its server; how many were is counted,
-//! so what the servers received must lie within that many. Everything else must be equal.
+//! Counts of requests and responses must be equal. Attempts that were cancelled, timed out or reset,
+//! and health checks that failed or were open when a sidecar exited, may or may not have reached
+//! their server: what servers received must be within the range that these leave.
 
 #[cfg(test)]
 mod tests;
@@ -13,36 +14,36 @@
 use crate::conversion::u64_from_count;
 use crate::event_log::{LogEvent, LogRecord, RequestOutcome};
 
-/// What the comparison found.
+/// The result of the comparison.
 #[derive(Default)]
 pub(super) struct Comparison {
-    /// Lines that fail the run.
+    /// Differences; each one fails the run.
     pub(super) differences: Vec<String>,
-    /// Lines for the reader.
+    /// Remarks for the report, which do not fail the run.
     pub(super) remarks: Vec<String>,
 }
 
 impl Comparison {
-    fn check_equal(&mut self, what: &str, sidecars: u64, emulated: u64) {
-        if sidecars != emulated {
+    fn check_equal(&mut self, counter: &str, sidecars: u64, observed: u64) {
+        if sidecars != observed {
             self.differences.push(format!(
-                "{what}: sidecars {sidecars}, clients and servers {emulated}"
+                "{counter}: sidecars {sidecars}, clients and servers {observed}"
             ));
         }
     }
 
-    fn check_within(&mut self, what: &str, least: u64, most: u64, servers: u64) {
-        if !(least..=most).contains(&servers) {
+    fn check_within(&mut self, counter: &str, min: u64, max: u64, observed: u64) {
+        if !(min..=max).contains(&observed) {
             self.differences.push(format!(
-                "{what}: sidecars {least} to {most}, servers {servers}"
+                "{counter}: sidecars {min} to {max}, servers {observed}"
             ));
         }
     }
 }
 
-/// What clients and servers saw.
+/// Counts of the events that clients and servers recorded.
 #[derive(Default)]
-struct Observed {
+struct ObservedCounts {
     accepted: u64,
     responses: HashMap<RequestOutcome, u64>,
     disconnected: u64,
@@ -51,8 +52,8 @@
     health_checks: u64,
 }
 
-impl Observed {
-    fn of(records: &[LogRecord]) -> Self {
+impl ObservedCounts {
+    fn from_records(records: &[LogRecord]) -> Self {
         let mut observed = Self::default();
         for record in records {
             match record.event {
@@ -81,47 +82,49 @@
     }
 }
 
-/// Compares the two. The counters of a process that was killed are lost, and then there is nothing
-/// to compare.
+/// Compares the sidecars' counters with the event log. If a process was killed, its counters are
+/// lost and nothing is compared.
 pub(super) fn compare(
     shared: &Shared,
     records: &[LogRecord],
     counters: &FleetCounters,
 ) -> Comparison {
-    if let Some(incomparable) = incomparable(counters) {
-        return incomparable;
+    if let Some(comparison) = without_counters(counters) {
+        return comparison;
     }
-    let mut found = Comparison::default();
-    let observed = Observed::of(records);
-    compare_requests(&mut found, counters, &observed);
-    compare_attempts(&mut found, counters, &observed);
-    let sidecars = u64_from_count(shared.scenario.sidecars.count);
-    compare_health_checks(&mut found, counters, &observed, sidecars);
-    found.remarks.push(summary(shared, counters, &observed));
-    found
+    let mut comparison = Comparison::default();
+    let observed = ObservedCounts::from_records(records);
+    compare_requests(&mut comparison, counters, &observed);
+    compare_attempts(&mut comparison, counters, &observed);
+    let sidecar_count = u64_from_count(shared.scenario.sidecars.count);
+    compare_health_checks(&mut comparison, counters, &observed, sidecar_count);
+    comparison
+        .remarks
+        .push(summary(shared, counters, &observed));
+    comparison
 }
 
-/// What is said in place of a comparison, where counters are missing.
-fn incomparable(counters: &FleetCounters) -> Option<Comparison> {
-    let mut found = Comparison::default();
+/// The result if counters are missing or lost; `None` if all are there.
+fn without_counters(counters: &FleetCounters) -> Option<Comparison> {
+    let mut comparison = Comparison::default();
     if counters.missing > 0 {
-        found.differences.push(format!(
+        comparison.differences.push(format!(
             "{} sidecars printed no counters at their end",
             counters.missing
         ));
-        return Some(found);
+        return Some(comparison);
     }
     if counters.killed > 0 {
-        found.remarks.push(format!(
+        comparison.remarks.push(format!(
             "counters not compared: {} sidecars were killed, and their counters lost",
             counters.killed
         ));
-        return Some(found);
+        return Some(comparison);
     }
     None
 }
 
-fn summary(shared: &Shared, counters: &FleetCounters, observed: &Observed) -> String {
+fn summary(shared: &Shared, counters: &FleetCounters, observed: &ObservedCounts) -> String {
     format!(
         "counters compared: {} requests, {} of {} attempts received ({} in silence), \
          {} health checks ({} in silence)",
@@ -134,50 +137,58 @@
     )
 }
 
-fn compare_requests(found: &mut Comparison, counters: &FleetCounters, observed: &Observed) {
+fn compare_requests(
+    comparison: &mut Comparison,
+    counters: &FleetCounters,
+    observed: &ObservedCounts,
+) {
     let count = |name: &str| counters.sum.get(name);
     let over_capacity = count("requests_over_capacity");
-    found.check_equal(
+    comparison.check_equal(
         "requests accepted",
         count("requests_accepted") + over_capacity,
         observed.accepted,
     );
-    found.check_equal(
+    comparison.check_equal(
         "responses served",
         count("responses_served"),
         observed.responses(RequestOutcome::Served),
     );
-    found.check_equal(
+    comparison.check_equal(
         "responses rejected",
         count("responses_rejected") + over_capacity,
         observed.responses(RequestOutcome::Rejected),
     );
-    found.check_equal(
+    comparison.check_equal(
         "responses failed",
         count("responses_failed") + count("responses_overdue"),
         observed.responses(RequestOutcome::Failed),
     );
-    found.check_equal(
+    comparison.check_equal(
         "clients disconnected",
         count("clients_disconnected"),
         observed.abandoned(),
     );
 }
 
-/// What was cancelled or timed out may not have been written, or may have been rejected all the
-/// same.
-fn compare_attempts(found: &mut Comparison, counters: &FleetCounters, observed: &Observed) {
+/// An attempt that was cancelled, timed out or reset may not have reached the server, and one that
+/// was cancelled or timed out may have been rejected.
+fn compare_attempts(
+    comparison: &mut Comparison,
+    counters: &FleetCounters,
+    observed: &ObservedCounts,
+) {
     let count = |name: &str| counters.sum.get(name);
     let rejected = count("attempts_rejected");
     let received = count("attempts_served") + count("attempts_error") + rejected;
     let abandoned = count("attempts_cancelled") + count("attempts_timed_out");
-    found.check_within(
+    comparison.check_within(
         "attempts received",
         received,
         received + (abandoned + count("attempts_reset")),
         observed.attempts,
     );
-    found.check_within(
+    comparison.check_within(
         "attempts rejected",
         rejected,
         rejected + abandoned,
@@ -185,18 +196,18 @@
     );
 }
 
-/// One health check of each sidecar may have been on its way as the sidecar ended.
+/// The last health check of each sidecar may have been in transit when the sidecar exited.
 fn compare_health_checks(
-    found: &mut Comparison,
+    comparison: &mut Comparison,
     counters: &FleetCounters,
-    observed: &Observed,
-    sidecars: u64,
+    observed: &ObservedCounts,
+    sidecar_count: u64,
 ) {
     let sent = counters.sum.get("health_checks_sent");
     let failed = counters.sum.get("health_checks_failed");
-    found.check_within(
+    comparison.check_within(
         "health checks",
-        sent.saturating_sub(failed + sidecars),
+        sent.saturating_sub(failed + sidecar_count),
         sent,
         observed.health_checks,
     );
--- a/crates/testbed/src/emulator/counter_check/tests.rs
+++ b/crates/testbed/src/emulator/counter_check/tests.rs
@@ -1,4 +1,4 @@
-//! Counters that agree pass, each one that is off is named, and lost counters are not compared.
+//! Comparison of counters that are equal, differ, or are lost.
 
 use std::time::Duration;
 
@@ -10,12 +10,12 @@
 use crate::index::{ArrivalNumber, ClassIndex, RequestNumber, ServerIndex, SidecarIndex};
 use crate::scenario::Scenario;
 
-/// What agrees with [`records`]: one request of each end, one of them over capacity, and four
-/// attempts.
+/// Counters that equal those of [`records`]: one request with each outcome, another one rejected
+/// over capacity, and four attempts.
 const COUNTERS: &str = "stopped\nrequests_accepted 4\nrequests_over_capacity 1\n\
     responses_served 1\nresponses_rejected 1\nresponses_failed 1\nclients_disconnected 1\n\
-    attempts_started 4\nattempts_served 1\nattempts_error 1\nattempts_rejected 1\nattempts_cancelled 1\n\
-    health_checks_sent 3\nhealth_checks_failed 0\n";
+    attempts_started 4\nattempts_served 1\nattempts_error 1\nattempts_rejected 1\n\
+    attempts_cancelled 1\nhealth_checks_sent 3\nhealth_checks_failed 0\n";
 
 fn records() -> Vec<LogRecord> {
     let server = ServerIndex::new(0);
@@ -60,7 +60,7 @@
         .collect()
 }
 
-fn compared(counters: &FleetCounters) -> Comparison {
+fn compare_counters(counters: &FleetCounters) -> Comparison {
     let clock = Clock::starting_in(Duration::ZERO);
     compare(
         &Shared::new(&Scenario::default(), clock),
@@ -69,7 +69,7 @@
     )
 }
 
-fn fleet(text: &str) -> FleetCounters {
+fn fleet_counters(text: &str) -> FleetCounters {
     FleetCounters {
         sum: Counters::from_log(text).expect("printed"),
         ..FleetCounters::default()
@@ -77,18 +77,18 @@
 }
 
 #[test]
-fn counters_that_agree_give_one_remark_and_no_difference() {
-    let found = compared(&fleet(COUNTERS));
-    assert_eq!(found.differences, Vec::<String>::new());
+fn equal_counters_give_one_remark_and_no_difference() {
+    let comparison = compare_counters(&fleet_counters(COUNTERS));
+    assert_eq!(comparison.differences, Vec::<String>::new());
     let remark = "counters compared: 5 requests, 4 of 4 attempts received (0 in silence), \
                   3 health checks (0 in silence)";
-    assert_eq!(found.remarks, [remark]);
+    assert_eq!(comparison.remarks, [remark]);
 }
 
 #[test]
 #[expect(clippy::too_many_lines, reason = "one table of cases")]
-fn each_counter_that_is_off_is_named_with_both_counts() {
-    for (counter, off, difference) in [
+fn each_counter_that_differs_is_reported_with_both_values() {
+    for (counter, changed, difference) in [
         (
             "requests_accepted 4",
             "requests_accepted 5",
@@ -131,30 +131,30 @@
         ),
     ] {
         assert!(COUNTERS.contains(counter), "{counter}");
-        let found = compared(&fleet(&COUNTERS.replace(counter, off)));
+        let comparison = compare_counters(&fleet_counters(&COUNTERS.replace(counter, changed)));
         assert!(
-            found.differences.iter().any(|line| line == difference),
+            comparison.differences.iter().any(|line| line == difference),
             "{difference}: {:?}",
-            found.differences
+            comparison.differences
         );
     }
 }
 
 #[test]
-fn counters_of_killed_sidecars_are_not_compared_and_missing_ones_are_a_difference() {
-    let mut counters = fleet("stopped\n");
+fn killed_sidecars_prevent_the_comparison_and_missing_counters_are_a_difference() {
+    let mut counters = fleet_counters("stopped\n");
     counters.killed = 2;
-    let found = compared(&counters);
-    assert!(found.differences.is_empty());
+    let comparison = compare_counters(&counters);
+    assert!(comparison.differences.is_empty());
     assert_eq!(
-        found.remarks,
+        comparison.remarks,
         ["counters not compared: 2 sidecars were killed, and their counters lost"]
     );
     counters.missing = 1;
-    let found = compared(&counters);
+    let comparison = compare_counters(&counters);
     assert_eq!(
-        found.differences,
+        comparison.differences,
         ["1 sidecars printed no counters at their end"]
     );
-    assert!(found.remarks.is_empty());
+    assert!(comparison.remarks.is_empty());
 }
