--- a/crates/testbed/src/emulator/client/exchange.rs
+++ b/crates/testbed/src/emulator/client/exchange.rs
@@ -148,7 +148,7 @@
     /// connection closed, and is recorded as not accepted.
     fn on_connect_failed(&self, request: &OutgoingRequest, accepted: bool) -> Response {
         if accepted {
-            self.shared.recorder.on_request_not_accepted(request.number);
+            self.shared.recorder.mark_not_accepted(request.number);
         }
         Response::without_response(RequestOutcome::Unreachable)
     }
--- a/crates/testbed/src/emulator/clock.rs
+++ b/crates/testbed/src/emulator/clock.rs
@@ -1,7 +1,7 @@
 //! The emulator's clock: microseconds since the run began.
 //!
-//! Owns the run's zero on the monotonic clock and in Unix time. No part of the emulator reads
-//! another clock for what it records.
+//! Maps the times of the run to the monotonic clock and to Unix time. All recorded times are read
+//! from this clock.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
@@ -10,11 +10,11 @@
 
 /// Milliseconds in a second.
 const MS_PER_S: f64 = 1_000.0;
-/// Spans below this are not waited for, in microseconds: half the millisecond that the runtime's
-/// timer rounds up to.
-const TIMER_GRAIN: Micros = 500;
+/// Shorter sleeps are skipped, in microseconds: half of the runtime's timer resolution of one
+/// millisecond, to which it rounds up.
+const MIN_SLEEP: Micros = 500;
 
-/// When the run begins, on the monotonic clock and in Unix time.
+/// The start of the run on the monotonic clock and in Unix time.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Clock {
     start: Instant,
@@ -22,19 +22,19 @@
 }
 
 impl Clock {
-    /// A clock of a run that begins after `ahead`.
-    pub(super) fn starting_in(ahead: Duration) -> Self {
+    /// The clock of a run that starts after `delay`.
+    pub(super) fn starting_in(delay: Duration) -> Self {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default()
-            + ahead;
+            + delay;
         Self {
-            start: Instant::now() + ahead,
+            start: Instant::now() + delay,
             start_unix_ms: unix.as_secs_f64() * MS_PER_S,
         }
     }
 
-    /// Time since the run began; 0 before.
+    /// Time since the start of the run; 0 before it.
     pub(super) fn now(&self) -> Micros {
         Micros::try_from(self.start.elapsed().as_micros()).unwrap_or(Micros::MAX)
     }
@@ -47,7 +47,7 @@
         tokio::time::Instant::from_std(self.start + Duration::from_micros(at))
     }
 
-    /// Unix time of a server's start in microseconds; `None` for one before the run.
+    /// Unix time of a server's start, in microseconds; `None` for a start before the run.
     pub(super) fn unix_time(&self, started_at: Micros) -> Option<Micros> {
         (started_at > 0).then(|| {
             let unix_ms = self.start_unix_ms + ms_from_micros(started_at);
@@ -56,9 +56,9 @@
     }
 }
 
-/// Sleeps for a while, unless it is below the timer's grain.
+/// Sleeps for `span`, or not at all if it is shorter than [`MIN_SLEEP`].
 pub(super) async fn sleep_for(span: Micros) {
-    if span >= TIMER_GRAIN {
+    if span >= MIN_SLEEP {
         tokio::time::sleep(Duration::from_micros(span)).await;
     }
 }
--- a/crates/testbed/src/emulator/counter_check.rs
+++ b/crates/testbed/src/emulator/counter_check.rs
@@ -1,8 +1,8 @@
 //! Compares the sidecars' counters with the events that clients and servers recorded.
 //!
-//! Counts of requests and responses must be equal. Attempts that were cancelled, timed out or reset,
-//! and health checks that failed or were open when a sidecar exited, may or may not have reached
-//! their server: what servers received must be within the range that these leave.
+//! Counts of requests and responses must be equal. Attempts that were cancelled, timed out or
+//! reset, and health checks that failed or were open when a sidecar exited, may or may not have
+//! reached their server: what servers received must be within the range that these leave.
 
 #[cfg(test)]
 mod tests;
--- a/crates/testbed/src/emulator/fault_schedule.rs
+++ b/crates/testbed/src/emulator/fault_schedule.rs
@@ -1,8 +1,8 @@
-//! The faults of a scenario, played on time: does to emulated servers, discovery and sidecars what
-//! the simulator does to its own.
+//! Injects the faults of a scenario into the emulated servers, discovery and the sidecars.
 //!
-//! Owns when each fault begins, ends and is listed. Which servers it hits is drawn by the
-//! simulator's rules, so that both engines hit the same.
+//! Schedules the start and end of each fault and the updates of the endpoint list that follow. The
+//! targets are drawn by the simulator's functions, so that a fault has the same targets in both
+//! engines.
 
 use std::future::pending;
 use std::sync::Arc;
@@ -21,23 +21,23 @@
 use crate::scenario::{Fault, FaultKind, from_ms, from_s};
 use crate::simulator::faults::{rolling_restart, targets};
 
-/// Plays the faults of the scenario to their ends.
-pub(super) async fn play(emulation: &Emulation) {
+/// Runs the faults of the scenario until all have ended.
+pub(super) async fn run(emulation: &Emulation) {
     let first_replacement = ServerIndex::from_position(emulation.servers.len());
     let next_server_index = Arc::new(AtomicU32::new(first_replacement.value()));
     let mut tasks = JoinSet::new();
     for (fault_index, fault) in emulation.shared.scenario.fault.iter().enumerate() {
         match fault.kind {
-            // These change the load, as it is drawn.
+            // Applied by `workload` when the arrivals are drawn.
             FaultKind::Burst | FaultKind::ExpensiveRequests => {}
             FaultKind::RollingRestart | FaultKind::RestartAll => {
                 restart_sidecars(emulation, fault_index, fault, &mut tasks);
             }
             FaultKind::DiscoveryDown => {
-                tasks.spawn(play_discovery_fault(emulation, fault, Mode::Down));
+                tasks.spawn(run_discovery_fault(emulation, fault, Mode::Down));
             }
             FaultKind::DiscoverySilent => {
-                tasks.spawn(play_discovery_fault(emulation, fault, Mode::Silent));
+                tasks.spawn(run_discovery_fault(emulation, fault, Mode::Silent));
             }
             _ => schedule_server_faults(
                 emulation,
@@ -51,9 +51,9 @@
     while tasks.join_next().await.is_some() {}
 }
 
-/// Plays the faults, and then waits for ever.
-pub(super) async fn play_for_ever(emulation: &Emulation) {
-    play(emulation).await;
+/// Runs the faults and then never returns.
+pub(super) async fn run_forever(emulation: &Emulation) {
+    run(emulation).await;
     pending::<()>().await;
 }
 
@@ -67,11 +67,11 @@
     let restarts = if fault.kind == FaultKind::RollingRestart {
         rolling_restart(scenario, fault_index)
     } else {
-        let all = SidecarIndex::all(scenario.sidecars.count);
-        all.map(|sidecar| (sidecar, 0)).collect()
+        let sidecars = SidecarIndex::all(scenario.sidecars.count);
+        sidecars.map(|sidecar| (sidecar, 0)).collect()
     };
     let at = from_s(fault.at_s);
-    let down = from_s(fault.down_s);
+    let downtime = from_s(fault.down_s);
     let termination = if fault.kill {
         Termination::Kill
     } else {
@@ -82,13 +82,13 @@
         let clock = emulation.shared.clock;
         tasks.spawn(async move {
             clock.sleep_until(at + delay).await;
-            sidecars.restart(sidecar, down, termination).await;
+            sidecars.restart(sidecar, downtime, termination).await;
         });
     }
 }
 
-/// Sets discovery to a mode for as long as the fault lasts.
-fn play_discovery_fault(
+/// Sets the mode of discovery for the duration of the fault.
+fn run_discovery_fault(
     emulation: &Emulation,
     fault: &Fault,
     mode: Mode,
@@ -96,11 +96,11 @@
     let discovery = Arc::clone(&emulation.discovery);
     let clock = emulation.shared.clock;
     let at = from_s(fault.at_s);
-    let length = from_s(fault.for_s);
+    let duration = from_s(fault.for_s);
     async move {
         clock.sleep_until(at).await;
         discovery.set_mode(mode);
-        clock.sleep_until(at + length).await;
+        clock.sleep_until(at + duration).await;
         discovery.set_mode(Mode::Up);
     }
 }
@@ -112,7 +112,11 @@
     next_server_index: &Arc<AtomicU32>,
     tasks: &mut JoinSet<()>,
 ) {
-    let zones: Vec<u32> = emulation.servers.iter().map(|s| s.zone()).collect();
+    let zones: Vec<u32> = emulation
+        .servers
+        .iter()
+        .map(|server| server.zone())
+        .collect();
     for target in targets(&emulation.shared.scenario, fault_index, &zones) {
         let position = target.index();
         let Some(server) = emulation.servers.get(position) else {
@@ -126,34 +130,34 @@
             fault: fault.clone(),
             next_server_index: Arc::clone(next_server_index),
         };
-        tasks.spawn(server_fault.play());
+        tasks.spawn(server_fault.run());
     }
 }
 
-/// A fault at one server.
+/// A fault with one server as its target.
 struct ServerFault {
     shared: Arc<Shared>,
     discovery: Arc<Discovery>,
     server: Arc<EmulatedServer>,
-    /// Place of the server among the emulated ones.
+    /// Position of the server among the emulated servers; a replacement keeps it.
     position: usize,
     fault: Fault,
-    /// Index of the next server that replaces another.
+    /// The index for the next replacement server, shared by all faults.
     next_server_index: Arc<AtomicU32>,
 }
 
 impl ServerFault {
-    async fn play(self) {
+    async fn run(self) {
         let at = from_s(self.fault.at_s);
-        let length = from_s(self.fault.for_s);
+        let duration = from_s(self.fault.for_s);
         self.shared.clock.sleep_until(at).await;
         let server_index = self.server.index();
-        self.start(server_index).await;
-        self.shared.clock.sleep_until(at + length).await;
-        self.end(server_index).await;
+        self.inject(server_index).await;
+        self.shared.clock.sleep_until(at + duration).await;
+        self.clear(server_index).await;
     }
 
-    async fn start(&self, server_index: ServerIndex) {
+    async fn inject(&self, server_index: ServerIndex) {
         let server = &self.server;
         let share = self.fault.share;
         let discovery = &self.shared.scenario.discovery;
@@ -170,12 +174,12 @@
             FaultKind::Crash => {
                 server.record_state(ServerState::Down);
                 server.stop(NetworkMode::Refusing).await;
-                self.update_list_later(server_index, ListedStatus::Gone, discovery.notice_ms);
+                self.schedule_list_update(server_index, ListedStatus::Gone, discovery.notice_ms);
             }
             FaultKind::Silence => {
                 server.record_state(ServerState::Silent);
                 server.stop(NetworkMode::Silent).await;
-                self.update_list_later(
+                self.schedule_list_update(
                     server_index,
                     ListedStatus::Gone,
                     discovery.silent_notice_ms,
@@ -183,13 +187,17 @@
             }
             FaultKind::Drain | FaultKind::Replace => {
                 server.set_draining();
-                self.update_list_later(server_index, ListedStatus::Draining, discovery.notice_ms);
+                self.schedule_list_update(
+                    server_index,
+                    ListedStatus::Draining,
+                    discovery.notice_ms,
+                );
             }
             _ => {}
         }
     }
 
-    async fn end(&self, server_index: ServerIndex) {
+    async fn clear(&self, server_index: ServerIndex) {
         let server = &self.server;
         let add_ms = self.shared.scenario.discovery.add_ms;
         match self.fault.kind {
@@ -202,31 +210,32 @@
             FaultKind::ConnectionResets => server.set_response_fault(ResponseFault::Reset(0.0)),
             FaultKind::Crash | FaultKind::Silence => {
                 server.restart(None).await;
-                self.update_list_later(server_index, ListedStatus::Ready, add_ms);
+                self.schedule_list_update(server_index, ListedStatus::Ready, add_ms);
             }
             FaultKind::Drain => {
                 server.stop(NetworkMode::Refusing).await;
                 server.restart(None).await;
-                self.update_list_later(server_index, ListedStatus::Ready, add_ms);
+                self.schedule_list_update(server_index, ListedStatus::Ready, add_ms);
             }
             FaultKind::Replace => self.replace(server_index).await,
             _ => {}
         }
     }
 
-    /// Stops the server, and starts another one at its addresses.
+    /// Stops the server and starts another one, with a new index, at its addresses.
     async fn replace(&self, server_index: ServerIndex) {
         let discovery = &self.shared.scenario.discovery;
         self.server.stop(NetworkMode::Refusing).await;
         self.server.record_state(ServerState::Down);
-        self.update_list_later(server_index, ListedStatus::Gone, discovery.notice_ms);
+        self.schedule_list_update(server_index, ListedStatus::Gone, discovery.notice_ms);
         let replacement = ServerIndex::new(self.next_server_index.fetch_add(1, Ordering::Relaxed));
         self.server.restart(Some(replacement)).await;
-        self.update_list_later(replacement, ListedStatus::Ready, discovery.add_ms);
+        self.schedule_list_update(replacement, ListedStatus::Ready, discovery.add_ms);
     }
 
-    /// Has discovery list a status once it has noticed.
-    fn update_list_later(&self, server_index: ServerIndex, status: ListedStatus, delay_ms: f64) {
+    /// Updates the server's status in the endpoint list after `delay_ms`, the time until discovery
+    /// notices the change.
+    fn schedule_list_update(&self, server_index: ServerIndex, status: ListedStatus, delay_ms: f64) {
         let discovery = Arc::clone(&self.discovery);
         let position = self.position;
         let started_at = self.server.started_at();
--- a/crates/testbed/src/emulator/lock.rs
+++ b/crates/testbed/src/emulator/lock.rs
@@ -1,9 +1,8 @@
-//! Locking that outlives a panic of another thread.
+//! Locking of mutexes, whether or not they are poisoned.
 
 use std::sync::{Mutex, MutexGuard};
 
-/// Locks a mutex, also a poisoned one: what a task that panicked has recorded is still what
-/// happened.
+/// Locks a mutex and ignores poisoning: the records that a task made before its panic are valid.
 pub(super) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex
         .lock()
--- a/crates/testbed/src/emulator/mod.rs
+++ b/crates/testbed/src/emulator/mod.rs
@@ -1,9 +1,9 @@
-//! The emulator: plays a scenario on loopback sockets, with real `arrowstand` processes between
+//! The emulator: runs a scenario on loopback sockets, with real `arrowstand` processes between
 //! emulated clients, servers and discovery.
 //!
-//! The emulated servers are the simulator's server models behind HTTP/1.1; arrivals are drawn as in
-//! the simulator. What was seen goes into one event log, which is sorted by time and then read as
-//! the simulator's is.
+//! The emulated servers have the simulator's server models behind HTTP/1.1, and arrivals are drawn
+//! as in the simulator. All parts record into one event log, which is sorted by time after the run
+//! and evaluated like that of the simulator.
 
 mod client;
 mod clock;
@@ -41,30 +41,31 @@
 
 pub use error::EmulatorError;
 
-/// Servers times sidecars that one emulation may have: sockets and descriptors are the bound.
+/// Maximum of servers times sidecars in one emulation, bounded by sockets and file descriptors.
 const MAX_CONNECTION_PAIRS: usize = 20_000;
-/// Milliseconds from the start of the setup to the begin of the run, however small the fleet; an
-/// arrival that is due before the setup has ended is played late.
+/// Time from the beginning of the setup to the start of the run with an empty fleet, in
+/// milliseconds. An arrival that is due before the setup has finished starts late.
 const SETUP_TIME_MS: u64 = 1_500;
-/// Milliseconds on top of it for the start of each sidecar's process.
+/// Additional time for the start of each sidecar process, in milliseconds.
 const SETUP_TIME_PER_SIDECAR_MS: u64 = 30;
-/// Milliseconds on top of it for the sockets of each pair of server and sidecar.
+/// Additional time for the sockets of each pair of server and sidecar, in milliseconds.
 const SETUP_TIME_PER_PAIR_MS: u64 = 1;
-/// How long after the last arrival's end what is in flight may still come in.
+/// Time between the end of the last arrival or fault and the shutdown of the sidecars, in which
+/// outstanding messages arrive.
 const SETTLING_TIME: Duration = Duration::from_millis(400);
-/// Threads of the emulator; the machine's other cores are the sidecars'.
+/// Worker threads of the emulator; the other cores are left to the sidecars.
 const WORKER_THREADS: usize = 2;
 
-/// What an emulation needs beside its scenario.
+/// Options of an emulation, in addition to the scenario.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The sidecar's program.
+    /// Path of the sidecar's executable.
     pub program: PathBuf,
-    /// Folder of configurations and logs; one in the system's temporary folder if absent.
+    /// Folder for configurations and logs; by default one in the system's temporary folder.
     pub folder: Option<PathBuf>,
 }
 
-/// Everything that stands around the sidecars, and the sidecars' processes.
+/// The parts of a running emulation: emulated servers, discovery and the sidecar processes.
 struct Emulation {
     shared: Arc<Shared>,
     servers: Vec<Arc<EmulatedServer>>,
@@ -72,11 +73,11 @@
     sidecars: Arc<Sidecars>,
 }
 
-/// What came of an emulation.
+/// The result of an emulation.
 struct EmulationResult {
     records: Vec<LogRecord>,
     unreliable: Option<String>,
-    counters: Comparison,
+    comparison: Comparison,
 }
 
 impl Emulation {
@@ -111,73 +112,76 @@
         })
     }
 
-    /// Plays the scenario to its end.
-    async fn play(&self) -> Result<EmulationResult, EmulatorError> {
+    /// Runs the scenario until its arrivals and faults have ended, and shuts the sidecars down.
+    async fn run(&self) -> Result<EmulationResult, EmulatorError> {
         self.sidecars.start_all().await?;
-        let faults = fault_schedule::play(self);
-        let load = client::run(self);
+        let faults = fault_schedule::run(self);
+        let arrivals = client::run(self);
         let gauges = emulated_server::record_gauges(self);
         tokio::select! {
-            () = async { tokio::join!(faults, load); } => {}
+            () = async { tokio::join!(faults, arrivals); } => {}
             () = gauges => {}
         }
         tokio::time::sleep(SETTLING_TIME).await;
         let counters = self.sidecars.shut_down_all().await;
-        let records = self.shared.recorder.sorted();
-        let counters = counter_check::compare(&self.shared, &records, &counters);
+        let records = self.shared.recorder.sorted_records();
+        let comparison = counter_check::compare(&self.shared, &records, &counters);
         Ok(EmulationResult {
             records,
             unreliable: self.shared.timeliness.unreliable(),
-            counters,
+            comparison,
         })
     }
 }
 
-/// Plays a scenario on sockets and sums it up; `further` receives the event log too.
+/// Runs a scenario on sockets and reports its results; `additional_log` receives the event log too.
 ///
 /// # Errors
-/// What could not be set up or started.
+/// If the emulation cannot be set up, or a sidecar cannot be started.
 pub fn run(
     scenario: &Scenario,
     options: &Options,
-    further: Option<&mut dyn EventLog>,
+    additional_log: Option<&mut dyn EventLog>,
 ) -> Result<Report, EmulatorError> {
     let result = runtime()?.block_on(async {
         let emulation = Emulation::set_up(scenario, options).await?;
-        emulation.play().await
+        emulation.run().await
     })?;
-    Ok(report(scenario, result, further))
+    Ok(build_report(scenario, result, additional_log))
 }
 
-fn report(
+fn build_report(
     scenario: &Scenario,
     result: EmulationResult,
-    further: Option<&mut dyn EventLog>,
+    additional_log: Option<&mut dyn EventLog>,
 ) -> Report {
-    let extra = from_ms(scenario.rules.emulator_extra_ms);
-    let mut auditor = Auditor::new(scenario, extra);
+    let extra_time = from_ms(scenario.rules.emulator_extra_ms);
+    let mut auditor = Auditor::new(scenario, extra_time);
     let mut statistics = Statistics::new(scenario);
     let mut readers = Tee {
         first: &mut auditor,
         second: &mut statistics,
-        further,
+        further: additional_log,
     };
-    result.records.iter().for_each(|r| readers.record(r));
+    result
+        .records
+        .iter()
+        .for_each(|record| readers.record(record));
     auditor.finish();
     let mut report = statistics.report(EMULATOR, scenario.seed);
     report.add_audit(&auditor);
     report.check_expectations(&scenario.expect);
     report.unreliable = result.unreliable;
-    report.counter_differences = result.counters.differences;
-    report.remarks = result.counters.remarks;
+    report.counter_differences = result.comparison.differences;
+    report.remarks = result.comparison.remarks;
     report
 }
 
-/// Runs the emulated servers, for a person to try a sidecar by hand, until the program is
-/// interrupted. `on_ready` gets the commands that start the sidecars.
+/// Runs the emulated servers and discovery until the program is interrupted, so that a sidecar can
+/// be tried by hand. `on_ready` receives the commands that start the sidecars.
 ///
 /// # Errors
-/// What could not be set up.
+/// If the emulation cannot be set up.
 pub fn serve(
     scenario: &Scenario,
     options: &Options,
@@ -187,7 +191,7 @@
         let emulation = Emulation::set_up(scenario, options).await?;
         on_ready(emulation.sidecars.start_commands()?);
         tokio::select! {
-            () = fault_schedule::play_for_ever(&emulation) => {}
+            () = fault_schedule::run_forever(&emulation) => {}
             interrupted = tokio::signal::ctrl_c() => {
                 interrupted.map_err(EmulatorError::Interrupt)?;
             }
--- a/crates/testbed/src/emulator/recorder.rs
+++ b/crates/testbed/src/emulator/recorder.rs
@@ -1,7 +1,6 @@
-//! Records the events of an emulation, which several threads see out of order.
+//! Collects the events of an emulation, which several threads record out of order.
 //!
-//! Owns the records until the run has ended. What they add up to is for the auditor and the
-//! statistics.
+//! Keeps them until the run has ended; the auditor and the statistics evaluate them.
 
 use std::collections::HashSet;
 use std::sync::Mutex;
@@ -11,11 +10,12 @@
 use crate::index::RequestNumber;
 use crate::scenario::Micros;
 
-/// The events so far, in the order in which they were recorded.
+/// The events so far, in the order of recording.
 #[derive(Default)]
 pub(super) struct Recorder {
     records: Mutex<Vec<LogRecord>>,
-    /// Requests that crossed the close of their connection, and found no listener for a new one.
+    /// Requests that were in transit when the sidecar closed their connection, and could not be
+    /// sent again because the sidecar no longer listened.
     not_accepted: Mutex<HashSet<RequestNumber>>,
 }
 
@@ -24,15 +24,15 @@
         lock(&self.records).push(LogRecord { at, event });
     }
 
-    /// A request that was recorded as accepted turns out not to be, unless a server has received
-    /// it.
-    pub(super) fn on_request_not_accepted(&self, request: RequestNumber) {
+    /// Marks a request that was recorded as accepted as not accepted. The mark has no effect if a
+    /// server received an attempt of the request.
+    pub(super) fn mark_not_accepted(&self, request: RequestNumber) {
         lock(&self.not_accepted).insert(request);
     }
 
-    /// The events so far in the order of their times, without those of requests that were not
-    /// accepted.
-    pub(super) fn sorted(&self) -> Vec<LogRecord> {
+    /// The events so far, sorted by time, without the acceptances and responses of requests that
+    /// were not accepted.
+    pub(super) fn sorted_records(&self) -> Vec<LogRecord> {
         let mut records = lock(&self.records).clone();
         records.sort_by_key(|record| record.at);
         let mut not_accepted = lock(&self.not_accepted).clone();
--- a/crates/testbed/src/emulator/shared.rs
+++ b/crates/testbed/src/emulator/shared.rs
@@ -1,5 +1,5 @@
-//! What all parts of an emulation share: the scenario, the clock, the event record and the counts
-//! of what was sent into silence.
+//! State that all parts of an emulation share: the scenario, the clock, the recorder of events, and
+//! the counts of attempts and health checks that silent servers received.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -11,7 +11,7 @@
 use crate::index::{ArrivalNumber, RequestNumber};
 use crate::scenario::{Micros, Scenario, from_ms};
 
-/// Shared by all tasks of an emulation.
+/// State shared by all tasks of an emulation.
 pub(super) struct Shared {
     pub(super) scenario: Arc<Scenario>,
     pub(super) clock: Clock,
@@ -48,12 +48,12 @@
         self.timeliness.on_done(due, self.clock.now());
     }
 
-    /// A number for an arrival, never given twice.
+    /// The number of a new arrival, unique among arrivals and requests.
     pub(super) fn next_arrival_number(&self) -> ArrivalNumber {
         ArrivalNumber::new(self.next_number())
     }
 
-    /// A number for a request, never given twice.
+    /// The number of a new request, unique among arrivals and requests.
     pub(super) fn next_request_number(&self) -> RequestNumber {
         RequestNumber::new(self.next_number())
     }
@@ -73,12 +73,12 @@
         from_ms(base * (1.0 + network.jitter * unit))
     }
 
-    /// An attempt reached a server that is silent.
+    /// Counts an attempt that gets no response because its server is silent.
     pub(super) fn on_attempt_blackholed(&self) {
         self.blackholed_attempts.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// A health check reached a server that is silent.
+    /// Counts a health check that gets no response because its server is silent.
     pub(super) fn on_health_check_blackholed(&self) {
         self.blackholed_health_checks
             .fetch_add(1, Ordering::Relaxed);
