--- a/crates/testbed/src/emulator/client/arrival.rs
+++ b/crates/testbed/src/emulator/client/arrival.rs
@@ -71,11 +71,11 @@
         let mut random = RandomStream::new(scenario.seed, StreamId::Clients, stream_index);
         let deadline_span = from_ms(scenario.class[arrival.class.index()].deadline_ms);
         let deadline = arrival.at + deadline_span;
-        let mut sent_at = arrival.at;
+        let mut started_at = arrival.at;
         let mut requests = 0;
         loop {
             requests += 1;
-            let request = self.draw_request(&mut random, arrival, number, sent_at, deadline);
+            let request = self.draw_request(&mut random, arrival, number, started_at, deadline);
             let response = self.exchange(arrival, &request).await;
             let outcome = request.final_outcome(response.outcome);
             self.record_outcome(request.number, outcome);
@@ -86,7 +86,7 @@
                 return (outcome, requests);
             }
             tokio::time::sleep(Duration::from_micros(delay)).await;
-            sent_at = self.shared.clock.now();
+            started_at = self.shared.clock.now();
         }
     }
 
@@ -96,17 +96,19 @@
         random: &mut RandomStream,
         arrival: &Arrival,
         number: ArrivalNumber,
-        sent_at: Micros,
+        started_at: Micros,
         deadline: Micros,
     ) -> OutgoingRequest {
         let clients = &self.shared.scenario.clients;
         let deadline_span = deadline - arrival.at;
         let [min, max] = clients.timeout_share;
         let timeout = micros_from_f64(f64_from_u64(deadline_span) * random.between(min, max));
-        let times_out_at = (sent_at + timeout).min(deadline);
+        let times_out_at = (started_at + timeout).min(deadline);
         let disconnects = random.chance(clients.disconnect_share);
-        let disconnects_at = sent_at
-            + micros_from_f64(random.unit() * f64_from_u64(times_out_at.saturating_sub(sent_at)));
+        let disconnects_at = started_at
+            + micros_from_f64(
+                random.unit() * f64_from_u64(times_out_at.saturating_sub(started_at)),
+            );
         OutgoingRequest {
             number: self.shared.next_request_number(),
             arrival: number,
--- a/crates/testbed/src/emulator/client/exchange.rs
+++ b/crates/testbed/src/emulator/client/exchange.rs
@@ -59,9 +59,9 @@
             .unwrap_or(Response::without_response(RequestOutcome::Unanswered))
     }
 
-    /// When the client stops waiting for a response: at its disconnection, or twice the response
-    /// grace after its timeout. A late response is still read, as the auditor decides whether it
-    /// came in time.
+    /// When the client stops waiting for a response: at its disconnection, or after its timeout
+    /// and twice the grace that the auditor allows. A late response is still read, as the auditor
+    /// decides whether it came in time.
     fn response_wait_end(&self, request: &OutgoingRequest) -> Micros {
         let rules = &self.shared.scenario.rules;
         let grace = from_ms(rules.response_grace_ms + rules.emulator_extra_ms);
@@ -144,7 +144,7 @@
         connection.read_response().await
     }
 
-    /// Handles a refused connection. A request that was written before was lost in transit when its
+    /// Handles a failed connect. A request that was written before was lost in transit when its
     /// connection closed, and is recorded as not accepted.
     fn on_connect_failed(&self, request: &OutgoingRequest, accepted: bool) -> Response {
         if accepted {
--- a/crates/testbed/src/emulator/counter_check.rs
+++ b/crates/testbed/src/emulator/counter_check.rs
@@ -10,7 +10,7 @@
 use std::collections::HashMap;
 
 use super::shared::Shared;
-use super::sidecars::FleetCounters;
+use super::sidecars::CounterTotals;
 use crate::conversion::u64_from_count;
 use crate::event_log::{LogEvent, LogRecord, RequestOutcome};
 
@@ -87,7 +87,7 @@
 pub(super) fn compare(
     shared: &Shared,
     records: &[LogRecord],
-    counters: &FleetCounters,
+    counters: &CounterTotals,
 ) -> Comparison {
     if let Some(comparison) = without_counters(counters) {
         return comparison;
@@ -105,7 +105,7 @@
 }
 
 /// The result if counters are missing or lost; `None` if all are there.
-fn without_counters(counters: &FleetCounters) -> Option<Comparison> {
+fn without_counters(counters: &CounterTotals) -> Option<Comparison> {
     let mut comparison = Comparison::default();
     if counters.missing > 0 {
         comparison.differences.push(format!(
@@ -124,7 +124,7 @@
     None
 }
 
-fn summary(shared: &Shared, counters: &FleetCounters, observed: &ObservedCounts) -> String {
+fn summary(shared: &Shared, counters: &CounterTotals, observed: &ObservedCounts) -> String {
     format!(
         "counters compared: {} requests, {} of {} attempts received ({} in silence), \
          {} health checks ({} in silence)",
@@ -139,7 +139,7 @@
 
 fn compare_requests(
     comparison: &mut Comparison,
-    counters: &FleetCounters,
+    counters: &CounterTotals,
     observed: &ObservedCounts,
 ) {
     let count = |name: &str| counters.sum.get(name);
@@ -175,7 +175,7 @@
 /// was cancelled or timed out may have been rejected.
 fn compare_attempts(
     comparison: &mut Comparison,
-    counters: &FleetCounters,
+    counters: &CounterTotals,
     observed: &ObservedCounts,
 ) {
     let count = |name: &str| counters.sum.get(name);
@@ -199,7 +199,7 @@
 /// The last health check of each sidecar may have been in transit when the sidecar exited.
 fn compare_health_checks(
     comparison: &mut Comparison,
-    counters: &FleetCounters,
+    counters: &CounterTotals,
     observed: &ObservedCounts,
     sidecar_count: u64,
 ) {
--- a/crates/testbed/src/emulator/counter_check/tests.rs
+++ b/crates/testbed/src/emulator/counter_check/tests.rs
@@ -5,7 +5,7 @@
 use super::{Comparison, compare};
 use crate::emulator::clock::Clock;
 use crate::emulator::shared::Shared;
-use crate::emulator::sidecars::{Counters, FleetCounters};
+use crate::emulator::sidecars::{CounterTotals, Counters};
 use crate::event_log::{LogEvent, LogRecord, RequestOutcome};
 use crate::index::{ArrivalNumber, ClassIndex, RequestNumber, ServerIndex, SidecarIndex};
 use crate::scenario::Scenario;
@@ -60,7 +60,7 @@
         .collect()
 }
 
-fn compare_counters(counters: &FleetCounters) -> Comparison {
+fn compare_counters(counters: &CounterTotals) -> Comparison {
     let clock = Clock::starting_in(Duration::ZERO);
     compare(
         &Shared::new(&Scenario::default(), clock),
@@ -69,16 +69,16 @@
     )
 }
 
-fn fleet_counters(text: &str) -> FleetCounters {
-    FleetCounters {
+fn counter_totals(text: &str) -> CounterTotals {
+    CounterTotals {
         sum: Counters::from_log(text).expect("printed"),
-        ..FleetCounters::default()
+        ..CounterTotals::default()
     }
 }
 
 #[test]
 fn equal_counters_give_one_remark_and_no_difference() {
-    let comparison = compare_counters(&fleet_counters(COUNTERS));
+    let comparison = compare_counters(&counter_totals(COUNTERS));
     assert_eq!(comparison.differences, Vec::<String>::new());
     let remark = "counters compared: 5 requests, 4 of 4 attempts received (0 in silence), \
                   3 health checks (0 in silence)";
@@ -131,7 +131,7 @@
         ),
     ] {
         assert!(COUNTERS.contains(counter), "{counter}");
-        let comparison = compare_counters(&fleet_counters(&COUNTERS.replace(counter, changed)));
+        let comparison = compare_counters(&counter_totals(&COUNTERS.replace(counter, changed)));
         assert!(
             comparison.differences.iter().any(|line| line == difference),
             "{difference}: {:?}",
@@ -142,7 +142,7 @@
 
 #[test]
 fn killed_sidecars_prevent_the_comparison_and_missing_counters_are_a_difference() {
-    let mut counters = fleet_counters("stopped\n");
+    let mut counters = counter_totals("stopped\n");
     counters.killed = 2;
     let comparison = compare_counters(&counters);
     assert!(comparison.differences.is_empty());
--- a/crates/testbed/src/emulator/sidecars/counters.rs
+++ b/crates/testbed/src/emulator/sidecars/counters.rs
@@ -39,7 +39,7 @@
 
 /// The sums of the counters of all sidecars.
 #[derive(Default)]
-pub(in crate::emulator) struct FleetCounters {
+pub(in crate::emulator) struct CounterTotals {
     pub(in crate::emulator) sum: Counters,
     /// Number of processes that were killed, and whose counters are lost.
     pub(in crate::emulator) killed: u32,
--- a/crates/testbed/src/emulator/sidecars/mod.rs
+++ b/crates/testbed/src/emulator/sidecars/mod.rs
@@ -28,9 +28,9 @@
 
 use process::Sidecar;
 
+pub(super) use counters::CounterTotals;
 #[cfg(test)]
 pub(super) use counters::Counters;
-pub(super) use counters::FleetCounters;
 pub(super) use restart::Termination;
 
 /// Time limit for a sidecar's shutdown at the end of the run; it is killed after that.
@@ -110,7 +110,8 @@
         self.sidecars[index.index()].address
     }
 
-    /// Number of a sidecar's processes that were killed or have exited.
+    /// The incarnation of a sidecar's process: incremented when a kill begins and when a graceful
+    /// shutdown has ended.
     pub(super) fn incarnation(&self, index: SidecarIndex) -> u32 {
         self.sidecars[index.index()].incarnation()
     }
@@ -141,8 +142,8 @@
     }
 
     /// Shuts down all sidecars and adds up their counters.
-    pub(super) async fn shut_down_all(&self) -> FleetCounters {
-        let mut fleet = FleetCounters::default();
+    pub(super) async fn shut_down_all(&self) -> CounterTotals {
+        let mut totals = CounterTotals::default();
         for sidecar in &self.sidecars {
             sidecar.signal(Signal::SIGTERM);
         }
@@ -150,10 +151,10 @@
             let log_path = self.log_path(index);
             sidecar.wait_for_exit(FINAL_SHUTDOWN_TIMEOUT).await;
             let printed = sidecar.add_logged_counters(&read_log(&log_path));
-            fleet.missing += u32::from(!printed);
-            fleet.killed += sidecar.kills();
-            fleet.sum.add(&sidecar.counters());
+            totals.missing += u32::from(!printed);
+            totals.killed += sidecar.kills();
+            totals.sum.add(&sidecar.counters());
         }
-        fleet
+        totals
     }
 }
--- a/crates/testbed/src/emulator/sidecars/process.rs
+++ b/crates/testbed/src/emulator/sidecars/process.rs
@@ -24,7 +24,7 @@
 pub(super) struct Sidecar {
     pub(super) name: String,
     pub(super) address: SocketAddr,
-    /// Number of processes that were killed or have exited.
+    /// Incremented when a kill begins and when a graceful shutdown has ended.
     incarnation: AtomicU32,
     child: Mutex<Option<Child>>,
     /// Sums of the counters of the processes that shut down gracefully.
--- a/crates/testbed/src/emulator/sidecars/settings.rs
+++ b/crates/testbed/src/emulator/sidecars/settings.rs
@@ -78,7 +78,7 @@
     json!({ "machines": machines })
 }
 
-/// A sidecar's settings; its balancer gets the same ones in the simulator.
+/// A sidecar's settings; those of its balancer are the same as in the simulator.
 fn settings(scenario: &Scenario, sidecar: SidecarIndex) -> Value {
     let platform = PlatformSettings {
         balancer: balancer_settings(scenario, sidecar),
