--- a/crates/testbed/src/audit/dispatch.rs
+++ b/crates/testbed/src/audit/dispatch.rs
@@ -5,10 +5,10 @@
 use super::Auditor;
 use super::cold_server::ReceivedWork;
 use super::requests::AcceptedRequest;
-use crate::event_log::{EventLog, LogEvent, LogRecord};
+use crate::event_log::{EventSink, LogEvent, LogRecord};
 use crate::scenario::Micros;
 
-impl EventLog for Auditor {
+impl EventSink for Auditor {
     fn record(&mut self, record: &LogRecord) {
         let at = record.at;
         self.advance(at);
--- a/crates/testbed/src/cli/mod.rs
+++ b/crates/testbed/src/cli/mod.rs
@@ -11,7 +11,7 @@
 
 use clap::Parser as _;
 
-use crate::event_log::EventLog;
+use crate::event_log::EventSink;
 use crate::experiment::{Plan, ProgressDisplay};
 use crate::report::{Report, compare};
 use crate::scenario::{ScenarioErrors, ScenarioFile};
@@ -89,7 +89,7 @@
 
 fn simulate(
     scenario: &ScenarioFile,
-    event_log: Option<&mut dyn EventLog>,
+    event_log: Option<&mut dyn EventSink>,
 ) -> Result<Report, CliError> {
     let (report, _) =
         simulator::run(&scenario.scenario, event_log).map_err(|e| CliError::Simulator {
@@ -101,7 +101,7 @@
 /// Plays a scenario and writes what is asked for.
 fn play(
     arguments: &PlayArguments,
-    engine: impl FnOnce(&ScenarioFile, Option<&mut dyn EventLog>) -> Result<Report, CliError>,
+    engine: impl FnOnce(&ScenarioFile, Option<&mut dyn EventSink>) -> Result<Report, CliError>,
 ) -> Result<Verdict, CliError> {
     let scenario = input::scenario(arguments)?;
     let report = match &arguments.event_log {
--- a/crates/testbed/src/cli/output.rs
+++ b/crates/testbed/src/cli/output.rs
@@ -8,7 +8,7 @@
 
 use super::arguments::PlayArguments;
 use super::error::CliError;
-use crate::event_log::{EventLog, Writer};
+use crate::event_log::{EventLogWriter, EventSink};
 use crate::plot;
 use crate::report::Report;
 
@@ -18,10 +18,10 @@
 /// Those of `play`, and where the file cannot be written.
 pub(super) fn with_event_log(
     path: &Path,
-    play: impl FnOnce(&mut dyn EventLog) -> Result<Report, CliError>,
+    play: impl FnOnce(&mut dyn EventSink) -> Result<Report, CliError>,
 ) -> Result<Report, CliError> {
     let file = File::create(path).map_err(CliError::create(path))?;
-    let mut writer = Writer::new(BufWriter::new(file));
+    let mut writer = EventLogWriter::new(BufWriter::new(file));
     let report = play(&mut writer)?;
     writer.finish().map_err(CliError::write(path))?;
     Ok(report)
--- a/crates/testbed/src/emulator/mod.rs
+++ b/crates/testbed/src/emulator/mod.rs
@@ -26,7 +26,7 @@
 
 use crate::audit::Auditor;
 use crate::conversion::u64_from_count;
-use crate::event_log::{EventLog, LogRecord, Tee};
+use crate::event_log::{EventSink, LogRecord, Tee};
 use crate::index::ServerIndex;
 use crate::report::{EMULATOR, Report};
 use crate::scenario::{Scenario, from_ms};
@@ -140,7 +140,7 @@
 pub fn run(
     scenario: &Scenario,
     options: &Options,
-    further: Option<&mut dyn EventLog>,
+    further: Option<&mut dyn EventSink>,
 ) -> Result<Report, EmulatorError> {
     let result = runtime()?.block_on(async {
         let emulation = Emulation::set_up(scenario, options).await?;
@@ -152,7 +152,7 @@
 fn report(
     scenario: &Scenario,
     result: EmulationResult,
-    further: Option<&mut dyn EventLog>,
+    further: Option<&mut dyn EventSink>,
 ) -> Report {
     let extra = from_ms(scenario.rules.emulator_extra_ms);
     let mut auditor = Auditor::new(scenario, extra);
--- a/crates/testbed/src/event_log/mod.rs
+++ b/crates/testbed/src/event_log/mod.rs
@@ -14,4 +14,4 @@
 pub use event::{LogEvent, LogRecord};
 pub use reader::{EventLogError, read};
 pub use state::{ListedStatus, ProcessState, RequestOutcome, ServerState};
-pub use writer::{EventLog, Tee, Writer};
+pub use writer::{EventLogWriter, EventSink, Tee};
--- a/crates/testbed/src/event_log/tests.rs
+++ b/crates/testbed/src/event_log/tests.rs
@@ -5,8 +5,8 @@
 use std::collections::BTreeMap;
 
 use super::{
-    EventLog as _, ListedStatus, LogEvent, LogRecord, ProcessState, RequestOutcome, ServerState,
-    Writer, read,
+    EventLogWriter, EventSink as _, ListedStatus, LogEvent, LogRecord, ProcessState,
+    RequestOutcome, ServerState, read,
 };
 use crate::index::{
     ArrivalNumber, ClassIndex, RequestNumber, ServerIndex, SidecarIndex, TenantIndex,
@@ -24,7 +24,7 @@
 
 fn written(records: &[LogRecord]) -> String {
     let mut bytes = Vec::new();
-    let mut writer = Writer::new(&mut bytes);
+    let mut writer = EventLogWriter::new(&mut bytes);
     for record in records {
         writer.record(record);
     }
--- a/crates/testbed/src/event_log/writer.rs
+++ b/crates/testbed/src/event_log/writer.rs
@@ -7,12 +7,12 @@
 use super::LogRecord;
 
 /// Receives records in the order of their times.
-pub trait EventLog {
+pub trait EventSink {
     /// Takes the next record.
     fn record(&mut self, record: &LogRecord);
 }
 
-impl EventLog for Vec<LogRecord> {
+impl EventSink for Vec<LogRecord> {
     fn record(&mut self, record: &LogRecord) {
         self.push(*record);
     }
@@ -25,10 +25,10 @@
     /// Reads each record second.
     pub second: &'a mut B,
     /// Reads each record last, if present.
-    pub further: Option<&'b mut dyn EventLog>,
+    pub further: Option<&'b mut dyn EventSink>,
 }
 
-impl<A: EventLog, B: EventLog> EventLog for Tee<'_, '_, A, B> {
+impl<A: EventSink, B: EventSink> EventSink for Tee<'_, '_, A, B> {
     fn record(&mut self, record: &LogRecord) {
         self.first.record(record);
         self.second.record(record);
@@ -39,12 +39,12 @@
 }
 
 /// Writes one JSON object a line. The first error is kept and returned at the end.
-pub struct Writer<W: Write> {
+pub struct EventLogWriter<W: Write> {
     out: W,
     error: Option<io::Error>,
 }
 
-impl<W: Write> Writer<W> {
+impl<W: Write> EventLogWriter<W> {
     /// Writes to `out`, which should be buffered.
     pub fn new(out: W) -> Self {
         Self { out, error: None }
@@ -62,7 +62,7 @@
     }
 }
 
-impl<W: Write> EventLog for Writer<W> {
+impl<W: Write> EventSink for EventLogWriter<W> {
     fn record(&mut self, record: &LogRecord) {
         if self.error.is_none() {
             let written = serde_json::to_writer(&mut self.out, record).map_err(io::Error::from);
--- a/crates/testbed/src/simulator/context.rs
+++ b/crates/testbed/src/simulator/context.rs
@@ -4,19 +4,19 @@
 
 use super::event::SimulatorEvent;
 use super::timeline::Timeline;
-use crate::event_log::{EventLog, LogEvent, LogRecord};
+use crate::event_log::{EventSink, LogEvent, LogRecord};
 use crate::scenario::{Micros, Scenario};
 
 /// The scenario that is simulated, the timeline and the event log.
 pub(super) struct Context<'a> {
     scenario: &'a Scenario,
     timeline: Timeline,
-    log: &'a mut dyn EventLog,
+    log: &'a mut dyn EventSink,
 }
 
 impl<'a> Context<'a> {
     /// The start of a run.
-    pub(super) fn new(scenario: &'a Scenario, log: &'a mut dyn EventLog) -> Self {
+    pub(super) fn new(scenario: &'a Scenario, log: &'a mut dyn EventSink) -> Self {
         Self {
             scenario,
             timeline: Timeline::new(),
--- a/crates/testbed/src/simulator/mod.rs
+++ b/crates/testbed/src/simulator/mod.rs
@@ -27,7 +27,7 @@
 pub(crate) mod sidecars;
 mod timeline;
 
-use crate::event_log::EventLog;
+use crate::event_log::EventSink;
 use crate::scenario::{Micros, Scenario, from_s};
 
 use attempts::Attempts;
@@ -63,7 +63,7 @@
 
 impl<'a> Simulator<'a> {
     /// Builds all components, and schedules the first arrivals and the faults.
-    fn new(scenario: &'a Scenario, log: &'a mut dyn EventLog) -> Result<Self, SimulatorError> {
+    fn new(scenario: &'a Scenario, log: &'a mut dyn EventSink) -> Result<Self, SimulatorError> {
         let mut context = Context::new(scenario, log);
         let fleet = Fleet::new(&mut context);
         let discovery = Discovery::new(scenario, fleet.starts());
--- a/crates/testbed/src/simulator/run.rs
+++ b/crates/testbed/src/simulator/run.rs
@@ -2,7 +2,7 @@
 
 use super::{Simulator, SimulatorError};
 use crate::audit::Auditor;
-use crate::event_log::{EventLog, Tee};
+use crate::event_log::{EventSink, Tee};
 use crate::report::{Report, SIMULATOR};
 use crate::scenario::Scenario;
 use crate::statistics::Statistics;
@@ -22,7 +22,7 @@
 /// Settings that the balancer refuses.
 pub fn run(
     scenario: &Scenario,
-    further: Option<&mut dyn EventLog>,
+    further: Option<&mut dyn EventSink>,
 ) -> Result<(Report, RunStatistics), SimulatorError> {
     let mut auditor = Auditor::new(scenario, 0);
     let mut statistics = Statistics::new(scenario);
--- a/crates/testbed/src/statistics/mod.rs
+++ b/crates/testbed/src/statistics/mod.rs
@@ -11,7 +11,7 @@
 use rustc_hash::FxHashMap;
 
 use crate::conversion::{MICROS_PER_MS, MICROS_PER_S, count_from_f64, f64_from_u64, second_of};
-use crate::event_log::{EventLog, LogEvent, LogRecord, ProcessState, RequestOutcome};
+use crate::event_log::{EventSink, LogEvent, LogRecord, ProcessState, RequestOutcome};
 use crate::index::{ArrivalNumber, ClassIndex, TenantIndex};
 use crate::report::{ClassFigures, Report, TenantFigures, engine_name};
 use crate::scenario::{Micros, Scenario};
@@ -178,7 +178,7 @@
     }
 }
 
-impl EventLog for Statistics {
+impl EventSink for Statistics {
     fn record(&mut self, record: &LogRecord) {
         let at = record.at;
         match record.event {
--- a/crates/testbed/tests/auditor/main.rs
+++ b/crates/testbed/tests/auditor/main.rs
@@ -9,7 +9,7 @@
 
 use arrowstand_testbed::audit::{Auditor, Rule};
 use arrowstand_testbed::event_log::{
-    EventLog, ListedStatus, LogEvent, LogRecord, ProcessState, RequestOutcome, ServerState,
+    EventSink, ListedStatus, LogEvent, LogRecord, ProcessState, RequestOutcome, ServerState,
 };
 use arrowstand_testbed::index::{
     ArrivalNumber, ClassIndex, RequestNumber, ServerIndex, SidecarIndex,
