--- a/crates/testbed/src/emulator/emulated_server/mod.rs
+++ b/crates/testbed/src/emulator/emulated_server/mod.rs
@@ -25,7 +25,7 @@
 use crate::event_log::{LogEvent, ServerState};
 use crate::index::{RequestNumber, ServerIndex, SidecarIndex};
 use crate::random::{RandomStream, StreamId};
-use crate::scenario::{MachineType, Micros, Servers};
+use crate::scenario::{MachineType, Micros, ServerGroup};
 use crate::server_model::ServerModel;
 
 use listeners::Listeners;
@@ -78,7 +78,7 @@
         shared: &Arc<Shared>,
         index: ServerIndex,
         machine_type: &MachineType,
-        group: &Servers,
+        group: &ServerGroup,
     ) -> Result<Arc<Self>, EmulatorError> {
         let server = Arc::new(Self::new(shared, index, machine_type, group)?);
         server.listen().await?;
@@ -96,7 +96,7 @@
         shared: &Arc<Shared>,
         index: ServerIndex,
         machine_type: &MachineType,
-        group: &Servers,
+        group: &ServerGroup,
     ) -> Result<Self, EmulatorError> {
         let scenario = &shared.scenario;
         let stream = STREAM_OFFSET + index.index();
--- a/crates/testbed/src/report/mod.rs
+++ b/crates/testbed/src/report/mod.rs
@@ -17,7 +17,7 @@
 use crate::audit::Auditor;
 use crate::conversion::f64_from_u64;
 use crate::event_log::RequestOutcome;
-use crate::scenario::Expect;
+use crate::scenario::Expectations;
 
 pub use compare::compare;
 pub use figures::{FIGURES, figure_name};
@@ -165,7 +165,7 @@
     }
 
     /// Compares the figures with the scenario's expectations, and lists those that are missed.
-    pub fn check_expectations(&mut self, expect: &Expect) {
+    pub fn check_expectations(&mut self, expect: &Expectations) {
         let mut missed = Vec::new();
         let mut at_least = |name: &str, actual: f64, expected: Option<f64>| {
             if let Some(expected) = expected.filter(|expected| actual < *expected) {
--- a/crates/testbed/src/scenario/capacity.rs
+++ b/crates/testbed/src/scenario/capacity.rs
@@ -4,13 +4,13 @@
 //! engines rely on. Knows only the fleet at the start: servers that replace others, and those that
 //! are down, are the engines'.
 
-use super::{MachineType, Scenario, Servers};
+use super::{MachineType, Scenario, ServerGroup};
 use crate::index::{ServerIndex, SidecarIndex};
 
 impl Scenario {
     /// Machine type and group of each server, in the order of the servers' names. Groups of unknown
     /// machine types are left out.
-    pub fn fleet(&self) -> Vec<(&MachineType, &Servers)> {
+    pub fn fleet(&self) -> Vec<(&MachineType, &ServerGroup)> {
         self.servers
             .iter()
             .filter_map(|group| Some((self.machine_type_of(group)?, group)))
@@ -20,7 +20,7 @@
             .collect()
     }
 
-    fn machine_type_of(&self, group: &Servers) -> Option<&MachineType> {
+    fn machine_type_of(&self, group: &ServerGroup) -> Option<&MachineType> {
         self.machine_type
             .iter()
             .find(|machine_type| machine_type.name == group.machine_type)
@@ -59,7 +59,7 @@
     }
 
     /// Zone of a server by its index and group, as its place in the network's list of zones.
-    pub fn server_zone(&self, group: &Servers, server: ServerIndex) -> u32 {
+    pub fn server_zone(&self, group: &ServerGroup, server: ServerIndex) -> u32 {
         let named = group
             .zone
             .as_ref()
--- a/crates/testbed/src/scenario/expectations.rs
+++ b/crates/testbed/src/scenario/expectations.rs
@@ -7,7 +7,7 @@
 /// What must hold, besides the rules, for exit code 0.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Expect {
+pub struct Expectations {
     /// Least service, weighed as in reports; a share.
     pub service: Option<f64>,
     /// Least share of the accepted requests that are served.
--- a/crates/testbed/src/scenario/fleet.rs
+++ b/crates/testbed/src/scenario/fleet.rs
@@ -157,7 +157,7 @@
 /// A group of servers of one machine type.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Servers {
+pub struct ServerGroup {
     /// Name of their machine type.
     pub machine_type: String,
     /// How many there are.
@@ -168,7 +168,7 @@
     pub cold: bool,
 }
 
-impl Default for Servers {
+impl Default for ServerGroup {
     fn default() -> Self {
         Self {
             machine_type: "std".into(),
--- a/crates/testbed/src/scenario/mod.rs
+++ b/crates/testbed/src/scenario/mod.rs
@@ -26,9 +26,9 @@
 
 pub use discovery::Discovery;
 pub use error::{ScenarioError, ScenarioErrors};
-pub use expectations::Expect;
+pub use expectations::Expectations;
 pub use faults::{Fault, FaultKind};
-pub use fleet::{CancellationScope, Contention, MachineType, Network, Servers, Sidecars};
+pub use fleet::{CancellationScope, Contention, MachineType, Network, ServerGroup, Sidecars};
 pub use read::ScenarioFile;
 pub use rules::{LoadReportSource, LoadReports, Permissions, Prices, Rules};
 pub use time::{Micros, from_ms, from_s};
@@ -52,7 +52,7 @@
     /// Types of machines that servers run on, in the order of the file.
     pub machine_type: Vec<MachineType>,
     /// Groups of servers; servers are numbered in their order.
-    pub servers: Vec<Servers>,
+    pub servers: Vec<ServerGroup>,
     /// The sidecars.
     pub sidecars: Sidecars,
     /// Classes of requests; at least one.
@@ -76,7 +76,7 @@
     /// What goes wrong, and when.
     pub fault: Vec<Fault>,
     /// What must hold, besides the rules.
-    pub expect: Expect,
+    pub expect: Expectations,
 }
 
 impl Default for Scenario {
@@ -99,7 +99,7 @@
             rules: Rules::default(),
             prices: Prices::default(),
             fault: Vec::new(),
-            expect: Expect::default(),
+            expect: Expectations::default(),
         }
     }
 }
--- a/crates/testbed/src/scenario/renamed_keys/tests.rs
+++ b/crates/testbed/src/scenario/renamed_keys/tests.rs
@@ -1,5 +1,5 @@
 use super::{KeyPath, RENAMED_KEYS, Table, present_path, with_present_names, written_path};
-use crate::scenario::{Class, Contention, Fault, Load, MachineType, Scenario, Servers};
+use crate::scenario::{Class, Contention, Fault, Load, MachineType, Scenario, ServerGroup};
 
 fn table(text: &str) -> Table {
     text.parse().expect("TOML")
@@ -13,7 +13,7 @@
     };
     let scenario = Scenario {
         machine_type: vec![machine_type],
-        servers: vec![Servers::default()],
+        servers: vec![ServerGroup::default()],
         class: vec![Class::default()],
         fault: vec![Fault::default()],
         load: Load {
--- a/crates/testbed/src/simulator/fleet/tests.rs
+++ b/crates/testbed/src/simulator/fleet/tests.rs
@@ -5,7 +5,7 @@
 use super::Fleet;
 use crate::event_log::{ListedStatus, LogRecord};
 use crate::index::{RequestNumber, ServerIndex, SidecarIndex};
-use crate::scenario::{Fault, FaultKind, MachineType, Micros, Scenario, Servers};
+use crate::scenario::{Fault, FaultKind, MachineType, Micros, Scenario, ServerGroup};
 use crate::simulator::attempts::{AttemptDetails, AttemptKey, Attempts};
 use crate::simulator::context::Context;
 use crate::simulator::event::{HealthCheck, SimulatorEvent};
@@ -21,7 +21,7 @@
 fn scenario() -> Scenario {
     Scenario {
         machine_type: vec![MachineType::default()],
-        servers: vec![Servers::default()],
+        servers: vec![ServerGroup::default()],
         ..Scenario::default()
     }
 }
--- a/crates/testbed/tests/scenario/defaults.rs
+++ b/crates/testbed/tests/scenario/defaults.rs
@@ -3,8 +3,8 @@
 use std::path::Path;
 
 use arrowstand_testbed::scenario::{
-    Class, Clients, Contention, Discovery, Expect, Fault, Load, LoadReports, MachineType, Network,
-    Permissions, Prices, Rules, Scenario, Servers, Sidecars, Tenant,
+    Class, Clients, Contention, Discovery, Expectations, Fault, Load, LoadReports, MachineType,
+    Network, Permissions, Prices, Rules, Scenario, ServerGroup, Sidecars, Tenant,
 };
 use serde::Serialize;
 
@@ -21,7 +21,7 @@
         ("network", written::<Network>()),
         ("machine_type", written::<MachineType>()),
         ("contention", written::<Contention>()),
-        ("servers", written::<Servers>()),
+        ("servers", written::<ServerGroup>()),
         ("sidecars", written::<Sidecars>()),
         ("class", written::<Class>()),
         ("tenant", written::<Tenant>()),
@@ -33,7 +33,7 @@
         ("rules", written::<Rules>()),
         ("prices", written::<Prices>()),
         ("fault", written::<Fault>()),
-        ("expect", written::<Expect>()),
+        ("expect", written::<Expectations>()),
     ];
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/scenario/data/defaults");
     for (section, written) in sections {
--- a/crates/testbed/tests/scenario/page.rs
+++ b/crates/testbed/tests/scenario/page.rs
@@ -4,8 +4,8 @@
 use std::path::Path;
 
 use arrowstand_testbed::scenario::{
-    Class, Clients, Contention, Discovery, Expect, Fault, Load, LoadReports, MachineType, Network,
-    Permissions, Prices, Rules, Scenario, Servers, Sidecars, Tenant,
+    Class, Clients, Contention, Discovery, Expectations, Fault, Load, LoadReports, MachineType,
+    Network, Permissions, Prices, Rules, Scenario, ServerGroup, Sidecars, Tenant,
 };
 use serde::Serialize;
 use serde_json::Value;
@@ -17,7 +17,7 @@
         ("`[network]`", defaults_of::<Network>()),
         ("`[[machine_type]]`", defaults_of::<MachineType>()),
         ("`contention`", defaults_of::<Contention>()),
-        ("`[[servers]]`", defaults_of::<Servers>()),
+        ("`[[servers]]`", defaults_of::<ServerGroup>()),
         ("`[sidecars]`", defaults_of::<Sidecars>()),
         ("`[[class]]`", defaults_of::<Class>()),
         ("`[[tenant]]`", defaults_of::<Tenant>()),
@@ -29,7 +29,7 @@
         ("`[rules]`", defaults_of::<Rules>()),
         ("`[prices]`", defaults_of::<Prices>()),
         ("`[[fault]]`", defaults_of::<Fault>()),
-        ("`[expect]`", defaults_of::<Expect>()),
+        ("`[expect]`", defaults_of::<Expectations>()),
     ]
 }
 
