--- a/crates/testbed/benches/simulator.rs
+++ b/crates/testbed/benches/simulator.rs
@@ -16,7 +16,7 @@
         .map(|(key, value)| ((*key).to_owned(), toml::Value::Float(*value)))
         .collect();
     ScenarioFile::open(path.as_ref())
-        .and_then(|scenario| scenario.with(&changes))
+        .and_then(|scenario| scenario.with_keys_set(&changes))
         .unwrap_or_else(|e| panic!("{e}"))
 }
 
--- a/crates/testbed/src/cli/input.rs
+++ b/crates/testbed/src/cli/input.rs
@@ -21,7 +21,7 @@
         changes.push(("seed".into(), toml::Value::Integer(seed)));
     }
     let scenario = ScenarioFile::open(&arguments.scenario)?;
-    Ok(scenario.with(&changes)?)
+    Ok(scenario.with_keys_set(&changes)?)
 }
 
 /// The key and value of a `--set`; a value that is no TOML is taken as a string.
--- a/crates/testbed/src/experiment/plan.rs
+++ b/crates/testbed/src/experiment/plan.rs
@@ -147,6 +147,6 @@
             .chain(axes.map(owned))
             .chain(seed)
             .collect();
-        scenario.with(&changes)
+        scenario.with_keys_set(&changes)
     }
 }
--- a/crates/testbed/src/scenario/check/faults.rs
+++ b/crates/testbed/src/scenario/check/faults.rs
@@ -54,7 +54,7 @@
             let key = format!("{path}.servers[{i}]");
             checker.require(known, key, format!("there is no server {name:?}"));
         }
-        if fault.aims_at_servers() {
+        if fault.targets_servers() {
             checker.require(
                 !fault.servers.is_empty() || fault.target_share > 0.0 || fault.zone.is_some(),
                 path,
--- a/crates/testbed/src/scenario/check/traffic.rs
+++ b/crates/testbed/src/scenario/check/traffic.rs
@@ -61,11 +61,11 @@
 
     fn check_arrival_count(&self, checker: &mut Checker) {
         let highest_drift = if self.load.shape == LoadShape::Drift {
-            self.load.high * self.full_rate()
+            self.load.high * self.capacity_rate()
         } else {
             0.0
         };
-        let arrivals = self.rate().max(highest_drift) * self.seconds;
+        let arrivals = self.mean_rate().max(highest_drift) * self.seconds;
         if arrivals.is_finite() {
             let why = format!("{arrivals:.0} arrivals are more than {MAX_ARRIVALS:.0}");
             checker.require(arrivals <= MAX_ARRIVALS, "load", why);
--- a/crates/testbed/src/scenario/faults.rs
+++ b/crates/testbed/src/scenario/faults.rs
@@ -100,7 +100,7 @@
 
 impl Fault {
     /// True for what happens to servers rather than to sidecars, classes or discovery.
-    pub fn aims_at_servers(&self) -> bool {
+    pub fn targets_servers(&self) -> bool {
         !matches!(
             self.kind,
             FaultKind::Burst
@@ -113,7 +113,7 @@
     }
 
     /// True while it lasts.
-    pub fn is_on(&self, at: Micros) -> bool {
+    pub fn is_active(&self, at: Micros) -> bool {
         let from = from_s(self.at_s);
         (from..from + from_s(self.for_s)).contains(&at)
     }
--- a/crates/testbed/src/scenario/rates.rs
+++ b/crates/testbed/src/scenario/rates.rs
@@ -15,7 +15,7 @@
 
 impl Scenario {
     /// Mean work of a request, in seconds of a standard core.
-    pub fn mean_work(&self) -> f64 {
+    pub fn mean_work_s(&self) -> f64 {
         let shares: f64 = self.class.iter().map(|class| class.share).sum();
         let work: f64 = self
             .class
@@ -26,24 +26,24 @@
     }
 
     /// Requests a second, on the mean of the run.
-    pub fn rate(&self) -> f64 {
+    pub fn mean_rate(&self) -> f64 {
         if self.load.rate > 0.0 {
             self.load.rate
         } else {
-            self.load.of_capacity * self.full_rate()
+            self.load.of_capacity * self.capacity_rate()
         }
     }
 
     /// Requests a second that the warm fleet can serve.
-    pub fn full_rate(&self) -> f64 {
-        self.capacity() / self.mean_work().max(f64::MIN_POSITIVE)
+    pub fn capacity_rate(&self) -> f64 {
+        self.capacity() / self.mean_work_s().max(f64::MIN_POSITIVE)
     }
 
     /// Requests a second at a moment, in microseconds from the start; `load_drift` lies between 0
     /// and 1 and counts for [`LoadShape::Drift`].
     pub fn rate_at(&self, at: Micros, load_drift: f64) -> f64 {
         let burst = self.burst_factor(at);
-        let mean = self.rate() * burst;
+        let mean = self.mean_rate() * burst;
         match self.load.shape {
             LoadShape::Steady => mean,
             LoadShape::Ramp => mean * (RAMP_START + (to_s(at) / self.seconds).min(1.0)),
@@ -51,7 +51,7 @@
                 let wave = (to_s(at) / self.load.period_s * TAU).sin();
                 mean * (1.0 + self.load.swing * wave)
             }
-            LoadShape::Drift => burst * self.full_rate() * self.drifting_share(load_drift),
+            LoadShape::Drift => burst * self.capacity_rate() * self.drifting_share(load_drift),
         }
     }
 
@@ -65,7 +65,7 @@
     fn burst_factor(&self, at: Micros) -> f64 {
         self.fault
             .iter()
-            .filter(|fault| fault.kind == FaultKind::Burst && fault.is_on(at))
+            .filter(|fault| fault.kind == FaultKind::Burst && fault.is_active(at))
             .map(|fault| fault.factor)
             .product()
     }
--- a/crates/testbed/src/scenario/read.rs
+++ b/crates/testbed/src/scenario/read.rs
@@ -64,7 +64,7 @@
     ///
     /// # Errors
     /// A key that cannot be set, or everything that is wrong with what comes of it.
-    pub fn with(&self, changes: &[(String, Value)]) -> Result<Self, ScenarioErrors> {
+    pub fn with_keys_set(&self, changes: &[(String, Value)]) -> Result<Self, ScenarioErrors> {
         let mut variant = self.clone();
         for (key, value) in changes {
             let path = KeyPath::parse(key);
--- a/crates/testbed/src/simulator/faults/mod.rs
+++ b/crates/testbed/src/simulator/faults/mod.rs
@@ -14,7 +14,7 @@
 /// has each server's zone.
 pub fn targets(scenario: &Scenario, index: usize, zones: &[u32]) -> Vec<ServerIndex> {
     let fault = &scenario.fault[index];
-    if !fault.aims_at_servers() {
+    if !fault.targets_servers() {
         return Vec::new();
     }
     if !fault.servers.is_empty() {
--- a/crates/testbed/src/statistics/mod.rs
+++ b/crates/testbed/src/statistics/mod.rs
@@ -143,7 +143,7 @@
         let prices = &self.scenario.prices;
         let traffic = &self.traffic;
         let arrivals = f64_from_u64(traffic.arrivals.max(1));
-        let offered_work = arrivals * self.scenario.mean_work() * MICROS_PER_S;
+        let offered_work = arrivals * self.scenario.mean_work_s() * MICROS_PER_S;
         prices.cross_zone * f64_from_u64(traffic.cross_zone_attempts) / arrivals
             + prices.health_check * f64_from_u64(traffic.health_checks) / arrivals
             + prices.handshake * f64_from_u64(traffic.handshakes) / arrivals
--- a/crates/testbed/src/workload.rs
+++ b/crates/testbed/src/workload.rs
@@ -144,7 +144,7 @@
             }
             // Drawn whether or not it is on, so that a fault moves no other draw.
             let hit = self.work_random.unit() < fault.share;
-            if hit && fault.is_on(self.now) {
+            if hit && fault.is_active(self.now) {
                 work *= fault.factor;
             }
         }
--- a/crates/testbed/src/workload/quota.rs
+++ b/crates/testbed/src/workload/quota.rs
@@ -38,7 +38,7 @@
 
 /// One quota for each tenant, full at the start.
 pub fn quotas(scenario: &Scenario) -> Vec<TenantQuota> {
-    let all = scenario.full_rate() * scenario.rules.quota_of_capacity;
+    let all = scenario.capacity_rate() * scenario.rules.quota_of_capacity;
     let tenants = scenario.tenant.iter();
     tenants
         .map(|tenant| TenantQuota::new(tenant.share * all))
--- a/crates/testbed/tests/scenario/former_keys.rs
+++ b/crates/testbed/tests/scenario/former_keys.rs
@@ -193,7 +193,7 @@
         (axis.key.clone(), value.clone())
     });
 
-    let variant = file.with(&last_values.collect::<Vec<_>>());
+    let variant = file.with_keys_set(&last_values.collect::<Vec<_>>());
 
     let scenario = variant.unwrap_or_else(|e| panic!("{e}")).scenario;
     assert_eq!(plan.axis.len(), 2);
--- a/crates/testbed/tests/scenario/refusals.rs
+++ b/crates/testbed/tests/scenario/refusals.rs
@@ -40,7 +40,7 @@
         message,
     } in refusals.refusal
     {
-        let set = complete.with(&[(key.clone(), value.clone())]);
+        let set = complete.with_keys_set(&[(key.clone(), value.clone())]);
 
         let found = set.expect_err(&format!("{key} = {value}")).to_string();
         assert_eq!(found, message, "{key} = {value}");
--- a/crates/testbed/tests/scenario/support.rs
+++ b/crates/testbed/tests/scenario/support.rs
@@ -39,7 +39,7 @@
     key: &str,
     value: impl Into<toml::Value>,
 ) -> ScenarioFile {
-    let variant = scenario.with(&[(key.to_owned(), value.into())]);
+    let variant = scenario.with_keys_set(&[(key.to_owned(), value.into())]);
     variant.unwrap_or_else(|errors| panic!("{errors}"))
 }
 
@@ -49,7 +49,7 @@
     key: &str,
     value: impl Into<toml::Value>,
 ) -> String {
-    let variant = scenario.with(&[(key.to_owned(), value.into())]);
+    let variant = scenario.with_keys_set(&[(key.to_owned(), value.into())]);
     variant.expect_err(key).to_string()
 }
 
--- a/crates/testbed/tests/simulator/support.rs
+++ b/crates/testbed/tests/simulator/support.rs
@@ -19,7 +19,8 @@
     let changes: Vec<_> = changes
         .map(|(key, value)| ((*key).to_owned(), value.clone()))
         .collect();
-    read.with(&changes).unwrap_or_else(|e| panic!("{e}"))
+    read.with_keys_set(&changes)
+        .unwrap_or_else(|e| panic!("{e}"))
 }
 
 /// A shipped scenario with a fault more.
