--- a/crates/testbed/src/conversion.rs
+++ b/crates/testbed/src/conversion.rs
@@ -71,12 +71,12 @@
 }
 
 /// The second of the run in which a moment lies, from 0.
-pub(crate) fn second_of(at: Micros) -> usize {
+pub(crate) fn second_floor(at: Micros) -> usize {
     usize::try_from(at / WHOLE_MICROS_PER_S).unwrap_or(usize::MAX)
 }
 
 /// The first second of the run that begins at a moment or later.
-pub(crate) fn second_from(at: Micros) -> usize {
+pub(crate) fn second_ceil(at: Micros) -> usize {
     usize::try_from(at.div_ceil(WHOLE_MICROS_PER_S)).unwrap_or(usize::MAX)
 }
 
--- a/crates/testbed/src/conversion/tests.rs
+++ b/crates/testbed/src/conversion/tests.rs
@@ -41,11 +41,15 @@
 #[test]
 fn a_moment_lies_in_the_second_that_has_begun() {
     assert_eq!(
-        (second_of(0), second_of(999_999), second_of(1_000_000)),
+        (
+            second_floor(0),
+            second_floor(999_999),
+            second_floor(1_000_000)
+        ),
         (0, 0, 1)
     );
     assert_eq!(
-        (second_from(0), second_from(1), second_from(1_000_000)),
+        (second_ceil(0), second_ceil(1), second_ceil(1_000_000)),
         (0, 1, 1)
     );
 }
--- a/crates/testbed/src/statistics/mod.rs
+++ b/crates/testbed/src/statistics/mod.rs
@@ -10,7 +10,7 @@
 
 use rustc_hash::FxHashMap;
 
-use crate::conversion::{MICROS_PER_MS, MICROS_PER_S, count_from_f64, f64_from_u64, second_of};
+use crate::conversion::{MICROS_PER_MS, MICROS_PER_S, count_from_f64, f64_from_u64, second_floor};
 use crate::event_log::{EventSink, LogEvent, LogRecord, ProcessState, RequestOutcome};
 use crate::index::{ArrivalNumber, ClassIndex, TenantIndex};
 use crate::report::{ClassFigures, Report, TenantFigures, engine_name};
@@ -94,7 +94,7 @@
         let gain = Gain::new(class, arrival.at, at, outcome);
         self.service.on_arrival_ended(&arrival, &gain);
         self.outcomes
-            .on_arrival_ended(second_of(arrival.at), class_index, outcome, &gain);
+            .on_arrival_ended(second_floor(arrival.at), class_index, outcome, &gain);
     }
 
     /// Sums up. `engine` names what played the scenario, `seed` the seed that it played with.
@@ -212,7 +212,7 @@
                 self.traffic.on_response(request, outcome);
                 self.outcomes.on_response(outcome);
             }
-            other => self.traffic.on_event(second_of(at), other),
+            other => self.traffic.on_event(second_floor(at), other),
         }
     }
 }
--- a/crates/testbed/src/statistics/service.rs
+++ b/crates/testbed/src/statistics/service.rs
@@ -3,7 +3,7 @@
 //! Owns the sums of value and their weighting into one figure.
 
 use super::arrival::{Gain, OpenArrival};
-use crate::conversion::{f64_from_count, s_from_micros, second_from, second_of};
+use crate::conversion::{f64_from_count, s_from_micros, second_ceil, second_floor};
 use crate::index::{ClassIndex, TenantIndex};
 use crate::scenario::Micros;
 
@@ -108,7 +108,7 @@
         if let Some(tenant) = tenant.filter(|_| arrival.within_quota) {
             tenant.add(arrival.value, gain.share);
         }
-        if let Some(second) = self.by_second.get_mut(second_of(arrival.at)) {
+        if let Some(second) = self.by_second.get_mut(second_floor(arrival.at)) {
             second.add(arrival.value, gain.share);
         }
     }
@@ -151,8 +151,8 @@
         let share = |from: usize, to: usize| {
             share_of_sum(self.by_second.get(from..to.min(self.by_second.len()))?)
         };
-        let before = share(0, second_of(first).max(1))?;
-        let from = second_from(last);
+        let before = share(0, second_floor(first).max(1))?;
+        let from = second_ceil(last);
         let recovered = |second: usize| {
             let now = share(second, second + RECOVERY_WINDOW_S);
             now.is_some_and(|now| now >= RECOVERED_SHARE * before)
--- a/crates/testbed/src/workload.rs
+++ b/crates/testbed/src/workload.rs
@@ -5,7 +5,9 @@
 
 mod quota;
 
-use crate::conversion::{MICROS_PER_MS, MICROS_PER_S, count_from_f64, micros_from_f64, second_of};
+use crate::conversion::{
+    MICROS_PER_MS, MICROS_PER_S, count_from_f64, micros_from_f64, second_floor,
+};
 use crate::index::{ClassIndex, SidecarIndex, TenantIndex};
 use crate::random::{RandomStream, StreamId};
 use crate::scenario::{Class, FaultKind, Micros, Scenario, WorkDistribution, from_s};
@@ -160,7 +162,7 @@
 
     /// Arrivals a second now.
     fn rate(&self) -> f64 {
-        let load_drift = self.load_drift.get(second_of(self.now)).copied();
+        let load_drift = self.load_drift.get(second_floor(self.now)).copied();
         let all = self
             .scenario
             .rate_at(self.now, load_drift.unwrap_or(DRIFT_MIDDLE));
