--- a/crates/testbed/src/conversion.rs
+++ b/crates/testbed/src/conversion.rs
@@ -1,8 +1,7 @@
-//! Conversions between the testbed's integers and floating-point numbers, and between its units of
-//! time, that the standard library has no `From` for.
+//! Lossy conversions between integers and floating-point numbers, and between units of time, for
+//! which the standard library has no `From`.
 //!
-//! Owns what happens to a number that does not fit. The times of a scenario's file are converted by
-//! `scenario`.
+//! Out-of-range numbers saturate. The times in a scenario file are converted by `scenario::time`.
 
 use crate::scenario::Micros;
 
@@ -10,72 +9,72 @@
 pub(crate) const MICROS_PER_MS: f64 = 1_000.0;
 /// Microseconds in a second.
 pub(crate) const MICROS_PER_S: f64 = 1e6;
-/// Microseconds in a second, for whole seconds.
+/// Microseconds in a second, for integer arithmetic.
 const WHOLE_MICROS_PER_S: Micros = 1_000_000;
 
-/// A count as the nearest floating-point number; equal up to 2^53.
+/// A count as the nearest floating-point number; exact up to 2^53.
 pub(crate) fn f64_from_count(count: usize) -> f64 {
     count as f64
 }
 
-/// A count or time as the nearest floating-point number; equal up to 2^53.
+/// A count or time as the nearest floating-point number; exact up to 2^53.
 pub(crate) fn f64_from_u64(number: u64) -> f64 {
     number as f64
 }
 
-/// A signed integer as the nearest floating-point number; equal up to 2^53.
+/// A signed integer as the nearest floating-point number; exact up to 2^53.
 pub(crate) fn f64_from_i64(number: i64) -> f64 {
     number as f64
 }
 
-/// Microseconds without their fraction. NaN and negative numbers become 0, numbers above the range
-/// the largest.
+/// Microseconds truncated to an integer. NaN and negative numbers become 0, numbers above the range
+/// the largest integer.
 pub(crate) fn micros_from_f64(micros: f64) -> Micros {
     micros as Micros
 }
 
-/// A span times a factor, in whole microseconds: the fraction is cut off.
+/// A span of time multiplied by a factor, truncated to whole microseconds.
 pub(crate) fn scaled_micros(span: Micros, factor: f64) -> Micros {
     micros_from_f64(f64_from_u64(span) * factor)
 }
 
-/// A count without its fraction. NaN and negative numbers become 0, numbers above the range the
-/// largest.
+/// A count truncated to an integer. NaN and negative numbers become 0, numbers above the range the
+/// largest integer.
 pub(crate) fn count_from_f64(count: f64) -> usize {
     count as usize
 }
 
-/// A count of 32 bits as one of the machine's.
+/// A 32-bit count as a `usize`.
 pub(crate) fn count_from_u32(count: u32) -> usize {
     usize::try_from(count).unwrap_or(usize::MAX)
 }
 
-/// A count as one of 32 bits; the largest one for what is above.
+/// A count as a 32-bit integer; larger counts become `u32::MAX`.
 pub(crate) fn u32_from_count(count: usize) -> u32 {
     u32::try_from(count).unwrap_or(u32::MAX)
 }
 
-/// A count as one of 64 bits.
+/// A count as a 64-bit integer.
 pub(crate) fn u64_from_count(count: usize) -> u64 {
     u64::try_from(count).unwrap_or(u64::MAX)
 }
 
-/// Microseconds in milliseconds.
+/// Converts microseconds to milliseconds.
 pub(crate) fn ms_from_micros(micros: Micros) -> f64 {
     f64_from_u64(micros) / MICROS_PER_MS
 }
 
-/// Microseconds in seconds.
+/// Converts microseconds to seconds.
 pub(crate) fn s_from_micros(micros: Micros) -> f64 {
     f64_from_u64(micros) / MICROS_PER_S
 }
 
-/// The second of the run in which a moment lies, from 0.
+/// A time rounded down to a second of the run; the run starts at second 0.
 pub(crate) fn second_floor(at: Micros) -> usize {
     usize::try_from(at / WHOLE_MICROS_PER_S).unwrap_or(usize::MAX)
 }
 
-/// The first second of the run that begins at a moment or later.
+/// A time rounded up to a second of the run.
 pub(crate) fn second_ceil(at: Micros) -> usize {
     usize::try_from(at.div_ceil(WHOLE_MICROS_PER_S)).unwrap_or(usize::MAX)
 }
--- a/crates/testbed/src/index.rs
+++ b/crates/testbed/src/index.rs
@@ -1,6 +1,7 @@
-//! Index and number types: each says what it counts, so that the compiler tells them apart.
+//! Newtypes for the indexes and numbers that identify servers, sidecars, classes, tenants, arrivals
+//! and requests, so that the compiler rejects a mix-up.
 //!
-//! All are stored as bare integers.
+//! All are serialized as plain integers.
 
 #[cfg(test)]
 mod tests;
@@ -9,7 +10,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Declares a number that the run gives to one thing of a kind, and to no other.
+/// Declares a number that identifies one item of its kind within a run.
 macro_rules! number_type {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
@@ -18,12 +19,12 @@
         pub struct $name(u64);
 
         impl $name {
-            /// The number of this value.
+            /// Creates the number from an integer.
             pub const fn new(value: u64) -> Self {
                 Self(value)
             }
 
-            /// The value as an integer, for those who have no such type.
+            /// The plain integer, for code outside the testbed.
             pub const fn value(self) -> u64 {
                 self.0
             }
@@ -31,7 +32,7 @@
     };
 }
 
-/// Declares the index of a thing in the list of all such things, kept as a small integer.
+/// Declares an index into the list of all items of a kind, stored as an integer of the given width.
 macro_rules! index_type {
     ($(#[$doc:meta])* $name:ident($integer:ty)) => {
         $(#[$doc])*
@@ -40,13 +41,13 @@
         pub struct $name($integer);
 
         impl $name {
-            /// The index of this value.
+            /// Creates the index from an integer.
             pub const fn new(value: $integer) -> Self {
                 Self(value)
             }
 
-            /// The index of a place in the list; the greatest one for a place beyond the integer's
-            /// range, which no list reaches.
+            /// The index of a position in the list. Positions beyond the integer's range, which no
+            /// list reaches, give the largest index.
             pub fn from_position(position: usize) -> Self {
                 Self(<$integer>::try_from(position).unwrap_or(<$integer>::MAX))
             }
@@ -56,12 +57,12 @@
                 (0..length).map(Self::from_position)
             }
 
-            /// The place in the list.
+            /// The position in the list.
             pub const fn index(self) -> usize {
                 self.0 as usize
             }
 
-            /// The value as an integer, for those who have no such type.
+            /// The plain integer, for code outside the testbed.
             pub const fn value(self) -> $integer {
                 self.0
             }
@@ -70,7 +71,7 @@
 }
 
 index_type! {
-    /// A server; those that replace others in the course of a run follow the scenario's.
+    /// A server. Servers that replace others during a run are numbered after the scenario's own.
     ServerIndex(u32)
 }
 
@@ -90,7 +91,7 @@
 }
 
 number_type! {
-    /// What a client wants, with all its requests.
+    /// An arrival: the first request of a client with all its retries.
     ArrivalNumber
 }
 
@@ -100,13 +101,13 @@
 }
 
 impl RequestNumber {
-    /// The number in a request's `X-Request-ID`; nothing where that is no such number.
+    /// Parses the value of an `X-Request-ID` header; `None` if it is not a hexadecimal number.
     pub fn from_request_id(id: &str) -> Option<Self> {
         u64::from_str_radix(id, 16).ok().map(Self)
     }
 }
 
-/// Its form in `X-Request-ID` and in messages: 16 hexadecimal digits.
+/// Formats the number as in `X-Request-ID` and in messages: 16 hexadecimal digits.
 impl fmt::Display for RequestNumber {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:016x}", self.0)
@@ -114,20 +115,20 @@
 }
 
 impl ServerIndex {
-    /// The server of a name such as `s3`; nothing where it is no server's name.
+    /// Parses a server name such as `s3`; `None` if it is not a server name.
     pub fn from_name(name: &str) -> Option<Self> {
         name.strip_prefix('s')?.parse().ok().map(Self)
     }
 }
 
-/// Its name in scenarios and messages, such as `s3`.
+/// Formats the name used in scenarios and messages, such as `s3`.
 impl fmt::Display for ServerIndex {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "s{}", self.0)
     }
 }
 
-/// Its name in messages, such as `n3`.
+/// Formats the name used in messages, such as `n3`.
 impl fmt::Display for SidecarIndex {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "n{}", self.0)
--- a/crates/testbed/src/index/tests.rs
+++ b/crates/testbed/src/index/tests.rs
@@ -1,9 +1,9 @@
-//! Indexes and numbers: how they are named, written and read back.
+//! Display, parsing and serialization of indexes and numbers.
 
 use super::{ArrivalNumber, ClassIndex, RequestNumber, ServerIndex, SidecarIndex, TenantIndex};
 
 #[test]
-fn a_server_is_found_by_the_name_that_it_is_shown_under() {
+fn server_names_round_trip() {
     let server = ServerIndex::new(12);
     assert_eq!(server.to_string(), "s12");
     assert_eq!(ServerIndex::from_name("s12"), Some(server));
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_request_is_found_by_its_request_id() {
+fn request_numbers_round_trip_through_the_request_id_header() {
     let request = RequestNumber::new(0xab);
     assert_eq!(request.to_string(), "00000000000000ab");
     assert_eq!(
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_place_beyond_the_integer_gives_the_last_index() {
+fn position_beyond_the_integer_range_gives_the_largest_index() {
     assert_eq!(ClassIndex::from_position(7).index(), 7);
     assert_eq!(ClassIndex::from_position(1 << 16).value(), u16::MAX);
     let all: Vec<_> = TenantIndex::all(3).map(TenantIndex::index).collect();
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn all_are_stored_as_bare_integers() {
+fn all_types_serialize_as_plain_integers() {
     let stored = serde_json::json!([
         ServerIndex::new(1),
         SidecarIndex::new(2),
