--- a/crates/testbed/src/event_log/event.rs
+++ b/crates/testbed/src/event_log/event.rs
@@ -1,6 +1,6 @@
 //! The events of a run.
 //!
-//! Keys of earlier versions are accepted as aliases, so that stored logs stay readable.
+//! The keys of earlier versions are accepted as aliases, so that stored logs stay readable.
 
 use serde::{Deserialize, Serialize};
 
@@ -10,13 +10,13 @@
 };
 use crate::scenario::Micros;
 
-/// One event. An `arrival` is what a client wants, a `request` one try of it at the sidecar, an
-/// attempt one forwarding of the request to a server. `server` and `sidecar` count from 0; work is
-/// in microseconds of a standard core.
+/// One event. An arrival is the first request of a client with all its retries, a request is one of
+/// them as sent to the sidecar, and an attempt forwards the request to a server once. Indexes count
+/// from 0; work is in microseconds of a standard core.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
 pub enum LogEvent {
-    /// A client wants something.
+    /// A client starts an arrival.
     #[serde(alias = "asked")]
     ArrivalStarted {
         /// Number of the arrival.
@@ -32,11 +32,11 @@
         /// Whether the tenant is within its quota.
         #[serde(rename = "within_share", alias = "within")]
         within_quota: bool,
-        /// Expected work; absent in logs of earlier versions.
+        /// Expected work; 0 in logs of earlier versions, which lack it.
         #[serde(default)]
         work: f64,
     },
-    /// The sidecar has a request's last byte, and must respond by `due`.
+    /// The sidecar has received the last byte of a request and must respond by `due`.
     #[serde(alias = "taken")]
     RequestAccepted {
         /// Number of the request.
@@ -49,10 +49,10 @@
         sidecar: SidecarIndex,
         /// Index of the request class.
         class: ClassIndex,
-        /// The client's deadline.
+        /// The request's deadline, from the start of the run.
         due: Micros,
     },
-    /// The first byte of an attempt is out to a server.
+    /// The sidecar has sent the first byte of an attempt to a server.
     #[serde(alias = "began")]
     AttemptStarted {
         /// The request it is an attempt of.
@@ -66,7 +66,7 @@
         #[serde(alias = "crossing")]
         cross_zone: bool,
     },
-    /// A server has an attempt's last byte.
+    /// A server has received the last byte of an attempt.
     #[serde(alias = "arrived")]
     AttemptReceived {
         /// The request it is an attempt of.
@@ -74,9 +74,9 @@
         request: RequestNumber,
         /// The server that received it.
         server: ServerIndex,
-        /// The work that it takes there.
+        /// The work that the attempt needs on this server.
         work: f64,
-        /// Work that the server can do per microsecond now.
+        /// Work that the server can currently do per microsecond.
         capacity: f64,
         /// Whether the server is still warming up.
         cold: bool,
@@ -98,16 +98,16 @@
         request: RequestNumber,
         /// The server that executed it.
         server: ServerIndex,
-        /// The work that was done.
+        /// The work done.
         work: f64,
     },
-    /// The client has the final response to a request.
+    /// The client has received the final response to a request.
     #[serde(alias = "answered")]
     ResponseReceived {
         /// Number of the request.
         #[serde(alias = "tx")]
         request: RequestNumber,
-        /// What the response says.
+        /// Outcome according to the response.
         #[serde(alias = "how")]
         outcome: RequestOutcome,
     },
@@ -118,7 +118,7 @@
         #[serde(alias = "tx")]
         request: RequestNumber,
     },
-    /// The arrival has come to its end.
+    /// The arrival has ended.
     #[serde(alias = "closed")]
     ArrivalEnded {
         /// Number of the arrival.
@@ -127,7 +127,7 @@
         /// How its last request ended.
         #[serde(alias = "how")]
         outcome: RequestOutcome,
-        /// Requests that it took.
+        /// Number of requests sent for it.
         #[serde(alias = "tries")]
         requests: u32,
     },
@@ -141,7 +141,7 @@
         /// The server's status.
         #[serde(alias = "listing")]
         status: ListedStatus,
-        /// When the server last started; 0 for before the run.
+        /// Time of the server's last start; 0 if it was before the run.
         #[serde(alias = "launched")]
         incarnation: Micros,
     },
@@ -173,7 +173,7 @@
         /// The server that is checked.
         server: ServerIndex,
     },
-    /// A new connection has cost a server its handshake.
+    /// A server has completed the handshake of a new connection.
     #[serde(alias = "opened")]
     ConnectionOpened {
         /// The server.
@@ -185,7 +185,7 @@
         /// The sidecar.
         sidecar: SidecarIndex,
     },
-    /// What a server has in flight, once a second.
+    /// A server's requests in flight and connections, sampled once a second.
     #[serde(alias = "gauge")]
     ServerGauge {
         /// The server.
@@ -198,12 +198,12 @@
     },
 }
 
-/// An event and its time.
+/// An event with its time.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LogRecord {
-    /// Microseconds since the run began.
+    /// Microseconds since the start of the run.
     pub at: Micros,
-    /// What happened.
+    /// The event.
     #[serde(flatten)]
     pub event: LogEvent,
 }
--- a/crates/testbed/src/event_log/mod.rs
+++ b/crates/testbed/src/event_log/mod.rs
@@ -1,7 +1,7 @@
 //! The event log that both engines write, and that the auditor and the statistics read.
 //!
-//! Owns the form of the log: its events, how they are written and how they are read back, also from
-//! logs with the keys of earlier versions. What the events add up to is not decided here.
+//! Defines the events, writes them as one JSON object per line, and reads them back, including logs
+//! with the keys of earlier versions. The auditor and the statistics interpret the events.
 
 mod event;
 mod reader;
--- a/crates/testbed/src/event_log/state.rs
+++ b/crates/testbed/src/event_log/state.rs
@@ -1,6 +1,6 @@
-//! The outcomes and states that events report.
+//! The outcomes and states in events.
 //!
-//! Names of earlier versions are accepted as aliases, so that stored logs stay readable.
+//! The names of earlier versions are accepted as aliases, so that stored logs stay readable.
 
 use std::fmt;
 
@@ -10,17 +10,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RequestOutcome {
-    /// A server's response to this very request.
+    /// A server's successful response to this request.
     Served,
-    /// An overload rejection: a retry is harmless.
+    /// An overload rejection: the request was not executed, so a retry is safe.
     #[serde(alias = "refused")]
     Rejected,
-    /// An error response, with no promise about side effects.
+    /// An error response; the request may have been executed.
     Failed,
-    /// A response that no server made for this request.
+    /// A response that no server sent for this request.
     #[serde(alias = "wrong")]
     Mismatched,
-    /// No response until the client timed out.
+    /// No response before the client timed out.
     Unanswered,
     /// The sidecar was killed, or closed the connection without a response.
     #[serde(alias = "cut")]
@@ -31,7 +31,7 @@
     /// The client disconnected first.
     #[serde(alias = "left")]
     Disconnected,
-    /// Not played: more requests were open than the scenario allows.
+    /// Not sent: the scenario's limit on open requests was reached.
     #[serde(alias = "choked_off")]
     NotPlayed,
 }
@@ -56,11 +56,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ListedStatus {
-    /// Takes new requests.
+    /// Accepts new requests.
     Ready,
-    /// Finishes what it has, and takes nothing new.
+    /// Finishes its requests in flight and accepts no new ones.
     Draining,
-    /// No longer there.
+    /// Removed from the list.
     Gone,
 }
 
@@ -70,13 +70,13 @@
 pub enum ProcessState {
     /// Started.
     Up,
-    /// Notified to shut down: it still has to respond to what it has accepted.
+    /// Told to shut down; it must still respond to the requests that it has accepted.
     #[serde(rename = "ending")]
     ShuttingDown,
-    /// Exited by itself, after it was notified.
+    /// Exited by itself after it was told to shut down.
     #[serde(rename = "ended")]
     Exited,
-    /// Killed outright.
+    /// Killed without notice.
     Killed,
 }
 
@@ -84,21 +84,21 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ServerState {
-    /// Runs as usual.
+    /// Runs normally.
     Up,
-    /// Has just started, and is warming up.
+    /// Started recently and is still warming up.
     Cold,
-    /// Its process stands still, as in a long garbage collection.
+    /// Its process is paused, as by a long garbage collection.
     Paused,
-    /// Its machine has vanished: connections neither open nor close.
+    /// Its machine is unreachable: connections neither open nor close.
     Silent,
-    /// Serves more slowly than usual.
+    /// Serves more slowly than normal.
     Slow,
     /// Rejects new requests.
     Draining,
-    /// Its process is gone: connections are refused.
+    /// Its process has ended: connections are refused.
     Down,
-    /// Was overloaded while cold, and has shut down.
+    /// Was overloaded while cold and has shut down.
     #[serde(rename = "fallen")]
     OverloadShutdown,
 }
--- a/crates/testbed/src/event_log/tests.rs
+++ b/crates/testbed/src/event_log/tests.rs
@@ -1,4 +1,4 @@
-//! Stored logs of earlier versions are read, and what is written reads back.
+//! Logs of earlier versions are readable, and written logs round-trip.
 
 mod stored_names;
 
@@ -12,10 +12,10 @@
     ArrivalNumber, ClassIndex, RequestNumber, ServerIndex, SidecarIndex, TenantIndex,
 };
 
-/// The first 200 lines of a calm run, and one of every other kind in it.
+/// The first 200 lines of a calm run in the old format, and one line of each further kind in it.
 const OLD_LOG: &str = include_str!("../../tests/data/records/calm-1.ledger");
-/// One line of each kind with each state and outcome that stored logs hold.
-const OLD_EVERY_KIND: &str = include_str!("../../tests/data/records/every-kind.ledger");
+/// One old-format line of each kind with each state and outcome that occurs in stored logs.
+const OLD_LINE_OF_EACH_KIND: &str = include_str!("../../tests/data/records/every-kind.ledger");
 
 fn kind(event: &LogEvent) -> String {
     let value = serde_json::to_value(event).expect("written");
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn an_old_log_is_read_whole_with_the_present_names() {
+fn old_log_is_read_completely_under_the_current_names() {
     let records = read(OLD_LOG).expect("read");
     let mut counts = BTreeMap::new();
     for record in records {
@@ -60,8 +60,8 @@
 
 #[test]
 #[expect(clippy::too_many_lines, reason = "one table of cases")]
-fn an_old_line_of_each_kind_says_what_it_said() {
-    let records = read(OLD_EVERY_KIND).expect("read");
+fn old_line_of_each_kind_keeps_its_meaning() {
+    let records = read(OLD_LINE_OF_EACH_KIND).expect("read");
     assert_eq!(records.len(), 33);
     let event = |at| records.iter().find(|r| r.at == at).expect("there").event;
     let expected = [
@@ -169,9 +169,9 @@
     }
 }
 
-/// Names that no stored log at hand holds, and that earlier versions wrote all the same.
+/// Names that earlier versions wrote but that occur in neither of the two stored logs.
 #[test]
-fn rarer_old_names_are_read_too() {
+fn old_names_absent_from_the_stored_logs_are_read() {
     let read_one = |line: &str| read(line).expect("read")[0].event;
     assert_eq!(
         read_one(r#"{"at":1,"what":"left","tx":2}"#),
@@ -206,17 +206,17 @@
 }
 
 #[test]
-fn an_old_log_written_anew_reads_back_the_same() {
-    for old in [OLD_LOG, OLD_EVERY_KIND] {
+fn old_log_round_trips_in_the_current_format() {
+    for old in [OLD_LOG, OLD_LINE_OF_EACH_KIND] {
         let records = read(old).expect("read");
         let new = written(&records);
-        assert_ne!(new, old, "the present names are written");
+        assert_ne!(new, old, "the current names are written");
         assert_eq!(read(&new).expect("read"), records);
     }
 }
 
 #[test]
-fn a_written_log_reads_back_and_a_bad_line_is_named_by_its_number() {
+fn written_log_round_trips_and_an_invalid_line_is_reported_by_number() {
     let records = [LogRecord {
         at: 7,
         event: LogEvent::ArrivalEnded {
--- a/crates/testbed/src/event_log/tests/stored_names.rs
+++ b/crates/testbed/src/event_log/tests/stored_names.rs
@@ -1,11 +1,10 @@
-//! What is written keeps the names of stored logs.
+//! Written events keep the names of stored logs, whatever the code calls them.
 
 use super::{LogEvent, LogRecord, ProcessState, ServerState, written};
 use crate::index::{ArrivalNumber, ClassIndex, ServerIndex, SidecarIndex, TenantIndex};
 
-/// Stored logs keep these names, whatever the code calls the states.
 #[test]
-fn states_and_quota_are_written_under_their_stored_names() {
+fn states_and_quota_keep_their_stored_names() {
     let line = |event| {
         let records = [LogRecord { at: 1, event }];
         written(&records)
--- a/crates/testbed/src/event_log/writer.rs
+++ b/crates/testbed/src/event_log/writer.rs
@@ -1,14 +1,14 @@
-//! Receivers of events: the trait, a splitter, and a writer of JSON lines.
+//! Sinks of events: the trait, a tee, and a writer of JSON lines.
 //!
-//! Owns the order in which readers receive a record; where a log is stored is its creator's matter.
+//! The caller chooses where a log is stored.
 
 use std::io::{self, Write};
 
 use super::LogRecord;
 
-/// Receives records in the order of their times.
+/// Receives records in chronological order.
 pub trait EventSink {
-    /// Takes the next record.
+    /// Receives the next record.
     fn record(&mut self, record: &LogRecord);
 }
 
@@ -18,13 +18,13 @@
     }
 }
 
-/// Passes each record to the two readers that every run has, and to one more where it is wanted.
+/// Passes each record to the two sinks that every run has, and to an optional third.
 pub struct Tee<'a, 'b, A, B> {
-    /// Reads each record first.
+    /// Receives each record first.
     pub first: &'a mut A,
-    /// Reads each record second.
+    /// Receives each record second.
     pub second: &'a mut B,
-    /// Reads each record last, if present.
+    /// Receives each record last, if present.
     pub further: Option<&'b mut dyn EventSink>,
 }
 
@@ -38,22 +38,23 @@
     }
 }
 
-/// Writes one JSON object a line. The first error is kept and returned at the end.
+/// Writes one JSON object per line. After the first write error it writes nothing more; `finish`
+/// returns that error.
 pub struct EventLogWriter<W: Write> {
     out: W,
     error: Option<io::Error>,
 }
 
 impl<W: Write> EventLogWriter<W> {
-    /// Writes to `out`, which should be buffered.
+    /// Creates a writer to `out`, which should be buffered.
     pub fn new(out: W) -> Self {
         Self { out, error: None }
     }
 
-    /// Flushes what was written.
+    /// Flushes the output.
     ///
     /// # Errors
-    /// The first error of any write.
+    /// Returns the first error of any write, or the error of the flush.
     pub fn finish(mut self) -> io::Result<()> {
         match self.error.take() {
             Some(error) => Err(error),
