--- a/crates/testbed/src/experiment/plan.rs
+++ b/crates/testbed/src/experiment/plan.rs
@@ -45,7 +45,7 @@
 fn error(file: &Path, key: &str, why: impl Into<String>, line: Option<usize>) -> ScenarioErrors {
     let error = ScenarioError {
         key: key.to_owned(),
-        why: why.into(),
+        message: why.into(),
         line,
     };
     ScenarioErrors {
--- a/crates/testbed/src/scenario/capacity.rs
+++ b/crates/testbed/src/scenario/capacity.rs
@@ -1,15 +1,15 @@
-//! What a scenario's fleet is made of, where it stands, and how much work it can do.
+//! The servers of a scenario's fleet, their zones and their capacity.
 //!
-//! Owns the order of the servers and how servers and sidecars are spread over zones, which both
-//! engines rely on. Knows only the fleet at the start: servers that replace others, and those that
-//! are down, are the engines'.
+//! Both engines rely on this order of the servers and this assignment of servers and sidecars to
+//! zones. Only the fleet at the start is covered; the engines track servers that replace others and
+//! servers that are down.
 
 use super::{MachineType, Scenario, ServerGroup};
 use crate::index::{ServerIndex, SidecarIndex};
 
 impl Scenario {
-    /// Machine type and group of each server, in the order of the servers' names. Groups of unknown
-    /// machine types are left out.
+    /// Machine type and group of each server, by server index. Groups of unknown machine types are
+    /// left out.
     pub fn fleet(&self) -> Vec<(&MachineType, &ServerGroup)> {
         self.servers
             .iter()
@@ -26,8 +26,8 @@
             .find(|machine_type| machine_type.name == group.machine_type)
     }
 
-    /// A machine type as balancers see it: its number, cores and speed where sidecars know machine
-    /// types, and nothing where they do not.
+    /// A machine type as balancers see it: its id, cores and speed if sidecars know machine types,
+    /// otherwise the unknown type.
     pub fn advertised_machine_type(
         &self,
         machine_type: &MachineType,
@@ -42,15 +42,15 @@
         }
     }
 
-    /// Number of a machine type in the order of the file, from 1; 0 for an unknown one.
+    /// Id of a machine type: its position in the file, from 1; 0 for an unknown one.
     fn machine_type_id(&self, machine_type: &MachineType) -> u32 {
         self.machine_type
             .iter()
             .position(|other| other.name == machine_type.name)
-            .map_or(0, |position| as_number(position) + 1)
+            .map_or(0, |position| to_u32(position) + 1)
     }
 
-    /// Work that the warm fleet does in a second, in seconds of a standard core.
+    /// Work that the warm fleet can do per second, in seconds of a standard core.
     pub fn capacity(&self) -> f64 {
         self.fleet()
             .iter()
@@ -58,29 +58,29 @@
             .sum()
     }
 
-    /// Zone of a server by its index and group, as its place in the network's list of zones.
+    /// Zone of a server in a group, as a position in the network's list of zones.
     pub fn server_zone(&self, group: &ServerGroup, server: ServerIndex) -> u32 {
         let named = group
             .zone
             .as_ref()
             .and_then(|zone| self.network.zones.iter().position(|name| name == zone));
-        named.map_or(self.spread_zone(server.index()), as_number)
+        named.map_or(self.round_robin_zone(server.index()), to_u32)
     }
 
-    /// Zone of a sidecar by its index: they are spread in turn.
+    /// Zone of a sidecar; sidecars are spread round-robin.
     pub fn sidecar_zone(&self, sidecar: SidecarIndex) -> u32 {
-        self.spread_zone(sidecar.index())
+        self.round_robin_zone(sidecar.index())
     }
 
-    /// Zone of the server or sidecar at a place in its list, where they are spread in turn.
-    fn spread_zone(&self, position: usize) -> u32 {
+    /// Zone of the server or sidecar at a position in its list, if they are spread round-robin.
+    fn round_robin_zone(&self, position: usize) -> u32 {
         let zones = self.network.zones.len().max(1);
-        as_number(position % zones)
+        to_u32(position % zones)
     }
 }
 
-/// A place in a list of zones or machine types as the number that balancers get. No file has so
-/// many that the cast could cut it.
-fn as_number(position: usize) -> u32 {
+/// A position in a list of zones or machine types as the integer used by balancers. No file has
+/// enough items for the cast to truncate.
+fn to_u32(position: usize) -> u32 {
     position as u32
 }
--- a/crates/testbed/src/scenario/check/faults.rs
+++ b/crates/testbed/src/scenario/check/faults.rs
@@ -1,14 +1,13 @@
-//! Checks of the schedule of faults.
+//! Checks of the fault schedule: ranges, references by name, and overlapping faults.
 //!
-//! Owns the ranges of a fault's keys, the names that it may have, and which faults exclude each
-//! other. Servers that are drawn are not known here: only those that are named can overlap.
+//! Only faults on named servers are checked for overlaps; drawn servers are not known here.
 
 use super::Checker;
 use crate::index::ServerIndex;
 use crate::scenario::{Fault, FaultKind, Scenario};
 
 impl Scenario {
-    /// Each fault by itself, and where nothing at all is wrong, the faults against each other.
+    /// Checks each fault by itself and, if the scenario has no errors, the faults for overlaps.
     pub(super) fn check_faults(&self, checker: &mut Checker) {
         for (i, fault) in self.fault.iter().enumerate() {
             self.check_fault(checker, fault, &format!("fault[{i}]"));
@@ -63,7 +62,7 @@
         }
     }
 
-    /// A server that is drained, crashes or falls silent must not have been taken away by an
+    /// Checks that a server that drains, crashes or falls silent is not already removed by an
     /// earlier fault.
     fn check_overlaps(&self, checker: &mut Checker) {
         let removing = || {
@@ -79,16 +78,16 @@
                 }
                 if let Some(name) = common_server(later, earlier) {
                     let at = later.at_s;
-                    let why =
+                    let message =
                         format!("{name} is not there at {at} s: fault[{j}] has taken it away");
-                    checker.require(false, format!("fault[{i}].servers"), why);
+                    checker.require(false, format!("fault[{i}].servers"), message);
                 }
             }
         }
     }
 }
 
-/// True for faults that take their servers away, so that a second one finds none.
+/// Whether a fault removes its servers, so that another fault cannot affect them meanwhile.
 fn removes_servers(fault: &Fault) -> bool {
     matches!(
         fault.kind,
@@ -96,8 +95,8 @@
     )
 }
 
-/// Whether a fault starts while another, earlier one lasts. Of two that start together, the one
-/// that stands first in the file is the earlier.
+/// Whether a fault starts during another, earlier one. Of two that start at the same time, the one
+/// that is first in the file is the earlier.
 fn starts_during(later: (usize, &Fault), earlier: (usize, &Fault)) -> bool {
     let (later_index, later) = later;
     let (earlier_index, earlier) = earlier;
@@ -106,7 +105,7 @@
     is_later && later.at_s < earlier.at_s + earlier.for_s
 }
 
-/// The first server that both faults name.
+/// The first server that is named by both faults.
 fn common_server<'a>(fault: &'a Fault, other: &Fault) -> Option<&'a String> {
     fault
         .servers
--- a/crates/testbed/src/scenario/check/fleet.rs
+++ b/crates/testbed/src/scenario/check/fleet.rs
@@ -1,15 +1,14 @@
-//! Checks of network, machine types, servers and sidecars.
-//!
-//! Owns their ranges, and which machine types and zones may be named.
+//! Checks of network, machine types, servers and sidecars: ranges, and references to machine types
+//! and zones.
 
 use std::collections::BTreeSet;
 
 use super::Checker;
 use crate::scenario::{Contention, MachineType, Scenario};
 
-/// The most servers that the simulator can hold in memory.
+/// Maximum number of servers that the simulator can hold in memory.
 const MAX_SERVERS: usize = 20_000;
-/// The most sidecars that the simulator can hold in memory.
+/// Maximum number of sidecars that the simulator can hold in memory.
 const MAX_SIDECARS: usize = 50_000;
 
 impl Scenario {
@@ -52,20 +51,20 @@
         let count: usize = self.servers.iter().map(|group| group.count).sum();
         let key = "servers";
         checker.require(count > 0, key, "at least one server is needed");
-        let why = format!("more than {MAX_SERVERS} servers");
-        checker.require(count <= MAX_SERVERS, key, why);
+        let message = format!("more than {MAX_SERVERS} servers");
+        checker.require(count <= MAX_SERVERS, key, message);
     }
 
     fn check_sidecars(&self, checker: &mut Checker) {
         let count = self.sidecars.count;
         let key = "sidecars.count";
         checker.require(count > 0, key, "must be above zero");
-        let why = format!("must be at most {MAX_SIDECARS}");
-        checker.require(count <= MAX_SIDECARS, key, why);
+        let message = format!("must be at most {MAX_SIDECARS}");
+        checker.require(count <= MAX_SIDECARS, key, message);
         checker.not_negative(self.sidecars.skew, "sidecars.skew");
     }
 
-    /// A zone that is named must be one of the network's.
+    /// Checks that a zone, if given, is one of the network's.
     pub(super) fn check_zone(&self, checker: &mut Checker, zone: Option<&str>, key: &str) {
         if let Some(zone) = zone {
             let known = self.network.zones.iter().any(|name| name == zone);
--- a/crates/testbed/src/scenario/check/mod.rs
+++ b/crates/testbed/src/scenario/check/mod.rs
@@ -1,10 +1,8 @@
-//! What the types of the keys cannot show: ranges, names that must exist, and a schedule that
-//! contradicts itself.
+//! Validates what the types of the keys do not: ranges, references by name, and conflicts in the
+//! fault schedule.
 //!
-//! Owns the order of the checks and the collector of errors; each part of a scenario has a file of
-//! its own. Errors have the present names of keys: names and lines of the file are put in by
-//! `read`. Errors on one line are reported in the order of the checks, so the order is part of the
-//! messages.
+//! Errors use the current names of keys; `read` adds lines and the names in the file. Errors on the
+//! same line are reported in the order of the checks, so changing the order changes the output.
 
 mod faults;
 mod fleet;
@@ -15,7 +13,7 @@
 
 use super::{Scenario, ScenarioError};
 
-/// Collects what is wrong, in the order of the checks.
+/// Collects errors in the order of the checks.
 #[derive(Default)]
 struct Checker {
     errors: Vec<ScenarioError>,
@@ -23,9 +21,9 @@
 
 impl Checker {
     /// Records an error at a key unless the condition holds.
-    fn require(&mut self, holds: bool, key: impl Into<String>, why: impl Into<String>) {
+    fn require(&mut self, holds: bool, key: impl Into<String>, message: impl Into<String>) {
         if !holds {
-            self.errors.push(ScenarioError::at_key(key, why));
+            self.errors.push(ScenarioError::at_key(key, message));
         }
     }
 
@@ -60,7 +58,7 @@
 }
 
 impl Scenario {
-    /// Everything that is wrong with it; keys have their present names, and lines are not known.
+    /// Returns all errors, with the current names of keys and without lines.
     pub fn check(&self) -> Vec<ScenarioError> {
         let mut checker = Checker::default();
         checker.positive(self.seconds, "seconds");
--- a/crates/testbed/src/scenario/check/settings.rs
+++ b/crates/testbed/src/scenario/check/settings.rs
@@ -1,7 +1,6 @@
 //! Checks of discovery, permissions, load reports, rules and expectations.
 //!
-//! Owns their ranges. Prices, switches, `max_retry_after_ms` and `recovered_s` may have any value
-//! of their type.
+//! Prices, switches, `max_retry_after_ms` and `recovered_s` may have any value of their type.
 
 use super::Checker;
 use crate::scenario::Scenario;
@@ -22,7 +21,7 @@
         self.check_expectations(checker);
     }
 
-    /// Times that may be 0.
+    /// Checks the times that may be 0.
     fn check_delays(&self, checker: &mut Checker) {
         let discovery = &self.discovery;
         checker.not_negative(discovery.notice_ms, "discovery.notice_ms");
@@ -64,7 +63,7 @@
         checker.positive(rules.quota_of_capacity, "rules.quota_of_capacity");
     }
 
-    /// An expectation that is absent is not checked: 0 stands for it, which is always met.
+    /// Absent expectations are checked as 0, which is in range.
     fn check_expectations(&self, checker: &mut Checker) {
         checker.share(self.expect.service.unwrap_or(0.0), "expect.service");
         checker.share(self.expect.served.unwrap_or(0.0), "expect.served");
--- a/crates/testbed/src/scenario/check/traffic.rs
+++ b/crates/testbed/src/scenario/check/traffic.rs
@@ -1,13 +1,11 @@
-//! Checks of classes, tenants, the load and what clients do.
-//!
-//! Owns their ranges, what shares may add up to, and how long a run may be.
+//! Checks of classes, tenants, load and clients: ranges, sums of shares and the number of arrivals.
 
 use super::Checker;
 use crate::scenario::{Class, LoadShape, Scenario};
 
-/// The most arrivals of a run: what the simulator can play in reasonable time and memory.
+/// Maximum number of arrivals in a run, so that the simulator's time and memory stay reasonable.
 const MAX_ARRIVALS: f64 = 50e6;
-/// How far shares may add up beyond 1, as they are written in decimals.
+/// Tolerance for sums of shares above 1, because decimal fractions are rounded.
 const SHARE_ROUNDING: f64 = 1e-6;
 
 impl Scenario {
@@ -67,8 +65,8 @@
         };
         let arrivals = self.mean_rate().max(highest_drift) * self.seconds;
         if arrivals.is_finite() {
-            let why = format!("{arrivals:.0} arrivals are more than {MAX_ARRIVALS:.0}");
-            checker.require(arrivals <= MAX_ARRIVALS, "load", why);
+            let message = format!("{arrivals:.0} arrivals are more than {MAX_ARRIVALS:.0}");
+            checker.require(arrivals <= MAX_ARRIVALS, "load", message);
         }
     }
 
@@ -107,6 +105,6 @@
 }
 
 fn check_sum_of_shares(checker: &mut Checker, sum: f64, list: &str) {
-    let why = format!("shares add up to {sum:.3}, which is above 1");
-    checker.require(sum <= 1.0 + SHARE_ROUNDING, list, why);
+    let message = format!("shares add up to {sum:.3}, which is above 1");
+    checker.require(sum <= 1.0 + SHARE_ROUNDING, list, message);
 }
--- a/crates/testbed/src/scenario/discovery.rs
+++ b/crates/testbed/src/scenario/discovery.rs
@@ -1,24 +1,22 @@
-//! Section on the service that lists servers.
-//!
-//! Owns its keys and defaults. The service itself is played by each engine's `discovery`.
+//! Section of the discovery service. Each engine implements the service in its module `discovery`.
 
 use serde::{Deserialize, Serialize};
 
-/// The service that lists servers, and lets sidecars watch and poll the list.
+/// The discovery service, whose endpoint list sidecars watch and poll.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Discovery {
-    /// Time from a drain, crash or planned end until the list has it, in milliseconds.
+    /// Time from a drain, crash or planned stop until it is in the list, in milliseconds.
     pub notice_ms: f64,
-    /// Time from when a machine falls silent until the list has it as gone, in milliseconds.
+    /// Time from when a machine falls silent until it is listed as gone, in milliseconds.
     pub silent_notice_ms: f64,
-    /// Time from a server's start until the list has it as ready, in milliseconds.
+    /// Time from a server's start until it is listed as ready, in milliseconds.
     pub add_ms: f64,
-    /// Longest time from a change of the list until a watch has it, in milliseconds.
+    /// Maximum time from a change of the list until a watch reports it, in milliseconds.
     pub spread_ms: f64,
-    /// Polls that it serves, one after the other, in polls a second; above zero.
+    /// Polls served per second, one at a time; above zero.
     pub capacity: f64,
-    /// Time that a poll may wait for its turn before it fails, in milliseconds; above zero.
+    /// Maximum time in the queue before a poll fails, in milliseconds; above zero.
     pub timeout_ms: f64,
 }
 
--- a/crates/testbed/src/scenario/error.rs
+++ b/crates/testbed/src/scenario/error.rs
@@ -1,43 +1,44 @@
-//! What is wrong with a scenario: errors that name file, line and key.
+//! Errors in a scenario, with file, line and key.
 //!
-//! Owns the form of the messages. Their texts come from `check`, from serde and from TOML's parser,
-//! and lines and names as the file has them from `read`.
+//! The texts come from `check`, from serde and from the TOML parser; `read` adds the lines and the
+//! key names of the file.
 
 use std::fmt;
 
-/// One thing wrong with a scenario.
+/// One error in a scenario.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ScenarioError {
-    /// The key as the file has it, such as `fault[2].at_s`; empty for an error of the whole text.
+    /// Path of the key as in the file, such as `fault[2].at_s`; empty for an error of the whole
+    /// text.
     pub key: String,
-    /// What is wrong with it.
-    pub why: String,
-    /// Line in the file, from 1; absent where the key is not in the file.
+    /// Text of the error.
+    pub message: String,
+    /// Line in the file, from 1; absent if the key is not in the file.
     pub line: Option<usize>,
 }
 
 impl ScenarioError {
-    /// An error at a key; its line is not known yet.
-    pub(super) fn at_key(key: impl Into<String>, why: impl Into<String>) -> Self {
+    /// Creates an error at a key; `read` adds the line later.
+    pub(super) fn at_key(key: impl Into<String>, message: impl Into<String>) -> Self {
         Self {
             key: key.into(),
-            why: why.into(),
+            message: message.into(),
             line: None,
         }
     }
 
-    /// An error of the whole text, at a line where one is known.
-    pub(super) fn of_text(why: impl Into<String>, line: Option<usize>) -> Self {
+    /// Creates an error of the whole text, with its line if known.
+    pub(super) fn without_key(message: impl Into<String>, line: Option<usize>) -> Self {
         Self {
             key: String::new(),
-            why: why.into(),
+            message: message.into(),
             line,
         }
     }
 }
 
 impl fmt::Display for ScenarioError {
-    /// What follows the file's name in a message.
+    /// Formats the part of the message after the file name.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         if let Some(line) = self.line {
             write!(f, ":{line}")?;
@@ -46,21 +47,21 @@
         if !self.key.is_empty() {
             write!(f, "{}: ", self.key)?;
         }
-        f.write_str(&self.why)
+        f.write_str(&self.message)
     }
 }
 
-/// Everything wrong with a scenario, in the order of the file.
+/// All errors in a scenario, in the order of the file.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub struct ScenarioErrors {
-    /// Name of the file, as the reader was given it.
+    /// Name of the file as given to the reader.
     pub file: String,
     /// The errors; at least one.
     pub errors: Vec<ScenarioError>,
 }
 
 impl ScenarioErrors {
-    /// One error of a file.
+    /// Creates a list of one error.
     pub(super) fn single(file: &str, error: ScenarioError) -> Self {
         Self {
             file: file.to_owned(),
--- a/crates/testbed/src/scenario/expectations.rs
+++ b/crates/testbed/src/scenario/expectations.rs
@@ -1,18 +1,16 @@
-//! Section on what must come of a run.
-//!
-//! Owns its keys. Reports compare them with what came of the run.
+//! Section of the expected results of a run, which reports compare with the actual ones.
 
 use serde::{Deserialize, Serialize};
 
-/// What must hold, besides the rules, for exit code 0.
+/// Conditions for exit code 0, in addition to the rules. Absent ones are not checked.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Expectations {
-    /// Least service, weighed as in reports; a share.
+    /// Minimum service, weighted as in reports; a share.
     pub service: Option<f64>,
-    /// Least share of the accepted requests that are served.
+    /// Minimum share of the accepted requests that are served.
     pub served: Option<f64>,
-    /// Longest time from the last restart of a sidecar until the service is at 0.95 of what it was
-    /// before the first, in seconds.
+    /// Maximum time from the last restart of a sidecar until the service is back at 0.95 of its
+    /// level before the first restart, in seconds.
     pub recovered_s: Option<f64>,
 }
--- a/crates/testbed/src/scenario/faults.rs
+++ b/crates/testbed/src/scenario/faults.rs
@@ -1,50 +1,49 @@
-//! Section on what goes wrong, and when.
+//! Section of the fault schedule.
 //!
-//! Owns the kinds of faults, their keys and defaults, and when one is on. Whom a fault hits is
-//! drawn in `simulator::faults`, and what it does there is each engine's.
+//! The targets of a fault are drawn in `simulator::faults`; each engine implements its effect.
 
 use serde::{Deserialize, Serialize};
 
 use super::time::{Micros, from_s};
 
-/// What goes wrong.
+/// The kinds of faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// The process stands still; its machine and connections stay.
+    /// The process is paused; its machine and connections stay up.
     Pause,
-    /// The machine vanishes without a reset, and comes back cold.
+    /// The machine becomes unreachable without resetting connections, and comes back cold.
     Silence,
-    /// A server is slower by `factor`.
+    /// The server is slower by `factor`.
     Slow,
-    /// The process ends with resets, and comes back cold.
+    /// The process ends and resets its connections; it comes back cold.
     Crash,
-    /// The server drains and then ends; it is back, cold, where `for_s` ends within the run.
+    /// The server drains and then stops; it comes back cold if `for_s` ends within the run.
     Drain,
-    /// A new machine with a new name takes the place of one that drains.
+    /// The server drains, and a new machine with a new name replaces it.
     Replace,
-    /// The load is `factor` times the usual one.
+    /// The load is multiplied by `factor`.
     Burst,
-    /// A share of one class needs `factor` times its work.
+    /// A share of the requests of a class need `factor` times their work.
     #[serde(rename = "costly")]
     ExpensiveRequests,
-    /// A share of the responses is malformed.
+    /// A share of the responses are malformed.
     #[serde(rename = "spoilt")]
     MalformedResponses,
     /// The connections of a share of the requests are reset.
     #[serde(rename = "resets")]
     ConnectionResets,
-    /// A share of the requests fails.
+    /// A share of the requests fail.
     #[serde(rename = "errors")]
     ErrorResponses,
-    /// Part of the sidecars is restarted one batch after the other.
+    /// Some or all sidecars are restarted batch by batch.
     #[serde(rename = "roll")]
     RollingRestart,
-    /// All sidecars are restarted together.
+    /// All sidecars are restarted at the same time.
     RestartAll,
-    /// Discovery ends its watches and refuses polls.
+    /// Discovery closes its watches and refuses polls.
     DiscoveryDown,
-    /// Discovery says nothing more and keeps its connections open.
+    /// Discovery stops responding but keeps its connections open.
     DiscoverySilent,
 }
 
@@ -52,30 +51,30 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Fault {
-    /// What goes wrong.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// When it starts, in seconds from the start of the run.
+    /// Start, in seconds from the start of the run.
     pub at_s: f64,
-    /// How long it lasts, in seconds.
+    /// Duration, in seconds.
     pub for_s: f64,
     /// Servers by name (`s0`, `s1` ...).
     pub servers: Vec<String>,
-    /// Where none are named, this share of them, drawn; for restarts in turn, of the sidecars. All
-    /// of them where it is 0.
+    /// Share of the servers that are drawn as targets if none are named; for rolling restarts,
+    /// share of the sidecars. 0 for all of them.
     pub target_share: f64,
-    /// Zone from which servers are drawn; all zones where it is absent.
+    /// Zone from which servers are drawn; all zones if absent.
     pub zone: Option<String>,
-    /// How many times slower, more expensive or more frequent; above zero.
+    /// Factor of the slowdown, of the work or of the load; above zero.
     pub factor: f64,
-    /// Share of requests, responses or connections concerned.
+    /// Share of the requests, responses or connections that are affected.
     pub share: f64,
-    /// Class concerned; all where it is absent.
+    /// Request class that is affected; all classes if absent.
     pub class: Option<String>,
-    /// Share of all sidecars that goes down at a time in restarts in turn.
+    /// Share of all sidecars in one batch of a rolling restart.
     pub batch: f64,
-    /// How long a sidecar is down, in seconds.
+    /// Time for which a restarted sidecar is down, in seconds.
     pub down_s: f64,
-    /// Whether sidecars are killed outright; else they are ended with SIGTERM.
+    /// Whether sidecars are killed without notice; otherwise they receive SIGTERM.
     pub kill: bool,
 }
 
@@ -99,7 +98,7 @@
 }
 
 impl Fault {
-    /// True for what happens to servers rather than to sidecars, classes or discovery.
+    /// Whether the fault affects servers rather than sidecars, classes or discovery.
     pub fn targets_servers(&self) -> bool {
         !matches!(
             self.kind,
@@ -112,7 +111,7 @@
         )
     }
 
-    /// True while it lasts.
+    /// Whether the fault is active at a time.
     pub fn is_active(&self, at: Micros) -> bool {
         let from = from_s(self.at_s);
         (from..from + from_s(self.for_s)).contains(&at)
--- a/crates/testbed/src/scenario/fleet.rs
+++ b/crates/testbed/src/scenario/fleet.rs
@@ -1,11 +1,11 @@
-//! Sections on who is there: network, machine types, servers and sidecars.
+//! Sections of the fleet: network, machine types, servers and sidecars.
 //!
-//! Owns their keys and defaults. What follows from them for the whole fleet is in `capacity`, and
-//! how a server behaves on its machine type in `server_model`.
+//! Figures of the whole fleet are derived in `capacity`; the behaviour of a server on its machine
+//! type is in `server_model`.
 
 use serde::{Deserialize, Serialize};
 
-/// Zones, and delays of one way between two processes.
+/// Zones, and one-way delays between processes.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Network {
@@ -17,7 +17,7 @@
     pub cross_ms: f64,
     /// Delay between a client and its sidecar in the simulator, in milliseconds.
     pub client_ms: f64,
-    /// Share by which a delay between sidecar and server is drawn longer, at most.
+    /// Maximum random increase of a delay between sidecar and server, as a share of the delay.
     pub jitter: f64,
 }
 
@@ -33,51 +33,51 @@
     }
 }
 
-/// A type of machine that servers run on, and how they behave on it.
+/// A machine type and the behaviour of servers on it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct MachineType {
-    /// Its name, by which `servers` refer to it.
+    /// Name, referred to by `servers`.
     pub name: String,
     /// Number of cores; above zero.
     pub cores: u32,
-    /// Requests that run at a time and share the cores; 0 for one a core.
+    /// Number of requests that run at the same time and share the cores; 0 for one per core.
     pub slots: u32,
-    /// Share by which each request a core beyond `thrashing_threshold` slows all of them down.
+    /// Slowdown of all running requests for each request per core above `thrashing_threshold`.
     pub thrashing: f64,
-    /// Requests a core from which on they slow each other down.
+    /// Requests per core above which they slow each other down.
     pub thrashing_threshold: f64,
-    /// Work done by one core in one second, in seconds of a standard core.
+    /// Work done by one core per second, in seconds of a standard core.
     pub speed: f64,
-    /// Speeds are drawn within this share above and below `speed`.
+    /// Maximum random deviation from `speed`, as a share of it.
     pub speed_spread: f64,
-    /// Most requests that may wait; further ones are rejected.
+    /// Maximum number of queued requests; further ones are rejected.
     pub queue: usize,
-    /// Share of its capacity that a cold server starts with; above zero.
+    /// Initial capacity of a cold server as a share of its full capacity; above zero.
     pub cold_capacity_share: f64,
-    /// Seconds until a cold server is warm, at the latest.
+    /// Maximum duration of the slow start of a cold server, in seconds.
     pub slow_start_s: f64,
-    /// Number of served requests that warm a cold server as well; 0 where only time does.
+    /// Number of served requests after which a cold server is warm; 0 if only time warms it.
     pub warm_requests: u64,
-    /// Share of requests that end in an error, after their work.
+    /// Share of requests that fail after their work is done.
     pub error_rate: f64,
-    /// Most connections that a server has open; further ones are refused.
+    /// Maximum number of open connections; further ones are refused.
     pub connections: usize,
-    /// Share of its capacity that a full connection table takes.
+    /// Share of a server's capacity that is lost when its connection table is full.
     pub connection_overhead: f64,
     /// Work of a new connection, in milliseconds of a standard core.
     pub handshake_ms: f64,
-    /// Round trips before a new connection carries its first request.
+    /// Number of round trips before a new connection carries its first request.
     pub handshake_rtts: f64,
     /// Work of a health check, in milliseconds of a standard core.
     pub health_check_ms: f64,
-    /// Health checks a second that it answers; 0 for no cap. Further ones are rejected.
+    /// Maximum health checks per second; further ones are rejected. 0 for no limit.
     pub health_checks_per_s: f64,
     /// What the cancellation of an attempt stops.
     pub cancel: CancellationScope,
-    /// Whether a waiting request is dropped once its sidecar no longer waits for it.
+    /// Whether a queued request is dropped once its sidecar no longer waits for the response.
     pub drops_expired: bool,
-    /// How lasting overload slows it; absent where it does not.
+    /// Slowdown by sustained overload; absent if there is none.
     pub contention: Option<Contention>,
 }
 
@@ -115,29 +115,29 @@
 pub enum CancellationScope {
     /// Nothing.
     None,
-    /// Requests that wait.
+    /// Queued requests.
     Queued,
-    /// Requests that run as well.
+    /// Queued and running requests.
     All,
 }
 
-/// Overload that lasts: once a server has more than `overload_threshold` requests a core in
-/// flight for `overload_s`, it is slowed until it has less than `recovery_threshold` a core for
+/// Sustained overload: a server with more than `overload_threshold` requests in flight per core for
+/// `overload_s` is slowed until it has had fewer than `recovery_threshold` per core for
 /// `recovery_s`, or until `max_s` have passed.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Contention {
-    /// Requests a core beyond which it is overloaded.
+    /// Requests per core above which a server is overloaded.
     pub overload_threshold: f64,
-    /// Seconds of overload after which it is slowed.
+    /// Duration of overload after which it is slowed, in seconds.
     pub overload_s: f64,
-    /// Factor by which it is slower; 1 or more.
+    /// Factor by which it is slowed; at least 1.
     pub slowdown: f64,
-    /// Requests a core below which it recovers.
+    /// Requests per core below which it recovers.
     pub recovery_threshold: f64,
-    /// Seconds that it takes to recover.
+    /// Duration of the recovery, in seconds.
     pub recovery_s: f64,
-    /// Seconds after which it has recovered in any case.
+    /// Maximum duration of the slowdown, in seconds.
     pub max_s: f64,
 }
 
@@ -160,9 +160,9 @@
 pub struct ServerGroup {
     /// Name of their machine type.
     pub machine_type: String,
-    /// How many there are.
+    /// Number of servers.
     pub count: usize,
-    /// Their zone; spread over all zones where it is absent.
+    /// Their zone; if absent, they are spread over all zones.
     pub zone: Option<String>,
     /// Whether they are cold at the start of the run.
     pub cold: bool,
@@ -179,19 +179,19 @@
     }
 }
 
-/// The sidecars, spread over the zones.
+/// The sidecars, which are spread over the zones.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Sidecars {
-    /// How many there are; above zero.
+    /// Number of sidecars; above zero.
     pub count: usize,
-    /// How unevenly traffic is spread over them: coefficient of variation of their shares.
+    /// Coefficient of variation of their shares of the traffic; 0 for equal shares.
     pub skew: f64,
-    /// Whether they know cores and speed of each machine type, as by an operator's table.
+    /// Whether they know the cores and speed of each machine type, as from an operator's table.
     pub knows_machine_types: bool,
-    /// Memory that each may use in the emulator, in megabytes.
+    /// Memory limit of each in the emulator, in megabytes.
     pub memory_mb: u64,
-    /// Most sockets that each may open in the emulator.
+    /// Maximum number of open sockets of each in the emulator.
     pub sockets: u64,
 }
 
--- a/crates/testbed/src/scenario/mod.rs
+++ b/crates/testbed/src/scenario/mod.rs
@@ -1,9 +1,8 @@
-//! What a scenario file says: the fleet, the traffic, the schedule of faults, and what must hold.
+//! Scenario files: the fleet, the traffic, the fault schedule and the expectations.
 //!
-//! Owns the sections with their keys and defaults, their reading (`read`), the checks that types
-//! cannot make (`check`), and what follows from the keys alone: fleet, capacity and rates. Plays
-//! nothing and draws nothing at random. Every key is described in `docs/scenario.md`, with unit and
-//! default, as is the meaning of absent keys.
+//! Defines the sections with their keys and defaults, reads them (`read`), validates them (`check`)
+//! and derives fleet, capacity and rates from them, without any random draws. `docs/scenario.md`
+//! describes every key with its unit, its default and the meaning of its absence.
 
 mod capacity;
 mod check;
@@ -36,46 +35,46 @@
     Class, Clients, DeduplicationScope, Idempotency, Load, LoadShape, Tenant, WorkDistribution,
 };
 
-/// A whole scenario. [`Scenario::check`] finds what contradicts itself.
+/// A whole scenario. [`Scenario::check`] validates it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Scenario {
     /// Name in reports.
     pub name: String,
-    /// Time in which requests arrive, in seconds; above zero. What is open then is played to its
-    /// end.
+    /// Time during which requests arrive, in seconds; above zero. Requests open at its end are
+    /// still completed.
     pub seconds: f64,
     /// Seed of all random streams.
     pub seed: u64,
     /// Zones and delays.
     pub network: Network,
-    /// Types of machines that servers run on, in the order of the file.
+    /// Machine types, in the order of the file.
     pub machine_type: Vec<MachineType>,
-    /// Groups of servers; servers are numbered in their order.
+    /// Groups of servers; servers are numbered across the groups in order.
     pub servers: Vec<ServerGroup>,
     /// The sidecars.
     pub sidecars: Sidecars,
-    /// Classes of requests; at least one.
+    /// Request classes; at least one.
     pub class: Vec<Class>,
-    /// Tenants; none where all requests count alike.
+    /// Tenants; empty for a service without tenants.
     pub tenant: Vec<Tenant>,
-    /// How much is asked for.
+    /// The rate of arrivals.
     pub load: Load,
-    /// What clients do about slow and failed requests.
+    /// How clients handle slow and failed requests.
     pub clients: Clients,
-    /// The service that lists servers.
+    /// The discovery service.
     pub discovery: Discovery,
     /// What sidecars may do.
     pub permissions: Permissions,
     /// How servers report their load.
     pub load_reports: LoadReports,
-    /// Figures of the rules that the auditor checks.
+    /// Limits of the rules that the auditor checks.
     pub rules: Rules,
-    /// What waste and its like take from the service.
+    /// Deductions from the service for waste and other costs.
     pub prices: Prices,
-    /// What goes wrong, and when.
+    /// The fault schedule.
     pub fault: Vec<Fault>,
-    /// What must hold, besides the rules.
+    /// The expected results, in addition to the rules.
     pub expect: Expectations,
 }
 
--- a/crates/testbed/src/scenario/rates.rs
+++ b/crates/testbed/src/scenario/rates.rs
@@ -1,20 +1,20 @@
-//! How many requests a scenario asks for, on the mean and at a moment.
+//! The arrival rate of a scenario, on average and at a given time.
 //!
-//! Owns the law of the load: shapes, bursts, and what a rate relative to capacity comes to. Draws
-//! nothing at random; `workload` draws arrivals at these rates.
+//! Computes load shapes, bursts and rates relative to capacity. Nothing here is random; `workload`
+//! draws arrivals at these rates.
 
 use std::f64::consts::TAU;
 
-use super::time::to_s;
+use super::time::s_from_micros;
 use super::{FaultKind, LoadShape, Micros, Scenario};
 
-/// Milliseconds of a second.
+/// Milliseconds in a second.
 const MS_PER_S: f64 = 1_000.0;
 /// Rate at the start of a ramp, as a multiple of the mean. The ramp rises by one mean over the run.
 const RAMP_START: f64 = 0.5;
 
 impl Scenario {
-    /// Mean work of a request, in seconds of a standard core.
+    /// Mean work of a request over all classes, in seconds of a standard core.
     pub fn mean_work_s(&self) -> f64 {
         let shares: f64 = self.class.iter().map(|class| class.share).sum();
         let work: f64 = self
@@ -25,7 +25,7 @@
         work / shares.max(f64::MIN_POSITIVE)
     }
 
-    /// Requests a second, on the mean of the run.
+    /// Mean rate over the run without bursts, in requests per second.
     pub fn mean_rate(&self) -> f64 {
         if self.load.rate > 0.0 {
             self.load.rate
@@ -34,34 +34,34 @@
         }
     }
 
-    /// Requests a second that the warm fleet can serve.
+    /// Requests per second that the warm fleet can serve.
     pub fn capacity_rate(&self) -> f64 {
         self.capacity() / self.mean_work_s().max(f64::MIN_POSITIVE)
     }
 
-    /// Requests a second at a moment, in microseconds from the start; `load_drift` lies between 0
-    /// and 1 and counts for [`LoadShape::Drift`].
+    /// Requests per second at a time, in microseconds from the start. `load_drift` lies between 0
+    /// and 1 and is used by [`LoadShape::Drift`] only.
     pub fn rate_at(&self, at: Micros, load_drift: f64) -> f64 {
         let burst = self.burst_factor(at);
         let mean = self.mean_rate() * burst;
         match self.load.shape {
             LoadShape::Steady => mean,
-            LoadShape::Ramp => mean * (RAMP_START + (to_s(at) / self.seconds).min(1.0)),
+            LoadShape::Ramp => mean * (RAMP_START + (s_from_micros(at) / self.seconds).min(1.0)),
             LoadShape::Swing => {
-                let wave = (to_s(at) / self.load.period_s * TAU).sin();
+                let wave = (s_from_micros(at) / self.load.period_s * TAU).sin();
                 mean * (1.0 + self.load.swing * wave)
             }
-            LoadShape::Drift => burst * self.capacity_rate() * self.drifting_share(load_drift),
+            LoadShape::Drift => burst * self.capacity_rate() * self.drift_share(load_drift),
         }
     }
 
-    /// Load as a share of capacity, for a drift that lies between 0 and 1.
-    fn drifting_share(&self, load_drift: f64) -> f64 {
+    /// Load as a share of capacity for a drift between 0 and 1.
+    fn drift_share(&self, load_drift: f64) -> f64 {
         let range = self.load.high - self.load.low;
         self.load.low + range * load_drift.clamp(0.0, 1.0)
     }
 
-    /// Product of the factors of the bursts that are on.
+    /// Product of the factors of all active bursts.
     fn burst_factor(&self, at: Micros) -> f64 {
         self.fault
             .iter()
--- a/crates/testbed/src/scenario/read.rs
+++ b/crates/testbed/src/scenario/read.rs
@@ -1,8 +1,8 @@
-//! Reads a scenario: from text to a checked [`Scenario`].
+//! Reads a scenario from text and validates it.
 //!
-//! Owns the steps, and keeps the text, from which errors get their lines and experiments their
-//! variants. Each step is in a module of its own: former names of keys in `renamed_keys`, ranges
-//! and references in `check`, places in the text in `source_lines`.
+//! The text is kept to find the lines of errors, and the table to create variants for experiments.
+//! The steps are in separate modules: `renamed_keys` translates former names, `check` validates
+//! ranges and references, and `source_lines` finds keys in the text.
 
 use std::path::Path;
 
@@ -11,44 +11,44 @@
 use super::Scenario;
 use super::error::{ScenarioError, ScenarioErrors};
 use super::key_path::KeyPath;
-use super::renamed_keys::{with_present_names, written_path};
+use super::renamed_keys::{path_in_file, with_current_names};
 use super::set_key::set_key;
-use super::source_lines::{line_at, line_of};
+use super::source_lines::{line_at_offset, line_of_key};
 
-/// A scenario as read, with the text it came from, from which experiments draw variants.
+/// A validated scenario with its source, from which experiments create variants.
 #[derive(Clone, Debug)]
 pub struct ScenarioFile {
-    /// The checked scenario.
+    /// The validated scenario.
     pub scenario: Scenario,
     /// Name of the file in messages.
     file: String,
-    /// As it was read, without the keys that were set since.
+    /// The text as read, without keys that were set later.
     text: String,
-    /// The text's table, with the keys that were set since.
+    /// The table of the text, with keys that were set later.
     table: Table,
 }
 
 impl ScenarioFile {
-    /// Reads a file.
+    /// Reads a scenario file.
     ///
     /// # Errors
-    /// Everything that is wrong with it.
+    /// Returns all errors in the scenario, or why the file cannot be read.
     pub fn open(path: &Path) -> Result<Self, ScenarioErrors> {
         let file = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|e| {
-            ScenarioErrors::single(&file, ScenarioError::of_text(e.to_string(), None))
+            ScenarioErrors::single(&file, ScenarioError::without_key(e.to_string(), None))
         })?;
         Self::read(&file, &text)
     }
 
-    /// Reads a text; `file` is its name in messages.
+    /// Reads a scenario from text; `file` is its name in messages.
     ///
     /// # Errors
-    /// Everything that is wrong with it.
+    /// Returns all errors in the scenario.
     pub fn read(file: &str, text: &str) -> Result<Self, ScenarioErrors> {
         let table = text.parse::<Table>().map_err(|e| {
-            let line = e.span().map(|span| line_at(text, span.start));
-            ScenarioErrors::single(file, ScenarioError::of_text(e.message(), line))
+            let line = e.span().map(|span| line_at_offset(text, span.start));
+            ScenarioErrors::single(file, ScenarioError::without_key(e.message(), line))
         })?;
         Self {
             scenario: Scenario::default(),
@@ -56,54 +56,55 @@
             text: text.to_owned(),
             table,
         }
-        .checked()
+        .validated()
     }
 
-    /// The same scenario with keys set to other values, such as `sidecars.count` or
-    /// `fault[0].factor`. Former names of keys do as well.
+    /// A variant with keys set to other values, such as `sidecars.count` or `fault[0].factor`.
+    /// Former names of keys are accepted as well.
     ///
     /// # Errors
-    /// A key that cannot be set, or everything that is wrong with what comes of it.
+    /// Returns the first key that cannot be set, or all errors in the resulting scenario.
     pub fn with_keys_set(&self, changes: &[(String, Value)]) -> Result<Self, ScenarioErrors> {
         let mut variant = self.clone();
         for (key, value) in changes {
             let path = KeyPath::parse(key);
             if let Err(error) = set_key(&mut variant.table, &path, value.clone()) {
                 let named = ScenarioError::at_key(key, error.to_string());
-                return Err(variant.located(vec![named]));
+                return Err(variant.with_locations(vec![named]));
             }
         }
-        variant.checked()
+        variant.validated()
     }
 
-    /// Brings the table to the present names of keys, reads the scenario from it, and checks it.
-    fn checked(mut self) -> Result<Self, ScenarioErrors> {
-        self.table = with_present_names(self.table.clone()).map_err(|error| {
+    /// Translates the table to the current names of keys, reads the scenario from it, and validates
+    /// it.
+    fn validated(mut self) -> Result<Self, ScenarioErrors> {
+        self.table = with_current_names(self.table.clone()).map_err(|error| {
             let named = ScenarioError::at_key(error.former.clone(), error.to_string());
-            self.located(vec![named])
+            self.with_locations(vec![named])
         })?;
         let read = serde_path_to_error::deserialize(Value::Table(self.table.clone()));
         self.scenario = read.map_err(|error: serde_path_to_error::Error<toml::de::Error>| {
             let key = error.path().to_string().replace(".[", "[");
-            let why = error.inner().message().trim().to_owned();
-            self.located(vec![ScenarioError::at_key(key, why)])
+            let message = error.inner().message().trim().to_owned();
+            self.with_locations(vec![ScenarioError::at_key(key, message)])
         })?;
         let errors = self.scenario.check();
         if errors.is_empty() {
             Ok(self)
         } else {
-            Err(self.located(errors))
+            Err(self.with_locations(errors))
         }
     }
 
-    /// The errors with their keys as the file has them, and their lines, in the order of the file.
-    fn located(&self, mut errors: Vec<ScenarioError>) -> ScenarioErrors {
-        let written = self.text.parse::<Table>().unwrap_or_default();
+    /// Adds lines and the key names of the file to errors, and sorts them in the order of the file.
+    fn with_locations(&self, mut errors: Vec<ScenarioError>) -> ScenarioErrors {
+        let file_table = self.text.parse::<Table>().unwrap_or_default();
         for error in &mut errors {
-            let present = KeyPath::parse(&error.key);
-            let path = written_path(&written, &present);
-            error.line = line_of(&self.text, &path);
-            if path != present {
+            let current = KeyPath::parse(&error.key);
+            let path = path_in_file(&file_table, &current);
+            error.line = line_of_key(&self.text, &path);
+            if path != current {
                 error.key = path.to_string();
             }
         }
--- a/crates/testbed/src/scenario/renamed_keys.rs
+++ b/crates/testbed/src/scenario/renamed_keys.rs
@@ -1,34 +1,34 @@
-//! Keys of scenario files that were renamed, and their former names.
+//! Renamed keys of scenario files: translation between former and current names.
 //!
-//! Owns the list of renamed keys, and translates tables and paths either way. Present names stand
-//! with the sections; `renamed_keys/tests.rs` holds that each present name is one of them.
+//! Scenarios with former names stay readable: a table is translated to the current names when it is
+//! loaded, a path when a key is set. Messages are translated the other way and name a key as the
+//! file does.
 //!
-//! Scenarios written before the renaming stay readable: a table is brought to the present names
-//! when it is loaded, a path when a key is set. Messages go the other way, and name a key as the
-//! file has it.
+//! The current names are the fields of the sections' types; `renamed_keys/tests.rs` checks that
+//! each name here is one of them.
 
 use toml::{Table, Value};
 
-use super::key_path::{KeyPath, index};
+use super::key_path::{KeyPath, parse_index};
 
-/// A key that has another name today.
+/// A key with a former name.
 struct RenamedKey {
-    /// The section that has the key, by its present path without indexes; empty for the top of the
-    /// file.
+    /// Path of the section with the key, under current names and without indexes; empty for the top
+    /// level.
     section: &'static str,
     former: &'static str,
-    present: &'static str,
+    current: &'static str,
 }
 
-const fn renamed(section: &'static str, former: &'static str, present: &'static str) -> RenamedKey {
+const fn renamed(section: &'static str, former: &'static str, current: &'static str) -> RenamedKey {
     RenamedKey {
         section,
         former,
-        present,
+        current,
     }
 }
 
-/// All renamed keys. A section has at most one former name for a key.
+/// All renamed keys. A key has at most one former name.
 const RENAMED_KEYS: [RenamedKey; 49] = [
     renamed("", "kind", "machine_type"),
     renamed("", "shop", "tenant"),
@@ -81,33 +81,33 @@
     renamed("fault", "part", "target_share"),
 ];
 
-/// A table that has a key under its present and its former name.
+/// A table has a key under both its current and its former name.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("is the former name of {present}, which is given as well")]
+#[error("is the former name of {current}, which is given as well")]
 pub(super) struct BothNamesGiven {
-    /// Path of the key under its former name, as the file has it.
+    /// Path of the key as in the file, under its former name.
     pub(super) former: String,
-    /// Present name of the key.
-    present: &'static str,
+    /// Current name of the key.
+    current: &'static str,
 }
 
-/// The present name of a key of a section; the key itself where it was not renamed.
-fn present_name<'a>(section: &str, key: &'a str) -> &'a str {
+/// The current name of a key in a section; the key itself if it was not renamed.
+fn current_name<'a>(section: &str, key: &'a str) -> &'a str {
     RENAMED_KEYS
         .iter()
         .find(|renamed| renamed.section == section && renamed.former == key)
-        .map_or(key, |renamed| renamed.present)
+        .map_or(key, |renamed| renamed.current)
 }
 
-/// The former name of a key of a section, where it has one.
+/// The former name of a key in a section, if it has one.
 fn former_name(section: &str, key: &str) -> Option<&'static str> {
     RENAMED_KEYS
         .iter()
-        .find(|renamed| renamed.section == section && renamed.present == key)
+        .find(|renamed| renamed.section == section && renamed.current == key)
         .map(|renamed| renamed.former)
 }
 
-/// The path of a section within another; the top has an empty path.
+/// The path of a key in a section; the path of the top level is empty.
 fn join(section: &str, key: &str) -> String {
     if section.is_empty() {
         key.to_owned()
@@ -116,24 +116,24 @@
     }
 }
 
-/// A whole scenario's table with all keys under their present names.
+/// Translates all keys of a scenario's table to their current names.
 ///
 /// # Errors
-/// A key that is given under both names.
-pub(super) fn with_present_names(table: Table) -> Result<Table, BothNamesGiven> {
+/// Returns the first key that is given under both names.
+pub(super) fn with_current_names(table: Table) -> Result<Table, BothNamesGiven> {
     rename_table(table, "", "")
 }
 
-/// Renames the keys of a section; `path` is where the file has it, indexes included.
+/// Translates the keys of a section; `path` is its path in the file, with indexes.
 fn rename_table(table: Table, section: &str, path: &str) -> Result<Table, BothNamesGiven> {
     let mut renamed = Table::new();
     for (key, value) in table {
-        let present = present_name(section, &key);
+        let current = current_name(section, &key);
         let path = join(path, &key);
-        let value = rename_value(value, &join(section, present), &path)?;
-        let earlier = renamed.insert(present.to_owned(), value);
+        let value = rename_value(value, &join(section, current), &path)?;
+        let earlier = renamed.insert(current.to_owned(), value);
         if earlier.is_some() {
-            return Err(both_names_given(section, present, &path));
+            return Err(both_names_given(section, current, &path));
         }
     }
     Ok(renamed)
@@ -153,59 +153,60 @@
     }
 }
 
-/// `path` ends in either name of the key.
-fn both_names_given(section: &str, present: &str, path: &str) -> BothNamesGiven {
+/// Creates the error for a key; `path` ends in either of its names.
+fn both_names_given(section: &str, current: &str, path: &str) -> BothNamesGiven {
     let renamed = RENAMED_KEYS
         .iter()
-        .find(|renamed| renamed.section == section && renamed.present == present);
-    let (former, present) = renamed.map_or(("", ""), |renamed| (renamed.former, renamed.present));
+        .find(|renamed| renamed.section == section && renamed.current == current);
+    let (former, current) = renamed.map_or(("", ""), |renamed| (renamed.former, renamed.current));
     let parent = path.rsplit_once('.').map_or("", |(parent, _)| parent);
     BothNamesGiven {
         former: join(parent, former),
-        present,
+        current,
     }
 }
 
-/// A path with all its keys under their present names.
-pub(super) fn present_path(path: &KeyPath) -> KeyPath {
+/// Translates all keys of a path to their current names.
+pub(super) fn current_path(path: &KeyPath) -> KeyPath {
     let mut section = String::new();
     let mut segments = Vec::new();
     for segment in path.segments() {
         let mut name = segment.as_str();
-        if index(segment).is_none() {
-            name = present_name(&section, segment);
+        if parse_index(segment).is_none() {
+            name = current_name(&section, segment);
             section = join(&section, name);
         }
         segments.push(name.to_owned());
     }
-    KeyPath::of(segments)
+    KeyPath::from_segments(segments)
 }
 
-/// A path as a file has it: each key under its former name where `written` has it under that name.
-pub(super) fn written_path(written: &Table, present: &KeyPath) -> KeyPath {
-    let top = Value::Table(written.clone());
+/// Translates a path to the names in a file: a key gets its former name if `file_table` has it
+/// under that name.
+pub(super) fn path_in_file(file_table: &Table, current: &KeyPath) -> KeyPath {
+    let top = Value::Table(file_table.clone());
     let mut parent = Some(&top);
     let mut section = String::new();
     let mut segments = Vec::new();
-    for segment in present.segments() {
+    for segment in current.segments() {
         let mut name = segment.as_str();
-        if let Some(index) = index(segment) {
+        if let Some(index) = parse_index(segment) {
             parent = parent.and_then(|list| list.get(index));
         } else {
-            name = written_name(parent, &section, segment);
+            name = name_in_file(parent, &section, segment);
             parent = parent.and_then(|table| table.get(name));
             section = join(&section, segment);
         }
         segments.push(name.to_owned());
     }
-    KeyPath::of(segments)
+    KeyPath::from_segments(segments)
 }
 
-/// The name under which a file has a key of a section: the former one where `table`, the section as
-/// the file has it, has a key of that name.
-fn written_name<'a>(table: Option<&Value>, section: &str, key: &'a str) -> &'a str {
-    let is_written = |former: &&str| table.is_some_and(|table| table.get(*former).is_some());
-    former_name(section, key).filter(is_written).unwrap_or(key)
+/// The name of a key in a file: the former one if `table`, the section as in the file, has a key of
+/// that name.
+fn name_in_file<'a>(table: Option<&Value>, section: &str, key: &'a str) -> &'a str {
+    let is_in_file = |former: &&str| table.is_some_and(|table| table.get(*former).is_some());
+    former_name(section, key).filter(is_in_file).unwrap_or(key)
 }
 
 #[cfg(test)]
--- a/crates/testbed/src/scenario/renamed_keys/tests.rs
+++ b/crates/testbed/src/scenario/renamed_keys/tests.rs
@@ -1,11 +1,11 @@
-use super::{KeyPath, RENAMED_KEYS, Table, present_path, with_present_names, written_path};
+use super::{KeyPath, RENAMED_KEYS, Table, current_path, path_in_file, with_current_names};
 use crate::scenario::{Class, Contention, Fault, Load, MachineType, Scenario, ServerGroup};
 
 fn table(text: &str) -> Table {
     text.parse().expect("TOML")
 }
 
-/// A section by its path, as it is written today, with all its keys but those without a value.
+/// The section at a path as currently serialized, with all keys that have a value.
 fn section(path: &str) -> Table {
     let machine_type = MachineType {
         contention: Some(Contention::default()),
@@ -33,29 +33,30 @@
 }
 
 #[test]
-fn each_present_name_is_a_key_of_its_section_and_no_former_name_is() {
+fn only_current_names_are_keys_of_their_sections() {
     for renamed in &RENAMED_KEYS {
         let section = section(renamed.section);
-        assert!(section.contains_key(renamed.present), "{}", renamed.present);
+        assert!(section.contains_key(renamed.current), "{}", renamed.current);
         assert!(!section.contains_key(renamed.former), "{}", renamed.former);
     }
 }
 
 #[test]
-fn a_table_with_former_names_gets_the_present_ones_at_every_depth() {
+fn former_names_are_translated_at_every_depth() {
     let former = table(
-        "kind = [{ name = 'a', cold_s = 1.0 }]\n[terminals]\nleave = 0.5\n[[trouble]]\nwhat = 'slow'",
+        "kind = [{ name = 'a', cold_s = 1.0 }]\n[terminals]\nleave = 0.5\n\
+         [[trouble]]\nwhat = 'slow'",
     );
-    let present = table(
+    let current = table(
         "machine_type = [{ name = 'a', slow_start_s = 1.0 }]\n[clients]\ndisconnect_share = 0.5\n\
          [[fault]]\nkind = 'slow'",
     );
-    assert_eq!(with_present_names(former), Ok(present.clone()));
-    assert_eq!(with_present_names(present.clone()), Ok(present));
+    assert_eq!(with_current_names(former), Ok(current.clone()));
+    assert_eq!(with_current_names(current.clone()), Ok(current));
 }
 
 #[test]
-fn a_key_under_both_names_is_an_error_that_names_the_former() {
+fn key_under_both_names_is_an_error_at_the_former_name() {
     let cases = [
         (
             "[[class]]\naim_ms = 1.0\nlatency_objective_ms = 1.0",
@@ -72,19 +73,19 @@
         ),
     ];
     for (text, key) in cases {
-        let error = with_present_names(table(text)).expect_err(key);
+        let error = with_current_names(table(text)).expect_err(key);
 
         assert_eq!(error.former, key);
     }
 }
 
 #[test]
-fn paths_are_brought_to_present_names_and_back_to_those_of_the_file() {
+fn paths_are_translated_to_current_names_and_back_to_those_of_the_file() {
     let file = table(
         "[[trouble]]\ntimes = 2.0\n[[class]]\nlatency_objective_ms = 1.0\n\
          [[machine_type]]\nchoke = { at = 2.0 }",
     );
-    for (written, present) in [
+    for (written, current) in [
         ("trouble[0].times", "fault[0].factor"),
         (
             "class[0].latency_objective_ms",
@@ -96,16 +97,16 @@
         ),
         ("load.rate", "load.rate"),
     ] {
-        let path = present_path(&KeyPath::parse(written));
+        let path = current_path(&KeyPath::parse(written));
 
-        assert_eq!(path.to_string(), present);
-        assert_eq!(written_path(&file, &path).to_string(), written);
+        assert_eq!(path.to_string(), current);
+        assert_eq!(path_in_file(&file, &path).to_string(), written);
     }
     let absent = KeyPath::parse("clients.disconnect_share");
-    assert_eq!(written_path(&file, &absent), absent);
+    assert_eq!(path_in_file(&file, &absent), absent);
 }
 
-/// Section, former and present name of each row of the page's table of former names, the section
+/// Section, former name and current name in each row of the page's table of former names; sections
 /// without brackets.
 fn former_names_on_page() -> Vec<[String; 3]> {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/scenario.md");
@@ -126,7 +127,7 @@
 }
 
 #[test]
-fn the_page_lists_each_renamed_key_once_and_no_others() {
+fn page_lists_exactly_the_renamed_keys() {
     let mut in_code: Vec<[String; 3]> = RENAMED_KEYS
         .iter()
         .map(|renamed| {
@@ -134,7 +135,7 @@
                 "" => "top of the file",
                 section => section,
             };
-            [section, renamed.former, renamed.present].map(str::to_owned)
+            [section, renamed.former, renamed.current].map(str::to_owned)
         })
         .collect();
     let mut on_page = former_names_on_page();
--- a/crates/testbed/src/scenario/rules.rs
+++ b/crates/testbed/src/scenario/rules.rs
@@ -1,30 +1,30 @@
-//! Sections on what sidecars may do, what servers report, and how a run is judged.
+//! Sections of the sidecars' permissions, the servers' load reports, and the evaluation of a run.
 //!
-//! Owns their keys and defaults. The auditor checks the rules, and the statistics take the prices.
+//! The auditor checks the rules, and the statistics apply the prices.
 
 use serde::{Deserialize, Serialize};
 
-/// What the site lets sidecars do.
+/// What the site permits sidecars to do.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Permissions {
-    /// Whether they may check servers' health.
+    /// Whether they may send health checks.
     pub health_checks: bool,
     /// Whether they may cancel attempts.
     pub cancellation: bool,
     /// Whether they may hedge requests.
     pub hedging: bool,
-    /// Most attempts of a request; above zero.
+    /// Maximum number of attempts per request; above zero.
     pub max_attempts: u32,
-    /// Seconds after which servers close an idle connection.
+    /// Time after which servers close an idle connection, in seconds.
     pub idle_timeout_s: f64,
-    /// Milliseconds in which a connection must be open.
+    /// Timeout for opening a connection, in milliseconds.
     pub connect_timeout_ms: f64,
-    /// Milliseconds in which a health check must have its response.
+    /// Timeout of a health check, in milliseconds.
     pub health_check_timeout_ms: f64,
-    /// Longest Retry-After of a rejection, in milliseconds.
+    /// Maximum Retry-After of a rejection, in milliseconds.
     pub max_retry_after_ms: f64,
-    /// Longest time between two polls of discovery, in milliseconds.
+    /// Maximum time between two polls of discovery, in milliseconds.
     pub max_poll_interval_ms: f64,
 }
 
@@ -44,27 +44,27 @@
     }
 }
 
-/// Where servers report their load.
+/// The responses in which servers report their load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LoadReportSource {
-    /// In responses to health checks, hardly older than the response.
+    /// Responses to health checks; the report is hardly older than the response.
     #[serde(rename = "probe")]
     HealthChecks,
-    /// In every response: requests in flight, and nothing else.
+    /// All responses; the report has the requests in flight only.
     #[serde(rename = "answers")]
     Responses,
 }
 
-/// How servers report their load in responses.
+/// How servers report their load.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LoadReports {
-    /// Where they report it.
+    /// The responses with reports.
     pub source: LoadReportSource,
-    /// Milliseconds between two measurements of the load, for `answers`.
+    /// Interval between measurements of the load, in milliseconds, for `answers`.
     pub every_ms: f64,
-    /// Milliseconds from a measurement until it is reported, for `answers`.
+    /// Delay from a measurement until it is reported, in milliseconds, for `answers`.
     pub delay_ms: f64,
 }
 
@@ -78,24 +78,23 @@
     }
 }
 
-/// The figures of the rules that the auditor checks.
+/// Limits of the rules that the auditor checks.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Rules {
-    /// Milliseconds after the notification of a drain in which attempts may still start.
+    /// Time after the notification of a drain in which attempts may still start, in milliseconds.
     pub drain_grace_ms: f64,
-    /// Multiple of its capacity beyond which a cold server is overloaded.
+    /// Multiple of its capacity above which a cold server is overloaded.
     pub cold_overload_factor: f64,
-    /// Milliseconds over which work sent to a cold server is summed up.
+    /// Window over which the work sent to a cold server is summed up, in milliseconds.
     pub cold_overload_window_ms: f64,
-    /// Milliseconds after the deadline in which a response still counts.
+    /// Time after the deadline in which a response still counts, in milliseconds.
     pub response_grace_ms: f64,
-    /// The emulator's allowance on every time limit, in milliseconds.
+    /// Tolerance added to every time limit in the emulator, in milliseconds.
     pub emulator_extra_ms: f64,
-    /// Share of its weight that a request beyond its tenant's quota counts.
+    /// Share of its weight that a request above its tenant's quota keeps.
     pub over_share_weight: f64,
-    /// Requests that all tenants are entitled to together, as a share of those that the warm fleet
-    /// can serve.
+    /// Total quota of all tenants, as a share of the requests that the warm fleet can serve.
     pub quota_of_capacity: f64,
 }
 
@@ -113,20 +112,20 @@
     }
 }
 
-/// What is subtracted from the service, which lies between 0 and 1.
+/// Deductions from the service, which lies between 0 and 1.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Prices {
-    /// Of attempts in another zone, if there is one for each arrival.
+    /// For cross-zone attempts, if there is one per arrival.
     pub cross_zone: f64,
-    /// Of wasted work, if it is as much as all arrivals need on the mean.
+    /// For wasted work, if it equals the mean work of all arrivals.
     pub waste: f64,
-    /// Of health checks, if there is one for each arrival.
+    /// For health checks, if there is one per arrival.
     pub health_check: f64,
-    /// Of new connections, if there is one for each arrival.
+    /// For new connections, if there is one per arrival.
     pub handshake: f64,
-    /// Of the value lost by arrivals that end after their latency objective, if it is all that
-    /// arrived.
+    /// For value lost by arrivals that end after their latency objective, if it is the value of all
+    /// arrivals.
     pub late_fail: f64,
 }
 
--- a/crates/testbed/src/scenario/set_key.rs
+++ b/crates/testbed/src/scenario/set_key.rs
@@ -1,55 +1,54 @@
-//! Sets one key of a scenario's table, as `--set` and an experiment's axes ask for.
+//! Sets one key in a scenario's table, for `--set` and the axes of experiments.
 //!
-//! Looks only at the way to the key: whether there is such a key, and whether it may have the
-//! value, shows when the scenario is read from the table.
+//! Only the path is checked here. Whether the key exists and may have the value is checked when the
+//! scenario is read from the table.
 
 use toml::{Table, Value};
 
-use super::key_path::{KeyPath, index};
-use super::renamed_keys::present_path;
+use super::key_path::{KeyPath, parse_index};
+use super::renamed_keys::current_path;
 
-/// Why a key cannot be set. Names keys as the path that was asked for does.
+/// Why a key cannot be set. Messages use the names of the given path.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum SetKeyError {
     /// The path has no segments.
     #[error("is empty")]
     Empty,
-    /// The list has fewer items.
+    /// The index is beyond the end of the list.
     #[error("there is no {list}[{index}]")]
     NoSuchItem { list: String, index: usize },
-    /// The list's item holds no keys.
+    /// The list's item is not a table.
     #[error("{list}[{index}] is no table")]
-    ItemIsNoTable { list: String, index: usize },
-    /// A key on the way holds no keys, or is a list where no index is given, or an index is given
-    /// for no list.
+    ItemNotTable { list: String, index: usize },
+    /// A key on the path is not a table, is a list without an index, or has an index but is not a
+    /// list.
     #[error("{key} is no table")]
-    NoTable { key: String },
+    NotTable { key: String },
 }
 
-/// Sets a key, given by its path under present or former names; tables on the way that are not
-/// there are added.
+/// Sets the key at a path under current or former names; missing tables on the path are added.
 ///
 /// # Errors
-/// Where something on the way to the key is no table. The table may have grown by then.
+/// If an item on the path is not a table. Tables may already have been added by then.
 pub(super) fn set_key(table: &mut Table, path: &KeyPath, value: Value) -> Result<(), SetKeyError> {
-    let present = present_path(path);
-    let (last, parents) = present.segments().split_last().ok_or(SetKeyError::Empty)?;
+    let current = current_path(path);
+    let (last, parents) = current.segments().split_last().ok_or(SetKeyError::Empty)?;
     let mut parent = table;
     let mut segments = parents.iter().zip(path.segments()).peekable();
-    while let Some((segment, written)) = segments.next() {
+    while let Some((segment, given)) = segments.next() {
         let child = parent
             .entry(segment.clone())
             .or_insert_with(|| Value::Table(Table::new()));
-        let index = segments.peek().and_then(|(next, _)| index(next));
+        let index = segments.peek().and_then(|(next, _)| parse_index(next));
         parent = match (child, index) {
             (Value::Array(items), Some(index)) => {
                 segments.next();
-                table_in_list(items, written, index)?
+                table_in_list(items, given, index)?
             }
             (Value::Table(child), None) => child,
             _ => {
-                let key = written.clone();
-                return Err(SetKeyError::NoTable { key });
+                let key = given.clone();
+                return Err(SetKeyError::NotTable { key });
             }
         };
     }
@@ -65,7 +64,7 @@
     let list = list.to_owned();
     match items.get_mut(index) {
         Some(Value::Table(table)) => Ok(table),
-        Some(_) => Err(SetKeyError::ItemIsNoTable { list, index }),
+        Some(_) => Err(SetKeyError::ItemNotTable { list, index }),
         None => Err(SetKeyError::NoSuchItem { list, index }),
     }
 }
--- a/crates/testbed/src/scenario/source_lines.rs
+++ b/crates/testbed/src/scenario/source_lines.rs
@@ -1,29 +1,29 @@
-//! Lines of a scenario's text: where a byte or a key stands. Counts lines from 1.
+//! Line numbers, from 1, of bytes and keys in a scenario's text.
 //!
-//! Looks for keys under the names that the text has; `renamed_keys` gives those.
+//! Keys are looked up under the names in the text, which `renamed_keys` provides.
 
 use std::ops::Range;
 
 use toml_edit::{Document, Item, Table, Value};
 
-use super::key_path::{KeyPath, index};
+use super::key_path::{KeyPath, parse_index};
 
-/// The line of a byte.
-pub(super) fn line_at(text: &str, byte: usize) -> usize {
+/// The line of the byte at an offset.
+pub(super) fn line_at_offset(text: &str, byte: usize) -> usize {
     let before = text.as_bytes().iter().take(byte);
     before.filter(|&&b| b == b'\n').count() + 1
 }
 
-/// The line of a key, or of the nearest thing around it that the text has. Nothing where the text
-/// is no TOML or has nothing of the path, and for items beyond the end of a list: these were added
-/// by a variant.
-pub(super) fn line_of(text: &str, path: &KeyPath) -> Option<usize> {
+/// The line of a key, or of the innermost section on its path if the key is absent. `None` if the
+/// text is not TOML, if the first segment of the path is absent, and for items beyond the end of a
+/// list, which a variant has added.
+pub(super) fn line_of_key(text: &str, path: &KeyPath) -> Option<usize> {
     let document = Document::parse(text).ok()?;
-    let line = |span: Range<usize>| line_at(text, span.start);
+    let line = |span: Range<usize>| line_at_offset(text, span.start);
     let mut item: &Item = document.as_item();
     let mut nearest = None;
     for (position, segment) in path.segments().iter().enumerate() {
-        let child = match (item, index(segment)) {
+        let child = match (item, parse_index(segment)) {
             (Item::ArrayOfTables(tables), Some(index)) => {
                 let key = path.segments().get(position + 1);
                 return span_in_table(tables.get(index)?, key).map(line).or(nearest);
@@ -44,7 +44,7 @@
     nearest
 }
 
-/// Where a table starts, or the key within it where it has it.
+/// The span of a key in a table, or of the table if the key is absent.
 fn span_in_table(table: &Table, key: Option<&String>) -> Option<Range<usize>> {
     let found = key.and_then(|key| table.get_key_value(key));
     let key_span = found.and_then(|(key, value)| key.span().or(value.span()));
--- a/crates/testbed/src/scenario/time.rs
+++ b/crates/testbed/src/scenario/time.rs
@@ -1,33 +1,32 @@
-//! Times of the testbed, and how those of a file are brought to them.
+//! The time unit of both engines, and conversions from the times in a scenario file.
 //!
-//! Owns the unit of time of both engines and its conversions. Reads no clock: the simulator's
-//! timeline and the emulator's clock say what time it is.
+//! The current time comes from the simulator's timeline and the emulator's clock.
 
-/// Microseconds on the testbed's clock, or between two moments of it.
+/// Microseconds: a time since the start of the run, or a duration.
 pub type Micros = u64;
 
-/// Microseconds of a millisecond.
+/// Microseconds in a millisecond.
 const MICROS_PER_MS: f64 = 1_000.0;
-/// Microseconds of a second.
+/// Microseconds in a second.
 const MICROS_PER_S: f64 = 1e6;
 
-/// Milliseconds of a file in whole microseconds; 0 for what is negative.
+/// Converts milliseconds to whole microseconds; negative times become 0.
 pub fn from_ms(ms: f64) -> Micros {
-    whole(ms * MICROS_PER_MS)
+    round_to_micros(ms * MICROS_PER_MS)
 }
 
-/// Seconds of a file in whole microseconds; 0 for what is negative.
+/// Converts seconds to whole microseconds; negative times become 0.
 pub fn from_s(s: f64) -> Micros {
-    whole(s * MICROS_PER_S)
+    round_to_micros(s * MICROS_PER_S)
 }
 
-/// Microseconds in seconds.
-pub(super) fn to_s(time: Micros) -> f64 {
+/// Converts microseconds to seconds.
+pub(super) fn s_from_micros(time: Micros) -> f64 {
     time as f64 / MICROS_PER_S
 }
 
-/// Rounds to whole microseconds. The cast saturates: what is too long becomes the longest time, and
-/// what is not a number becomes 0.
-fn whole(micros: f64) -> Micros {
+/// Rounds to whole microseconds. The cast saturates: out-of-range times become the largest, and NaN
+/// becomes 0.
+fn round_to_micros(micros: f64) -> Micros {
     micros.round().max(0.0) as Micros
 }
--- a/crates/testbed/src/scenario/traffic.rs
+++ b/crates/testbed/src/scenario/traffic.rs
@@ -1,7 +1,7 @@
-//! Sections on what is asked for: classes, tenants, the load, and what clients do.
+//! Sections of the traffic: request classes, tenants, load and client behaviour.
 //!
-//! Owns their keys and defaults. The rates that follow are in `rates`; arrivals are drawn in
-//! `workload`, and each engine plays its clients.
+//! The resulting rates are computed in `rates`. Arrivals are drawn in `workload`, and each engine
+//! simulates or emulates the clients.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,70 +9,70 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Idempotency {
-    /// It may.
+    /// It may run more than once.
     #[serde(rename = "safe")]
     Idempotent,
-    /// It must not.
+    /// It must run once at most.
     #[serde(rename = "unsafe")]
     NonIdempotent,
-    /// It carries an idempotency key: within a scope and for a while, a repeat counts as harmless.
+    /// It carries an idempotency key: servers deduplicate repeats within the deduplication scope
+    /// and window.
     #[serde(rename = "keyed")]
     IdempotencyKey,
 }
 
-/// Servers among which a repeat of an idempotency key is recognised.
+/// The servers that share their idempotency keys, so that a repeat on any of them is recognised.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DeduplicationScope {
-    /// Among all servers.
+    /// All servers.
     All,
-    /// Among the servers of one zone.
+    /// The servers of one zone.
     Zone,
 }
 
-/// How work is spread around its mean.
+/// Distribution of the work of requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WorkDistribution {
-    /// All requests need the mean.
+    /// All requests need the mean work.
     Fixed,
-    /// Exponential.
+    /// Exponential distribution.
     #[serde(rename = "exp")]
     Exponential,
-    /// Lognormal, with the class's coefficient of variation.
+    /// Lognormal distribution with the class's coefficient of variation.
     Lognormal,
 }
 
-/// A class of requests.
+/// A request class.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Class {
-    /// Its name in reports, by which faults refer to it.
+    /// Name in reports and in faults.
     pub name: String,
-    /// Its share of all requests; shares of all classes are weights, and add up to 1 at most.
+    /// Share of all requests. Shares are used as relative weights; their sum must not exceed 1.
     pub share: f64,
     /// Mean work, in milliseconds of a standard core.
     pub work_ms: f64,
-    /// How work is spread around its mean.
+    /// Distribution of the work.
     pub dist: WorkDistribution,
     /// Coefficient of variation of the work, for `lognormal`.
     pub cv: f64,
-    /// How far the work of two attempts of a request differs: standard deviation of its
-    /// logarithm.
+    /// Variation of work between attempts of the same request: standard deviation of its logarithm.
     pub noise: f64,
     /// Latency objective, in milliseconds; above zero.
     pub latency_objective_ms: f64,
-    /// Time after which a response is of no use, in milliseconds; not below the objective.
+    /// Deadline after which a response has no value, in milliseconds; not below the objective.
     pub deadline_ms: f64,
-    /// Value of a response within the objective, relative to other classes.
+    /// Value of a response within the latency objective, relative to other classes.
     pub priority_weight: f64,
-    /// Share of that value which a response after the objective and before the deadline keeps.
+    /// Share of that value for a response after the latency objective but before the deadline.
     pub late_value: f64,
     /// Whether its requests may run more than once.
     pub idempotency: Idempotency,
-    /// Servers among which a repeat of a key is harmless, for `keyed`.
+    /// Servers that recognise each other's idempotency keys, for `keyed`.
     pub deduplication_scope: DeduplicationScope,
-    /// How long a repeat of a key is harmless, in milliseconds, for `keyed`.
+    /// Time for which a repeated key is recognised, in milliseconds, for `keyed`.
     pub deduplication_window_ms: f64,
 }
 
@@ -96,13 +96,13 @@
     }
 }
 
-/// A tenant and its part of the service.
+/// A tenant with its quota and traffic.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Tenant {
-    /// Its name in reports.
+    /// Name in reports.
     pub name: String,
-    /// Share of what all tenants are entitled to that is its own; shares add up to 1 at most.
+    /// Share of the total quota of all tenants; the sum of shares must not exceed 1.
     pub share: f64,
     /// Its traffic, as a multiple of its share.
     pub usage: f64,
@@ -122,41 +122,42 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LoadShape {
-    /// Stays at its mean.
+    /// Constant at the mean.
     Steady,
-    /// Rises from a half to one and a half times the mean.
+    /// Rises linearly from 0.5 to 1.5 times the mean.
     Ramp,
-    /// A wave around the mean.
+    /// Oscillates around the mean in a sine wave.
     Swing,
-    /// Drifts at random between `low` and `high` of capacity.
+    /// Drifts at random between the shares `low` and `high` of capacity.
     #[serde(rename = "brim")]
     Drift,
 }
 
-/// How much is asked for.
+/// The rate of arrivals, and its limits.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Load {
-    /// Mean load in requests a second; where 0, `of_capacity` counts.
+    /// Mean load in requests per second; if 0, `of_capacity` applies.
     pub rate: f64,
-    /// Mean load as a share of what the warm fleet can serve.
+    /// Mean load as a share of the capacity of the warm fleet.
     pub of_capacity: f64,
     /// How the load changes over time.
     pub shape: LoadShape,
-    /// Height of the wave, as a share of the mean, for `swing`.
+    /// Amplitude of the wave as a share of the mean, for `swing`.
     pub swing: f64,
-    /// Length of one wave in seconds, for `swing`.
+    /// Period of the wave in seconds, for `swing`.
     pub period_s: f64,
-    /// Least load as a share of capacity, for `brim`.
+    /// Minimum load as a share of capacity, for `brim`.
     pub low: f64,
-    /// Highest load as a share of capacity, for `brim`.
+    /// Maximum load as a share of capacity, for `brim`.
     pub high: f64,
-    /// Where present, clients hint at the work of a request, off by a factor whose logarithm
-    /// has this standard deviation.
+    /// If present, clients send work hints; their error is a factor whose logarithm has this
+    /// standard deviation.
     pub work_hints: Option<f64>,
-    /// Whether a request counts its class's weight times its work over the class's mean work.
+    /// Whether the weight of a request is its class's weight times its work divided by the class's
+    /// mean work.
     pub weight_by_work: bool,
-    /// Number of open requests at which further arrivals are counted as not played, and not sent.
+    /// Maximum number of open requests; arrivals beyond it are not sent, and counted as not played.
     pub max_open_requests: usize,
 }
 
@@ -177,19 +178,19 @@
     }
 }
 
-/// What clients do about slow and failed requests.
+/// How clients handle slow and failed requests.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Clients {
-    /// Most requests that a client sends for an arrival after the first.
+    /// Maximum number of retries per arrival.
     pub retries: u32,
-    /// A request's timeout as a share of its class's deadline, drawn between these.
+    /// Range from which the timeout of a request is drawn, as a share of its class's deadline.
     pub timeout_share: [f64; 2],
-    /// Backoff before a retry in milliseconds, drawn between these.
+    /// Range from which the backoff before a retry is drawn, in milliseconds.
     pub backoff_ms: [f64; 2],
-    /// Share of the clients that keep to the Retry-After of a rejection.
+    /// Share of clients that honour the Retry-After of a rejection.
     pub honour_retry_after: f64,
-    /// Share of the requests whose clients disconnect early, at a random moment.
+    /// Share of requests whose clients disconnect early, at a random time.
     pub disconnect_share: f64,
 }
 
