--- a/crates/testbed/src/scenario/check/faults.rs
+++ b/crates/testbed/src/scenario/check/faults.rs
@@ -24,7 +24,7 @@
         checker.require(
             starts_within_run,
             key("at_s"),
-            "lies after the end of the day",
+            "must be before the end of the run",
         );
         checker.not_negative(fault.for_s, key("for_s"));
         checker.share(fault.target_share, key("target_share"));
@@ -78,8 +78,7 @@
                 }
                 if let Some(name) = common_server(later, earlier) {
                     let at = later.at_s;
-                    let message =
-                        format!("{name} is not there at {at} s: fault[{j}] has taken it away");
+                    let message = format!("{name} is already removed by fault[{j}] at {at} s");
                     checker.require(false, format!("fault[{i}].servers"), message);
                 }
             }
--- a/crates/testbed/src/scenario/check/mod.rs
+++ b/crates/testbed/src/scenario/check/mod.rs
@@ -52,7 +52,7 @@
             let key = format!("{list}[{i}].name");
             self.require(!name.is_empty(), key.as_str(), "must not be empty");
             let is_new = seen.insert(name);
-            self.require(is_new, key, format!("{name:?} is there twice"));
+            self.require(is_new, key, format!("the name {name:?} is used twice"));
         }
     }
 }
--- a/crates/testbed/src/scenario/set_key.rs
+++ b/crates/testbed/src/scenario/set_key.rs
@@ -18,11 +18,11 @@
     #[error("there is no {list}[{index}]")]
     NoSuchItem { list: String, index: usize },
     /// The list's item is not a table.
-    #[error("{list}[{index}] is no table")]
+    #[error("{list}[{index}] is not a table")]
     ItemNotTable { list: String, index: usize },
     /// A key on the path is not a table, is a list without an index, or has an index but is not a
     /// list.
-    #[error("{key} is no table")]
+    #[error("{key} is not a table")]
     NotTable { key: String },
 }
 
