--- a/crates/testbed/src/scenario/check/settings.rs
+++ b/crates/testbed/src/scenario/check/settings.rs
@@ -9,7 +9,7 @@
     pub(super) fn check_settings(&self, checker: &mut Checker) {
         self.check_delays(checker);
         self.check_discovery_limits(checker);
-        self.check_permitted_times(checker);
+        self.check_permission_times(checker);
         checker.positive(self.load_reports.every_ms, "load_reports.every_ms");
         self.check_rule_limits(checker);
         checker.require(
@@ -41,7 +41,7 @@
         checker.positive(discovery.timeout_ms, "discovery.timeout_ms");
     }
 
-    fn check_permitted_times(&self, checker: &mut Checker) {
+    fn check_permission_times(&self, checker: &mut Checker) {
         let permissions = &self.permissions;
         let mut check = |time: f64, key: &str| checker.positive(time, format!("permissions.{key}"));
         check(permissions.idle_timeout_s, "idle_timeout_s");
--- a/crates/testbed/src/scenario/check/traffic.rs
+++ b/crates/testbed/src/scenario/check/traffic.rs
@@ -6,7 +6,7 @@
 /// Maximum number of arrivals in a run, so that the simulator's time and memory stay reasonable.
 const MAX_ARRIVALS: f64 = 50e6;
 /// Tolerance for sums of shares above 1, because decimal fractions are rounded.
-const SHARE_ROUNDING: f64 = 1e-6;
+const SHARE_SUM_TOLERANCE: f64 = 1e-6;
 
 impl Scenario {
     pub(super) fn check_traffic(&self, checker: &mut Checker) {
@@ -115,5 +115,5 @@
 
 fn check_sum_of_shares(checker: &mut Checker, sum: f64, list: &str) {
     let message = format!("shares add up to {sum:.3}, which is above 1");
-    checker.require(sum <= 1.0 + SHARE_ROUNDING, list, message);
+    checker.require(sum <= 1.0 + SHARE_SUM_TOLERANCE, list, message);
 }
--- a/crates/testbed/src/scenario/rates.rs
+++ b/crates/testbed/src/scenario/rates.rs
@@ -11,7 +11,7 @@
 /// Milliseconds in a second.
 const MS_PER_S: f64 = 1_000.0;
 /// Rate at the start of a ramp, as a multiple of the mean. The ramp rises by one mean over the run.
-const RAMP_START: f64 = 0.5;
+const RAMP_START_FACTOR: f64 = 0.5;
 
 impl Scenario {
     /// Mean work of a request over all classes, in seconds of a standard core.
@@ -46,7 +46,9 @@
         let mean = self.mean_rate() * burst;
         match self.load.shape {
             LoadShape::Steady => mean,
-            LoadShape::Ramp => mean * (RAMP_START + (s_from_micros(at) / self.seconds).min(1.0)),
+            LoadShape::Ramp => {
+                mean * (RAMP_START_FACTOR + (s_from_micros(at) / self.seconds).min(1.0))
+            }
             LoadShape::Swing => {
                 let wave = (s_from_micros(at) / self.load.period_s * TAU).sin();
                 mean * (1.0 + self.load.swing * wave)
--- a/crates/testbed/src/scenario/read.rs
+++ b/crates/testbed/src/scenario/read.rs
@@ -69,8 +69,8 @@
         for (key, value) in changes {
             let path = KeyPath::parse(key);
             if let Err(error) = set_key(&mut variant.table, &path, value.clone()) {
-                let named = ScenarioError::at_key(key, error.to_string());
-                return Err(variant.with_locations(vec![named]));
+                let error_at_key = ScenarioError::at_key(key, error.to_string());
+                return Err(variant.with_locations(vec![error_at_key]));
             }
         }
         variant.validated()
@@ -80,8 +80,8 @@
     /// it.
     fn validated(mut self) -> Result<Self, ScenarioErrors> {
         self.table = with_current_names(self.table.clone()).map_err(|error| {
-            let named = ScenarioError::at_key(error.former.clone(), error.to_string());
-            self.with_locations(vec![named])
+            let error_at_key = ScenarioError::at_key(error.former.clone(), error.to_string());
+            self.with_locations(vec![error_at_key])
         })?;
         let read = serde_path_to_error::deserialize(Value::Table(self.table.clone()));
         self.scenario = read.map_err(|error: serde_path_to_error::Error<toml::de::Error>| {
--- a/crates/testbed/src/scenario/renamed_keys.rs
+++ b/crates/testbed/src/scenario/renamed_keys.rs
@@ -108,7 +108,7 @@
 }
 
 /// The path of a key in a section; the path of the top level is empty.
-fn join(section: &str, key: &str) -> String {
+fn join_path(section: &str, key: &str) -> String {
     if section.is_empty() {
         key.to_owned()
     } else {
@@ -129,8 +129,8 @@
     let mut renamed = Table::new();
     for (key, value) in table {
         let current = current_name(section, &key);
-        let path = join(path, &key);
-        let value = rename_value(value, &join(section, current), &path)?;
+        let path = join_path(path, &key);
+        let value = rename_value(value, &join_path(section, current), &path)?;
         let earlier = renamed.insert(current.to_owned(), value);
         if earlier.is_some() {
             return Err(both_names_given(section, current, &path));
@@ -161,7 +161,7 @@
     let (former, current) = renamed.map_or(("", ""), |renamed| (renamed.former, renamed.current));
     let parent = path.rsplit_once('.').map_or("", |(parent, _)| parent);
     BothNamesGiven {
-        former: join(parent, former),
+        former: join_path(parent, former),
         current,
     }
 }
@@ -174,7 +174,7 @@
         let mut name = segment.as_str();
         if parse_index(segment).is_none() {
             name = current_name(&section, segment);
-            section = join(&section, name);
+            section = join_path(&section, name);
         }
         segments.push(name.to_owned());
     }
@@ -195,7 +195,7 @@
         } else {
             name = name_in_file(parent, &section, segment);
             parent = parent.and_then(|table| table.get(name));
-            section = join(&section, segment);
+            section = join_path(&section, segment);
         }
         segments.push(name.to_owned());
     }
