--- a/crates/testbed/src/emulator/emulated_server/mod.rs
+++ b/crates/testbed/src/emulator/emulated_server/mod.rs
@@ -26,7 +26,7 @@
 use crate::event_log::{LogEvent, ServerState};
 use crate::index::{RequestNumber, ServerIndex, SidecarIndex};
 use crate::random::{RandomStream, StreamId};
-use crate::scenario::{MachineType, Micros, Servers};
+use crate::scenario::{MachineType, Micros, ServerGroup};
 use crate::server_model::ServerModel;
 
 use listeners::Listeners;
@@ -81,7 +81,7 @@
         shared: &Arc<Shared>,
         index: ServerIndex,
         machine_type: &MachineType,
-        group: &Servers,
+        group: &ServerGroup,
     ) -> Result<Arc<Self>, EmulatorError> {
         let server = Arc::new(Self::new(shared, index, machine_type, group)?);
         server.listen().await?;
@@ -99,7 +99,7 @@
         shared: &Arc<Shared>,
         index: ServerIndex,
         machine_type: &MachineType,
-        group: &Servers,
+        group: &ServerGroup,
     ) -> Result<Self, EmulatorError> {
         let scenario = &shared.scenario;
         let stream = RANDOM_STREAM_OFFSET + index.index();
--- a/crates/testbed/src/emulator/mod.rs
+++ b/crates/testbed/src/emulator/mod.rs
@@ -26,7 +26,7 @@
 
 use crate::audit::Auditor;
 use crate::conversion::u64_from_count;
-use crate::event_log::{EventLog, LogRecord, Tee};
+use crate::event_log::{EventSink, LogRecord, Tee};
 use crate::index::ServerIndex;
 use crate::report::{EMULATOR, Report};
 use crate::scenario::{Scenario, from_ms};
@@ -141,7 +141,7 @@
 pub fn run(
     scenario: &Scenario,
     options: &Options,
-    additional_log: Option<&mut dyn EventLog>,
+    additional_log: Option<&mut dyn EventSink>,
 ) -> Result<Report, EmulatorError> {
     let result = runtime()?.block_on(async {
         let emulation = Emulation::set_up(scenario, options).await?;
@@ -153,7 +153,7 @@
 fn build_report(
     scenario: &Scenario,
     result: EmulationResult,
-    additional_log: Option<&mut dyn EventLog>,
+    additional_log: Option<&mut dyn EventSink>,
 ) -> Report {
     let extra_time = from_ms(scenario.rules.emulator_extra_ms);
     let mut auditor = Auditor::new(scenario, extra_time);
--- a/crates/testbed/src/event_log/mod.rs
+++ b/crates/testbed/src/event_log/mod.rs
@@ -1,7 +1,7 @@
 //! The event log that both engines write, and that the auditor and the statistics read.
 //!
-//! Owns the form of the log: its events, how they are written and how they are read back, also from
-//! logs with the keys of earlier versions. What the events add up to is not decided here.
+//! Defines the events, writes them as one JSON object per line, and reads them back, including logs
+//! with the keys of earlier versions. The auditor and the statistics interpret the events.
 
 mod event;
 mod reader;
@@ -14,4 +14,4 @@
 pub use event::{LogEvent, LogRecord};
 pub use reader::{EventLogError, read};
 pub use state::{ListedStatus, ProcessState, RequestOutcome, ServerState};
-pub use writer::{EventLog, Tee, Writer};
+pub use writer::{EventLogWriter, EventSink, Tee};
--- a/crates/testbed/src/event_log/writer.rs
+++ b/crates/testbed/src/event_log/writer.rs
@@ -1,34 +1,34 @@
-//! Receivers of events: the trait, a splitter, and a writer of JSON lines.
+//! Sinks of events: the trait, a tee, and a writer of JSON lines.
 //!
-//! Owns the order in which readers receive a record; where a log is stored is its creator's matter.
+//! The caller chooses where a log is stored.
 
 use std::io::{self, Write};
 
 use super::LogRecord;
 
-/// Receives records in the order of their times.
-pub trait EventLog {
-    /// Takes the next record.
+/// Receives records in chronological order.
+pub trait EventSink {
+    /// Receives the next record.
     fn record(&mut self, record: &LogRecord);
 }
 
-impl EventLog for Vec<LogRecord> {
+impl EventSink for Vec<LogRecord> {
     fn record(&mut self, record: &LogRecord) {
         self.push(*record);
     }
 }
 
-/// Passes each record to the two readers that every run has, and to one more where it is wanted.
+/// Passes each record to the two sinks that every run has, and to an optional third.
 pub struct Tee<'a, 'b, A, B> {
-    /// Reads each record first.
+    /// Receives each record first.
     pub first: &'a mut A,
-    /// Reads each record second.
+    /// Receives each record second.
     pub second: &'a mut B,
-    /// Reads each record last, if present.
-    pub further: Option<&'b mut dyn EventLog>,
+    /// Receives each record last, if present.
+    pub further: Option<&'b mut dyn EventSink>,
 }
 
-impl<A: EventLog, B: EventLog> EventLog for Tee<'_, '_, A, B> {
+impl<A: EventSink, B: EventSink> EventSink for Tee<'_, '_, A, B> {
     fn record(&mut self, record: &LogRecord) {
         self.first.record(record);
         self.second.record(record);
@@ -38,22 +38,23 @@
     }
 }
 
-/// Writes one JSON object a line. The first error is kept and returned at the end.
-pub struct Writer<W: Write> {
+/// Writes one JSON object per line. After the first write error it writes nothing more; `finish`
+/// returns that error.
+pub struct EventLogWriter<W: Write> {
     out: W,
     error: Option<io::Error>,
 }
 
-impl<W: Write> Writer<W> {
-    /// Writes to `out`, which should be buffered.
+impl<W: Write> EventLogWriter<W> {
+    /// Creates a writer to `out`, which should be buffered.
     pub fn new(out: W) -> Self {
         Self { out, error: None }
     }
 
-    /// Flushes what was written.
+    /// Flushes the output.
     ///
     /// # Errors
-    /// The first error of any write.
+    /// Returns the first error of any write, or the error of the flush.
     pub fn finish(mut self) -> io::Result<()> {
         match self.error.take() {
             Some(error) => Err(error),
@@ -62,7 +63,7 @@
     }
 }
 
-impl<W: Write> EventLog for Writer<W> {
+impl<W: Write> EventSink for EventLogWriter<W> {
     fn record(&mut self, record: &LogRecord) {
         if self.error.is_none() {
             let written = serde_json::to_writer(&mut self.out, record).map_err(io::Error::from);
--- a/crates/testbed/src/scenario/check/fleet.rs
+++ b/crates/testbed/src/scenario/check/fleet.rs
@@ -1,15 +1,14 @@
-//! Checks of network, machine types, servers and sidecars.
-//!
-//! Owns their ranges, and which machine types and zones may be named.
+//! Checks of network, machine types, servers and sidecars: ranges, and references to machine types
+//! and zones.
 
 use std::collections::BTreeSet;
 
 use super::Checker;
 use crate::scenario::{Contention, MachineType, Scenario};
 
-/// The most servers that the simulator can hold in memory.
+/// Maximum number of servers that the simulator can hold in memory.
 const MAX_SERVERS: usize = 20_000;
-/// The most sidecars that the simulator can hold in memory.
+/// Maximum number of sidecars that the simulator can hold in memory.
 const MAX_SIDECARS: usize = 50_000;
 
 impl Scenario {
@@ -30,7 +29,7 @@
         checker.require(!network.zones.is_empty(), zones, "at least one is needed");
         let distinct = network.zones.iter().collect::<BTreeSet<_>>().len();
         let all_distinct = distinct == network.zones.len();
-        checker.require(all_distinct, zones, "a zone is there twice");
+        checker.require(all_distinct, zones, "a zone is listed twice");
         checker.not_negative(network.same_ms, "network.same_ms");
         checker.not_negative(network.cross_ms, "network.cross_ms");
         checker.not_negative(network.client_ms, "network.client_ms");
@@ -52,20 +51,20 @@
         let count: usize = self.servers.iter().map(|group| group.count).sum();
         let key = "servers";
         checker.require(count > 0, key, "at least one server is needed");
-        let why = format!("more than {MAX_SERVERS} servers");
-        checker.require(count <= MAX_SERVERS, key, why);
+        let message = format!("must be at most {MAX_SERVERS} servers");
+        checker.require(count <= MAX_SERVERS, key, message);
     }
 
     fn check_sidecars(&self, checker: &mut Checker) {
         let count = self.sidecars.count;
         let key = "sidecars.count";
         checker.require(count > 0, key, "must be above zero");
-        let why = format!("must be at most {MAX_SIDECARS}");
-        checker.require(count <= MAX_SIDECARS, key, why);
+        let message = format!("must be at most {MAX_SIDECARS}");
+        checker.require(count <= MAX_SIDECARS, key, message);
         checker.not_negative(self.sidecars.skew, "sidecars.skew");
     }
 
-    /// A zone that is named must be one of the network's.
+    /// Checks that a zone, if given, is one of the network's.
     pub(super) fn check_zone(&self, checker: &mut Checker, zone: Option<&str>, key: &str) {
         if let Some(zone) = zone {
             let known = self.network.zones.iter().any(|name| name == zone);
@@ -98,7 +97,11 @@
     checker.require(machine_type.cores > 0, key("cores"), "must be above zero");
     checker.positive(machine_type.speed, key("speed"));
     let spread_in_range = (0.0..1.0).contains(&machine_type.speed_spread);
-    checker.require(spread_in_range, key("speed_spread"), "must lie below 1");
+    checker.require(
+        spread_in_range,
+        key("speed_spread"),
+        "must be at least 0 and below 1",
+    );
     let cold_share = machine_type.cold_capacity_share;
     checker.require(
         cold_share > 0.0 && cold_share <= 1.0,
--- a/crates/testbed/src/scenario/check/settings.rs
+++ b/crates/testbed/src/scenario/check/settings.rs
@@ -1,7 +1,6 @@
 //! Checks of discovery, permissions, load reports, rules and expectations.
 //!
-//! Owns their ranges. Prices, switches, `max_retry_after_ms` and `recovered_s` may have any value
-//! of their type.
+//! Prices, switches, `max_retry_after_ms` and `recovered_s` may have any value of their type.
 
 use super::Checker;
 use crate::scenario::Scenario;
@@ -10,7 +9,7 @@
     pub(super) fn check_settings(&self, checker: &mut Checker) {
         self.check_delays(checker);
         self.check_discovery_limits(checker);
-        self.check_permitted_times(checker);
+        self.check_permission_times(checker);
         checker.positive(self.load_reports.every_ms, "load_reports.every_ms");
         self.check_rule_limits(checker);
         checker.require(
@@ -22,7 +21,7 @@
         self.check_expectations(checker);
     }
 
-    /// Times that may be 0.
+    /// Checks the times that may be 0.
     fn check_delays(&self, checker: &mut Checker) {
         let discovery = &self.discovery;
         checker.not_negative(discovery.notice_ms, "discovery.notice_ms");
@@ -42,7 +41,7 @@
         checker.positive(discovery.timeout_ms, "discovery.timeout_ms");
     }
 
-    fn check_permitted_times(&self, checker: &mut Checker) {
+    fn check_permission_times(&self, checker: &mut Checker) {
         let permissions = &self.permissions;
         let mut check = |time: f64, key: &str| checker.positive(time, format!("permissions.{key}"));
         check(permissions.idle_timeout_s, "idle_timeout_s");
@@ -64,7 +63,7 @@
         checker.positive(rules.quota_of_capacity, "rules.quota_of_capacity");
     }
 
-    /// An expectation that is absent is not checked: 0 stands for it, which is always met.
+    /// Absent expectations are checked as 0, which is in range.
     fn check_expectations(&self, checker: &mut Checker) {
         checker.share(self.expect.service.unwrap_or(0.0), "expect.service");
         checker.share(self.expect.served.unwrap_or(0.0), "expect.served");
--- a/crates/testbed/src/scenario/check/traffic.rs
+++ b/crates/testbed/src/scenario/check/traffic.rs
@@ -1,14 +1,12 @@
-//! Checks of classes, tenants, the load and what clients do.
-//!
-//! Owns their ranges, what shares may add up to, and how long a run may be.
+//! Checks of classes, tenants, load and clients: ranges, sums of shares and the number of arrivals.
 
 use super::Checker;
 use crate::scenario::{Class, LoadShape, Scenario};
 
-/// The most arrivals of a run: what the simulator can play in reasonable time and memory.
+/// Maximum number of arrivals in a run, so that the simulator's time and memory stay reasonable.
 const MAX_ARRIVALS: f64 = 50e6;
-/// How far shares may add up beyond 1, as they are written in decimals.
-const SHARE_ROUNDING: f64 = 1e-6;
+/// Tolerance for sums of shares above 1, because decimal fractions are rounded.
+const SHARE_SUM_TOLERANCE: f64 = 1e-6;
 
 impl Scenario {
     pub(super) fn check_traffic(&self, checker: &mut Checker) {
@@ -28,7 +26,11 @@
         }
         let sum = self.class.iter().map(|class| class.share).sum();
         check_sum_of_shares(checker, sum, "class");
-        checker.require(sum > 0.0, "class", "no class has a share");
+        checker.require(
+            sum > 0.0,
+            "class",
+            "at least one class needs a share above zero",
+        );
     }
 
     fn check_tenants(&self, checker: &mut Checker) {
@@ -61,14 +63,15 @@
 
     fn check_arrival_count(&self, checker: &mut Checker) {
         let highest_drift = if self.load.shape == LoadShape::Drift {
-            self.load.high * self.full_rate()
+            self.load.high * self.capacity_rate()
         } else {
             0.0
         };
-        let arrivals = self.rate().max(highest_drift) * self.seconds;
+        let arrivals = self.mean_rate().max(highest_drift) * self.seconds;
         if arrivals.is_finite() {
-            let why = format!("{arrivals:.0} arrivals are more than {MAX_ARRIVALS:.0}");
-            checker.require(arrivals <= MAX_ARRIVALS, "load", why);
+            let message =
+                format!("{arrivals:.0} arrivals in the run, at most {MAX_ARRIVALS:.0} are allowed");
+            checker.require(arrivals <= MAX_ARRIVALS, "load", message);
         }
     }
 
@@ -78,11 +81,15 @@
         checker.require(
             shortest > 0.0 && shortest <= longest && longest <= 1.0,
             "clients.timeout_share",
-            "must be two shares in order, above 0 and at most 1",
+            "must be two shares in ascending order, above 0 and at most 1",
         );
         let [shortest, longest] = clients.backoff_ms;
         let in_order = shortest >= 0.0 && shortest <= longest && longest.is_finite();
-        checker.require(in_order, "clients.backoff_ms", "must be two times in order");
+        checker.require(
+            in_order,
+            "clients.backoff_ms",
+            "must be two finite times in ascending order, at least 0",
+        );
         checker.share(clients.honour_retry_after, "clients.honour_retry_after");
         checker.share(clients.disconnect_share, "clients.disconnect_share");
     }
@@ -107,6 +114,6 @@
 }
 
 fn check_sum_of_shares(checker: &mut Checker, sum: f64, list: &str) {
-    let why = format!("shares add up to {sum:.3}, which is above 1");
-    checker.require(sum <= 1.0 + SHARE_ROUNDING, list, why);
+    let message = format!("shares add up to {sum:.3}, which is above 1");
+    checker.require(sum <= 1.0 + SHARE_SUM_TOLERANCE, list, message);
 }
--- a/crates/testbed/src/simulator/faults/mod.rs
+++ b/crates/testbed/src/simulator/faults/mod.rs
@@ -15,7 +15,7 @@
 /// servers in its zone. `zones` has each server's zone. Empty if the fault doesn't target servers.
 pub fn target_servers(scenario: &Scenario, index: usize, zones: &[u32]) -> Vec<ServerIndex> {
     let fault = &scenario.fault[index];
-    if !fault.aims_at_servers() {
+    if !fault.targets_servers() {
         return Vec::new();
     }
     if !fault.servers.is_empty() {
--- a/crates/testbed/src/simulator/mod.rs
+++ b/crates/testbed/src/simulator/mod.rs
@@ -28,7 +28,7 @@
 pub(crate) mod sidecars;
 mod timeline;
 
-use crate::event_log::EventLog;
+use crate::event_log::EventSink;
 use crate::scenario::{Micros, Scenario, from_s};
 
 use attempts::Attempts;
@@ -65,7 +65,7 @@
 
 impl<'a> Simulator<'a> {
     /// Creates all components, starts the sidecars, and schedules the first arrivals and faults.
-    fn new(scenario: &'a Scenario, log: &'a mut dyn EventLog) -> Result<Self, SimulatorError> {
+    fn new(scenario: &'a Scenario, log: &'a mut dyn EventSink) -> Result<Self, SimulatorError> {
         let mut context = Context::new(scenario, log);
         let fleet = Fleet::new(&mut context);
         let discovery = Discovery::new(scenario, fleet.start_times());
--- a/crates/testbed/src/statistics/mod.rs
+++ b/crates/testbed/src/statistics/mod.rs
@@ -10,8 +10,8 @@
 
 use rustc_hash::FxHashMap;
 
-use crate::conversion::{MICROS_PER_MS, MICROS_PER_S, count_from_f64, f64_from_u64, second_of};
-use crate::event_log::{EventLog, LogEvent, LogRecord, ProcessState, RequestOutcome};
+use crate::conversion::{MICROS_PER_MS, MICROS_PER_S, count_from_f64, f64_from_u64, second_floor};
+use crate::event_log::{EventSink, LogEvent, LogRecord, ProcessState, RequestOutcome};
 use crate::index::{ArrivalNumber, ClassIndex, TenantIndex};
 use crate::report::{ClassFigures, Report, TenantFigures, engine_name};
 use crate::scenario::{Micros, Scenario};
@@ -94,7 +94,7 @@
         let gain = Gain::new(class, arrival.at, at, outcome);
         self.service.on_arrival_ended(&arrival, &gain);
         self.outcomes
-            .on_arrival_ended(second_of(arrival.at), class_index, outcome, &gain);
+            .on_arrival_ended(second_floor(arrival.at), class_index, outcome, &gain);
     }
 
     /// Sums up. `engine` names what played the scenario, `seed` the seed that it played with.
@@ -143,7 +143,7 @@
         let prices = &self.scenario.prices;
         let traffic = &self.traffic;
         let arrivals = f64_from_u64(traffic.arrivals.max(1));
-        let offered_work = arrivals * self.scenario.mean_work() * MICROS_PER_S;
+        let offered_work = arrivals * self.scenario.mean_work_s() * MICROS_PER_S;
         prices.cross_zone * f64_from_u64(traffic.cross_zone_attempts) / arrivals
             + prices.health_check * f64_from_u64(traffic.health_checks) / arrivals
             + prices.handshake * f64_from_u64(traffic.handshakes) / arrivals
@@ -178,7 +178,7 @@
     }
 }
 
-impl EventLog for Statistics {
+impl EventSink for Statistics {
     fn record(&mut self, record: &LogRecord) {
         let at = record.at;
         match record.event {
@@ -212,7 +212,7 @@
                 self.traffic.on_response(request, outcome);
                 self.outcomes.on_response(outcome);
             }
-            other => self.traffic.on_event(second_of(at), other),
+            other => self.traffic.on_event(second_floor(at), other),
         }
     }
 }
--- a/crates/testbed/src/workload.rs
+++ b/crates/testbed/src/workload.rs
@@ -6,7 +6,9 @@
 
 mod quota;
 
-use crate::conversion::{MICROS_PER_MS, MICROS_PER_S, count_from_f64, micros_from_f64, second_of};
+use crate::conversion::{
+    MICROS_PER_MS, MICROS_PER_S, count_from_f64, micros_from_f64, second_floor,
+};
 use crate::index::{ClassIndex, SidecarIndex, TenantIndex};
 use crate::random::{RandomStream, StreamId};
 use crate::scenario::{Class, FaultKind, Micros, Scenario, WorkDistribution, from_s};
@@ -147,7 +149,7 @@
             }
             // Drawn even while the fault is off, so that a fault doesn't shift later draws.
             let is_affected = self.work_random.uniform() < fault.share;
-            if is_affected && fault.is_on(self.now) {
+            if is_affected && fault.is_active(self.now) {
                 work *= fault.factor;
             }
         }
@@ -164,7 +166,7 @@
 
     /// Arrivals per second at this sidecar now.
     fn rate(&self) -> f64 {
-        let load_drift = self.load_drift.get(second_of(self.now)).copied();
+        let load_drift = self.load_drift.get(second_floor(self.now)).copied();
         let total_rate = self
             .scenario
             .rate_at(self.now, load_drift.unwrap_or(DRIFT_MEAN));
--- a/crates/testbed/src/workload/quota.rs
+++ b/crates/testbed/src/workload/quota.rs
@@ -38,7 +38,7 @@
 
 /// The quota of each tenant; every bucket is full at the start.
 pub fn tenant_quotas(scenario: &Scenario) -> Vec<TenantQuota> {
-    let total_rate = scenario.full_rate() * scenario.rules.quota_of_capacity;
+    let total_rate = scenario.capacity_rate() * scenario.rules.quota_of_capacity;
     let tenants = scenario.tenant.iter();
     tenants
         .map(|tenant| TenantQuota::new(tenant.share * total_rate))
