--- a/crates/testbed/src/audit/cold_server.rs
+++ b/crates/testbed/src/audit/cold_server.rs
@@ -1,6 +1,7 @@
-//! The rule that no cold server is overloaded by sidecars that know of its start.
+//! The rule that sidecars which know of a server's start do not overload it while it is cold.
 //!
-//! Owns the work of each cold server within the window of the rule. Each start is reported once.
+//! Sums the work that each cold server received within a sliding window. An overload is reported
+//! once for each start of the server.
 
 use std::collections::VecDeque;
 
@@ -12,11 +13,12 @@
 use crate::scenario::Micros;
 use crate::server_model::cold_work_limit;
 
-/// Share of the work in the window that must come from sidecars that know of the server's start:
-/// less is nothing that they could have avoided.
-const INFORMED_SHARE: f64 = 2.0 / 3.0;
+/// Smallest share of the work in the window that must come from sidecars that know of the server's
+/// start for an overload to be a violation. Below it, those sidecars could not have prevented the
+/// overload.
+const MIN_INFORMED_SHARE: f64 = 2.0 / 3.0;
 
-/// Work that a server received, with its state at that time.
+/// Work that a server received, with the server's state at that time.
 pub(super) struct ReceivedWork {
     pub(super) at: Micros,
     pub(super) work: f64,
@@ -28,7 +30,7 @@
 struct WindowEntry {
     at: Micros,
     work: f64,
-    /// Whether its sidecar knew of the server's start.
+    /// Whether the sending sidecar knew of the server's start.
     informed: bool,
 }
 
@@ -37,7 +39,7 @@
     zone: u32,
     started_at: Option<Micros>,
     window: VecDeque<WindowEntry>,
-    /// Whether its overload is reported already.
+    /// Whether an overload since the latest start was reported.
     reported: bool,
 }
 
@@ -47,7 +49,7 @@
         self.reported = false;
     }
 
-    /// Adds work to the window, which ends with it.
+    /// Adds work to the window and removes what is older than the window's length.
     fn add_to_window(
         &mut self,
         received: &ReceivedWork,
@@ -77,27 +79,27 @@
     }
 }
 
-/// All servers, with the work that the cold ones received.
-pub(super) struct ColdServers {
-    /// Multiple of its capacity that overloads a cold server.
+/// All servers: their zones, and the work that the cold ones received.
+pub(super) struct Servers {
+    /// Multiple of its capacity beyond which a cold server is overloaded.
     overload_factor: f64,
-    /// Time over which the work is added up.
+    /// Length of the window over which the work is summed.
     window: Micros,
-    servers: FxHashMap<ServerIndex, Server>,
+    by_index: FxHashMap<ServerIndex, Server>,
 }
 
-impl ColdServers {
+impl Servers {
     pub(super) fn new(overload_factor: f64, window: Micros) -> Self {
         Self {
             overload_factor,
             window,
-            servers: FxHashMap::default(),
+            by_index: FxHashMap::default(),
         }
     }
 
-    /// A server's zone; 0 for one that is unknown.
+    /// A server's zone; 0 for an unknown server.
     pub(super) fn zone(&self, server: ServerIndex) -> u32 {
-        self.servers.get(&server).map_or(0, |server| server.zone)
+        self.by_index.get(&server).map_or(0, |server| server.zone)
     }
 
     pub(super) fn on_server_state(
@@ -107,7 +109,7 @@
         zone: u32,
         state: ServerState,
     ) {
-        let server = self.servers.entry(server).or_default();
+        let server = self.by_index.entry(server).or_default();
         server.zone = zone;
         if state == ServerState::Cold {
             server.started_at = Some(at);
@@ -115,8 +117,8 @@
         }
     }
 
-    /// What the work violates; nothing if the server is warm or can take it. `notified_start` is
-    /// the latest start of the server that the sending sidecar knows of.
+    /// Describes the violation if the work overloads a cold server. `notified_start` is the latest
+    /// start of the server that the sending sidecar was notified of.
     pub(super) fn on_work_received(
         &mut self,
         server: ServerIndex,
@@ -125,22 +127,22 @@
     ) -> Option<String> {
         let factor = self.overload_factor;
         let window = self.window;
-        let server = self.servers.entry(server).or_default();
+        let server = self.by_index.entry(server).or_default();
         if !received.cold {
             server.reset();
             return None;
         }
         server.add_to_window(&received, window, notified_start);
-        let all = server.work_in_window();
+        let total = server.work_in_window();
         let informed = server.informed_work_in_window();
         let limit = cold_work_limit(factor, received.capacity, window, received.work);
-        if all <= limit || informed < INFORMED_SHARE * all || server.reported {
+        if total <= limit || informed < MIN_INFORMED_SHARE * total || server.reported {
             return None;
         }
         server.reported = true;
         Some(format!(
-            "{:.0} ms of work in its window, of {:.0} ms",
-            all / MICROS_PER_MS,
+            "{:.0} ms of work within the window, above the limit of {:.0} ms",
+            total / MICROS_PER_MS,
             limit / MICROS_PER_MS
         ))
     }
--- a/crates/testbed/src/audit/dispatch.rs
+++ b/crates/testbed/src/audit/dispatch.rs
@@ -1,6 +1,4 @@
-//! Passes each event of the log to what it concerns.
-//!
-//! Owns the table of events and no state.
+//! Passes each event of the log to the parts of the auditor that need it.
 
 use super::Auditor;
 use super::cold_server::ReceivedWork;
@@ -72,7 +70,7 @@
                 incarnation,
             } => self
                 .endpoint_views
-                .on_notified(at, sidecar, server, status, incarnation),
+                .on_endpoint_listed(at, sidecar, server, status, incarnation),
             LogEvent::SidecarStateChanged { sidecar, state } => {
                 self.endpoint_views.on_sidecar_state(sidecar, state);
                 self.requests.on_sidecar_state(at, sidecar, state);
@@ -81,7 +79,7 @@
                 server,
                 zone,
                 state,
-            } => self.cold_servers.on_server_state(at, server, zone, state),
+            } => self.servers.on_server_state(at, server, zone, state),
             _ => {}
         }
     }
--- a/crates/testbed/src/audit/drain.rs
+++ b/crates/testbed/src/audit/drain.rs
@@ -1,13 +1,14 @@
-//! The rule that a server gets no new attempt once its drain, or its end, was notified.
+//! The rule that a sidecar starts no attempt to a server after the notification that the server
+//! drains or is gone.
 //!
-//! Owns the grace after the notification; the notifications are those of `endpoint_view`.
+//! A grace period after the notification is allowed. `endpoint_view` keeps the notifications.
 
 use crate::conversion::s_from_micros;
 use crate::scenario::Micros;
 
-/// The rule, with its time limit.
+/// The rule and its grace period.
 pub(super) struct DrainRule {
-    /// How long after the notification an attempt may still start.
+    /// Time after the notification in which an attempt may still start.
     grace: Micros,
 }
 
@@ -16,7 +17,8 @@
         Self { grace }
     }
 
-    /// What an attempt that starts at `at` violates, by when its sidecar was notified, if it was.
+    /// Describes the violation by an attempt that starts at `at`, if it is one. `notified_at` is
+    /// when its sidecar was notified; `None` if it was not.
     pub(super) fn violation(&self, at: Micros, notified_at: Option<Micros>) -> Option<String> {
         let notified_at = notified_at.filter(|notified_at| at > notified_at + self.grace)?;
         let seconds = s_from_micros(at - notified_at);
--- a/crates/testbed/src/audit/endpoint_view.rs
+++ b/crates/testbed/src/audit/endpoint_view.rs
@@ -1,7 +1,7 @@
-//! What each sidecar was notified of about each server.
+//! The state of each server as each sidecar was notified of it.
 //!
-//! Owns the views, from the notifications in the log; a sidecar's own table may differ and does not
-//! count.
+//! It is derived from the notifications in the log alone. A sidecar's own endpoint table may
+//! differ, and the rules do not consider it.
 
 use rustc_hash::FxHashMap;
 
@@ -9,16 +9,17 @@
 use crate::index::{ServerIndex, SidecarIndex};
 use crate::scenario::Micros;
 
-/// A server as one sidecar knows it.
+/// The state of one server as one sidecar was notified of it.
 #[derive(Default)]
 struct EndpointView {
-    /// When its drain or end was first notified, unless it was ready again since.
+    /// When the sidecar was first notified that the server drains or is gone; `None` if it was
+    /// notified since then that the server is ready.
     unavailable_since: Option<Micros>,
-    /// The latest start that was notified; 0 for one before the run.
+    /// The server's latest start that the sidecar was notified of; 0 for one before the run.
     started_at: Micros,
 }
 
-/// All views, by sidecar and server.
+/// The views of all sidecars.
 #[derive(Default)]
 pub(super) struct EndpointViews {
     by_sidecar: FxHashMap<SidecarIndex, FxHashMap<ServerIndex, EndpointView>>,
@@ -29,7 +30,8 @@
         self.by_sidecar.get(&sidecar)?.get(&server)
     }
 
-    /// When the sidecar was notified that the server drains or is gone.
+    /// When the sidecar was first notified that the server drains or is gone; `None` if the server
+    /// is available to it.
     pub(super) fn unavailable_since(
         &self,
         sidecar: SidecarIndex,
@@ -38,8 +40,8 @@
         self.get(sidecar, server)?.unavailable_since
     }
 
-    /// The latest start of the server that the sidecar was notified of; nothing if it does not know
-    /// the server.
+    /// The latest start of the server that the sidecar was notified of; `None` if the sidecar does
+    /// not know the server.
     pub(super) fn notified_start(
         &self,
         sidecar: SidecarIndex,
@@ -48,7 +50,7 @@
         Some(self.get(sidecar, server)?.started_at)
     }
 
-    pub(super) fn on_notified(
+    pub(super) fn on_endpoint_listed(
         &mut self,
         at: Micros,
         sidecar: SidecarIndex,
@@ -66,8 +68,8 @@
         };
     }
 
-    /// A sidecar that starts or has ended knows nothing; one that is shutting down keeps what it
-    /// knows.
+    /// Discards the views of a sidecar that started, exited or was killed. One that is shutting
+    /// down keeps them.
     pub(super) fn on_sidecar_state(&mut self, sidecar: SidecarIndex, state: ProcessState) {
         if state != ProcessState::ShuttingDown {
             self.by_sidecar.remove(&sidecar);
--- a/crates/testbed/src/audit/execution.rs
+++ b/crates/testbed/src/audit/execution.rs
@@ -1,13 +1,14 @@
-//! The rule that nothing that may have executed is executed again, unless its class is idempotent
-//! there.
+//! The rule that a request which a server may have executed reaches no server again, unless the
+//! idempotency of its class covers the repetition.
 //!
-//! Owns no state: it judges an attempt by the first one that was not rejected.
+//! Each attempt is compared with the request's first attempt that was not rejected.
 
 use super::requests::ReceivedAttempt;
 use crate::scenario::{Class, DeduplicationScope, Idempotency, Micros, from_ms};
 
-/// What an attempt that is received at `now` violates, after a `first` one that may have executed;
-/// nothing if its class allows it. `same_zone` says whether both reached servers of one zone.
+/// Describes the violation by an attempt that a server receives at `now`, after the `first` one
+/// that may have executed; `None` if its class allows it. `same_zone` says whether both reached
+/// servers of the same zone.
 pub(super) fn violation(
     class: &Class,
     first: &ReceivedAttempt,
@@ -23,10 +24,12 @@
         Idempotency::IdempotencyKey
             if class.deduplication_scope == DeduplicationScope::Zone && !same_zone =>
         {
-            Some(format!("its key is known at {server} in another zone"))
+            Some(format!(
+                "its idempotency key was first used at {server} in another zone"
+            ))
         }
         Idempotency::IdempotencyKey if now > first.at + from_ms(class.deduplication_window_ms) => {
-            Some(format!("its key at {server} had expired by then"))
+            Some(format!("its idempotency key had expired at {server}"))
         }
         Idempotency::IdempotencyKey => None,
     }
--- a/crates/testbed/src/audit/mod.rs
+++ b/crates/testbed/src/audit/mod.rs
@@ -1,7 +1,8 @@
 //! The auditor: checks the event log of either engine against the rules that every run must keep.
 //!
-//! It judges by what servers and clients saw, never by what a sidecar believes. Each rule has a
-//! file of its own; this one asks them and keeps what they find, `dispatch` reads the events.
+//! It relies on what servers and clients observed, never on a sidecar's own state. Each rule has
+//! its own module. `dispatch` reads the events, and this module applies the rules to them and
+//! collects the violations.
 
 mod cold_server;
 mod dispatch;
@@ -17,56 +18,57 @@
 use crate::index::{RequestNumber, ServerIndex, SidecarIndex};
 use crate::scenario::{Class, Micros, Scenario, from_ms};
 
-use cold_server::{ColdServers, ReceivedWork};
+use cold_server::{ReceivedWork, Servers};
 use drain::DrainRule;
 use endpoint_view::EndpointViews;
 use requests::{AcceptedRequest, Requests};
 use response::RequestEnd;
-use violation::Findings;
+use violation::ViolationList;
 
 pub use violation::{Rule, Violation};
 
-/// Reads the event log and keeps the violations.
+/// Reads the event log and collects the violations.
 pub struct Auditor {
     classes: Vec<Class>,
-    /// How long after its deadline a response may arrive.
+    /// Time after a request's deadline in which its response may still arrive.
     response_grace: Micros,
     drain: DrainRule,
     requests: Requests,
-    cold_servers: ColdServers,
+    servers: Servers,
     endpoint_views: EndpointViews,
-    findings: Findings,
-    /// Requests accepted by sidecars.
+    violations: ViolationList,
+    /// Number of accepted requests that were read.
     requests_read: u64,
 }
 
 impl Auditor {
-    /// For a run of `scenario`; `extra` is what the engine allows on top of every time limit.
-    pub fn new(scenario: &Scenario, extra: Micros) -> Self {
+    /// Creates an auditor for a run of `scenario`. `allowance` is the engine's tolerance, which is
+    /// added to the grace periods of responses and drains.
+    pub fn new(scenario: &Scenario, allowance: Micros) -> Self {
         let rules = &scenario.rules;
         Self {
             classes: scenario.class.clone(),
-            response_grace: from_ms(rules.response_grace_ms) + extra,
-            drain: DrainRule::new(from_ms(rules.drain_grace_ms) + extra),
+            response_grace: from_ms(rules.response_grace_ms) + allowance,
+            drain: DrainRule::new(from_ms(rules.drain_grace_ms) + allowance),
             requests: Requests::default(),
-            cold_servers: ColdServers::new(
+            servers: Servers::new(
                 rules.cold_overload_factor,
                 from_ms(rules.cold_overload_window_ms),
             ),
             endpoint_views: EndpointViews::default(),
-            findings: Findings::default(),
+            violations: ViolationList::default(),
             requests_read: 0,
         }
     }
 
     /// The first violations, in the order in which they were found.
     pub fn violations(&self) -> impl ExactSizeIterator<Item = &Violation> {
-        self.findings.listed().iter()
+        self.violations.listed().iter()
     }
 
     /// Number of all violations.
     pub fn violation_count(&self) -> u64 {
-        self.findings.count()
+        self.violations.count()
     }
 
     /// Number of accepted requests that were read.
@@ -74,28 +76,33 @@
         self.requests_read
     }
 
-    /// Checks what never had a response. To be called once the log has ended.
+    /// Checks the requests that are still without a response. Call it at the end of the log.
     pub fn finish(&mut self) {
         self.advance(Micros::MAX);
     }
 
-    /// Reports the requests whose time has passed, and forgets those that nothing can follow any
-    /// more.
+    /// Reports the requests whose response is overdue, and discards those whose retention time has
+    /// passed.
     fn advance(&mut self, now: Micros) {
-        while let Some((due, request)) = self.requests.next_overdue(now) {
+        while let Some((overdue_after, request)) = self.requests.next_overdue(now) {
             if self.requests.lacks_response(request) {
                 let why = "no response in time".into();
-                self.findings
-                    .add(due, Rule::SingleResponse, Some(request), None, why);
+                self.violations.add(
+                    overdue_after,
+                    Rule::SingleResponse,
+                    Some(request),
+                    None,
+                    why,
+                );
             }
         }
-        self.requests.forget_before(now);
+        self.requests.forget_expired(now);
     }
 
     fn on_request_accepted(&mut self, request: RequestNumber, accepted: AcceptedRequest) {
         self.requests_read += 1;
-        let response_limit = accepted.due() + self.response_grace;
-        self.requests.insert(request, accepted, response_limit);
+        let overdue_after = accepted.deadline() + self.response_grace;
+        self.requests.insert(request, accepted, overdue_after);
     }
 
     fn on_attempt_started(
@@ -108,31 +115,31 @@
         let notified_at = self.endpoint_views.unavailable_since(sidecar, server);
         if let Some(why) = self.drain.violation(at, notified_at) {
             let rule = Rule::NoAttemptAfterDrain;
-            self.findings
+            self.violations
                 .add(at, rule, Some(request), Some(server), why);
         }
     }
 
     fn on_attempt_received(&mut self, at: Micros, request: RequestNumber, server: ServerIndex) {
-        let Some(open) = self.requests.get_mut(request) else {
+        let Some(tracked) = self.requests.get_mut(request) else {
             return;
         };
-        let Some(class) = self.classes.get(open.class().index()) else {
+        let Some(class) = self.classes.get(tracked.class().index()) else {
             return;
         };
-        let duplicate = open.first_unrejected_attempt().and_then(|first| {
-            let zone = |server| self.cold_servers.zone(server);
+        let duplicate = tracked.first_unrejected_attempt().and_then(|first| {
+            let zone = |server| self.servers.zone(server);
             let same_zone = zone(server) == zone(first.server);
             execution::violation(class, first, at, same_zone)
         });
-        let after_rejection = rejection::violation_on_attempt(class, open);
-        open.on_attempt_received(at, server);
+        let after_rejection = rejection::violation_on_attempt(class, tracked);
+        tracked.on_attempt_received(at, server);
         for (rule, why) in [
             (Rule::NoDuplicateExecution, duplicate),
             (Rule::NoRejectionAfterExecution, after_rejection),
         ] {
             if let Some(why) = why {
-                self.findings
+                self.violations
                     .add(at, rule, Some(request), Some(server), why);
             }
         }
@@ -149,38 +156,39 @@
             sidecar.and_then(|sidecar| self.endpoint_views.notified_start(sidecar, server));
         let at = received.at;
         if let Some(why) = self
-            .cold_servers
+            .servers
             .on_work_received(server, received, notified_start)
         {
             let rule = Rule::ColdServerNotOverloaded;
-            self.findings
+            self.violations
                 .add(at, rule, Some(request), Some(server), why);
         }
     }
 
     fn on_response(&mut self, at: Micros, request: RequestNumber, outcome: RequestOutcome) {
-        let excused = self.requests.is_excused(request);
+        let exempt = self.requests.is_exempt(request);
         let response_grace = self.response_grace;
-        let Some(open) = self.requests.get_mut(request) else {
+        let Some(tracked) = self.requests.get_mut(request) else {
             return;
         };
-        let second = open.on_response(outcome);
+        let had_response = tracked.on_response(outcome);
         let end = RequestEnd {
             outcome,
-            excused,
-            late: at > open.due() + response_grace,
+            exempt,
+            late: at > tracked.deadline() + response_grace,
         };
-        let class = self.classes.get(open.class().index());
-        let duplicate = second.then_some("a second final response");
-        let fault = response::violation(&end);
-        let dishonest = rejection::violation_on_response(class, open, outcome);
+        let class = self.classes.get(tracked.class().index());
+        let duplicate = had_response.then_some("a second final response");
+        let response_violation = response::violation(&end);
+        let rejection_violation = rejection::violation_on_response(class, tracked, outcome);
         for (rule, why) in [
             (Rule::SingleResponse, duplicate),
-            (Rule::SingleResponse, fault),
-            (Rule::NoRejectionAfterExecution, dishonest),
+            (Rule::SingleResponse, response_violation),
+            (Rule::NoRejectionAfterExecution, rejection_violation),
         ] {
             if let Some(why) = why {
-                self.findings.add(at, rule, Some(request), None, why.into());
+                self.violations
+                    .add(at, rule, Some(request), None, why.into());
             }
         }
     }
--- a/crates/testbed/src/audit/requests.rs
+++ b/crates/testbed/src/audit/requests.rs
@@ -1,6 +1,7 @@
-//! The accepted requests that are still of interest, with the attempts that servers received.
+//! The accepted requests, with the attempts that servers received.
 //!
-//! Owns what is remembered of a request and for how long. Rules read it and decide.
+//! Keeps each request for a limited time after its deadline. The rules read this state; none is
+//! checked here.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -11,8 +12,8 @@
 use crate::index::{ClassIndex, RequestNumber, ServerIndex, SidecarIndex};
 use crate::scenario::Micros;
 
-/// How long a request is remembered beyond its deadline, in microseconds, to catch what comes after
-/// it. What comes later still is not judged.
+/// Time for which a request is kept after its deadline, in microseconds, so that late attempts and
+/// responses are checked. Later events of the request are ignored.
 const RETENTION_AFTER_DEADLINE: Micros = 12_000_000;
 
 /// An attempt that a server received.
@@ -27,7 +28,7 @@
     sidecar: SidecarIndex,
     class: ClassIndex,
     accepted_at: Micros,
-    due: Micros,
+    deadline: Micros,
     attempts: Vec<ReceivedAttempt>,
     response: Option<RequestOutcome>,
     client_disconnected: bool,
@@ -38,13 +39,13 @@
         accepted_at: Micros,
         sidecar: SidecarIndex,
         class: ClassIndex,
-        due: Micros,
+        deadline: Micros,
     ) -> Self {
         Self {
             sidecar,
             class,
             accepted_at,
-            due,
+            deadline,
             attempts: Vec::new(),
             response: None,
             client_disconnected: false,
@@ -59,11 +60,11 @@
         self.class
     }
 
-    pub(super) fn due(&self) -> Micros {
-        self.due
+    pub(super) fn deadline(&self) -> Micros {
+        self.deadline
     }
 
-    /// The first attempt that may have executed.
+    /// The first attempt that a server may have executed.
     pub(super) fn first_unrejected_attempt(&self) -> Option<&ReceivedAttempt> {
         self.attempts.iter().find(|attempt| !attempt.rejected)
     }
@@ -80,20 +81,20 @@
         });
     }
 
-    /// True if the request had a response already.
+    /// Stores the outcome; true if the request already had a response.
     pub(super) fn on_response(&mut self, outcome: RequestOutcome) -> bool {
         self.response.replace(outcome).is_some()
     }
 }
 
-/// All of them, by number.
+/// The accepted requests that are kept.
 #[derive(Default)]
 pub(super) struct Requests {
     accepted: FxHashMap<RequestNumber, AcceptedRequest>,
-    /// When a response is overdue, earliest first.
-    response_limits: BinaryHeap<Reverse<(Micros, RequestNumber)>>,
-    /// When a request may be forgotten, in the order of acceptance.
-    forget_at: VecDeque<(Micros, RequestNumber)>,
+    /// Times after which a response is overdue, earliest first.
+    overdue_after: BinaryHeap<Reverse<(Micros, RequestNumber)>>,
+    /// Times after which a request is discarded, in the order of acceptance.
+    forget_after: VecDeque<(Micros, RequestNumber)>,
     /// When a sidecar was last killed.
     killed_at: FxHashMap<SidecarIndex, Micros>,
 }
@@ -103,11 +104,11 @@
         &mut self,
         number: RequestNumber,
         request: AcceptedRequest,
-        response_limit: Micros,
+        overdue_after: Micros,
     ) {
-        self.forget_at
-            .push_back((request.due + RETENTION_AFTER_DEADLINE, number));
-        self.response_limits.push(Reverse((response_limit, number)));
+        self.forget_after
+            .push_back((request.deadline + RETENTION_AFTER_DEADLINE, number));
+        self.overdue_after.push(Reverse((overdue_after, number)));
         self.accepted.insert(number, request);
     }
 
@@ -119,43 +120,43 @@
         self.accepted.get_mut(&number)
     }
 
-    /// Takes the next request whose response was due before `now`, with the time at which it was.
+    /// Removes the earliest entry of `overdue_after` and returns it, if its time lies before `now`.
     pub(super) fn next_overdue(&mut self, now: Micros) -> Option<(Micros, RequestNumber)> {
-        let Reverse((limit, _)) = *self.response_limits.peek()?;
+        let Reverse((limit, _)) = *self.overdue_after.peek()?;
         if limit >= now {
             return None;
         }
-        self.response_limits.pop().map(|Reverse(overdue)| overdue)
+        self.overdue_after.pop().map(|Reverse(overdue)| overdue)
     }
 
-    /// True for a request that should have had a response and has none.
+    /// Whether the request requires a response and has none.
     pub(super) fn lacks_response(&self, number: RequestNumber) -> bool {
         self.accepted
             .get(&number)
-            .is_some_and(|request| request.response.is_none() && !self.excuses(request))
+            .is_some_and(|request| request.response.is_none() && !self.exempts(request))
     }
 
-    pub(super) fn forget_before(&mut self, now: Micros) {
-        while let Some(&(_, number)) = self.forget_at.front().filter(|(at, _)| *at < now) {
-            self.forget_at.pop_front();
+    pub(super) fn forget_expired(&mut self, now: Micros) {
+        while let Some(&(_, number)) = self.forget_after.front().filter(|(at, _)| *at < now) {
+            self.forget_after.pop_front();
             self.accepted.remove(&number);
         }
     }
 
-    /// True where no response is required: the client disconnected, or the sidecar was killed with
-    /// the request.
-    pub(super) fn is_excused(&self, number: RequestNumber) -> bool {
+    /// Whether the request requires no response: its client disconnected, or its sidecar was killed
+    /// after it had accepted the request.
+    pub(super) fn is_exempt(&self, number: RequestNumber) -> bool {
         self.accepted
             .get(&number)
-            .is_some_and(|request| self.excuses(request))
+            .is_some_and(|request| self.exempts(request))
     }
 
-    fn excuses(&self, request: &AcceptedRequest) -> bool {
+    fn exempts(&self, request: &AcceptedRequest) -> bool {
         let killed_at = self.killed_at.get(&request.sidecar);
         request.client_disconnected || killed_at.is_some_and(|&at| at >= request.accepted_at)
     }
 
-    /// The server's latest attempt of the request was rejected without being executed.
+    /// Marks the latest attempt of the request at this server as rejected, hence not executed.
     pub(super) fn on_attempt_rejected(&mut self, number: RequestNumber, server: ServerIndex) {
         let Some(request) = self.accepted.get_mut(&number) else {
             return;
--- a/crates/testbed/src/audit/response.rs
+++ b/crates/testbed/src/audit/response.rs
@@ -1,23 +1,25 @@
-//! The rule that each accepted request has one complete final response, in time.
+//! The rule that each accepted request gets one complete final response in time.
 //!
-//! Owns no state: whether a response is late or not required is found by the auditor.
+//! The auditor determines whether a response is late or not required.
 
 use crate::event_log::RequestOutcome;
 
 /// How a request ended.
 pub(super) struct RequestEnd {
     pub(super) outcome: RequestOutcome,
-    /// Whether no response was required.
-    pub(super) excused: bool,
-    /// Whether the time for a response had passed.
+    /// Whether the request requires no response.
+    pub(super) exempt: bool,
+    /// Whether the deadline and the grace after it had passed.
     pub(super) late: bool,
 }
 
-/// What a request's end violates; nothing if it is as it should be.
+/// Describes the violation by the end of a request; `None` if it keeps the rule.
 pub(super) fn violation(end: &RequestEnd) -> Option<&'static str> {
     match end.outcome {
-        RequestOutcome::Mismatched => Some("a response that no server made for it"),
-        RequestOutcome::ConnectionLost | RequestOutcome::Unanswered if end.excused => None,
+        RequestOutcome::Mismatched => {
+            Some("the response is not one that a server sent for this request")
+        }
+        RequestOutcome::ConnectionLost | RequestOutcome::Unanswered if end.exempt => None,
         RequestOutcome::ConnectionLost => {
             Some("the sidecar closed the connection without a response")
         }
--- a/crates/testbed/src/audit/violation.rs
+++ b/crates/testbed/src/audit/violation.rs
@@ -1,6 +1,6 @@
-//! The rules, and what was found against them.
+//! The rules, and the list of their violations.
 //!
-//! Owns the names of the rules and the list of findings; each rule's file knows what violates it.
+//! What violates a rule is defined in the module of that rule.
 
 use std::fmt;
 
@@ -10,22 +10,25 @@
 use crate::index::{RequestNumber, ServerIndex};
 use crate::scenario::Micros;
 
-/// Violations that are listed, for a report that a person can read; further ones are only counted.
-const MAX_LISTED: usize = 50;
+/// Most violations that are listed, to keep reports readable; further ones are only counted.
+const MAX_LISTED_VIOLATIONS: usize = 50;
 
-/// What every run must keep.
+/// A rule that every run must keep.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Rule {
-    /// One complete final response to each accepted request, in time.
+    /// Each accepted request gets one complete final response in time.
     SingleResponse,
-    /// No attempt that may have executed is repeated, unless the class is idempotent there.
+    /// A request that a server may have executed reaches no server again, unless the idempotency of
+    /// its class covers the repetition.
     NoDuplicateExecution,
-    /// No new attempt to a server after its drain, or its end, was notified.
+    /// A sidecar starts no attempt to a server after the notification that the server drains or is
+    /// gone.
     NoAttemptAfterDrain,
-    /// No cold server is overloaded.
+    /// Sidecars that know of a server's start do not overload it while it is cold.
     ColdServerNotOverloaded,
-    /// No rejection of what may have executed, where a retry is not harmless.
+    /// A request that a server may have executed is not rejected, unless a retry by the client has
+    /// no further side effect.
     NoRejectionAfterExecution,
 }
 
@@ -41,16 +44,16 @@
     }
 }
 
-/// One violation, with what is needed to find it in the event log.
+/// One violation, with the data to find it in the event log.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Violation {
-    /// When it happened.
+    /// Time of the violation, in microseconds since the run began.
     pub at: Micros,
     /// The rule that was violated.
     pub rule: Rule,
-    /// The request concerned.
+    /// The request concerned, if there is one.
     pub request: Option<RequestNumber>,
-    /// The server concerned.
+    /// The server concerned, if there is one.
     pub server: Option<ServerIndex>,
     /// What happened.
     pub why: String,
@@ -69,14 +72,14 @@
     }
 }
 
-/// The violations so far: the first ones listed, all of them counted.
+/// The violations so far: all are counted, and the first [`MAX_LISTED_VIOLATIONS`] are listed.
 #[derive(Default)]
-pub(super) struct Findings {
+pub(super) struct ViolationList {
     listed: Vec<Violation>,
     count: u64,
 }
 
-impl Findings {
+impl ViolationList {
     pub(super) fn listed(&self) -> &[Violation] {
         &self.listed
     }
@@ -94,7 +97,7 @@
         why: String,
     ) {
         self.count += 1;
-        if self.listed.len() < MAX_LISTED {
+        if self.listed.len() < MAX_LISTED_VIOLATIONS {
             self.listed.push(Violation {
                 at,
                 rule,
