--- a/crates/testbed/src/statistics/arrival.rs
+++ b/crates/testbed/src/statistics/arrival.rs
@@ -1,7 +1,6 @@
-//! An arrival, and what its end gains.
+//! An arrival, and the share of its value that counts as served.
 //!
-//! Owns the rule by which a response in time, a late one and none gain; the sums are those of
-//! `service`.
+//! Defines that share for a response in time, a late one and none. `service` sums the value.
 
 use crate::event_log::RequestOutcome;
 use crate::index::{ClassIndex, TenantIndex};
@@ -12,23 +11,25 @@
     pub(super) at: Micros,
     pub(super) class: ClassIndex,
     pub(super) tenant: TenantIndex,
+    /// Weight of the arrival in the service figure.
     pub(super) value: f64,
+    /// Whether its tenant was within its quota.
     pub(super) within_quota: bool,
 }
 
-/// How much of an arrival's value was gained, and when.
-pub(super) struct Gain {
+/// How an arrival ended.
+pub(super) struct ArrivalResult {
     /// Time from the arrival to its end.
     pub(super) latency: Micros,
     /// Whether it was served within its class's latency objective.
     pub(super) in_time: bool,
-    /// Whether the objective had passed at its end.
+    /// Whether it ended after its class's latency objective.
     pub(super) past_objective: bool,
-    /// Gained share of the value.
-    pub(super) share: f64,
+    /// Share of the arrival's value that counts as served.
+    pub(super) credited_share: f64,
 }
 
-impl Gain {
+impl ArrivalResult {
     pub(super) fn new(
         class: &Class,
         arrived_at: Micros,
@@ -39,7 +40,7 @@
         let objective = from_ms(class.latency_objective_ms);
         let served = outcome == RequestOutcome::Served;
         let in_time = served && latency <= objective;
-        let share = match (in_time, served) {
+        let credited_share = match (in_time, served) {
             (true, _) => 1.0,
             (false, true) => class.late_value,
             (false, false) => 0.0,
@@ -48,7 +49,7 @@
             latency,
             in_time,
             past_objective: latency > objective,
-            share,
+            credited_share,
         }
     }
 }
--- a/crates/testbed/src/statistics/mod.rs
+++ b/crates/testbed/src/statistics/mod.rs
@@ -1,7 +1,8 @@
-//! The statistics of a run: reads the event log of either engine and sums it up in a report.
+//! The statistics of a run: reads the event log of either engine and summarizes it in a report.
 //!
-//! Each file gathers one part: the value that was served, the outcomes of arrivals and requests,
-//! and the traffic that the sidecars caused. What the figures must be is judged elsewhere.
+//! Each submodule gathers one part: the value that was served, the outcomes of arrivals and
+//! requests, and the traffic of clients and sidecars. `report` compares the figures with the
+//! scenario's expectations.
 
 mod arrival;
 mod outcomes;
@@ -16,33 +17,33 @@
 use crate::report::{ClassFigures, Report, TenantFigures, engine_name};
 use crate::scenario::{Micros, Scenario};
 
-use arrival::{Gain, OpenArrival};
-use outcomes::Outcomes;
-use service::Service;
-use traffic::Traffic;
+use arrival::{ArrivalResult, OpenArrival};
+use outcomes::OutcomeStatistics;
+use service::ServiceStatistics;
+use traffic::TrafficStatistics;
 
-/// Reads the event log; [`Statistics::report`] sums it up.
+/// Reads the event log; [`Statistics::report`] summarizes it.
 pub struct Statistics {
     scenario: Scenario,
     open_arrivals: FxHashMap<ArrivalNumber, OpenArrival>,
-    service: Service,
-    outcomes: Outcomes,
-    traffic: Traffic,
-    /// When sidecars started during the run.
+    service: ServiceStatistics,
+    outcomes: OutcomeStatistics,
+    traffic: TrafficStatistics,
+    /// Times at which sidecars started during the run, in the order of the log.
     sidecar_restarts: Vec<Micros>,
 }
 
 impl Statistics {
-    /// For a run of `scenario`.
+    /// Creates empty statistics for a run of `scenario`.
     pub fn new(scenario: &Scenario) -> Self {
         let seconds = count_from_f64(scenario.seconds.ceil()) + 1;
         let classes = scenario.class.len();
         Self {
             scenario: scenario.clone(),
             open_arrivals: FxHashMap::default(),
-            service: Service::new(classes, scenario.tenant.len(), seconds),
-            outcomes: Outcomes::new(classes, seconds),
-            traffic: Traffic::new(seconds),
+            service: ServiceStatistics::new(classes, scenario.tenant.len(), seconds),
+            outcomes: OutcomeStatistics::new(classes, seconds),
+            traffic: TrafficStatistics::new(seconds),
             sidecar_restarts: Vec::new(),
         }
     }
@@ -52,9 +53,9 @@
         self.open_arrivals.insert(number, arrival);
     }
 
-    /// What an arrival is worth: its class's priority weight, by work where the scenario says so,
-    /// and less for a tenant beyond its quota.
-    fn value(&self, class: ClassIndex, work: f64, within_quota: bool) -> f64 {
+    /// Value of an arrival: its class's priority weight, scaled by its work if the scenario says
+    /// so, and reduced if its tenant is beyond its quota.
+    fn arrival_value(&self, class: ClassIndex, work: f64, within_quota: bool) -> f64 {
         let relative_work = |mean_ms: f64| {
             if self.scenario.load.weight_by_work {
                 work / mean_ms / MICROS_PER_MS
@@ -83,7 +84,7 @@
         let Some(arrival) = self.open_arrivals.remove(&number) else {
             return;
         };
-        self.traffic.on_requests(requests);
+        self.traffic.add_requests(requests);
         let class_index = arrival.class;
         let Some(class) = self.scenario.class.get(class_index.index()) else {
             return;
@@ -91,13 +92,14 @@
         if outcome == RequestOutcome::Disconnected {
             return;
         }
-        let gain = Gain::new(class, arrival.at, at, outcome);
-        self.service.on_arrival_ended(&arrival, &gain);
+        let result = ArrivalResult::new(class, arrival.at, at, outcome);
+        self.service.on_arrival_ended(&arrival, &result);
         self.outcomes
-            .on_arrival_ended(second_of(arrival.at), class_index, outcome, &gain);
+            .on_arrival_ended(second_of(arrival.at), class_index, outcome, &result);
     }
 
-    /// Sums up. `engine` names what played the scenario, `seed` the seed that it played with.
+    /// Creates the report. `engine` is the name of the engine that ran the scenario, `seed` the
+    /// seed that it ran with.
     pub fn report(&self, engine: &str, seed: u64) -> Report {
         let scenario = &self.scenario;
         let whole_seconds = count_from_f64(scenario.seconds.floor());
@@ -112,7 +114,7 @@
             sidecars: scenario.sidecars.count,
             servers: traffic.servers.len(),
             service: weighted,
-            service_after_prices: weighted - self.costs(),
+            service_after_prices: weighted - self.total_cost(),
             overall: parts.overall,
             worst_window: parts.worst_window,
             worst_class: parts.worst_class,
@@ -138,8 +140,8 @@
         }
     }
 
-    /// What the sidecars cost others, at the scenario's prices.
-    fn costs(&self) -> f64 {
+    /// The costs that the sidecars caused, at the scenario's prices.
+    fn total_cost(&self) -> f64 {
         let prices = &self.scenario.prices;
         let traffic = &self.traffic;
         let arrivals = f64_from_u64(traffic.arrivals.max(1));
@@ -158,8 +160,8 @@
             .zip(classes)
             .map(|(index, class)| ClassFigures {
                 name: class.name.clone(),
-                service: self.service.of_class(index),
-                ended: self.outcomes.of_class(index),
+                service: self.service.class_service(index),
+                ended: self.outcomes.class_outcomes(index),
                 latency_ms: self.outcomes.class_latency_ms(index),
             })
             .collect()
@@ -172,7 +174,7 @@
             .zip(tenants)
             .map(|(index, tenant)| TenantFigures {
                 name: tenant.name.clone(),
-                service: self.service.of_tenant(index),
+                service: self.service.tenant_service(index),
             })
             .collect()
     }
@@ -194,7 +196,7 @@
                     at,
                     class,
                     tenant,
-                    value: self.value(class, work, within_quota),
+                    value: self.arrival_value(class, work, within_quota),
                     within_quota,
                 };
                 self.on_arrival_started(arrival, open);
--- a/crates/testbed/src/statistics/outcomes.rs
+++ b/crates/testbed/src/statistics/outcomes.rs
@@ -1,41 +1,44 @@
-//! How arrivals and requests ended, and how long the served ones took.
+//! How arrivals and requests ended, and the latency of the served arrivals.
 //!
-//! Owns counts and histograms; which gain an outcome has is known by `arrival`.
+//! Keeps counts and histograms. `arrival` defines the value of an outcome.
 
 use hdrhistogram::Histogram;
 use rustc_hash::FxHashMap;
 
-use super::arrival::Gain;
+use super::arrival::ArrivalResult;
 use crate::conversion::ms_from_micros;
 use crate::event_log::RequestOutcome;
 use crate::index::ClassIndex;
 use crate::report::Second;
 
-/// Quantiles of the latencies in a report.
-const QUANTILES: [f64; 5] = [0.5, 0.9, 0.99, 0.999, 1.0];
-/// Longest latency that is measured, in microseconds: ten minutes, beyond every deadline.
+/// Quantiles of the latency that a report gives.
+const REPORTED_QUANTILES: [f64; 5] = [0.5, 0.9, 0.99, 0.999, 1.0];
+/// Longest latency that is measured, in microseconds: ten minutes, longer than any deadline.
 const MAX_MEASURED_LATENCY: u64 = 600_000_000;
-/// Significant digits of a latency.
-const LATENCY_DIGITS: u8 = 3;
+/// Significant decimal digits of a measured latency.
+const LATENCY_SIGNIFICANT_DIGITS: u8 = 3;
 
 type Counts = FxHashMap<RequestOutcome, u64>;
 
-/// Counts and latencies.
-pub(super) struct Outcomes {
+/// Outcomes and latencies of arrivals, and outcomes of requests.
+pub(super) struct OutcomeStatistics {
+    /// Arrivals by the second of their start.
     timeline: Vec<Second>,
+    /// Arrivals by class and outcome.
     by_class: Vec<Counts>,
     latency: Histogram<u64>,
     class_latency: Vec<Histogram<u64>>,
+    /// Accepted requests by outcome.
     responses: Counts,
 }
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, MAX_MEASURED_LATENCY, LATENCY_DIGITS)
-        .unwrap_or_else(|_| unreachable!("fixed bounds that hdrhistogram accepts"))
+    Histogram::new_with_bounds(1, MAX_MEASURED_LATENCY, LATENCY_SIGNIFICANT_DIGITS)
+        .unwrap_or_else(|_| unreachable!("constant bounds that hdrhistogram accepts"))
 }
 
 fn quantiles_ms(latency: &Histogram<u64>) -> [f64; 5] {
-    QUANTILES.map(|quantile| ms_from_micros(latency.value_at_quantile(quantile)))
+    REPORTED_QUANTILES.map(|quantile| ms_from_micros(latency.value_at_quantile(quantile)))
 }
 
 fn sorted(counts: &Counts) -> Vec<(RequestOutcome, u64)> {
@@ -44,7 +47,7 @@
     list
 }
 
-impl Outcomes {
+impl OutcomeStatistics {
     pub(super) fn new(classes: usize, seconds: usize) -> Self {
         Self {
             timeline: (0..seconds).map(|_| Second::new(classes)).collect(),
@@ -55,21 +58,21 @@
         }
     }
 
-    /// Counts an arrival of a known class, at the second in which it arrived.
+    /// Counts an arrival of a known class that started in the given second.
     pub(super) fn on_arrival_ended(
         &mut self,
         second: usize,
         class: ClassIndex,
         outcome: RequestOutcome,
-        gain: &Gain,
+        result: &ArrivalResult,
     ) {
         if let Some(second) = self.timeline.get_mut(second) {
-            second.add(class, outcome, gain.in_time);
+            second.add(class, outcome, result.in_time);
         }
         *self.by_class[class.index()].entry(outcome).or_default() += 1;
         if outcome == RequestOutcome::Served {
-            self.latency.saturating_record(gain.latency.max(1));
-            self.class_latency[class.index()].saturating_record(gain.latency.max(1));
+            self.latency.saturating_record(result.latency.max(1));
+            self.class_latency[class.index()].saturating_record(result.latency.max(1));
         }
     }
 
@@ -81,7 +84,7 @@
         sorted(&self.responses)
     }
 
-    pub(super) fn of_class(&self, class: ClassIndex) -> Vec<(RequestOutcome, u64)> {
+    pub(super) fn class_outcomes(&self, class: ClassIndex) -> Vec<(RequestOutcome, u64)> {
         sorted(&self.by_class[class.index()])
     }
 
@@ -93,7 +96,7 @@
         quantiles_ms(&self.class_latency[class.index()])
     }
 
-    /// The first seconds of the timeline.
+    /// The given number of seconds from the start of the timeline.
     pub(super) fn timeline(&self, seconds: usize) -> Vec<Second> {
         self.timeline[..seconds.min(self.timeline.len())].to_vec()
     }
--- a/crates/testbed/src/statistics/service.rs
+++ b/crates/testbed/src/statistics/service.rs
@@ -1,57 +1,58 @@
-//! The value that was served in time, as a share of the value that arrived.
+//! The service figure: the value that was served, as a share of the value that arrivals offered.
 //!
-//! Owns the sums of value and their weighting into one figure.
+//! Sums the value by class, tenant and second, and weights the shares into one figure. A late
+//! response is credited with its class's share of the value.
 
-use super::arrival::{Gain, OpenArrival};
+use super::arrival::{ArrivalResult, OpenArrival};
 use crate::conversion::{f64_from_count, s_from_micros, second_from, second_of};
 use crate::index::{ClassIndex, TenantIndex};
 use crate::scenario::Micros;
 
 /// Weights of the whole run, the worst window, the worst class and the worst tenant, as the
 /// operators set them.
-const WEIGHTS: [f64; 4] = [0.25, 0.45, 0.20, 0.10];
-/// Seconds of the worst window.
-const WINDOW_S: usize = 10;
-/// Share of the service before a restart that counts as recovered.
+const SERVICE_WEIGHTS: [f64; 4] = [0.25, 0.45, 0.20, 0.10];
+/// Length of the worst window, in seconds.
+const WORST_WINDOW_S: usize = 10;
+/// Share of the service before the first restart at which the service counts as recovered.
 const RECOVERED_SHARE: f64 = 0.95;
-/// Seconds that must give this share together.
+/// Length of the window that must reach this share, in seconds.
 const RECOVERY_WINDOW_S: usize = 2;
 
-/// Value that arrived, and the part of it that was gained.
+/// Total value of arrivals, and the part of it that counts as served.
 #[derive(Clone, Copy, Default)]
-struct Value {
-    arrived: f64,
-    gained: f64,
+struct ValueSum {
+    offered: f64,
+    credited: f64,
 }
 
-impl Value {
-    fn add(&mut self, value: f64, gained_share: f64) {
-        self.arrived += value;
-        self.gained += value * gained_share;
+impl ValueSum {
+    fn add(&mut self, value: f64, credited_share: f64) {
+        self.offered += value;
+        self.credited += value * credited_share;
     }
 
-    /// The gained share; nothing where nothing arrived.
+    /// The credited share; `None` without arrivals.
     fn share(self) -> Option<f64> {
-        (self.arrived > 0.0).then(|| self.gained / self.arrived)
+        (self.offered > 0.0).then(|| self.credited / self.offered)
     }
 }
 
-fn share_of_sum(values: &[Value]) -> Option<f64> {
-    let sum = |part: fn(&Value) -> f64| values.iter().map(part).sum::<f64>();
-    let total = Value {
-        arrived: sum(|value| value.arrived),
-        gained: sum(|value| value.gained),
+fn total_share(values: &[ValueSum]) -> Option<f64> {
+    let sum = |part: fn(&ValueSum) -> f64| values.iter().map(part).sum::<f64>();
+    let total = ValueSum {
+        offered: sum(|value| value.offered),
+        credited: sum(|value| value.credited),
     };
     total.share()
 }
 
-/// The lowest of the shares; 1 if there are none.
+/// The lowest share; 1 if there are none.
 fn lowest(shares: impl Iterator<Item = f64>) -> f64 {
     let lowest = shares.fold(f64::INFINITY, f64::min);
     if lowest.is_finite() { lowest } else { 1.0 }
 }
 
-/// The parts of the service figure.
+/// The shares that the service figure is the weighted mean of.
 pub(super) struct ServiceParts {
     pub(super) overall: f64,
     pub(super) worst_window: f64,
@@ -69,66 +70,66 @@
         ];
         let weighted = parts
             .iter()
-            .zip(WEIGHTS)
+            .zip(SERVICE_WEIGHTS)
             .map(|(part, weight)| part * weight);
         weighted.sum()
     }
 }
 
-/// The value of the arrivals that have ended.
-pub(super) struct Service {
-    total: Value,
-    by_class: Vec<Value>,
-    /// Within the tenants' quotas.
-    by_tenant: Vec<Value>,
-    by_second: Vec<Value>,
-    /// Value lost by what ended after its latency objective.
-    lost_late: f64,
+/// Value of the arrivals that have ended.
+pub(super) struct ServiceStatistics {
+    total: ValueSum,
+    by_class: Vec<ValueSum>,
+    /// Only arrivals within their tenant's quota.
+    by_tenant: Vec<ValueSum>,
+    by_second: Vec<ValueSum>,
+    /// Value that was not credited to arrivals that ended after their latency objective.
+    value_lost_late: f64,
 }
 
-impl Service {
+impl ServiceStatistics {
     pub(super) fn new(classes: usize, tenants: usize, seconds: usize) -> Self {
         Self {
-            total: Value::default(),
-            by_class: vec![Value::default(); classes],
-            by_tenant: vec![Value::default(); tenants],
-            by_second: vec![Value::default(); seconds],
-            lost_late: 0.0,
+            total: ValueSum::default(),
+            by_class: vec![ValueSum::default(); classes],
+            by_tenant: vec![ValueSum::default(); tenants],
+            by_second: vec![ValueSum::default(); seconds],
+            value_lost_late: 0.0,
         }
     }
 
     /// Adds an arrival of a known class.
-    pub(super) fn on_arrival_ended(&mut self, arrival: &OpenArrival, gain: &Gain) {
-        if !gain.in_time && gain.past_objective {
-            self.lost_late += arrival.value * (1.0 - gain.share);
+    pub(super) fn on_arrival_ended(&mut self, arrival: &OpenArrival, result: &ArrivalResult) {
+        if !result.in_time && result.past_objective {
+            self.value_lost_late += arrival.value * (1.0 - result.credited_share);
         }
-        self.total.add(arrival.value, gain.share);
-        self.by_class[arrival.class.index()].add(arrival.value, gain.share);
+        self.total.add(arrival.value, result.credited_share);
+        self.by_class[arrival.class.index()].add(arrival.value, result.credited_share);
         let tenant = self.by_tenant.get_mut(arrival.tenant.index());
         if let Some(tenant) = tenant.filter(|_| arrival.within_quota) {
-            tenant.add(arrival.value, gain.share);
+            tenant.add(arrival.value, result.credited_share);
         }
         if let Some(second) = self.by_second.get_mut(second_of(arrival.at)) {
-            second.add(arrival.value, gain.share);
+            second.add(arrival.value, result.credited_share);
         }
     }
 
-    pub(super) fn of_class(&self, class: ClassIndex) -> Option<f64> {
+    pub(super) fn class_service(&self, class: ClassIndex) -> Option<f64> {
         self.by_class[class.index()].share()
     }
 
-    pub(super) fn of_tenant(&self, tenant: TenantIndex) -> Option<f64> {
+    pub(super) fn tenant_service(&self, tenant: TenantIndex) -> Option<f64> {
         self.by_tenant[tenant.index()].share()
     }
 
-    /// Price of the value lost by what ended late, per value that arrived.
+    /// Price of the value lost by arrivals that ended late, per offered value.
     pub(super) fn late_cost(&self, price: f64) -> f64 {
-        price * self.lost_late / self.total.arrived.max(f64::MIN_POSITIVE)
+        price * self.value_lost_late / self.total.offered.max(f64::MIN_POSITIVE)
     }
 
-    /// The parts of the service of a run of so many whole seconds.
+    /// The parts of the service figure of a run with the given number of whole seconds.
     pub(super) fn parts(&self, whole_seconds: usize) -> ServiceParts {
-        let shares = |values: &[Value]| lowest(values.iter().filter_map(|value| value.share()));
+        let shares = |values: &[ValueSum]| lowest(values.iter().filter_map(|value| value.share()));
         ServiceParts {
             overall: self.total.share().unwrap_or(1.0),
             worst_window: self.worst_window(whole_seconds),
@@ -140,16 +141,17 @@
     fn worst_window(&self, whole_seconds: usize) -> f64 {
         let length = whole_seconds.max(1);
         let seconds = &self.by_second[..length.min(self.by_second.len())];
-        let windows = seconds.windows(WINDOW_S.min(length));
-        lowest(windows.filter_map(share_of_sum))
+        let windows = seconds.windows(WORST_WINDOW_S.min(length));
+        lowest(windows.filter_map(total_share))
     }
 
-    /// Seconds from the last restart until the service was what it had been before the first.
+    /// Seconds from the last restart until the service has recovered to [`RECOVERED_SHARE`] of that
+    /// before the first one; `None` without a restart or a recovery.
     pub(super) fn recovery_s(&self, restarts: &[Micros]) -> Option<f64> {
         let first = *restarts.first()?;
         let last = *restarts.last()?;
         let share = |from: usize, to: usize| {
-            share_of_sum(self.by_second.get(from..to.min(self.by_second.len()))?)
+            total_share(self.by_second.get(from..to.min(self.by_second.len()))?)
         };
         let before = share(0, second_of(first).max(1))?;
         let from = second_from(last);
--- a/crates/testbed/src/statistics/traffic.rs
+++ b/crates/testbed/src/statistics/traffic.rs
@@ -1,7 +1,7 @@
-//! What clients sent, and what the sidecars caused by it: attempts, work, health checks,
-//! connections, polls.
+//! The clients' requests, and the load that the sidecars generated: attempts, work, health checks,
+//! connections and polls.
 //!
-//! Owns counts by event; prices are put on them by the parent.
+//! Counts events. The parent module applies the prices.
 
 use rustc_hash::FxHashMap;
 
@@ -10,8 +10,8 @@
 use crate::index::{RequestNumber, ServerIndex};
 use crate::report::ServerFigures;
 
-/// Counts of a run.
-pub(super) struct Traffic {
+/// Event counts of a run.
+pub(super) struct TrafficStatistics {
     pub(super) arrivals: u64,
     pub(super) requests: u64,
     pub(super) accepted: u64,
@@ -19,16 +19,18 @@
     pub(super) cross_zone_attempts: u64,
     pub(super) health_checks: u64,
     pub(super) handshakes: u64,
-    /// In microseconds of a standard core.
+    /// Work of all executions, in microseconds of a standard core.
     pub(super) work_done: f64,
+    /// Figures by server index.
     pub(super) servers: Vec<ServerFigures>,
+    /// Work of the latest execution of each served request.
     useful_work: f64,
     /// Work of the latest execution, by request.
     work_by_request: FxHashMap<RequestNumber, f64>,
     polls_by_second: Vec<u32>,
 }
 
-impl Traffic {
+impl TrafficStatistics {
     pub(super) fn new(seconds: usize) -> Self {
         Self {
             arrivals: 0,
@@ -46,7 +48,7 @@
         }
     }
 
-    /// Work done that served no response.
+    /// Work done beyond the latest execution of each served request.
     pub(super) fn wasted_work(&self) -> f64 {
         (self.work_done - self.useful_work).max(0.0)
     }
@@ -67,7 +69,7 @@
     }
 
     /// Adds the requests of an arrival that has ended.
-    pub(super) fn on_requests(&mut self, requests: u32) {
+    pub(super) fn add_requests(&mut self, requests: u32) {
         self.requests += u64::from(requests);
     }
 
@@ -78,15 +80,15 @@
         }
     }
 
-    /// Counts an event in the `second` in which it happened; those that are no traffic are ignored.
+    /// Counts an event that happened in the given `second`; events of other kinds are ignored.
     pub(super) fn on_event(&mut self, second: usize, event: LogEvent) {
         match event {
             LogEvent::RequestAccepted { .. } => self.accepted += 1,
             LogEvent::AttemptStarted {
                 server, cross_zone, ..
             } => self.on_attempt_started(server, cross_zone),
-            LogEvent::AttemptReceived { server, .. } => self.server(server).received += 1,
-            LogEvent::AttemptRejected { server, .. } => self.server(server).rejected += 1,
+            LogEvent::AttemptReceived { server, .. } => self.server_figures(server).received += 1,
+            LogEvent::AttemptRejected { server, .. } => self.server_figures(server).rejected += 1,
             LogEvent::WorkDone {
                 request,
                 server,
@@ -97,11 +99,11 @@
             }
             LogEvent::HealthChecked { server, .. } => {
                 self.health_checks += 1;
-                self.server(server).health_checks += 1;
+                self.server_figures(server).health_checks += 1;
             }
             LogEvent::ConnectionOpened { server } => {
                 self.handshakes += 1;
-                self.server(server).handshakes += 1;
+                self.server_figures(server).handshakes += 1;
             }
             LogEvent::DiscoveryPolled { .. } => self.on_discovery_polled(second),
             other => self.on_server_event(other),
@@ -111,18 +113,19 @@
     fn on_server_event(&mut self, event: LogEvent) {
         match event {
             LogEvent::ServerStateChanged { server, state, .. } => {
-                self.server(server).overloaded_cold |= state == ServerState::OverloadShutdown;
+                self.server_figures(server).overloaded_cold |=
+                    state == ServerState::OverloadShutdown;
             }
             LogEvent::ServerGauge {
                 server,
                 in_flight,
                 connections,
-            } => self.on_gauge(server, in_flight, connections),
+            } => self.on_server_gauge(server, in_flight, connections),
             _ => {}
         }
     }
 
-    fn server(&mut self, server: ServerIndex) -> &mut ServerFigures {
+    fn server_figures(&mut self, server: ServerIndex) -> &mut ServerFigures {
         let index = server.index();
         if self.servers.len() <= index {
             self.servers.resize_with(index + 1, ServerFigures::default);
@@ -133,12 +136,12 @@
     fn on_attempt_started(&mut self, server: ServerIndex, cross_zone: bool) {
         self.attempts += 1;
         self.cross_zone_attempts += u64::from(cross_zone);
-        self.server(server).attempts += 1;
+        self.server_figures(server).attempts += 1;
     }
 
     fn on_work_done(&mut self, request: RequestNumber, server: ServerIndex, work: f64) {
         self.work_done += work;
-        self.server(server).work_s += work / MICROS_PER_S;
+        self.server_figures(server).work_s += work / MICROS_PER_S;
         self.work_by_request.insert(request, work);
     }
 
@@ -148,8 +151,8 @@
         }
     }
 
-    fn on_gauge(&mut self, server: ServerIndex, in_flight: u32, connections: u32) {
-        let server = self.server(server);
+    fn on_server_gauge(&mut self, server: ServerIndex, in_flight: u32, connections: u32) {
+        let server = self.server_figures(server);
         server.gauges += 1;
         server.in_flight_sum += u64::from(in_flight);
         server.connections_sum += u64::from(connections);
