--- a/crates/testbed/tests/auditor/cold_server.rs
+++ b/crates/testbed/tests/auditor/cold_server.rs
@@ -1,4 +1,4 @@
-//! No cold server is overloaded by sidecars that know of its start.
+//! Tests of the rule against overloading a cold server.
 
 use arrowstand_testbed::audit::Rule;
 use arrowstand_testbed::event_log::{ListedStatus, LogEvent, RequestOutcome, ServerState};
@@ -6,9 +6,9 @@
     ArrivalNumber, ClassIndex, RequestNumber, ServerIndex, SidecarIndex,
 };
 
-use super::{Finding, S, audit, listed};
+use super::{S, ViolationFields, audit, listed};
 
-/// Whether the sidecar that sends was notified of the server's start.
+/// Whether the sending sidecar was notified of the server's start.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Sidecar {
     Informed,
@@ -22,10 +22,10 @@
     Warm,
 }
 
-/// Work of 100 ms each, so many times within a span, at a cold server that can do 0.4 s of work a
-/// second.
+/// Audits a log in which a sidecar sends `count` requests within one window, each with 100 ms of
+/// work, to a server that can do 0.4 s of work per second.
 #[expect(clippy::too_many_lines, reason = "one table of log records")]
-fn pressed(count: u64, sidecar: Sidecar, server: Server) -> Vec<Finding> {
+fn audit_requests(count: u64, sidecar: Sidecar, server: Server) -> Vec<ViolationFields> {
     let mut events = vec![(
         S,
         LogEvent::ServerStateChanged {
@@ -71,13 +71,14 @@
 }
 
 #[test]
-fn informed_sidecars_do_not_send_a_cold_server_more_than_its_multiple() {
-    // 2.5 x 0.4 x 1.5 s are 1.5 s of work, and two requests of tolerance: 17 pass, 18 do not.
-    assert_eq!(pressed(17, Sidecar::Informed, Server::Cold), []);
+fn informed_sidecars_must_not_overload_a_cold_server() {
+    // The limit is 2.5 x 0.4 x 1.5 s = 1.5 s of work plus a tolerance of two requests, so 17
+    // requests keep the rule and 18 violate it.
+    assert_eq!(audit_requests(17, Sidecar::Informed, Server::Cold), []);
     assert_eq!(
-        pressed(18, Sidecar::Informed, Server::Cold),
+        audit_requests(18, Sidecar::Informed, Server::Cold),
         [(Rule::ColdServerNotOverloaded, Some(17), Some(0), S + 27)]
     );
-    assert_eq!(pressed(18, Sidecar::Uninformed, Server::Cold), []);
-    assert_eq!(pressed(18, Sidecar::Informed, Server::Warm), []);
+    assert_eq!(audit_requests(18, Sidecar::Uninformed, Server::Cold), []);
+    assert_eq!(audit_requests(18, Sidecar::Informed, Server::Warm), []);
 }
--- a/crates/testbed/tests/auditor/main.rs
+++ b/crates/testbed/tests/auditor/main.rs
@@ -1,5 +1,5 @@
-//! The auditor itself: for each rule an event log that violates it is caught, and one that only
-//! just keeps it passes.
+//! Integration tests of the auditor: for each rule, an event log that violates it is reported, and
+//! one that keeps it by the smallest margin is not.
 
 mod cold_server;
 mod drain;
@@ -19,10 +19,12 @@
 const MS: Micros = 1_000;
 const S: Micros = 1_000_000;
 
+/// A scenario with four request classes that differ in their idempotency. The tests refer to them
+/// by their position.
 fn scenario() -> Scenario {
-    let class = |effect, group| Class {
-        idempotency: effect,
-        deduplication_scope: group,
+    let class = |idempotency, deduplication_scope| Class {
+        idempotency,
+        deduplication_scope,
         deduplication_window_ms: 10_000.0,
         ..Class::default()
     };
@@ -38,11 +40,11 @@
     }
 }
 
-/// A violation: its rule, request, server and time.
-type Finding = (Rule, Option<u64>, Option<u32>, Micros);
+/// Rule, request, server and time of a violation.
+type ViolationFields = (Rule, Option<u64>, Option<u32>, Micros);
 
-/// What the auditor finds in a log.
-fn audit(events: &[(Micros, LogEvent)]) -> Vec<Finding> {
+/// The violations that the auditor reports for a log of these events.
+fn audit(events: &[(Micros, LogEvent)]) -> Vec<ViolationFields> {
     let mut auditor = Auditor::new(&scenario(), 0);
     // Two servers in zone 0, one in zone 1.
     for (server, zone) in [(0, 0), (1, 0), (2, 1)] {
@@ -140,7 +142,7 @@
 }
 
 #[test]
-fn a_violation_names_time_request_server_and_rule_and_the_listed_ones_are_bounded() {
+fn violations_are_described_in_full_and_listed_up_to_a_limit() {
     let mut auditor = Auditor::new(&scenario(), 0);
     for request in 0..60 {
         for (at, event) in [
@@ -158,7 +160,7 @@
         (auditor.violation_count(), auditor.violations().len()),
         (60, 50)
     );
-    let first = auditor.violations().next().expect("found");
+    let first = auditor.violations().next().expect("a listed violation");
     assert_eq!(
         first.to_string(),
         "at 1.002 s, request 0000000000000000, server s1, \
--- a/crates/testbed/tests/auditor/rejection.rs
+++ b/crates/testbed/tests/auditor/rejection.rs
@@ -1,4 +1,4 @@
-//! Nothing is rejected that may have executed, where a retry is not harmless.
+//! Tests of the rule against rejecting a request that may have executed.
 
 use arrowstand_testbed::audit::Rule;
 use arrowstand_testbed::event_log::RequestOutcome;
@@ -6,34 +6,34 @@
 use super::{S, accepted, audit, received, rejected, responded};
 
 #[test]
-fn what_may_have_executed_is_not_rejected() {
-    for (class, honest) in [(0, true), (1, false), (2, false), (3, true)] {
-        let found = audit(&[
+fn a_request_that_may_have_executed_is_not_rejected() {
+    for (class, may_reject) in [(0, true), (1, false), (2, false), (3, true)] {
+        let violations = audit(&[
             accepted(1, class),
             received(S + 1, 1, 0),
             responded(S + 2, 1, RequestOutcome::Rejected),
         ]);
-        let wanted = if honest {
+        let expected = if may_reject {
             vec![]
         } else {
             vec![(Rule::NoRejectionAfterExecution, Some(1), None, S + 2)]
         };
-        assert_eq!(found, wanted, "class {class}");
+        assert_eq!(violations, expected, "class {class}");
     }
-    let rejected_first = [
+    let rejected_by_server = [
         accepted(1, 1),
         received(S + 1, 1, 0),
         rejected(S + 1, 1, 0),
         responded(S + 2, 1, RequestOutcome::Rejected),
     ];
-    assert_eq!(audit(&rejected_first), []);
-    let after = [
+    assert_eq!(audit(&rejected_by_server), []);
+    let received_after_rejection = [
         accepted(1, 1),
         responded(S + 1, 1, RequestOutcome::Rejected),
         received(S + 2, 1, 0),
     ];
     assert_eq!(
-        audit(&after),
+        audit(&received_after_rejection),
         [(Rule::NoRejectionAfterExecution, Some(1), Some(0), S + 2)]
     );
 }
--- a/crates/testbed/tests/auditor/response.rs
+++ b/crates/testbed/tests/auditor/response.rs
@@ -1,4 +1,4 @@
-//! One final response to each request, in time.
+//! Tests of the rule that each request gets one final response in time.
 
 use arrowstand_testbed::audit::Rule;
 use arrowstand_testbed::event_log::{LogEvent, ProcessState, RequestOutcome};
@@ -7,29 +7,29 @@
 
 use super::{MS, S, accepted, audit, responded, sidecar_state};
 
-/// How long after its deadline a response may arrive.
-const GRACE: Micros = 20 * MS;
+/// Time after a request's deadline in which its response may still arrive.
+const RESPONSE_GRACE: Micros = 20 * MS;
 
 #[test]
 fn a_request_needs_exactly_one_final_response_in_time() {
-    let late = 2 * S + GRACE;
+    let latest = 2 * S + RESPONSE_GRACE;
     assert_eq!(
-        audit(&[accepted(1, 0), responded(late, 1, RequestOutcome::Served)]),
+        audit(&[accepted(1, 0), responded(latest, 1, RequestOutcome::Served)]),
         []
     );
-    let found = audit(&[
+    let violations = audit(&[
         accepted(1, 0),
-        responded(late + 1, 1, RequestOutcome::Served),
+        responded(latest + 1, 1, RequestOutcome::Served),
     ]);
     assert!(
-        found
+        violations
             .iter()
-            .all(|f| f.0 == Rule::SingleResponse && f.1 == Some(1))
-            && !found.is_empty()
+            .all(|violation| violation.0 == Rule::SingleResponse && violation.1 == Some(1))
+            && !violations.is_empty()
     );
     assert_eq!(
         audit(&[accepted(1, 0)]),
-        [(Rule::SingleResponse, Some(1), None, late)]
+        [(Rule::SingleResponse, Some(1), None, latest)]
     );
     let twice = [
         accepted(1, 0),
@@ -45,9 +45,9 @@
         RequestOutcome::ConnectionLost,
         RequestOutcome::Unanswered,
     ] {
-        let found = audit(&[accepted(1, 0), responded(S + 5, 1, outcome)]);
+        let violations = audit(&[accepted(1, 0), responded(S + 5, 1, outcome)]);
         assert_eq!(
-            found,
+            violations,
             [(Rule::SingleResponse, Some(1), None, S + 5)],
             "{outcome:?}"
         );
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_disconnected_client_or_a_killed_sidecar_excuses_but_a_shutdown_does_not() {
+fn a_client_disconnect_or_a_sidecar_kill_waives_the_response_but_a_shutdown_does_not() {
     assert_eq!(
         audit(&[
             accepted(1, 0),
@@ -86,7 +86,7 @@
         .len(),
         1
     );
-    // A kill before it was accepted excuses nothing.
-    let before = sidecar_state(S - 1, 0, ProcessState::Killed);
-    assert_eq!(audit(&[before, accepted(1, 0)]).len(), 1);
+    // A kill before the request was accepted does not waive the response.
+    let killed_before = sidecar_state(S - 1, 0, ProcessState::Killed);
+    assert_eq!(audit(&[killed_before, accepted(1, 0)]).len(), 1);
 }
