--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,8 +1,8 @@
-//! The testbed: plays a scenario in a simulator or on loopback sockets, writes one event log,
-//! audits it and sums it up in a report.
+//! The testbed: runs a scenario in a simulator or in an emulator on loopback sockets, writes an
+//! event log, audits it and summarizes it in a report.
 //!
-//! Nothing of the product is decided here. `docs/testbed.md` describes how the parts fit,
-//! `docs/scenario.md` what a scenario may say.
+//! It contains no logic of the load balancer itself. `docs/testbed.md` describes its architecture,
+//! `docs/scenario.md` the scenario format.
 #![forbid(unsafe_code)]
 
 pub mod audit;
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,4 +1,4 @@
-//! arrowstand-testbed: plays scenarios in the simulator and in the emulator.
+//! The `arrowstand-testbed` program: runs scenarios in the simulator or the emulator.
 #![forbid(unsafe_code)]
 
 use std::process::ExitCode;
