--- a/crates/testbed/src/audit/mod.rs
+++ b/crates/testbed/src/audit/mod.rs
@@ -96,7 +96,7 @@
                 );
             }
         }
-        self.requests.forget_expired(now);
+        self.requests.discard_expired(now);
     }
 
     fn on_request_accepted(&mut self, request: RequestNumber, accepted: AcceptedRequest) {
--- a/crates/testbed/src/audit/requests.rs
+++ b/crates/testbed/src/audit/requests.rs
@@ -94,7 +94,7 @@
     /// Times after which a response is overdue, earliest first.
     overdue_after: BinaryHeap<Reverse<(Micros, RequestNumber)>>,
     /// Times after which a request is discarded, in the order of acceptance.
-    forget_after: VecDeque<(Micros, RequestNumber)>,
+    discard_after: VecDeque<(Micros, RequestNumber)>,
     /// When a sidecar was last killed.
     killed_at: FxHashMap<SidecarIndex, Micros>,
 }
@@ -106,7 +106,7 @@
         request: AcceptedRequest,
         overdue_after: Micros,
     ) {
-        self.forget_after
+        self.discard_after
             .push_back((request.deadline + RETENTION_AFTER_DEADLINE, number));
         self.overdue_after.push(Reverse((overdue_after, number)));
         self.accepted.insert(number, request);
@@ -136,9 +136,9 @@
             .is_some_and(|request| request.response.is_none() && !self.exempts(request))
     }
 
-    pub(super) fn forget_expired(&mut self, now: Micros) {
-        while let Some(&(_, number)) = self.forget_after.front().filter(|(at, _)| *at < now) {
-            self.forget_after.pop_front();
+    pub(super) fn discard_expired(&mut self, now: Micros) {
+        while let Some(&(_, number)) = self.discard_after.front().filter(|(at, _)| *at < now) {
+            self.discard_after.pop_front();
             self.accepted.remove(&number);
         }
     }
