--- a/crates/sidecar/tests/exchanges.rs
+++ b/crates/sidecar/tests/exchanges.rs
@@ -1,9 +1,9 @@
-//! Plays the recorded exchanges of `tests/exchanges/*.txt` against the sidecar and compares what it
-//! sent.
+//! Plays the recordings `tests/exchanges/*.txt` against the sidecar and compares the transcript of
+//! what it sent with a snapshot.
 //!
-//! `tests/exchanges/README.md` defines the language of the recordings: parties, options and what
-//! each verb waits for. Nothing is measured: every wait ends with what is awaited, or fails the
-//! test.
+//! `tests/exchanges/README.md` defines the format of the recordings: parties, options and what each
+//! verb waits for. No performance is measured: each wait ends with the expected event, or the test
+//! fails.
 
 mod support;
 
@@ -14,9 +14,9 @@
 use support::recording::Recording;
 use support::{Harness, config_with};
 
-/// Where the recordings are.
-const RECORDINGS: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/exchanges");
+const RECORDINGS_DIR: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/exchanges");
 
+/// Plays a recording and returns the transcript.
 fn play(name: &str) -> String {
     let script = read_recording(name);
     let recording = Recording::parse(&script);
@@ -28,15 +28,15 @@
 }
 
 fn read_recording(name: &str) -> String {
-    fs::read_to_string(format!("{RECORDINGS}/{name}.txt")).expect("a recording")
+    fs::read_to_string(format!("{RECORDINGS_DIR}/{name}.txt")).expect("recording is readable")
 }
 
 macro_rules! exchanges {
     ($($name:ident)*) => {
         $(#[test] fn $name() { insta::assert_snapshot!(play(stringify!($name))); })*
 
-        /// The recordings that are played.
-        const PLAYED: &[&str] = &[$(stringify!($name)),*];
+        /// The names of all recordings that have a test.
+        const PLAYED_RECORDINGS: &[&str] = &[$(stringify!($name)),*];
     };
 }
 
@@ -113,14 +113,17 @@
 
 #[test]
 fn every_recording_is_played() {
-    let files = fs::read_dir(RECORDINGS).expect("a folder");
+    let files = fs::read_dir(RECORDINGS_DIR).expect("directory is readable");
 
     let recorded: BTreeSet<String> = files
-        .map(|file| file.expect("readable").file_name())
+        .map(|file| file.expect("directory entry is readable").file_name())
         .filter_map(|file| Some(file.to_str()?.strip_suffix(".txt")?.to_owned()))
         .collect();
 
-    let played: BTreeSet<String> = PLAYED.iter().map(|&name| name.to_owned()).collect();
+    let played: BTreeSet<String> = PLAYED_RECORDINGS
+        .iter()
+        .map(|&name| name.to_owned())
+        .collect();
     assert_eq!(recorded, played);
 }
 
@@ -128,13 +131,13 @@
 fn readme_describes_exactly_the_verbs_that_recordings_use() {
     let readme = include_str!("exchanges/README.md");
 
-    let used: BTreeSet<String> = PLAYED
+    let used: BTreeSet<String> = PLAYED_RECORDINGS
         .iter()
         .flat_map(|name| verbs_of(&read_recording(name)))
         .collect();
     let described: BTreeSet<String> = readme
         .split_once("## Verbs")
-        .expect("a section on verbs")
+        .expect("section on verbs")
         .1
         .lines()
         .filter_map(|line| line.strip_prefix("- `")?.split_once('`'))
@@ -144,7 +147,6 @@
     assert_eq!(used, described);
 }
 
-/// The verbs of a recording's steps.
 fn verbs_of(recording: &str) -> Vec<String> {
     Recording::parse(recording)
         .steps
@@ -153,25 +155,26 @@
         .collect()
 }
 
-/// The sidecar's exit code and message for a configuration.
-fn run_with_config(number: usize, config: &str) -> String {
+/// The sidecar's exit code and error message for a configuration; `case_number` makes the file name
+/// unique.
+fn run_with_config(case_number: usize, config: &str) -> String {
     let path = std::env::temp_dir().join(format!(
-        "arrowstand-bad-{number}-{}.json",
+        "arrowstand-bad-{case_number}-{}.json",
         std::process::id()
     ));
-    fs::write(&path, config).expect("written");
+    fs::write(&path, config).expect("configuration is written");
     let run = Command::new(env!("CARGO_BIN_EXE_arrowstand"))
         .env("NODE_CONFIG", &path)
         .output()
-        .expect("the program starts");
-    fs::remove_file(path).expect("removed");
+        .expect("sidecar starts");
+    fs::remove_file(path).expect("configuration is removed");
     let message = String::from_utf8_lossy(&run.stderr);
     format!("{:?} {message}", run.status.code())
 }
 
 #[test]
-fn bad_configuration_names_the_key() {
-    let good = config_with("idle=1000 memory=64");
+fn configuration_error_names_the_invalid_key() {
+    let valid = config_with("idle=1000 memory=64");
     let cases = [
         ("\"objective-ms\":15000", "\"objective-ms\":\"soon\""),
         ("\"semantics\":\"pure\"", "\"semantics\":\"tidy\""),
@@ -183,9 +186,9 @@
         ("{", "["),
     ];
     let mut transcript = String::new();
-    for (number, (good_part, bad_part)) in cases.iter().enumerate() {
-        assert!(good.contains(good_part), "{good_part}");
-        transcript += &run_with_config(number, &good.replacen(good_part, bad_part, 1));
+    for (case_number, (valid_part, invalid_part)) in cases.iter().enumerate() {
+        assert!(valid.contains(valid_part), "{valid_part}");
+        transcript += &run_with_config(case_number, &valid.replacen(valid_part, invalid_part, 1));
     }
     insta::assert_snapshot!(transcript);
 }
--- a/crates/sidecar/tests/floods/peers.rs
+++ b/crates/sidecar/tests/floods/peers.rs
@@ -1,4 +1,4 @@
-//! The clients and servers of a flood.
+//! The misbehaving clients and servers of the flood.
 
 use std::io::{Read as _, Write as _};
 use std::net::{TcpListener, TcpStream};
@@ -9,12 +9,12 @@
 
 use crate::support::Harness;
 
-const GOOD_RESPONSE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello";
+const VALID_RESPONSE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello";
 const ENDLESS_RESPONSE_HEAD: &str =
     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nffffff\r\n";
 const ENDLESS_RESPONSE_PART_BYTES: usize = 16 * 1024;
 
-/// The head of a good request.
+/// The head of a valid request.
 pub(crate) fn request_head(id: &str, timeout_ms: u32, body_bytes: usize) -> String {
     format!(
         "POST /api HTTP/1.1\r\nHost: n\r\nX-Request-ID: {id}\r\nX-Priority-Class: book\r\n\
@@ -22,9 +22,9 @@
     )
 }
 
-/// A client that keeps what it can get: a head or body without end, a flood behind a request, or
-/// silence.
-pub(crate) fn bad_client(sidecar: &str, number: usize) -> Option<TcpStream> {
+/// Connects a client that holds its connection: depending on `number` it sends a head or a body
+/// that does not end, pipelines many requests behind one, or sends nothing.
+pub(crate) fn connect_misbehaving_client(sidecar: &str, number: usize) -> Option<TcpStream> {
     let mut connection = TcpStream::connect(sidecar).ok()?;
     connection.set_nonblocking(true).ok()?;
     let input = match number % 4 {
@@ -36,19 +36,19 @@
         }
         _ => String::new(),
     };
-    // What the operating system does not take now is not sent: the sidecar reads no more.
+    // Input that does not fit into the socket buffers is not sent: the sidecar reads no more of it.
     let _ = connection.write(input.as_bytes());
     Some(connection)
 }
 
-/// A connection at a server, and whether its response is one without end.
 struct ServerConnection {
     stream: TcpStream,
+    /// The response on this connection does not end.
     is_endless: bool,
 }
 
 impl ServerConnection {
-    /// Reads what there is and responds; false once the connection has ended.
+    /// Reads the available input and responds; returns false once the connection has ended.
     fn respond(&mut self, request_count: &mut usize, endless_part: &[u8]) -> bool {
         match self.stream.read(&mut [0; 4096]) {
             Ok(0) => return false,
@@ -58,7 +58,7 @@
                 let response = if self.is_endless {
                     ENDLESS_RESPONSE_HEAD
                 } else {
-                    GOOD_RESPONSE
+                    VALID_RESPONSE
                 };
                 let _ = self.stream.write(response.as_bytes());
             }
@@ -71,14 +71,16 @@
     }
 }
 
-/// A server that responds to every other request, and starts a response without end to the others.
+/// Serves every other request with a valid response and the others with one that does not end.
 fn serve(listener: &TcpListener, is_over: &AtomicBool) {
     let mut connections: Vec<ServerConnection> = Vec::new();
     let mut request_count = 0;
     let endless_part = vec![b'z'; ENDLESS_RESPONSE_PART_BYTES];
     while !is_over.load(Ordering::Relaxed) {
         while let Ok((stream, _)) = listener.accept() {
-            stream.set_nonblocking(true).expect("not blocking");
+            stream
+                .set_nonblocking(true)
+                .expect("stream is non-blocking");
             connections.push(ServerConnection {
                 stream,
                 is_endless: false,
@@ -89,7 +91,7 @@
     }
 }
 
-/// Starts the servers, which run until it is over.
+/// Starts a thread for each server; they run until `is_over` is set.
 pub(crate) fn spawn_servers(harness: &Harness, is_over: &Arc<AtomicBool>) -> Vec<JoinHandle<()>> {
     harness
         .servers()
--- a/crates/sidecar/tests/start.rs
+++ b/crates/sidecar/tests/start.rs
@@ -1,5 +1,5 @@
-//! Signals that come while the sidecar starts: it reads its configuration from a pipe that the test
-//! fills when it wants the start to go on.
+//! Signals that arrive during startup. The sidecar reads its configuration from a named pipe, so
+//! startup blocks until the test writes to the pipe.
 
 mod support;
 
@@ -8,12 +8,12 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 
-use support::{config_with, until};
+use support::{config_with, wait_for};
 
 const SIGHUP: u32 = 1;
 const SIGTERM: u32 = 15;
 
-/// A sidecar that waits for its configuration.
+/// A sidecar whose startup is blocked until it gets its configuration.
 struct StartingSidecar {
     process: Child,
     pipe: PathBuf,
@@ -21,7 +21,7 @@
 }
 
 impl StartingSidecar {
-    /// Starts a sidecar and waits until it has a handler for that signal; `name` keeps pipes apart.
+    /// Starts a sidecar and waits until it handles `signal`; `name` makes the pipe's path unique.
     fn new(name: &str, signal: u32) -> Self {
         let pipe = make_pipe(name);
         let process = Command::new(env!("CARGO_BIN_EXE_arrowstand"))
@@ -29,21 +29,21 @@
             .env("NODE_LISTEN", "127.0.0.1:0")
             .stderr(Stdio::null())
             .spawn()
-            .expect("the program starts");
+            .expect("sidecar starts");
         let starting = Self {
             process,
             pipe,
             config: config_with("idle=1000000 memory=64"),
         };
-        until("a handler for the signal", || {
-            starting.handles(signal).then_some(())
+        wait_for("a handler for the signal", || {
+            starting.has_handler(signal).then_some(())
         });
         starting
     }
 
-    /// True where the process has a handler for that signal.
-    fn handles(&self, signal: u32) -> bool {
-        let caught = self.process_file("status").and_then(|status| {
+    /// Whether the process has installed a handler for the signal.
+    fn has_handler(&self, signal: u32) -> bool {
+        let caught = self.read_proc_file("status").and_then(|status| {
             let line = status
                 .lines()
                 .find_map(|line| line.strip_prefix("SigCgt:"))?;
@@ -52,41 +52,47 @@
         caught.is_some_and(|signals| signals & (1 << (signal - 1)) != 0)
     }
 
-    /// A file of the operating system on the process.
-    fn process_file(&self, file: &str) -> Option<String> {
+    /// Reads a file in the process's directory under `/proc`.
+    fn read_proc_file(&self, file: &str) -> Option<String> {
         fs::read_to_string(format!("/proc/{}/{file}", self.process.id())).ok()
     }
 
-    /// Sends a signal, as the `kill` command names it.
-    fn signal(&self, signal: &str) {
+    /// Sends a signal; `signal` is an option of the `kill` command, such as `-TERM`.
+    fn send_signal(&self, signal: &str) {
         let kill = Command::new("kill")
             .args([signal, &self.process.id().to_string()])
             .status();
         assert!(kill.expect("kill runs").success());
     }
 
-    /// Lets the sidecar read its configuration; a second read finds a usual file.
+    /// Lets the sidecar read its configuration. A regular file replaces the pipe, so that a second
+    /// read does not block.
     fn deliver_config(&mut self) {
         let mut writer = OpenOptions::new()
             .write(true)
             .open(&self.pipe)
-            .expect("the program reads");
+            .expect("sidecar reads the pipe");
         let file = Path::new(&self.pipe).with_extension("json");
-        fs::write(&file, &self.config).expect("written");
-        fs::rename(&file, &self.pipe).expect("put in place");
-        writer.write_all(self.config.as_bytes()).expect("written");
+        fs::write(&file, &self.config).expect("configuration is written");
+        fs::rename(&file, &self.pipe).expect("pipe is replaced");
+        writer
+            .write_all(self.config.as_bytes())
+            .expect("configuration is sent");
     }
 
-    /// Waits until a socket listens in the sidecar's network.
+    /// Waits until some socket in the sidecar's network namespace is in state LISTEN (`0A`).
     fn wait_until_listening(&self) {
-        until("the handler's turn", || {
-            let sockets = self.process_file("net/tcp")?;
+        wait_for("a listening socket", || {
+            let sockets = self.read_proc_file("net/tcp")?;
             sockets.contains(" 0A ").then_some(())
         });
     }
 
     fn exit_code(&mut self) -> Option<i32> {
-        until("the exit", || self.process.try_wait().expect("a child")).code()
+        wait_for("the exit of the process", || {
+            self.process.try_wait().expect("process is a child")
+        })
+        .code()
     }
 }
 
@@ -107,23 +113,23 @@
 }
 
 #[test]
-fn sighup_during_a_start_does_not_end_it() {
+fn sighup_during_startup_does_not_end_the_process() {
     let mut sidecar = StartingSidecar::new("hup", SIGHUP);
 
-    sidecar.signal("-HUP");
+    sidecar.send_signal("-HUP");
     sidecar.deliver_config();
 
-    // It runs for as long as nobody ends it, and then ends in order.
+    // The sidecar serves until SIGTERM and then exits cleanly.
     sidecar.wait_until_listening();
-    sidecar.signal("-TERM");
+    sidecar.send_signal("-TERM");
     assert_eq!(sidecar.exit_code(), Some(0));
 }
 
 #[test]
-fn sigterm_during_a_start_is_a_clean_exit() {
+fn sigterm_during_startup_exits_cleanly() {
     let mut sidecar = StartingSidecar::new("term", SIGTERM);
 
-    sidecar.signal("-TERM");
+    sidecar.send_signal("-TERM");
     sidecar.deliver_config();
 
     assert_eq!(sidecar.exit_code(), Some(0));
--- a/crates/sidecar/tests/support/mod.rs
+++ b/crates/sidecar/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! The sidecar with everything that it talks to: clients, servers and discovery, each played by the
-//! test.
-#![allow(dead_code, reason = "each test file uses a part of it")]
+//! Test harness: runs the sidecar's program, while the test acts as its clients, servers and
+//! discovery.
+#![allow(dead_code, reason = "each test program uses a part of this module")]
 
 mod message;
 mod network;
@@ -26,63 +26,68 @@
 use peers::Peers;
 use recording::Role;
 
-/// The longest wait for anything that a test expects.
+/// Timeout for each event that a test waits for.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
-/// Between two looks at what is waited for.
+/// Interval at which a condition is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// A running sidecar and its peers; what the sidecar sends to them goes into the transcript.
+/// A running sidecar and its peers; what the sidecar sends to them is recorded in the transcript.
 pub(crate) struct Harness {
     sidecar: Child,
     listen_address: String,
     peers: Peers,
     config_path: PathBuf,
-    /// The configuration as it was at the start.
+    /// The configuration at startup.
     config: String,
-    /// Open connections, by the party's name in the recording.
+    /// Open connections by the name of the party in the recording.
     connections: HashMap<String, TcpStream>,
     transcript: String,
-    /// Keeps the sidecar's own address.
-    _own_address: ReservedAddress,
-    /// Set while every poll of discovery is rejected.
+    /// Reserves the sidecar's listen address.
+    _reserved_address: ReservedAddress,
+    /// True while every poll of discovery is rejected.
     rejects_polls: Arc<AtomicBool>,
-    /// When SIGTERM was sent for the first time.
-    stopped_at: Option<Instant>,
+    /// When the first SIGTERM was sent.
+    sigterm_sent_at: Option<Instant>,
 }
 
-/// A configuration without a known server, with the options of a recording's first line.
+/// A configuration with an empty endpoint list and the options of a recording's first line.
 pub(crate) fn config_with(options: &str) -> String {
     Options::parse(options).config(&[])
 }
 
-/// Waits until the check finds something.
+/// Polls `check` until it returns a value; `event` names what is awaited in the error message.
 ///
 /// # Panics
-/// If it does not within the timeout.
-pub(crate) fn until<T>(what: &str, mut check: impl FnMut() -> Option<T>) -> T {
+/// If `check` returns no value within [`WAIT_TIMEOUT`].
+pub(crate) fn wait_for<T>(event: &str, mut check: impl FnMut() -> Option<T>) -> T {
     let start = Instant::now();
     loop {
         if let Some(found) = check() {
             return found;
         }
-        assert!(start.elapsed() < WAIT_TIMEOUT, "{what} did not come");
+        assert!(
+            start.elapsed() < WAIT_TIMEOUT,
+            "timed out waiting for {event}"
+        );
         thread::sleep(POLL_INTERVAL);
     }
 }
 
 impl Harness {
-    /// Starts a sidecar with the peers that a recording's first line asks for; `name` keeps
-    /// configurations apart.
+    /// Starts a sidecar with the peers that a recording's first line specifies; `name` makes the
+    /// path of the configuration unique.
     pub(crate) fn start(name: &str, first_line: &str) -> Self {
         let options = Options::parse(first_line);
         let peers = Peers::bind(&options);
-        let own_address = ReservedAddress::new();
-        let listen_address = own_address.address().to_owned();
+        let reserved_address = ReservedAddress::new();
+        let listen_address = reserved_address.address().to_owned();
         let config = options.config(&peers.listed_addresses);
         let config_path = config_path(name);
-        fs::write(&config_path, &config).expect("configuration written");
+        fs::write(&config_path, &config).expect("configuration is written");
         let sidecar = spawn_sidecar(&config_path, &listen_address, &peers.discovery);
-        until("the listener", || TcpStream::connect(&listen_address).ok());
+        wait_for("the sidecar to listen", || {
+            TcpStream::connect(&listen_address).ok()
+        });
         Self {
             sidecar,
             listen_address,
@@ -91,56 +96,59 @@
             config,
             connections: HashMap::new(),
             transcript: String::new(),
-            _own_address: own_address,
+            _reserved_address: reserved_address,
             rejects_polls: Arc::default(),
-            stopped_at: None,
+            sigterm_sent_at: None,
         }
     }
 
-    /// Where the sidecar listens.
     pub(crate) fn listen_address(&self) -> &str {
         &self.listen_address
     }
 
-    /// A file of the operating system on the sidecar's process.
-    pub(crate) fn process_file(&self, file: &str) -> PathBuf {
+    /// The path of a file in the sidecar's directory under `/proc`.
+    pub(crate) fn proc_file_path(&self, file: &str) -> PathBuf {
         PathBuf::from(format!("/proc/{}/{file}", self.sidecar.id()))
     }
 
-    /// The listening sockets of the servers.
+    /// Duplicates of the servers' listening sockets.
     pub(crate) fn servers(&self) -> Vec<TcpListener> {
         self.peers
             .servers
             .iter()
-            .map(|server| server.try_clone().expect("a second handle"))
+            .map(|server| server.try_clone().expect("listener is duplicated"))
             .collect()
     }
 
-    /// What the sidecar sent to its peers since the last call.
+    /// Returns the transcript since the last call.
     pub(crate) fn take_transcript(&mut self) -> String {
         std::mem::take(&mut self.transcript)
     }
 
-    /// The party's connection; opened or awaited at its first use.
+    /// The party's connection, which is opened or awaited at its first use.
     fn connection(&mut self, party: &str) -> &mut TcpStream {
         if !self.connections.contains_key(party) {
             let connection = self.open_connection(party);
-            connection.set_nonblocking(false).expect("blocking");
+            connection
+                .set_nonblocking(false)
+                .expect("connection is blocking");
             connection
                 .set_read_timeout(Some(WAIT_TIMEOUT))
-                .expect("a time-out");
+                .expect("timeout is set");
             self.connections.insert(party.to_owned(), connection);
         }
-        self.connections.get_mut(party).expect("there")
+        self.connections.get_mut(party).expect("connection is open")
     }
 
     /// Connects as a client, or waits for the sidecar to connect to the party.
     fn open_connection(&self, party: &str) -> TcpStream {
         match Role::of(party) {
-            Role::Client => TcpStream::connect(&self.listen_address).expect("the program accepts"),
-            Role::Server => until(party, || self.peers.accept_at_servers()),
-            Role::Discovery => until(party, || self.peers.accept_at_discovery()),
-            Role::RelocatedDiscovery => until(party, || self.peers.accept_at_relocated_discovery()),
+            Role::Client => TcpStream::connect(&self.listen_address).expect("sidecar accepts"),
+            Role::Server => wait_for(party, || self.peers.accept_at_servers()),
+            Role::Discovery => wait_for(party, || self.peers.accept_at_discovery()),
+            Role::RelocatedDiscovery => {
+                wait_for(party, || self.peers.accept_at_relocated_discovery())
+            }
             Role::Process => panic!("{party} has no connection"),
         }
     }
@@ -158,11 +166,11 @@
         .stderr(Stdio::null())
         .stdout(Stdio::null())
         .spawn()
-        .expect("the program starts")
+        .expect("sidecar starts")
 }
 
 impl Drop for Harness {
-    /// Ends the sidecar, also where the test fails.
+    /// Kills the sidecar, also if the test has failed.
     fn drop(&mut self) {
         self.rejects_polls.store(false, Ordering::Relaxed);
         let _ = self.sidecar.kill();
--- a/crates/sidecar/tests/support/peers.rs
+++ b/crates/sidecar/tests/support/peers.rs
@@ -6,29 +6,29 @@
 use super::options::Options;
 use super::slow_server::SlowServer;
 
-/// Everything that listens for the sidecar.
+/// The listeners to which the sidecar connects.
 pub(super) struct Peers {
-    /// Servers in the cached endpoint list, then those in no list yet.
+    /// Servers in the cached endpoint list, followed by those that are not in it yet.
     pub servers: Vec<TcpListener>,
-    /// Servers whose connections come up late.
+    /// Servers whose connections are established late.
     pub slow_servers: Vec<SlowServer>,
     pub discovery: TcpListener,
-    /// Where discovery is after a reload.
+    /// Discovery's second address, used after a reload.
     pub relocated_discovery: TcpListener,
-    /// Where discovery is after a reload, without listening there.
+    /// A discovery address for a reload, without a listener.
     pub refusing_discovery: ReservedAddress,
-    /// The addresses of the cached endpoint list, in its order.
+    /// The addresses in the cached endpoint list, in order.
     pub listed_addresses: Vec<String>,
-    /// Keeps the addresses of servers that refuse connections.
+    /// Reserves the addresses of the servers that refuse connections.
     _refusing_servers: Vec<ReservedAddress>,
 }
 
 impl Peers {
-    /// The peers that the options ask for.
+    /// Binds the listeners that the options specify.
     pub(super) fn bind(options: &Options) -> Self {
-        let mut servers = many(options.servers, bind_free_port);
-        let refusing_servers = many(options.refusing_servers, ReservedAddress::new);
-        let slow_servers = many(options.slow_servers, SlowServer::new);
+        let mut servers = build_many(options.servers, bind_free_port);
+        let refusing_servers = build_many(options.refusing_servers, ReservedAddress::new);
+        let slow_servers = build_many(options.slow_servers, SlowServer::new);
         let mut listed_addresses: Vec<String> = servers.iter().map(address_of).collect();
         listed_addresses.extend(
             refusing_servers
@@ -36,7 +36,7 @@
                 .map(|server| server.address().to_owned()),
         );
         listed_addresses.extend(slow_servers.iter().map(SlowServer::address));
-        servers.extend(many(options.unlisted_servers, bind_free_port));
+        servers.extend(build_many(options.unlisted_servers, bind_free_port));
         Self {
             servers,
             slow_servers,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The next connection that came up at any server.
+    /// Accepts the next connection at any server, if there is one.
     pub(super) fn accept_at_servers(&self) -> Option<TcpStream> {
         self.servers
             .iter()
@@ -56,19 +56,19 @@
             .or_else(|| self.slow_servers.iter().find_map(SlowServer::accept))
     }
 
-    /// The next connection that came up at discovery.
+    /// Accepts the next connection at discovery, if there is one.
     pub(super) fn accept_at_discovery(&self) -> Option<TcpStream> {
         accept(&self.discovery)
     }
 
-    /// The next connection that came up at discovery's second address.
+    /// Accepts the next connection at discovery's second address, if there is one.
     pub(super) fn accept_at_relocated_discovery(&self) -> Option<TcpStream> {
         accept(&self.relocated_discovery)
     }
 }
 
-fn many<T>(count: usize, make: impl Fn() -> T) -> Vec<T> {
-    (0..count).map(|_| make()).collect()
+fn build_many<T>(count: usize, build: impl Fn() -> T) -> Vec<T> {
+    (0..count).map(|_| build()).collect()
 }
 
 fn accept(listener: &TcpListener) -> Option<TcpStream> {
--- a/crates/sidecar/tests/support/recording.rs
+++ b/crates/sidecar/tests/support/recording.rs
@@ -1,50 +1,55 @@
-//! A recording as it is written. `tests/exchanges/README.md` describes the language.
+//! Parses recordings. `tests/exchanges/README.md` describes the format.
 
-/// What begins a step's first line.
-const STEP_MARK: &str = "\n@ ";
+/// Separates steps: the start of each step's first line.
+const STEP_SEPARATOR: &str = "\n@ ";
 
-/// A recording, taken apart.
+/// A parsed recording.
 pub(crate) struct Recording<'a> {
-    /// What it shows, and its options.
+    /// The description of the test, and the options.
     pub first_line: &'a str,
-    /// Its steps in their order.
+    /// The steps in order.
     pub steps: Vec<Step<'a>>,
 }
 
 /// One step of a recording.
 #[derive(Clone, Copy)]
 pub(crate) struct Step<'a> {
-    /// Who does it or expects it, such as `C1`.
+    /// The party that executes the step, such as `C1`.
     pub party: &'a str,
-    /// What is done or expected.
+    /// The action or expectation.
     pub verb: &'a str,
-    /// The lines below the step's first one.
+    /// The lines that follow the step's first line.
     pub text: &'a str,
 }
 
 impl<'a> Recording<'a> {
-    /// Takes a recording apart.
+    /// Parses a recording.
     ///
     /// # Panics
     /// If it has no steps, or a step has no verb.
     pub(crate) fn parse(script: &'a str) -> Self {
-        let (first_line, steps) = script.split_once(STEP_MARK).expect("steps");
+        let (first_line, steps) = script
+            .split_once(STEP_SEPARATOR)
+            .expect("recording has steps");
         Self {
             first_line,
-            steps: steps.split(STEP_MARK).map(Step::parse).collect(),
+            steps: steps.split(STEP_SEPARATOR).map(Step::parse).collect(),
         }
     }
 }
 
 impl<'a> Step<'a> {
     fn parse(step: &'a str) -> Self {
-        let (words, text) = step.split_once('\n').unwrap_or((step, ""));
-        let (party, verb) = words.trim().split_once(' ').expect("a party and a verb");
+        let (header, text) = step.split_once('\n').unwrap_or((step, ""));
+        let (party, verb) = header
+            .trim()
+            .split_once(' ')
+            .expect("step has a party and a verb");
         Self { party, verb, text }
     }
 }
 
-/// What a party of a recording is, by the letter that its name begins with.
+/// The role of a party in a recording, given by the first letter of its name.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Role {
     /// `C`: a client.
@@ -53,17 +58,17 @@
     Server,
     /// `D`: discovery's end of a connection.
     Discovery,
-    /// `E`: the same, at discovery's second address.
+    /// `E`: discovery's end of a connection at its second address.
     RelocatedDiscovery,
     /// `P`: the sidecar's process, which has no connection.
     Process,
 }
 
 impl Role {
-    /// The role of a party.
+    /// Returns the role of a party.
     ///
     /// # Panics
-    /// If the name begins with none of the letters.
+    /// If the name starts with none of these letters.
     pub(crate) fn of(party: &str) -> Self {
         match party.chars().next() {
             Some('C') => Self::Client,
--- a/crates/sidecar/tests/support/slow_server.rs
+++ b/crates/sidecar/tests/support/slow_server.rs
@@ -1,5 +1,5 @@
-//! A server whose connections come up late: the operating system drops the sidecar's first packet,
-//! and lets a later one in.
+//! A server whose connections are established late: while its accept queue is full, the operating
+//! system drops the sidecar's SYN, and a retransmitted one succeeds later.
 
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
@@ -7,22 +7,24 @@
 
 use super::socket_table;
 
-/// A server with a queue for one connection, which is full until it is admitted.
+/// A server with an accept queue for one connection, which is full until [`admit`](Self::admit).
 pub(super) struct SlowServer {
     listener: TcpListener,
-    /// Fills the queue.
+    /// The connection that fills the queue.
     filler: Option<TcpStream>,
 }
 
 impl SlowServer {
-    /// A server that lets no connection come up yet.
+    /// Creates a server with a full queue.
     pub(super) fn new() -> Self {
-        let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
+        let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("socket is created");
         socket
             .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
-            .expect("a free port");
-        socket.listen(0).expect("listening");
-        socket.set_nonblocking(true).expect("not blocking");
+            .expect("port is free");
+        socket.listen(0).expect("socket listens");
+        socket
+            .set_nonblocking(true)
+            .expect("socket is non-blocking");
         let listener = TcpListener::from(socket);
         let filler = fill_queue(&listener);
         Self {
@@ -31,31 +33,33 @@
         }
     }
 
-    /// Where it listens.
     pub(super) fn address(&self) -> String {
-        self.listener.local_addr().expect("bound").to_string()
+        self.listener
+            .local_addr()
+            .expect("socket is bound")
+            .to_string()
     }
 
-    /// True while the sidecar waits for a connection that does not come up.
-    pub(super) fn is_dialled(&self) -> bool {
-        let port = self.listener.local_addr().expect("bound").port();
-        socket_table::is_dialled(port)
+    /// Whether a connection to the server is pending.
+    pub(super) fn has_pending_connect(&self) -> bool {
+        let port = self.listener.local_addr().expect("socket is bound").port();
+        socket_table::has_pending_connect(port)
     }
 
-    /// Empties the queue: the next packet of a connection attempt gets through.
+    /// Empties the queue, so that the next SYN succeeds.
     pub(super) fn admit(&mut self) {
         if self.filler.take().is_some() {
             drop(self.listener.accept());
         }
     }
 
-    /// Fills the queue again: the next connection does not come up.
+    /// Fills the queue again, so that the next connection stays pending.
     pub(super) fn refill(&mut self) {
         let filler = fill_queue(&self.listener);
         self.filler.get_or_insert(filler);
     }
 
-    /// The next connection that came up.
+    /// Accepts the next established connection, if any.
     pub(super) fn accept(&self) -> Option<TcpStream> {
         if self.filler.is_some() {
             return None;
@@ -65,5 +69,6 @@
 }
 
 fn fill_queue(listener: &TcpListener) -> TcpStream {
-    TcpStream::connect(listener.local_addr().expect("bound")).expect("the one place")
+    TcpStream::connect(listener.local_addr().expect("socket is bound"))
+        .expect("queue has room for one connection")
 }
--- a/crates/sidecar/tests/support/steps.rs
+++ b/crates/sidecar/tests/support/steps.rs
@@ -1,4 +1,4 @@
-//! The steps of a recording, one verb each.
+//! Executes the steps of a recording.
 
 mod expectations;
 mod process;
@@ -15,7 +15,7 @@
     /// Executes one step of the recording.
     ///
     /// # Panics
-    /// If what it waits for does not come, or the verb is unknown.
+    /// If an expected event does not occur, or the verb is unknown.
     pub(crate) fn step(&mut self, step: Step<'_>) {
         let Step { party, verb, text } = step;
         match verb {
@@ -29,11 +29,11 @@
             "read" => self.record_message(party),
             "ready" => self.wait_until_ready(),
             "closed" => self.expect_close_or_reset(party),
-            "ended" => self.record_end_of_file(party),
+            "ended" => self.record_connection_end(party),
             "within" => self.record_connection_within(party, text),
-            "unsent" => self.record_end_without_bytes(party),
+            "unsent" => self.record_bytes_until_end(party),
             "silent" => self.record_no_further_connection(party),
-            "dialled" => self.wait_until_dialled(),
+            "dialled" => self.wait_until_connecting(),
             "admit" => self
                 .peers
                 .slow_servers
@@ -45,9 +45,9 @@
                 .iter_mut()
                 .for_each(SlowServer::refill),
             "deny" => self.reject_polls(),
-            "stop" => self.stop(),
+            "stop" => self.send_sigterm(),
             "halt" => self.halt(),
-            "resume" => self.signal("-CONT"),
+            "resume" => self.send_signal("-CONT"),
             "pause" => thread::sleep(parse_milliseconds(text)),
             "reload" => self.reload(text),
             "exit" => self.record_exit(text),
@@ -56,12 +56,12 @@
     }
 }
 
-/// A time such as `250ms`.
+/// Parses a duration such as `250ms`.
 fn parse_milliseconds(text: &str) -> Duration {
     let milliseconds = text
         .trim()
         .strip_suffix("ms")
         .and_then(|number| number.parse().ok())
-        .expect("a time in ms");
+        .expect("duration is in ms");
     Duration::from_millis(milliseconds)
 }
--- a/crates/sidecar/tests/support/steps/sending.rs
+++ b/crates/sidecar/tests/support/steps/sending.rs
@@ -1,4 +1,4 @@
-//! Steps by which a peer sends something or ends its connection.
+//! Steps in which a party sends data or ends its connection.
 
 use std::io::Write as _;
 use std::net::TcpStream;
@@ -8,15 +8,15 @@
 use crate::support::recording::Role;
 use crate::support::slow_server::SlowServer;
 use crate::support::socket_table::has_end_arrived;
-use crate::support::{Harness, until};
+use crate::support::{Harness, wait_for};
 
-/// What `{long}` stands for: more characters than a request's target may have.
+/// Number of characters that replace `{long}`: more than a request target may have.
 const LONG_CHARS: usize = 9_000;
-/// Bytes of a repeated text: more than the sidecar reads at once.
+/// Size of a repeated text: more than the sidecar reads at once.
 const REPEATED_BYTES: usize = 70_000;
 
 impl Harness {
-    /// Sends a message whose head has its line ends put right.
+    /// Sends a message; the lines of its head end in CRLF on the wire.
     pub(super) fn send_message(&mut self, party: &str, text: &str) {
         let text = &text.replace("{long}", &"x".repeat(LONG_CHARS));
         let (head, body) = text.split_once("\n\n").unwrap_or((text, ""));
@@ -29,13 +29,13 @@
         self.send(party, unescape(text).as_bytes());
     }
 
-    /// Sends a text again and again; discovery does in one chunk.
+    /// Sends a text repeatedly; discovery sends the result as one chunk.
     pub(super) fn send_repeatedly(&mut self, party: &str, text: &str) {
         let text = unescape(text);
         let repeated = text.repeat(REPEATED_BYTES / text.len());
         let is_discovery = Role::of(party) == Role::Discovery;
         let connection = self.connection(party);
-        // A client's connection may be closed by now: that is the sidecar's right.
+        // A failure is ignored: the sidecar may have closed the connection.
         let _ = if is_discovery {
             write!(connection, "{:x}\r\n{repeated}\r\n", repeated.len())
         } else {
@@ -43,7 +43,7 @@
         };
     }
 
-    /// Sends a chunk in which names of servers stand for their addresses.
+    /// Sends an HTTP chunk in which placeholders are replaced by the addresses of servers.
     pub(super) fn send_chunk(&mut self, party: &str, text: &str) {
         let first = self
             .peers
@@ -66,24 +66,26 @@
         self.send(party, format!("{:x}\r\n{text}\r\n", text.len()).as_bytes());
     }
 
-    /// Closes a connection: the sidecar gets an end of file behind what was sent, or a reset where
-    /// something is unread.
+    /// Closes a connection: the sidecar gets an end of file after the sent bytes, or a reset if
+    /// received bytes are unread.
     pub(super) fn close(&mut self, party: &str) {
-        let connection = self.connections.remove(party).expect("there");
+        let connection = self.connections.remove(party).expect("connection is open");
         close_and_wait(connection);
     }
 
-    /// Ends a connection by a reset.
+    /// Ends a connection with a reset.
     pub(super) fn reset(&mut self, party: &str) {
-        let connection = self.connections.remove(party).expect("there");
+        let connection = self.connections.remove(party).expect("connection is open");
         socket2::SockRef::from(&connection)
             .set_linger(Some(Duration::ZERO))
-            .expect("no lingering");
+            .expect("linger time is set");
         close_and_wait(connection);
     }
 
     fn send(&mut self, party: &str, bytes: &[u8]) {
-        self.connection(party).write_all(bytes).expect("sent");
+        self.connection(party)
+            .write_all(bytes)
+            .expect("bytes are sent");
     }
 }
 
@@ -92,15 +94,15 @@
 }
 
 /// Closes a connection and waits until its end has arrived at the sidecar. A process that another
-/// test of this program is just starting holds a copy of every socket until its `exec`, and the end
-/// is sent as the last copy goes, which may be long after this program's own close.
+/// test of this program is starting holds a copy of every socket until its `exec`. The kernel sends
+/// the end only when the last copy is closed, which may be long after the close here.
 fn close_and_wait(connection: TcpStream) {
-    let sidecar = connection.peer_addr();
-    let own = connection.local_addr();
+    let sidecar_address = connection.peer_addr();
+    let own_address = connection.local_addr();
     drop(connection);
-    if let (Ok(sidecar), Ok(own)) = (sidecar, own) {
-        until("the connection's end at the sidecar", || {
-            has_end_arrived(sidecar, own).then_some(())
+    if let (Ok(sidecar_address), Ok(own_address)) = (sidecar_address, own_address) {
+        wait_for("the connection's end at the sidecar", || {
+            has_end_arrived(sidecar_address, own_address).then_some(())
         });
     }
 }
