--- a/crates/control/src/list_freshness/mod.rs
+++ b/crates/control/src/list_freshness/mod.rs
@@ -1,5 +1,5 @@
-//! Expiry of the endpoint list: until when an attempt may be sent to a server although the list may
-//! be missing that the server is draining. This module computes only that time. The balancer owns
+//! Expiry of the endpoint list: the time until which attempts may be sent to a server although the
+//! list may be missing the server's drain. This module computes only that time. The balancer owns
 //! the endpoints; the sidecar's discovery client owns the watch and its timeouts.
 //!
 //! The platform defines when a drain counts as notified, whether or not the notification arrived.
@@ -74,7 +74,7 @@
         self.relocated = false;
     }
 
-    /// Records the start of a call that opens a watch.
+    /// Records the start of a poll: a call that opens a watch.
     pub fn on_poll_started(&mut self, now: Micros) {
         let valid_until = if self.bounds.push_mode {
             self.complete_until
@@ -85,11 +85,11 @@
             .get_or_insert(valid_until + self.bounds.drain_slack);
     }
 
-    /// Records that a watch or a call ended for a reason other than silence.
+    /// Records that a watch or a poll ended for a reason other than silence.
     pub fn on_watch_ended(&mut self, now: Micros) {
-        // A call that fails before its expiry shows that discovery is down and cannot notify
-        // changes: an outage of discovery must not stop all traffic. A call that fails after its
-        // expiry shows that discovery is up but overloaded. In poll mode, a failed call keeps the
+        // A poll that fails before its expiry shows that discovery is down and cannot notify
+        // changes: an outage of discovery must not stop all traffic. A poll that fails after its
+        // expiry shows that discovery is up but overloaded. In poll mode, a failed poll keeps the
         // old list valid for four times as long (`safety.ask-every-ms`).
         if !self.bounds.push_mode || self.poll_expiry.is_some_and(|expiry| now < expiry) {
             self.poll_expiry = None;
@@ -97,7 +97,7 @@
         self.complete_until = self.complete_until.max(now);
     }
 
-    /// Records that a call was abandoned without a response. In push mode the poll expiry stays,
+    /// Records that a poll was abandoned without a response. In push mode the poll expiry stays,
     /// because discovery may be up.
     pub fn on_poll_abandoned(&mut self) {
         if !self.bounds.push_mode {
--- a/crates/control/src/list_freshness/tests.rs
+++ b/crates/control/src/list_freshness/tests.rs
@@ -8,11 +8,11 @@
 enum Step {
     /// An event or a heartbeat arrives.
     Event,
-    /// The watch or the call ends.
+    /// The watch or the poll ends.
     Ended,
     /// The watch stops delivering events, which is detected [`SILENCE_TIMEOUT`] later.
     Silent,
-    /// A call is abandoned without a response.
+    /// A poll is abandoned without a response.
     Abandoned,
     /// A new configuration changes the address of discovery.
     Relocated,
@@ -20,14 +20,14 @@
 
 const SILENCE_TIMEOUT: Micros = 3_000_000;
 
-/// Reference model of when a drain counts as notified. It follows the platform's protocol page and
+/// Reference model of when a drain counts as notified. It follows the platform's protocol and
 /// shares no code with the module under test.
 struct ReferenceModel {
     bounds: StalenessBounds,
     /// Since when no events have arrived, and why; `None` while a watch is delivering them.
     outage: Option<(Micros, OutageCause)>,
-    /// Start times of the calls to discovery.
-    call_starts: Vec<Micros>,
+    /// Start times of the polls.
+    poll_starts: Vec<Micros>,
 }
 
 #[derive(Clone, Copy, PartialEq)]
@@ -39,16 +39,16 @@
 
 impl ReferenceModel {
     /// Earliest time at which an unobserved drain that started at `drained_at` counts as notified;
-    /// `None` where the protocol page defines no time.
+    /// `None` where the protocol defines no time.
     fn notified_at(&self, drained_at: Micros) -> Option<Micros> {
         let bounds = &self.bounds;
         let (since, cause) = self.outage?;
-        let last_call = self.call_starts.last().copied().filter(|&at| at >= since);
+        let last_poll = self.poll_starts.last().copied().filter(|&at| at >= since);
         Some(match (cause, bounds.push_mode) {
             (OutageCause::Silent, _) => drained_at.max(since + bounds.silence_notice_delay),
             (OutageCause::Relocated, _) => drained_at.max(since + bounds.relocation_notice_delay),
             (OutageCause::Lost, true) => drained_at.max(since),
-            (OutageCause::Lost, false) => drained_at.max(last_call?) + bounds.max_poll_interval,
+            (OutageCause::Lost, false) => drained_at.max(last_poll?) + bounds.max_poll_interval,
         })
     }
 }
@@ -61,7 +61,7 @@
 }
 
 impl WatchHarness {
-    /// Starts the first call with a list of unknown age, as at process start.
+    /// Starts the first poll with a list of unknown age, as at process start.
     fn new(bounds: StalenessBounds) -> Self {
         let now = 100_000_000;
         let mut freshness = ListFreshness::new(bounds, now);
@@ -69,7 +69,7 @@
         let reference = ReferenceModel {
             bounds,
             outage: Some((now, OutageCause::Lost)),
-            call_starts: vec![now],
+            poll_starts: vec![now],
         };
         Self {
             now,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Applies a step. A step that ends a watch or a call is followed by the next call.
+    /// Applies a step. A step that ends a watch or a poll is followed by the next poll.
     fn apply(&mut self, step: Step) {
         match step {
             Step::Event => {
@@ -95,13 +95,13 @@
             Step::Relocated => self.relocate(),
         }
         self.freshness.on_poll_started(self.now);
-        self.reference.call_starts.push(self.now);
+        self.reference.poll_starts.push(self.now);
     }
 
     fn end_watch(&mut self) {
         self.freshness.on_watch_ended(self.now);
-        // A call that fails while no watch delivers events shows that discovery is down, or
-        // replaces the last call.
+        // A poll that fails while no watch delivers events shows that discovery is down, or
+        // replaces the last poll.
         let outage = self.reference.outage;
         if outage.is_none_or(|(_, cause)| cause == OutageCause::Lost) {
             self.reference.outage = Some((self.now, OutageCause::Lost));
@@ -152,7 +152,7 @@
 }
 
 proptest! {
-    /// After any sequence of watch events, with a call pending that never gets a response: no
+    /// After any sequence of watch events, with a poll pending that never gets a response: no
     /// attempt starts later than the drain grace period after the drain counts as notified, in both
     /// modes and for any grace period and poll interval.
     #[test]
@@ -190,10 +190,10 @@
 #[test]
 fn the_list_stays_trusted_in_an_outage_of_discovery_but_not_under_its_overload() {
     let mut freshness = ListFreshness::new(bounds(true, 10_000_000, 250_000), 0);
-    for call in (0..8_000_000).step_by(200_000) {
-        freshness.on_poll_started(call);
-        freshness.on_watch_ended(call + 1_000);
-        assert_eq!(freshness.trusted_until(None), None, "down at {call}");
+    for poll in (0..8_000_000).step_by(200_000) {
+        freshness.on_poll_started(poll);
+        freshness.on_watch_ended(poll + 1_000);
+        assert_eq!(freshness.trusted_until(None), None, "down at {poll}");
     }
 
     freshness.on_poll_started(8_000_000);
@@ -201,7 +201,7 @@
     let expiry = freshness.trusted_until(None);
     assert!(
         expiry.is_some_and(|expiry| expiry < 8_250_000),
-        "while the call is pending: {expiry:?}"
+        "while the poll is pending: {expiry:?}"
     );
 
     freshness.on_watch_ended(9_000_000);
@@ -209,7 +209,7 @@
     assert_eq!(
         freshness.trusted_until(None),
         expiry,
-        "the call failed after its expiry: discovery is up"
+        "the poll failed after its expiry: discovery is up"
     );
 
     freshness.on_watch_event();
--- a/crates/control/src/machine_catalogue.rs
+++ b/crates/control/src/machine_catalogue.rs
@@ -30,7 +30,7 @@
 impl MachineCatalogue {
     /// Builds the catalogue from the operator's table. Its columns are the model name, the number
     /// of cores (concurrently executing requests) and the speed of a core (work per unit of time,
-    /// relative to an average core). Both numbers must be above zero. A type that is not in the
+    /// relative to a standard core). Both numbers must be above zero. A type that is not in the
     /// table has the table's mean capacity.
     pub fn from_table(table: impl IntoIterator<Item = (String, f64, f64)>) -> Self {
         let mut catalogue = Self::default();
--- a/crates/control/src/work_aware_balancer.rs
+++ b/crates/control/src/work_aware_balancer.rs
@@ -24,14 +24,14 @@
 use crate::convert::{f64_from_micros, truncate_to_micros};
 use crate::work_estimator::{SendContext, WorkEstimator};
 
-/// Work hint of a request as a fraction of the mean work of its class; dimensionless.
+/// Work hint of a request as a fraction of the mean work of its class.
 ///
 /// Hints are otherwise only compared with each other, so the fraction affects a single decision:
 /// the balancer immediately rejects a request whose hint exceeds its remaining time. A fraction of
 /// 1 rejected many requests with little time left that would have been served in time, because most
 /// requests need far less work than the mean; with exponentially distributed work, a fifth need
 /// less than a quarter of the mean. A smaller fraction sends requests that cannot be served in
-/// time. Source: `docs/losses.md`, on clients with little time.
+/// time. See `docs/losses.md`, on clients with little time.
 const WORK_HINT_FRACTION: f64 = 0.25;
 
 /// A request without a final response.
--- a/crates/control/src/work_estimator.rs
+++ b/crates/control/src/work_estimator.rs
@@ -42,9 +42,9 @@
 /// request classes.
 const LATENCY_SMOOTHING_FACTOR: f64 = 0.05;
 /// Limit on a sample, as a multiple of the current mean. If one request in fifty has 26 times the
-/// usual work, these requests then shift the mean by a few percent instead of by half. With a
-/// larger limit they shift it further; with a smaller limit the mean follows an increase more
-/// slowly. The ratio of a response time to the work of its class has the same limit. Source:
+/// work of the others, these requests then shift the mean by a few percent instead of by half. With
+/// a larger limit they shift it further; with a smaller limit the mean follows an increase more
+/// slowly. The ratio of a response time to the work of its class has the same limit. See
 /// `docs/losses.md`, on knowing the work.
 const MAX_SAMPLE_RATIO: f64 = 4.0;
 /// Lower limit on a latency factor used as a divisor: a twentieth of an average server's. Dividing
--- a/crates/control/src/work_estimator/tests.rs
+++ b/crates/control/src/work_estimator/tests.rs
@@ -69,12 +69,16 @@
 
 #[test]
 fn one_costly_request_in_fifty_shifts_the_mean_by_a_few_percent() {
-    const USUAL: Micros = 40_000;
-    const COSTLY: Micros = 26 * USUAL;
+    const REGULAR_WORK: Micros = 40_000;
+    const COSTLY_WORK: Micros = 26 * REGULAR_WORK;
     let mut estimator = WorkEstimator::new(1);
 
     for n in 0..20_000 {
-        let elapsed = if n % 50 == 7 { COSTLY } else { USUAL };
+        let elapsed = if n % 50 == 7 {
+            COSTLY_WORK
+        } else {
+            REGULAR_WORK
+        };
         serve(&mut estimator, n, 0, 0, elapsed);
     }
 
