--- a/crates/balancer/src/balancer/membership.rs
+++ b/crates/balancer/src/balancer/membership.rs
@@ -1,8 +1,8 @@
 //! Handlers for endpoint list updates and gossip from other balancers.
 
 use crate::balancer::Balancer;
-use crate::policy::{FailureDetector, GossipProtocol, HealthAction, PeerMessage, UpdateFailure};
-use crate::state::{GossipMessage, ServerIndex};
+use crate::policy::{FailureDetector, GossipProtocol, HealthAction, PeerRecord, UpdateFailure};
+use crate::state::{GossipRecord, ServerIndex};
 use crate::{Action, Actions, Endpoint, Micros, StateChange, UpdateKind};
 
 impl Balancer {
@@ -14,13 +14,13 @@
             .on_polled(self.fleet.now, &self.fleet.settings.polling);
     }
 
-    fn on_list_lost(&mut self, actions: &mut Actions) {
+    fn on_update_failed(&mut self, actions: &mut Actions) {
         let polling = &self.fleet.settings.polling;
-        let loss =
+        let failure =
             self.policies
                 .endpoint_poller
                 .on_update_failed(self.fleet.now, polling, &mut self.rng);
-        if loss == UpdateFailure::SubscriptionLost {
+        if failure == UpdateFailure::SubscriptionLost {
             actions.push(Action::Record(StateChange::EndpointListLost));
         }
     }
@@ -34,7 +34,7 @@
         actions: &mut Actions,
     ) {
         if kind == UpdateKind::Lost {
-            self.on_list_lost(actions);
+            self.on_update_failed(actions);
             return;
         }
         if kind != UpdateKind::Cached {
@@ -73,8 +73,8 @@
         let now = self.fleet.now;
         let server = &mut self.fleet.servers[index];
         server.on_restarted(now, self.fleet.settings.slow_start.duration);
-        let verdict = FailureDetector::evaluate_restart(now, server);
-        self.apply_verdict(verdict, index, actions);
+        let health_action = FailureDetector::evaluate_restart(now, server);
+        self.apply_health_action(health_action, index, actions);
     }
 
     /// Handles a gossip datagram; datagrams from unknown balancers are ignored.
@@ -82,23 +82,23 @@
         if !GossipProtocol::is_known_sender(&self.fleet.settings, from) {
             return;
         }
-        for message in GossipMessage::decode(datagram) {
-            match GossipProtocol::interpret(&self.fleet, message) {
-                PeerMessage::CheckServer(index) => {
+        for record in GossipRecord::decode(datagram) {
+            match GossipProtocol::interpret(&self.fleet, record) {
+                PeerRecord::CheckServer(index) => {
                     let server = &mut self.fleet.servers[index];
                     server.health_check.on_indirect_check_requested(from);
                     self.start_unscheduled_health_check(index, actions);
                 }
-                PeerMessage::ConfirmedAlive(index) => {
+                PeerRecord::ConfirmedAlive(index) => {
                     self.fleet.servers[index].health_check.on_confirmed_alive();
                 }
-                PeerMessage::Suspected {
+                PeerRecord::Suspected {
                     server,
                     incarnation,
                 } => {
                     self.on_peer_suspicion(server, incarnation, actions);
                 }
-                PeerMessage::UnknownServer | PeerMessage::RequesterLimitReached => {}
+                PeerRecord::UnknownServer | PeerRecord::RequesterLimitReached => {}
             }
         }
     }
@@ -110,10 +110,10 @@
         actions: &mut Actions,
     ) {
         let server = &self.fleet.servers[index];
-        let verdict = FailureDetector::evaluate_gossip(self.fleet.now, server, incarnation);
-        self.apply_verdict(verdict, index, actions);
-        if matches!(verdict, HealthAction::Eject { .. }) {
-            self.check_soon(index);
+        let health_action = FailureDetector::evaluate_gossip(self.fleet.now, server, incarnation);
+        self.apply_health_action(health_action, index, actions);
+        if matches!(health_action, HealthAction::Eject { .. }) {
+            self.expedite_check(index);
         }
     }
 }
--- a/crates/balancer/src/balancer/policies.rs
+++ b/crates/balancer/src/balancer/policies.rs
@@ -53,13 +53,13 @@
         tried: &[ServerId],
         rng: &mut fastrand::Rng,
     ) -> Vec<ServerIndex> {
-        let subset = &self.subsetter;
-        let trusted = subset.candidates(fleet, scope, tried, CandidateFilter::TrustedOnly);
+        let subsetter = &self.subsetter;
+        let trusted = subsetter.candidates(fleet, scope, tried, CandidateFilter::TrustedOnly);
         let trusted = self.admit(fleet, trusted, rng);
         if !trusted.is_empty() {
             return trusted;
         }
-        let ready = subset.candidates(fleet, scope, tried, CandidateFilter::AnyReady);
+        let ready = subsetter.candidates(fleet, scope, tried, CandidateFilter::AnyReady);
         self.admit(fleet, ready, rng)
     }
 
@@ -70,8 +70,8 @@
         rng: &mut fastrand::Rng,
     ) -> Vec<ServerIndex> {
         let filter = CandidateFilter::TrustedOnly;
-        let subset = &self.subsetter;
-        let trusted = subset.candidates(fleet, RetryScope::Anywhere, &[], filter);
+        let subsetter = &self.subsetter;
+        let trusted = subsetter.candidates(fleet, RetryScope::Anywhere, &[], filter);
         self.admit(fleet, trusted, rng)
     }
 
@@ -91,7 +91,7 @@
                     true
                 }
                 Admission::Admitted => true,
-                Admission::OverQuota | Admission::SkippedAtRandom => false,
+                Admission::WorkLimitReached | Admission::SkippedAtRandom => false,
             }
         });
         servers
--- a/crates/balancer/src/balancer/requests.rs
+++ b/crates/balancer/src/balancer/requests.rs
@@ -96,7 +96,7 @@
             Selection::NoCandidate => {
                 match ServerSelector::wait_for_server(self.fleet.now, request) {
                     ServerWait::WaitFor(after) => self.set_request_timer(id, after, actions),
-                    ServerWait::GiveUp => self.reject_or_fail(id, actions),
+                    ServerWait::MaxWaitReached => self.reject_or_fail(id, actions),
                 }
             }
             Selection::Server(server) | Selection::LateServer(server) => match decision {
--- a/crates/balancer/src/balancer/servers.rs
+++ b/crates/balancer/src/balancer/servers.rs
@@ -44,8 +44,8 @@
         let now = self.fleet.now;
         let latency = now.saturating_sub(attempt.sent_at) as f64;
         if let Some(request) = self.requests.get(attempt.request) {
-            let objective_share = (latency / request.objective() as f64).min(1.0);
-            self.policies.load_shedder.on_response(objective_share, now);
+            let fraction = (latency / request.objective() as f64).min(1.0);
+            self.policies.load_shedder.on_response(fraction, now);
         }
         let server = &mut self.fleet.servers[index];
         let settings = &self.fleet.settings;
@@ -71,10 +71,10 @@
 
     fn on_attempt_failed(&mut self, index: ServerIndex, outcome: Outcome, actions: &mut Actions) {
         let failures = self.fleet.servers[index].failures.on_failed();
-        self.check_soon(index);
+        self.expedite_check(index);
         let detector = &mut self.policies.failure_detector;
-        let verdict = detector.on_attempt_failed(failures, outcome);
-        self.apply_verdict(verdict, index, actions);
+        let health_action = detector.on_attempt_failed(failures, outcome);
+        self.apply_health_action(health_action, index, actions);
     }
 
     /// Records the load report of a response or a health check, if it is plausible.
@@ -109,15 +109,15 @@
         let kind = servers.on_health_check_ended(index, outcome);
         self.confirm_to_peers(index, outcome, actions);
         let server = &mut self.fleet.servers[index];
-        let verdict = if outcome == Outcome::Served {
+        let health_action = if outcome == Outcome::Served {
             server.health_check.on_succeeded();
             FailureDetector::evaluate_successful_check(self.fleet.now, server)
         } else if kind == HealthCheckKind::LoadOnly {
-            HealthAction::CheckSoon
+            HealthAction::ExpediteCheck
         } else {
             FailureDetector::evaluate_failed_check(&self.fleet, &self.fleet.servers[index])
         };
-        self.apply_verdict(verdict, index, actions);
+        self.apply_health_action(health_action, index, actions);
         self.on_load_check_ended(id, actions);
     }
 
@@ -135,28 +135,28 @@
     /// Evaluates the suspicion of a server, on every tick.
     pub(super) fn evaluate_server(&mut self, index: ServerIndex, actions: &mut Actions) {
         let detector = &self.policies.failure_detector;
-        let verdict = detector.evaluate_server(&self.fleet, &self.fleet.servers[index]);
+        let health_action = detector.evaluate_server(&self.fleet, &self.fleet.servers[index]);
         let now = self.fleet.now;
         self.fleet.servers[index]
             .health_check
             .end_due_confirmation(now);
-        self.apply_verdict(verdict, index, actions);
-        if verdict == HealthAction::DeclareDead {
+        self.apply_health_action(health_action, index, actions);
+        if health_action == HealthAction::DeclareDead {
             // The suspicion may end within the same tick.
             let detector = &self.policies.failure_detector;
             let next = detector.evaluate_server(&self.fleet, &self.fleet.servers[index]);
-            self.apply_verdict(next, index, actions);
+            self.apply_health_action(next, index, actions);
         }
     }
 
-    /// Applies a verdict of the failure detector.
-    pub(super) fn apply_verdict(
+    /// Applies an action decided by the failure detector.
+    pub(super) fn apply_health_action(
         &mut self,
-        verdict: HealthAction,
+        health_action: HealthAction,
         index: ServerIndex,
         actions: &mut Actions,
     ) {
-        match verdict {
+        match health_action {
             HealthAction::NoAction => {}
             HealthAction::ConfirmAt(at) => {
                 let server = &mut self.fleet.servers[index];
@@ -171,7 +171,7 @@
                 self.fleet.servers[index].health_check.on_failed();
                 self.start_health_check(index, actions);
             }
-            HealthAction::CheckSoon => self.check_soon(index),
+            HealthAction::ExpediteCheck => self.expedite_check(index),
             HealthAction::Eject { cause, scope } => self.eject(index, cause, scope, actions),
             HealthAction::DeclareDead => {
                 let server = &mut self.fleet.servers[index];
@@ -183,9 +183,9 @@
     }
 
     /// Schedules a server as the next one to be checked and brings that check forward.
-    pub(super) fn check_soon(&mut self, index: ServerIndex) {
+    pub(super) fn expedite_check(&mut self, index: ServerIndex) {
         let id = self.fleet.servers[index].id();
-        self.policies.health_checker.check_soon(id, self.fleet.now);
+        self.policies.health_checker.expedite(id, self.fleet.now);
     }
 
     /// Marks a server as suspected, unless the ejection policy does not accept the evidence, and
@@ -237,7 +237,7 @@
         server.failures.on_readmitted();
         match Readmission::decide(now, suspicion) {
             Readmission::FullCapacity => {}
-            Readmission::SlowStart => server.slow_start.on_silence_ended(now),
+            Readmission::SlowStart => server.slow_start.on_possible_restart(now),
         }
         server.health_check.on_confirmed_alive();
         record_server_event(ServerEvent::Readmitted, server.id(), actions);
--- a/crates/balancer/src/estimators/estimates.rs
+++ b/crates/balancer/src/estimators/estimates.rs
@@ -6,15 +6,15 @@
 use crate::state::{InFlightAttempt, ServerState};
 use crate::{Micros, Settings};
 
-/// Half-life of the requests in flight from other balancers when responses report load, in
-/// microseconds. Shorter, and a server without new reports soon looks idle; longer, and a server is
-/// avoided after its load has fallen.
+/// Half-life of the estimated requests in flight from other balancers when responses report load,
+/// in microseconds. Shorter, and a server without new reports soon looks idle; longer, and a server
+/// is avoided after its load has fallen.
 const OTHERS_IN_FLIGHT_HALF_LIFE: f64 = 4_000_000.0;
 /// Lower bound of the divisor that converts a latency into a service time when responses report
 /// load, in average requests. Without it, a small request that waited for another reason would make
 /// its server look extremely slow.
 const MIN_LOAD_DIVISOR_WITH_RESPONSE_REPORTS: f64 = 0.05;
-/// The same lower bound when responses do not report load.
+/// Lower bound of the same divisor when responses do not report load.
 const MIN_LOAD_DIVISOR: f64 = 0.2;
 
 /// Estimates of load and service time at one moment.
--- a/crates/balancer/src/estimators/fleet_error_rate.rs
+++ b/crates/balancer/src/estimators/fleet_error_rate.rs
@@ -31,7 +31,7 @@
 
     /// Returns the surprisal of this many consecutive failures at a healthy server, in nats: the
     /// negative natural logarithm of their probability.
-    pub(crate) fn failure_run_surprisal(&self, failures: u32) -> f64 {
+    pub(crate) fn consecutive_failure_surprisal(&self, failures: u32) -> f64 {
         f64::from(failures) * -self.rate.max(MIN_ERROR_RATE).ln()
     }
 }
--- a/crates/balancer/src/estimators/latency.rs
+++ b/crates/balancer/src/estimators/latency.rs
@@ -18,7 +18,7 @@
 const MAX_LATENCY_FACTOR: f64 = 4.0;
 /// Mean service time before any response, as a fraction of the shortest latency objective. Only the
 /// first responses depend on it.
-const INITIAL_SERVICE_TIME_SHARE: f64 = 1.0 / 8.0;
+const INITIAL_SERVICE_TIME_FRACTION: f64 = 1.0 / 8.0;
 
 /// Latency of one server relative to the fleet's: a factor of 2 means twice as long for the same
 /// load.
@@ -46,7 +46,7 @@
 impl LatencyEstimator {
     /// Creates an estimator without responses; `shortest_objective` is in microseconds.
     pub(crate) fn new(shortest_objective: f64) -> Self {
-        let mean_service_time = shortest_objective * INITIAL_SERVICE_TIME_SHARE;
+        let mean_service_time = shortest_objective * INITIAL_SERVICE_TIME_FRACTION;
         Self {
             mean_service_time,
             factor_by_machine_type: BTreeMap::new(),
--- a/crates/balancer/src/estimators/latency_distribution.rs
+++ b/crates/balancer/src/estimators/latency_distribution.rs
@@ -9,7 +9,7 @@
 
 /// Median latency before any response, as a fraction of the shortest latency objective. Only the
 /// first responses depend on it.
-const INITIAL_LATENCY_SHARE: f64 = 1.0 / 4.0;
+const INITIAL_LATENCY_FRACTION: f64 = 1.0 / 4.0;
 /// Lower bound of the variance of the natural logarithm of latencies: if all latencies are equal, a
 /// slightly longer one must not count as impossible.
 const MIN_LOG_VARIANCE: f64 = 0.1;
@@ -24,7 +24,7 @@
     /// Creates a distribution without responses; `shortest_objective` is in microseconds.
     pub(crate) fn new(shortest_objective: f64) -> Self {
         Self {
-            log_mean: (shortest_objective * INITIAL_LATENCY_SHARE).ln(),
+            log_mean: (shortest_objective * INITIAL_LATENCY_FRACTION).ln(),
             log_variance: 1.0,
         }
     }
@@ -38,17 +38,17 @@
             .max(MIN_LOG_VARIANCE);
     }
 
-    /// Returns the surprisal of a healthy server leaving all its attempts in flight unanswered for
-    /// so long, in nats. The silence of an attempt counts from when it was sent, or from the last
-    /// attempt that the server served.
-    pub(crate) fn silence_surprisal(&self, server: &ServerState, now: Micros) -> f64 {
-        let silent_since =
+    /// Returns the surprisal, in nats, of all attempts in flight at a healthy server having waited
+    /// so long for a response. The wait of an attempt counts from when it was sent, or from when
+    /// the server last served another attempt.
+    pub(crate) fn no_response_surprisal(&self, server: &ServerState, now: Micros) -> f64 {
+        let waiting_since =
             |attempt: &InFlightAttempt| attempt.sent_at.max(server.failures.last_served_at());
-        let silence = |attempt| now.saturating_sub(silent_since(attempt)).max(1) as f64;
+        let wait = |attempt| now.saturating_sub(waiting_since(attempt)).max(1) as f64;
         server
             .in_flight()
             .iter()
-            .map(|attempt| self.tail_surprisal(silence(attempt)))
+            .map(|attempt| self.tail_surprisal(wait(attempt)))
             .sum()
     }
 
--- a/crates/balancer/src/estimators/load.rs
+++ b/crates/balancer/src/estimators/load.rs
@@ -8,7 +8,7 @@
 
 /// Half-life of the means over load reports, in microseconds. A report in a response is some
 /// hundred milliseconds old, and the changes since then are unknown, so only a mean over many
-/// reports shows the load from other balancers. With 0.3 s the means were mostly noise
+/// reports shows the load from other balancers. With 0.3 s the means are mostly noise
 /// (docs/deployments.md).
 const REPORT_MEAN_HALF_LIFE: f64 = 3_000_000.0;
 
--- a/crates/balancer/src/estimators/saturation.rs
+++ b/crates/balancer/src/estimators/saturation.rs
@@ -27,9 +27,9 @@
     }
 
     /// Records a response that took this fraction of the latency objective.
-    pub(crate) fn on_response(&mut self, objective_share: f64, now: Micros) {
+    pub(crate) fn on_response(&mut self, objective_fraction: f64, now: Micros) {
         let previous = self.saturation(now);
-        self.saturation = previous + SATURATION_SMOOTHING_FACTOR * (objective_share - previous);
+        self.saturation = previous + SATURATION_SMOOTHING_FACTOR * (objective_fraction - previous);
         self.updated_at = now;
     }
 
--- a/crates/balancer/src/estimators/slow_start.rs
+++ b/crates/balancer/src/estimators/slow_start.rs
@@ -11,10 +11,10 @@
 /// Half-life of the rate at which work is sent, in microseconds; the same as that of the request
 /// rate.
 const WORK_RATE_HALF_LIFE: f64 = 5_000_000.0;
-/// Fraction of the subset's capacity that must be warm for the quota to be measured. Below it the
-/// last quota is kept: during a rollout all balancers send to the few warm servers, and what these
-/// get is not a server's normal quota.
-const MIN_WARM_SHARE: f64 = 0.7;
+/// Fraction of the subset's capacity that must be warm for a warm server's work rate to be
+/// measured. Below it the last rate is kept: during a rollout all balancers send to the few warm
+/// servers, and what these get is more than a warm server normally gets.
+const MIN_WARM_FRACTION: f64 = 0.7;
 
 /// Work sent to a server in slow start.
 struct SentWork {
@@ -44,15 +44,20 @@
             .min(1.0)
     }
 
-    /// Begins slow start at `started_at`, unless the slow start time has already passed.
-    pub(crate) fn on_started(&mut self, started_at: Micros, now: Micros, slow_start_time: Micros) {
-        if now < started_at + slow_start_time {
+    /// Begins slow start at `started_at`, unless its duration has already passed.
+    pub(crate) fn on_started(
+        &mut self,
+        started_at: Micros,
+        now: Micros,
+        slow_start_duration: Micros,
+    ) {
+        if now < started_at + slow_start_duration {
             self.since = Some(started_at.min(now));
         }
     }
 
-    /// Begins slow start when the server answers again, because it may have restarted meanwhile.
-    pub(crate) fn on_silence_ended(&mut self, now: Micros) {
+    /// Begins slow start when the server is readmitted, because it may have restarted meanwhile.
+    pub(crate) fn on_possible_restart(&mut self, now: Micros) {
         self.since = Some(now);
     }
 
@@ -92,31 +97,31 @@
 }
 
 /// Rate at which this balancer sends work to one warm server.
-pub(crate) struct WarmServerQuota {
-    work_rate: DecayingRate,
+pub(crate) struct WarmServerWorkRate {
+    total: DecayingRate,
     per_microsecond: f64,
 }
 
-impl WarmServerQuota {
-    /// Creates a quota without measurements.
+impl WarmServerWorkRate {
+    /// Creates an estimate without measurements.
     pub(crate) fn new() -> Self {
         Self {
-            work_rate: DecayingRate::new(WORK_RATE_HALF_LIFE),
+            total: DecayingRate::new(WORK_RATE_HALF_LIFE),
             per_microsecond: 0.0,
         }
     }
 
-    /// Returns the quota, in relative work per microsecond.
+    /// Returns the rate, in relative work per microsecond.
     pub(crate) fn per_microsecond(&self) -> f64 {
         self.per_microsecond
     }
 
     /// Records work sent to any server.
     pub(crate) fn on_work_sent(&mut self, relative_work: f64, now: Micros) {
-        self.work_rate.add(relative_work, now);
+        self.total.add(relative_work, now);
     }
 
-    /// Recomputes the quota; `factors` are the slow start factors of the servers in use.
+    /// Recomputes the rate; `factors` are the slow start factors of the servers in use.
     pub(crate) fn update(&mut self, factors: impl Iterator<Item = f64>, now: Micros) {
         let mut count = 0.0;
         let mut warm_capacity = 0.0;
@@ -124,8 +129,8 @@
             count += 1.0;
             warm_capacity += factor;
         }
-        if warm_capacity > MIN_WARM_SHARE * count {
-            self.per_microsecond = self.work_rate.per_microsecond(now) / warm_capacity;
+        if warm_capacity > MIN_WARM_FRACTION * count {
+            self.per_microsecond = self.total.per_microsecond(now) / warm_capacity;
         }
     }
 }
--- a/crates/balancer/src/estimators/slow_start/tests.rs
+++ b/crates/balancer/src/estimators/slow_start/tests.rs
@@ -1,4 +1,4 @@
-use super::{SlowStartRecord, WarmServerQuota};
+use super::{SlowStartRecord, WarmServerWorkRate};
 use crate::{Settings, SlowStartSettings};
 
 fn settings() -> Settings {
@@ -45,12 +45,12 @@
 }
 
 #[test]
-fn quota_is_kept_while_most_servers_are_in_slow_start() {
-    let mut quota = WarmServerQuota::new();
-    quota.on_work_sent(4.0, 1_000);
-    quota.update([1.0, 1.0].into_iter(), 1_000);
-    let warm = quota.per_microsecond();
+fn work_rate_is_kept_while_most_servers_are_in_slow_start() {
+    let mut work_rate = WarmServerWorkRate::new();
+    work_rate.on_work_sent(4.0, 1_000);
+    work_rate.update([1.0, 1.0].into_iter(), 1_000);
+    let warm = work_rate.per_microsecond();
     assert!(warm > 0.0);
-    quota.update([0.2, 0.2].into_iter(), 1_000);
-    assert_eq!(quota.per_microsecond(), warm);
+    work_rate.update([0.2, 0.2].into_iter(), 1_000);
+    assert_eq!(work_rate.per_microsecond(), warm);
 }
--- a/crates/balancer/src/estimators/utilization.rs
+++ b/crates/balancer/src/estimators/utilization.rs
@@ -7,8 +7,7 @@
 
 /// Utilization before the first load report.
 const INITIAL_UTILIZATION: f64 = 0.5;
-/// Utilization above which the fullness rises, linearly from 0 here to 1 where all servers hold a
-/// request.
+/// Utilization above which the fullness rises linearly, from 0 here to 1 at a utilization of 1.
 const HIGH_UTILIZATION: f64 = 0.8;
 
 /// Mean fraction of servers that hold a request, from load reports.
--- a/crates/balancer/src/fleet.rs
+++ b/crates/balancer/src/fleet.rs
@@ -63,7 +63,7 @@
     /// Removes servers whose state is no longer needed.
     pub(crate) fn remove_obsolete_servers(&mut self) {
         let settings = &self.settings;
-        self.servers.retain(|server| !server.is_prunable(settings));
+        self.servers.retain(|server| !server.is_obsolete(settings));
     }
 
     /// Returns true if the endpoint list permits sending requests to the server. A server that was
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -17,8 +17,8 @@
 //! # Example
 //! ```
 //! use arrowstand_balancer::{
-//!     Action, AttemptEnd, Balancer, ClassId, Endpoint, Event, Idempotency, IncomingRequest, Outcome,
-//!     RequestClass, RequestId, ServerId, Settings, UpdateKind,
+//!     Action, AttemptEnd, Balancer, ClassId, Endpoint, Event, Idempotency, IncomingRequest,
+//!     Outcome, RequestClass, RequestId, ServerId, Settings, UpdateKind,
 //! };
 //!
 //! let mut settings = Settings::default();
@@ -28,20 +28,35 @@
 //!
 //! // The endpoint list contains one server.
 //! let endpoint = Endpoint::ready(ServerId(0), 0x5eed);
-//! let list = Event::EndpointsUpdated { kind: UpdateKind::Full, version: 1, endpoints: vec![endpoint] };
+//! let list = Event::EndpointsUpdated {
+//!     kind: UpdateKind::Full,
+//!     version: 1,
+//!     endpoints: vec![endpoint],
+//! };
 //! balancer.handle(0, list, &mut actions);
 //!
 //! // A request arrives and is sent to that server.
 //! actions.clear();
-//! let request = IncomingRequest { id: RequestId(1), class: ClassId(0), time_left: 600_000, work_hint: None };
+//! let request = IncomingRequest {
+//!     id: RequestId(1),
+//!     class: ClassId(0),
+//!     time_left: 600_000,
+//!     work_hint: None,
+//! };
 //! balancer.handle(1_000, Event::RequestArrived(request), &mut actions);
-//! assert!(actions.iter().any(|action| matches!(action, Action::Send { server: ServerId(0), .. })));
+//! let is_send = |action: &Action| matches!(action, Action::Send { server: ServerId(0), .. });
+//! assert!(actions.iter().any(is_send));
 //!
 //! // The attempt succeeds: the host forwards the response and the request is finished.
 //! actions.clear();
 //! let served = AttemptEnd {
-//!     request: RequestId(1), attempt: 0, server: ServerId(0), outcome: Outcome::Served,
-//!     request_finished: true, elapsed: 20_000, load_report: None,
+//!     request: RequestId(1),
+//!     attempt: 0,
+//!     server: ServerId(0),
+//!     outcome: Outcome::Served,
+//!     request_finished: true,
+//!     elapsed: 20_000,
+//!     load_report: None,
 //! };
 //! balancer.handle(21_000, Event::AttemptEnded(served), &mut actions);
 //! let is_final = |action: &Action| matches!(action, Action::Reject { .. } | Action::Fail { .. });
--- a/crates/balancer/src/policy.rs
+++ b/crates/balancer/src/policy.rs
@@ -31,7 +31,7 @@
 pub(crate) use endpoint_poller::{EndpointPoller, UpdateFailure};
 pub(crate) use failure_detector::{FailureDetector, HealthAction, SuspicionScope};
 pub(crate) use final_response::FinalResponse;
-pub(crate) use gossip_protocol::{GossipProtocol, PeerMessage};
+pub(crate) use gossip_protocol::{GossipProtocol, PeerRecord};
 pub(crate) use health_checker::{CheckTarget, HealthChecker};
 pub(crate) use health_signal::HealthSignal;
 pub(crate) use load_checker::{LoadCheckResult, LoadChecker, ReportValidity};
--- a/crates/balancer/src/policy/ejection.rs
+++ b/crates/balancer/src/policy/ejection.rs
@@ -26,7 +26,8 @@
 use crate::state::{ServerState, Suspicion};
 use crate::{EjectionCause, Micros};
 
-/// First ejection time, in microseconds.
+/// First ejection time, in microseconds: for this long, successful health checks do not end a
+/// suspicion raised by attempts.
 const BASE_EJECTION_TIME: Micros = 500_000;
 /// Longest ejection time, in microseconds. Bounds how long a recovered server gets no requests.
 const MAX_EJECTION_TIME: Micros = 8_000_000;
--- a/crates/balancer/src/policy/endpoint_poller.rs
+++ b/crates/balancer/src/policy/endpoint_poller.rs
@@ -1,6 +1,6 @@
 //! Schedules polls of the endpoint list.
 //!
-//! While a subscription is active, updates are pushed and no poll is sent. A poll without any
+//! While a subscription is active, updates are pushed and no poll is sent. A poll without a
 //! response is repeated after three quarters of the maximum poll interval. When a poll fails or the
 //! subscription is lost, polls are delayed by `backoff/2 + random(0..=backoff)`. The backoff starts
 //! at 0.2 s and grows by a factor of 3 up to half the maximum poll interval. The backoff and its
@@ -16,9 +16,9 @@
 /// Backoff after the first failure, in microseconds. A shorter backoff keeps the discovery service
 /// saturated; a longer one keeps the list stale for longer.
 const INITIAL_BACKOFF: Micros = 200_000;
-/// Factor by which the backoff grows with each consecutive failure. With 100 balancers a factor of
-/// 2 scored 0.867 in the quick benchmark and a factor of 3 scored 0.892 (docs/fleet.md, "slower
-/// backoff").
+/// Factor by which the backoff grows with each consecutive failure. With 100 balancers, the result
+/// in the quick benchmark is 0.867 with a factor of 2 and 0.892 with a factor of 3 (docs/fleet.md,
+/// "slower backoff").
 const BACKOFF_GROWTH: Micros = 3;
 /// The maximum backoff is the maximum poll interval divided by this.
 const MAX_BACKOFF_DIVISOR: Micros = 2;
--- a/crates/balancer/src/policy/failure_detector.rs
+++ b/crates/balancer/src/policy/failure_detector.rs
@@ -4,9 +4,9 @@
 //! - A full health check fails and none succeeds within 150 ms. Without peers, a second check then
 //!   decides. With peers, the suspicion is sent to all balancers, or kept local if another balancer
 //!   has reached the server.
-//! - Its attempts in flight have gone without a response for so long that `-ln P > 14`, where `P`
-//!   is the probability of that at a healthy server under a log-normal distribution of the fleet's
-//!   latencies, as in an accrual failure detector.
+//! - Its attempts in flight have gone without a response for so long that `-ln P > 14`. `P` is the
+//!   probability of such a wait at a healthy server if the fleet's latencies are log-normal, as in
+//!   an accrual failure detector.
 //! - `k` consecutive attempts fail and `-k * ln(fleet's error rate) >= 9`.
 //! - Another balancer suspects it and it has served none of this balancer's attempts in the last
 //!   0.5 s.
@@ -14,7 +14,8 @@
 //! A served attempt, a restart or a successful health check ends the suspicion, subject to the
 //! ejection time ([`EjectionDecision`](crate::policy::EjectionDecision)). After 8 s a suspected
 //! server is declared dead. It is still checked, and is readmitted when it answers. The mechanism
-//! is that of SWIM (section 2.2.2 of the paper), with attempts as a second source of evidence.
+//! is that of SWIM, as in the paper by Michael J. Freedman, "Democratizing Content Distribution"
+//! (section 2.2.2), with attempts as a second source of evidence.
 
 #[cfg(test)]
 mod tests;
@@ -29,16 +30,16 @@
 /// Time from a failed health check to its confirmation, in microseconds. Other balancers must
 /// answer indirect check requests within it. A longer delay sends more attempts to a failed server.
 const CONFIRMATION_DELAY: Micros = 150_000;
-/// Time after which a server that is still suspected is declared dead, in microseconds. The
-/// original design chose 8 s instead of the three minutes of the paper (section 2.2.2).
+/// Time after which a server that is still suspected is declared dead, in microseconds. Much
+/// shorter than the three minutes of the paper (section 2.2.2).
 const DEAD_AFTER: Micros = 8_000_000;
-/// A server is suspected if its missing responses are less probable than this, in nats: the
-/// negative natural logarithm of the probability that a healthy server takes that long to respond.
-/// 14 nats are about one in a million. The threshold is strict because the response times of one
-/// server are correlated. A lower threshold ejects servers when the whole fleet is slow; a higher
-/// one delays the ejection of a server that answers health checks but no attempts.
+/// A server is suspected if the surprisal of its missing responses exceeds this, in nats. Surprisal
+/// is the negative natural logarithm of a probability, here that a healthy server takes so long to
+/// respond. 14 nats are about one in a million. The threshold is strict because the response times
+/// of one server are correlated. A lower threshold ejects servers when the whole fleet is slow; a
+/// higher one delays the ejection of a server that answers health checks but no attempts.
 const NO_RESPONSE_THRESHOLD_NATS: f64 = 14.0;
-/// A server is suspected if its consecutive failures are at most this probable, in nats. Two
+/// A server is suspected if the surprisal of its consecutive failures reaches this, in nats. Two
 /// consecutive failures suffice if the fleet's error rate is 1 % or lower; a higher error rate
 /// requires more.
 const CONSECUTIVE_FAILURE_THRESHOLD_NATS: f64 = 9.0;
@@ -58,7 +59,7 @@
     /// Repeat the health check now, as there are no other balancers to confirm the failure.
     CheckAgain,
     /// Make the server the next one to be checked.
-    CheckSoon,
+    ExpediteCheck,
     /// Suspect the server.
     Eject {
         /// What raised the suspicion.
@@ -115,8 +116,10 @@
         if failures == 1 {
             self.fleet_error_rate.on_first_failure();
         }
-        let improbability = self.fleet_error_rate.failure_run_surprisal(failures);
-        if improbability >= CONSECUTIVE_FAILURE_THRESHOLD_NATS {
+        let surprisal = self
+            .fleet_error_rate
+            .consecutive_failure_surprisal(failures);
+        if surprisal >= CONSECUTIVE_FAILURE_THRESHOLD_NATS {
             eject(EjectionCause::Attempts, SuspicionScope::Local)
         } else {
             HealthAction::NoAction
@@ -132,10 +135,10 @@
         if let Some(suspicion) = server.suspicion.current() {
             return evaluate_suspicion(fleet, server, suspicion);
         }
-        let improbability = self
+        let surprisal = self
             .latency_distribution
-            .silence_surprisal(server, fleet.now);
-        if improbability > NO_RESPONSE_THRESHOLD_NATS {
+            .no_response_surprisal(server, fleet.now);
+        if surprisal > NO_RESPONSE_THRESHOLD_NATS {
             eject(EjectionCause::Attempts, SuspicionScope::Local)
         } else {
             HealthAction::NoAction
@@ -175,7 +178,7 @@
         }
         let has_recently_served = now < server.failures.last_served_at() + RECENT_SUCCESS_WINDOW;
         if has_recently_served {
-            return HealthAction::CheckSoon;
+            return HealthAction::ExpediteCheck;
         }
         eject(EjectionCause::Gossip, SuspicionScope::AllBalancers)
     }
@@ -213,8 +216,8 @@
     eject(EjectionCause::HealthChecks, scope)
 }
 
-/// Declaring a server dead takes precedence; the caller then evaluates it again, which may end the
-/// suspicion.
+/// Decides whether a suspected server is declared dead or readmitted. Declaring it dead takes
+/// precedence; the caller then evaluates it again, which may end the suspicion.
 fn evaluate_suspicion(fleet: &Fleet, server: &ServerState, suspicion: Suspicion) -> HealthAction {
     let is_overdue = fleet.now >= suspicion.since + DEAD_AFTER;
     if is_overdue && !server.suspicion.is_dead() {
--- a/crates/balancer/src/policy/failure_detector/tests.rs
+++ b/crates/balancer/src/policy/failure_detector/tests.rs
@@ -147,7 +147,7 @@
     };
     assert_eq!(action(&fleet, 0), ejected);
     fleet.servers[FIRST].failures.on_served(fleet.now);
-    assert_eq!(action(&fleet, 0), HealthAction::CheckSoon);
+    assert_eq!(action(&fleet, 0), HealthAction::ExpediteCheck);
     fleet.now += 500 * MS;
     assert_eq!(action(&fleet, 0), ejected);
     let mut restarted = *fleet.servers[FIRST].endpoint();
--- a/crates/balancer/src/policy/final_response.rs
+++ b/crates/balancer/src/policy/final_response.rs
@@ -1,6 +1,7 @@
-//! Chooses the final response to a request that the balancer gives up: a rejection or a failure.
+//! Chooses the final response to a request that gets no further attempt: a rejection or a failure.
 //!
-//! The decision to give up is made earlier, by `LoadShedder`, `ServerSelector` or `RetryPolicy`.
+//! That no further attempt is made is decided earlier, by `LoadShedder`, `ServerSelector` or
+//! `RetryPolicy`.
 //!
 //! A rejection tells the client that it may retry. It is therefore used only if a retry is safe:
 //! the request class is idempotent, or its idempotency keys are deduplicated across all servers, or
@@ -26,7 +27,7 @@
 /// retry together.
 const JITTER_FACTOR_RANGE: f64 = 0.5;
 
-/// Final response to a request that is given up.
+/// Final response to a request that gets no further attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FinalResponse {
     /// Reject the request; the client may safely retry it.
--- a/crates/balancer/src/policy/gossip_protocol.rs
+++ b/crates/balancer/src/policy/gossip_protocol.rs
@@ -1,27 +1,28 @@
 //! Gossip between balancers: indirect health checks and dissemination of suspicions.
 //!
-//! The protocol follows SWIM (section 2.2.2 of the paper). A balancer whose health check of a
-//! server fails asks a few random balancers to check it (indirect checks). If none of them reaches
-//! the server either, it is suspected. Suspicions are queued, and each scheduled health check sends
-//! one datagram of queued records to a random balancer. A record is dropped from the queue after
-//! `floor(log2 N) + 2` datagrams, which spread it to all `N` balancers with high probability. A
-//! suspicion of an older incarnation of the server is ignored. Unlike in the paper, a server cannot
-//! refute a suspicion itself; instead a balancer ignores it while the server serves its attempts.
+//! The protocol follows SWIM, as in the paper by Michael J. Freedman, "Democratizing Content
+//! Distribution" (section 2.2.2). A balancer whose health check of a server fails asks a few random
+//! balancers to check it (indirect checks). If none of them reaches the server either, it is
+//! suspected. Suspicions are queued, and each scheduled health check sends one datagram of queued
+//! records to a random balancer. A record is dropped from the queue after `floor(log2 N) + 2`
+//! datagrams, which spread it to all `N` balancers with high probability. A suspicion of an older
+//! incarnation of the server is ignored. Unlike in the paper, a server cannot refute a suspicion
+//! itself; instead a balancer ignores it while the server serves its attempts.
 
 #[cfg(test)]
 mod tests;
 
 use crate::fleet::Fleet;
-use crate::state::{GossipKind, GossipMessage, GossipQueue, ServerIndex, ServerState};
+use crate::state::{GossipKind, GossipQueue, GossipRecord, ServerIndex, ServerState};
 use crate::{Action, Micros, Settings};
 
 /// Maximum suspicions per datagram: 15 records of 17 bytes fit into a datagram of 256 bytes. If
 /// more are queued, they are sent in rotation.
 const MAX_SUSPICIONS_PER_DATAGRAM: usize = 15;
 /// Number of balancers that are asked to confirm a failed health check, and the maximum number of
-/// balancers that wait for an indirect check of one server at a time. A larger fanout gets around
-/// partial network failures more often, at the cost of as many more health checks. The original
-/// design asks five.
+/// balancers that wait for an indirect check of one server at a time. A larger fanout, such as
+/// five, gets around partial network failures more often, at the cost of as many more health
+/// checks.
 const INDIRECT_CHECK_FANOUT: usize = 3;
 
 /// A gossip datagram and the balancer it is sent to.
@@ -42,7 +43,7 @@
 
 /// A received gossip record, resolved against the endpoint list and the limits of this balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum PeerMessage {
+pub(crate) enum PeerRecord {
     /// The sender requests an indirect health check of a server.
     CheckServer(ServerIndex),
     /// The server answered a health check of the sender.
@@ -74,7 +75,9 @@
         server: &ServerState,
         rng: &mut fastrand::Rng,
     ) -> impl Iterator<Item = Datagram> {
-        let bytes = server.gossip(GossipKind::IndirectCheckRequest).encode();
+        let bytes = server
+            .gossip_record(GossipKind::IndirectCheckRequest)
+            .encode();
         (0..INDIRECT_CHECK_FANOUT)
             .filter_map(move |_| random_peer(settings, rng))
             .map(move |to| Datagram {
@@ -88,10 +91,10 @@
         server: &ServerState,
         requesters: Vec<u32>,
     ) -> impl Iterator<Item = Datagram> {
-        let message = server.gossip(GossipKind::ConfirmedAlive);
+        let record = server.gossip_record(GossipKind::ConfirmedAlive);
         requesters.into_iter().map(move |to| Datagram {
             to,
-            bytes: message.encode(),
+            bytes: record.encode(),
         })
     }
 
@@ -99,7 +102,7 @@
     pub(crate) fn queue_suspicion(&mut self, settings: &Settings, server: &ServerState) {
         let bit_length = u32::BITS - settings.identity.count.leading_zeros();
         self.queue
-            .push(&server.gossip(GossipKind::Suspected), bit_length + 1);
+            .push(&server.gossip_record(GossipKind::Suspected), bit_length + 1);
     }
 
     /// Returns the datagram to send along with a scheduled health check, if suspicions are queued.
@@ -123,20 +126,20 @@
     }
 
     /// Resolves a received record.
-    pub(crate) fn interpret(fleet: &Fleet, message: GossipMessage) -> PeerMessage {
-        let Some(server) = fleet.servers.find_by_hash(message.stable_hash) else {
-            return PeerMessage::UnknownServer;
+    pub(crate) fn interpret(fleet: &Fleet, record: GossipRecord) -> PeerRecord {
+        let Some(server) = fleet.servers.find_by_hash(record.stable_hash) else {
+            return PeerRecord::UnknownServer;
         };
         let requesters = fleet.servers[server].health_check.requester_count();
-        match message.kind {
+        match record.kind {
             GossipKind::IndirectCheckRequest if requesters < INDIRECT_CHECK_FANOUT => {
-                PeerMessage::CheckServer(server)
+                PeerRecord::CheckServer(server)
             }
-            GossipKind::IndirectCheckRequest => PeerMessage::RequesterLimitReached,
-            GossipKind::ConfirmedAlive => PeerMessage::ConfirmedAlive(server),
-            GossipKind::Suspected => PeerMessage::Suspected {
+            GossipKind::IndirectCheckRequest => PeerRecord::RequesterLimitReached,
+            GossipKind::ConfirmedAlive => PeerRecord::ConfirmedAlive(server),
+            GossipKind::Suspected => PeerRecord::Suspected {
                 server,
-                incarnation: message.incarnation,
+                incarnation: record.incarnation,
             },
         }
     }
--- a/crates/balancer/src/policy/gossip_protocol/tests.rs
+++ b/crates/balancer/src/policy/gossip_protocol/tests.rs
@@ -1,15 +1,15 @@
-use super::{GossipProtocol, PeerMessage};
+use super::{GossipProtocol, PeerRecord};
 use crate::fleet::Fleet;
 use crate::policy::test_support::{FIRST, fleet, settings, settings_with_peers};
-use crate::state::{GossipKind, GossipMessage};
+use crate::state::{GossipKind, GossipRecord};
 
-fn interpret(fleet: &Fleet, kind: GossipKind, stable_hash: u64) -> PeerMessage {
-    let message = GossipMessage {
+fn interpret(fleet: &Fleet, kind: GossipKind, stable_hash: u64) -> PeerRecord {
+    let record = GossipRecord {
         kind,
         stable_hash,
         incarnation: 7,
     };
-    GossipProtocol::interpret(fleet, message)
+    GossipProtocol::interpret(fleet, record)
 }
 
 /// The balancers asked for an indirect check, and the state of the generator afterwards.
@@ -59,7 +59,7 @@
     let mut rng = fastrand::Rng::with_seed(1);
     let datagram = gossip.next_datagram(&fleet.settings, &mut rng);
     let bytes = datagram.expect("suspicions are queued").bytes;
-    assert_eq!(GossipMessage::decode(&bytes).count(), 15);
+    assert_eq!(GossipRecord::decode(&bytes).count(), 15);
 }
 
 #[test]
@@ -67,22 +67,22 @@
     let mut fleet = fleet(settings_with_peers(), 1);
     for from in 1..4 {
         let asked = interpret(&fleet, GossipKind::IndirectCheckRequest, 0);
-        assert_eq!(asked, PeerMessage::CheckServer(FIRST));
+        assert_eq!(asked, PeerRecord::CheckServer(FIRST));
         let health_check = &mut fleet.servers[FIRST].health_check;
         health_check.on_indirect_check_requested(from);
     }
     let asked = interpret(&fleet, GossipKind::IndirectCheckRequest, 0);
-    assert_eq!(asked, PeerMessage::RequesterLimitReached);
+    assert_eq!(asked, PeerRecord::RequesterLimitReached);
 }
 
 #[test]
 fn message_identifies_its_server_by_hash_and_is_ignored_for_an_unknown_server() {
     let fleet = fleet(settings_with_peers(), 1);
-    let suspected = PeerMessage::Suspected {
+    let suspected = PeerRecord::Suspected {
         server: FIRST,
         incarnation: 7,
     };
     assert_eq!(interpret(&fleet, GossipKind::Suspected, 0), suspected);
     let unknown = interpret(&fleet, GossipKind::Suspected, 99);
-    assert_eq!(unknown, PeerMessage::UnknownServer);
+    assert_eq!(unknown, PeerRecord::UnknownServer);
 }
--- a/crates/balancer/src/policy/health_check_trust.rs
+++ b/crates/balancer/src/policy/health_check_trust.rs
@@ -1,16 +1,16 @@
 //! Decides whether the results of health checks are trusted.
 //!
-//! Health checks can fail although the servers serve requests. If more than 30 % of the servers
-//! fail their last check, the health checks themselves are assumed to be faulty: only attempts are
+//! Health checks can fail although the servers serve requests. If the last check of more than 30 %
+//! of the servers failed, the health checks themselves are assumed to be faulty: only attempts are
 //! then used to detect failures, and load reports are ignored. Servers that have really failed also
 //! fail attempts, so they are still detected.
 
 #[cfg(test)]
 mod tests;
 
-/// Health checks are trusted up to this share of failed servers, out of the subset size plus the
-/// number of failed servers.
-const MAX_FAILED_SHARE: f64 = 0.3;
+/// Health checks are trusted up to this fraction of failed servers: their number divided by the sum
+/// of itself and the subset size.
+const MAX_FAILED_FRACTION: f64 = 0.3;
 
 /// Whether the results of health checks are trusted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -29,7 +29,7 @@
             return Self::Trusted;
         }
         let failed = failed as f64;
-        if failed > MAX_FAILED_SHARE * (subset_size() as f64 + failed) {
+        if failed > MAX_FAILED_FRACTION * (subset_size() as f64 + failed) {
             Self::Untrusted
         } else {
             Self::Trusted
--- a/crates/balancer/src/policy/health_checker.rs
+++ b/crates/balancer/src/policy/health_checker.rs
@@ -24,11 +24,10 @@
 /// which spreads the checks of balancers that start together. A shorter interval detects failures
 /// sooner than attempts do, at a higher cost.
 const MIN_INTERVAL: Micros = 1_000_000;
-/// Longest check interval, in microseconds. The original design allows check periods of up to 5 s.
+/// Longest check interval, in microseconds. However costly a check, one is sent at least every 5 s.
 const MAX_INTERVAL: Micros = 5_000_000;
-/// Cost limit of the scheduled checks, as a fraction of the deployment's result (the unit of
-/// [`Fees`](crate::Fees)). The interval is lengthened to stay within it. Halved from 0.002 after
-/// experiments on the testbed.
+/// Cost limit of the scheduled checks, in units of the deployment's result ([`Fees`](crate::Fees)).
+/// The interval is lengthened to stay within it.
 const MAX_CHECK_COST: f64 = 0.001;
 /// The check interval is divided by this while a server is suspected, so that a recovered server is
 /// readmitted soon.
@@ -67,20 +66,20 @@
         self.schedule
             .on_scheduled_check_started(fleet.now, interval(fleet));
         let suspect = longest_waiting_suspect(fleet);
-        let turn = self.schedule.next_source();
-        if let Some(suspect) = suspect.filter(|_| turn == CheckSource::Suspected) {
+        let source = self.schedule.next_source();
+        if let Some(suspect) = suspect.filter(|_| source == CheckSource::Suspected) {
             return CheckTarget::Server(suspect);
         }
-        let queued = self
+        let expedited = self
             .schedule
             .pop_expedited()
             .and_then(|id| fleet.servers.find(id));
-        queued.map_or(CheckTarget::RandomCandidate, CheckTarget::Server)
+        expedited.map_or(CheckTarget::RandomCandidate, CheckTarget::Server)
     }
 
-    /// Puts a server whose attempt or load check failed first in the queue, and brings the next
-    /// scheduled check forward.
-    pub(crate) fn check_soon(&mut self, id: ServerId, now: Micros) {
+    /// Puts a server whose attempt or load check failed first in the queue of expedited servers,
+    /// and brings the next scheduled check forward.
+    pub(crate) fn expedite(&mut self, id: ServerId, now: Micros) {
         self.schedule
             .expedite(id, MIN_INTERVAL / SUSPECTED_INTERVAL_DIVISOR, now);
     }
--- a/crates/balancer/src/policy/health_checker/tests.rs
+++ b/crates/balancer/src/policy/health_checker/tests.rs
@@ -40,7 +40,7 @@
     let mut fleet = fleet_with_check_cost(0.0);
     eject(&mut fleet, FIRST, EjectionCause::Attempts);
     let mut checker = HealthChecker::default();
-    checker.check_soon(ServerId(1), fleet.now);
+    checker.expedite(ServerId(1), fleet.now);
     let targets = [(); 3].map(|()| checker.next_target(&fleet));
     let expected = [FIRST, SECOND, FIRST].map(CheckTarget::Server);
     assert_eq!(targets, expected);
--- a/crates/balancer/src/policy/load_checker.rs
+++ b/crates/balancer/src/policy/load_checker.rs
@@ -1,10 +1,10 @@
-//! Load checks: selects the servers to probe for their load before a request is sent, and validates
+//! Load checks: selects the servers whose load is checked before a request is sent, and validates
 //! the load reports that they return.
 //!
 //! A balancer's own attempts say little about a server's load when other balancers send to it too.
-//! As in Prequal, a few random servers are therefore probed for their requests in flight, and the
+//! As in Prequal, a few random servers are therefore asked for their requests in flight, and the
 //! request goes to one of the least loaded. At fleet utilization `u`, `ln(0.05) / ln(u)` servers
-//! are probed, so that the probability that none of them is idle is 0.05; the number is limited to
+//! are checked, so that the probability that none of them is idle is 0.05; the number is limited to
 //! between 2 and 8. Unlike in Prequal, every request makes its own load checks, and results of
 //! earlier checks are not pooled.
 
@@ -22,7 +22,7 @@
 /// Maximum number of servers to check at any utilization: bounds the cost of a request.
 const MAX_CHECKED_SERVERS: f64 = 8.0;
 /// Accepted probability that none of the checked servers is idle. Lower values check more servers.
-const MAX_MISS_PROBABILITY: f64 = 0.05;
+const MAX_PROBABILITY_NONE_IDLE: f64 = 0.05;
 /// Bounds on the utilization before taking its logarithm, which is infinite at 0 and zero at 1.
 const MIN_UTILIZATION: f64 = 0.01;
 const MAX_UTILIZATION: f64 = 0.99;
@@ -32,9 +32,9 @@
 /// How far a reported number of requests may fall below the attempts known to be in flight. Counts
 /// are whole numbers, so any value between 0 and 1 has the same effect.
 const REPORT_TOLERANCE: f64 = 0.5;
-/// Servers whose load exceeds the minimum by less than this, in requests of mean work, are treated
-/// as equally loaded. With a lower value, all balancers that check the same servers choose the same
-/// one.
+/// Servers whose load exceeds the minimum by less than this, in requests of average work, are
+/// treated as equally loaded. With a lower value, all balancers that check the same servers choose
+/// the same one.
 const EQUAL_LOAD_TOLERANCE: f64 = 0.25;
 
 /// Result of the load checks of a request.
@@ -74,7 +74,7 @@
         rng.shuffle(&mut candidates);
         let utilization = fleet.estimators.utilization.utilization();
         let utilization = utilization.clamp(MIN_UTILIZATION, MAX_UTILIZATION);
-        let count = MAX_MISS_PROBABILITY.ln() / utilization.ln();
+        let count = MAX_PROBABILITY_NONE_IDLE.ln() / utilization.ln();
         candidates.truncate(count.clamp(MIN_CHECKED_SERVERS, MAX_CHECKED_SERVERS) as usize);
         candidates
     }
--- a/crates/balancer/src/policy/load_shedder.rs
+++ b/crates/balancer/src/policy/load_shedder.rs
@@ -14,9 +14,9 @@
 //!   `2 * (saturation - 0.32) / 0.35 - rank`, where the rank is 0 for the lowest and 1 for the
 //!   highest priority weight. Classes whose late responses have value are exempt.
 //!
-//! `expected` is the expected service time, `missed` the fraction of recent requests for which no
-//! server was expected to respond in time, and `saturation` the mean response time as a fraction of
-//! the latency objective.
+//! `expected` is the expected response time, `missed` the fraction of recent requests whose
+//! selected server was expected to miss the latency objective, and `saturation` the mean response
+//! time as a fraction of the latency objective.
 
 #[cfg(test)]
 mod tests;
@@ -31,33 +31,32 @@
 use crate::{IncomingRequest, Micros, RequestClass};
 
 /// Work assumed on arrival for a request without a work hint, as a fraction of the mean service
-/// time. With less time left than this, the request is shed.
+/// time. The request is shed if its latency objective or its time left is shorter than this and a
+/// late response has no value.
 const DEFAULT_WORK_FRACTION: f64 = 0.5;
-/// Fraction of the time left within which the response to a request of mean value must be expected
-/// when the fleet is full and no request misses its objective. A full fleet serves more requests in
-/// time if it accepts only those that it can serve reliably. Best value in experiments at loads
+/// Fraction of the time left within which the response to a request of average value must be
+/// expected when the fleet is full and no request misses its objective. A full fleet serves more
+/// requests in time if it accepts only those that it can serve reliably. The value holds for loads
 /// from 0.7 to 1.2 of capacity.
-const MAX_TIME_FRACTION_WHEN_FULL: f64 = 0.6;
+const TIME_LEFT_FRACTION_WHEN_FULL: f64 = 0.6;
 /// Reduction of that fraction when all requests miss their objective: 0.35 of the time left
-/// remains. Best value in experiments at loads from 0.7 to 1.2 of capacity.
-const TIME_FRACTION_MISS_PENALTY: f64 = 0.25;
-/// Minimum number of requests ahead that counts as a queue. A lower number is a fractional
-/// remainder of the estimate.
+/// remains. The value holds for loads from 0.7 to 1.2 of capacity.
+const TIME_LEFT_FRACTION_MISS_PENALTY: f64 = 0.25;
+/// Minimum number of requests ahead that counts as a queue. Below it, the number is only a
+/// fractional remainder of the estimate.
 const MIN_REQUESTS_AHEAD: f64 = 0.5;
-/// Fraction of requests without a server in time at which late responses are no longer accepted:
-/// the capacity they take is needed for responses in time. Determined by experiment on the
-/// testbed's deployments (docs/deployments.md).
+/// Fraction of requests expected to miss their objective from which late responses are no longer
+/// accepted: the capacity they take is needed for responses in time (docs/deployments.md).
 const MAX_MISS_RATE_FOR_LATE_RESPONSES: f64 = 0.05;
 /// Saturation above which requests of the lowest priority are shed; below it, none are. With 100
-/// balancers, a threshold of 0.25 shed requests at moderate load; 0.30 to 0.40 were tried
-/// (docs/fleet.md).
+/// balancers, a threshold of 0.25 sheds requests at moderate load (docs/fleet.md).
 const SHEDDING_THRESHOLD: f64 = 0.32;
 /// Saturation above the threshold at which all requests are shed. A smaller range sheds more
-/// steeply; 0.20 to 0.50 were tried (docs/fleet.md).
+/// steeply (docs/fleet.md).
 const SHEDDING_RANGE: f64 = 0.35;
-/// Increase of the shedding probability over the range. It follows from the range covering all
-/// priorities: with 2, all requests of the lowest priority are shed at its midpoint, where shedding
-/// of the highest priority begins.
+/// Increase of the shedding probability over the range. The range covers all priorities: with 2,
+/// all requests of the lowest priority are shed at its midpoint, where shedding of the highest
+/// priority begins.
 const PROBABILITY_GAIN: f64 = 2.0;
 
 /// Whether a request is shed, and for which reason.
@@ -76,17 +75,18 @@
     Saturated,
 }
 
-/// Decides which requests are shed; owns the estimates of missed objectives and of saturation.
+/// Decides which requests are shed; owns the estimates of the missed objective rate and of
+/// saturation.
 #[derive(Default)]
 pub(crate) struct LoadShedder {
-    missed_objectives: MissedObjectiveRate,
+    missed_objective_rate: MissedObjectiveRate,
     saturation: SaturationEstimator,
 }
 
 impl LoadShedder {
     /// Records a response that took this fraction of the latency objective, from 0 to 1.
-    pub(crate) fn on_response(&mut self, objective_share: f64, now: Micros) {
-        self.saturation.on_response(objective_share, now);
+    pub(crate) fn on_response(&mut self, objective_fraction: f64, now: Micros) {
+        self.saturation.on_response(objective_fraction, now);
     }
 
     /// Records the rejection of an attempt by a server.
@@ -127,16 +127,18 @@
         rng: &mut fastrand::Rng,
     ) -> ShedDecision {
         let Some(server) = selection.server() else {
-            self.missed_objectives.on_met();
+            self.missed_objective_rate.on_no_expected_miss();
             return ShedDecision::Admit;
         };
         if self.responds_too_late(fleet, request, server) {
-            self.missed_objectives.on_missed();
+            self.missed_objective_rate.on_expected_miss();
             return ShedDecision::ResponseTooLate;
         }
         match selection {
-            Selection::LateServer(_) => self.missed_objectives.on_missed(),
-            Selection::Server(_) | Selection::NoCandidate => self.missed_objectives.on_met(),
+            Selection::LateServer(_) => self.missed_objective_rate.on_expected_miss(),
+            Selection::Server(_) | Selection::NoCandidate => {
+                self.missed_objective_rate.on_no_expected_miss();
+            }
         }
         if self.is_shed_by_saturation(fleet, request, rng) {
             ShedDecision::Saturated
@@ -168,7 +170,7 @@
         }
     }
 
-    /// Late responses are accepted if there is spare capacity for them. A server in slow start has
+    /// Returns true if there is spare capacity for a late response. A server in slow start has
     /// none.
     fn accepts_late_response(
         &self,
@@ -177,7 +179,7 @@
         server: &ServerState,
     ) -> bool {
         let has_spare_capacity = !server.slow_start.is_active()
-            && self.missed_objectives.rate() < MAX_MISS_RATE_FOR_LATE_RESPONSES;
+            && self.missed_objective_rate.rate() < MAX_MISS_RATE_FOR_LATE_RESPONSES;
         class.late_value > 0.0 && has_spare_capacity && !forecast.misses_deadline(server)
     }
 
@@ -191,16 +193,16 @@
         if forecast.requests_ahead(server) < MIN_REQUESTS_AHEAD {
             return false;
         }
-        let max_fraction_when_full = MAX_TIME_FRACTION_WHEN_FULL
-            - TIME_FRACTION_MISS_PENALTY * self.missed_objectives.rate();
+        let max_fraction_when_full = TIME_LEFT_FRACTION_WHEN_FULL
+            - TIME_LEFT_FRACTION_MISS_PENALTY * self.missed_objective_rate.rate();
         let excess = (1.0 - max_fraction_when_full * forecast.value_density()).max(0.0);
         let fraction = 1.0 - fleet.estimators.utilization.fullness() * excess;
         let time_left = request.objective_at().saturating_sub(fleet.now) as f64;
-        forecast.expected_service_time(server) > fraction * time_left
+        forecast.expected_response_time(server) > fraction * time_left
     }
 
-    /// Random shedding in proportion to the saturation. A queue that all balancers fill together
-    /// does not show in the few requests of this one, but in response times.
+    /// Sheds at random in proportion to the saturation, which is derived from response times: a
+    /// queue that all balancers fill together does not show in the few requests of this one.
     fn is_shed_by_saturation(
         &self,
         fleet: &Fleet,
--- a/crates/balancer/src/policy/load_source.rs
+++ b/crates/balancer/src/policy/load_source.rs
@@ -10,9 +10,9 @@
 
 use crate::Settings;
 
-/// Highest fee for one health check per request, as a fraction of the deployment's result, at which
-/// servers are checked before each send. Above it, the checks cost more than the better choice of
-/// servers gains.
+/// Highest fee for one health check per request at which servers are checked before each send, in
+/// units of the deployment's result ([`Fees`](crate::Fees)). Above it, the checks cost more than
+/// the better choice of servers gains.
 const MAX_LOAD_CHECK_FEE: f64 = 0.005;
 
 /// Source of information on the load of servers.
@@ -20,7 +20,7 @@
 pub(crate) enum LoadSource {
     /// Health checks made for each request.
     LoadChecks,
-    /// Load reports in responses, each some time old when it arrives.
+    /// Load reports in responses, each out of date by some time when it arrives.
     Responses,
     /// No source.
     Unknown,
--- a/crates/balancer/src/policy/response_forecast.rs
+++ b/crates/balancer/src/policy/response_forecast.rs
@@ -1,10 +1,10 @@
 //! Predicts whether a server responds to a request in time, if responses carry load reports.
 //!
 //! With the time left `t` and the value density `v` of the request (its priority weight per work,
-//! relative to that of a mean request), a server with a queue is expected to miss a time limit if
+//! relative to an average request), a server with a queue is expected to miss a time limit if
 //!
 //! ```text
-//! expected service time  >  min(0.6 * v^0.4, 0.78) * t
+//! expected response time  >  min(0.6 * v^0.4, 0.78) * t
 //! ```
 //!
 //! A server without a queue is never expected to miss it: an estimate that excluded a server from
@@ -20,22 +20,20 @@
 use crate::policy::load_source::LoadSource;
 use crate::state::{RequestState, ServerState};
 
-/// Fraction of the time left within which the response to a request of mean value must be expected.
-/// Above it, delays that the estimate does not cover make responses late; below, capacity is left
-/// unused. Determined by experiment on the testbed's deployments (docs/deployments.md).
+/// Fraction of the time left within which the response to a request of average value must be
+/// expected. Above it, delays that the estimate does not cover make responses late; below, capacity
+/// is left unused (docs/deployments.md).
 const TIME_LEFT_FRACTION: f64 = 0.6;
-/// Upper bound on that fraction for requests of any value. Determined by experiment on the
-/// testbed's deployments (docs/deployments.md).
+/// Upper bound on that fraction, however valuable the request (docs/deployments.md).
 const MAX_TIME_LEFT_FRACTION: f64 = 0.78;
 /// Exponent of the value density: 0 treats all requests alike, 1 gives a full fleet to the most
 /// valuable ones.
 const VALUE_DENSITY_EXPONENT: f64 = 0.4;
 /// Minimum queue depth, including the request to be sent, at which a server counts as having a
-/// queue. With 1, every server would have one. Determined by experiment on the testbed's
-/// deployments (docs/deployments.md).
+/// queue. With 1, every server would have one (docs/deployments.md).
 const MIN_QUEUE_DEPTH: f64 = 1.5;
 
-/// Expected service times of one request on different servers.
+/// Expected response times of one request on different servers.
 pub(crate) struct ResponseForecast<'a> {
     fleet: &'a Fleet,
     estimates: Estimates<'a>,
@@ -73,7 +71,7 @@
         let time_left = limit_at.saturating_sub(self.fleet.now) as f64;
         let value = self.value_density().powf(VALUE_DENSITY_EXPONENT);
         let fraction = (TIME_LEFT_FRACTION * value).min(MAX_TIME_LEFT_FRACTION);
-        self.expected_service_time(server) > fraction * time_left
+        self.expected_response_time(server) > fraction * time_left
     }
 
     fn has_queue(&self, server: &ServerState) -> bool {
@@ -85,10 +83,10 @@
         self.estimates.load(server) - self.estimates.relative_service_time(server)
     }
 
-    /// Expected service time of the request at a server, in microseconds. If responses carry load
+    /// Expected response time of the request at a server, in microseconds. If responses carry load
     /// reports, requests execute concurrently and slow each other down, so the load multiplies the
     /// request's own work. Otherwise the request waits for those ahead of it.
-    pub(crate) fn expected_service_time(&self, server: &ServerState) -> f64 {
+    pub(crate) fn expected_response_time(&self, server: &ServerState) -> f64 {
         let relative_work = self.request.relative_work();
         let mean_service_time = self.fleet.estimators.latency.mean_service_time();
         if self.fleet.settings.load_source() == LoadSource::Responses {
@@ -98,7 +96,7 @@
         (self.estimates.load(server) + surplus_work) * mean_service_time
     }
 
-    /// Priority weight of the request per work, relative to that of a mean request.
+    /// Priority weight of the request per work, relative to an average request.
     pub(crate) fn value_density(&self) -> f64 {
         let settings = &self.fleet.settings;
         let relative_work = if settings.weight_by_work {
--- a/crates/balancer/src/policy/retry_policy.rs
+++ b/crates/balancer/src/policy/retry_policy.rs
@@ -17,10 +17,10 @@
 /// Time before the end of the deduplication window from which no more retries are sent, in
 /// microseconds: the attempt still has to reach the server.
 const DEDUPLICATION_MARGIN: Micros = 50_000;
-/// Number of steps ([`Settings::min_call_interval`](crate::Settings::min_call_interval)) before the
-/// latency objective at which an attempt times out if a late response has no value. With fewer, the
-/// final response comes after the objective, as a timeout is detected up to one step late.
-const OBJECTIVE_MARGIN_STEPS: Micros = 2;
+/// Time before the latency objective at which an attempt times out if a late response has no value,
+/// in multiples of [`Settings::min_call_interval`](crate::Settings::min_call_interval). With fewer,
+/// the final response comes after the objective, as a timeout is detected up to one interval late.
+const OBJECTIVE_MARGIN_CALL_INTERVALS: Micros = 2;
 
 /// Whether a request is retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -83,13 +83,12 @@
         }
     }
 
-    /// Adds to the retry budget for a request that arrived.
+    /// Adds the tokens of a request that arrived to the retry budget.
     pub(crate) fn on_request_arrived(&mut self) {
         self.budget.on_request_arrived();
     }
 
-    /// Charges a retry to the budget; nothing else is charged to it. There is no refund if the host
-    /// does not send the attempt.
+    /// Spends the tokens of a retry. There is no refund if the host does not send the attempt.
     pub(crate) fn on_retry(&mut self, prior: PriorExecution) {
         self.budget.on_retry(prior);
     }
@@ -167,8 +166,8 @@
     Ok(())
 }
 
-/// Returns the servers on which a retry cannot cause a second execution. This is the only place
-/// that decides this.
+/// Returns the servers on which a retry cannot cause a second execution. No other code decides
+/// this.
 fn safe_scope(fleet: &Fleet, request: &RequestState) -> Result<RetryScope, RetryRefusal> {
     let Some(first) = request.first_possible_execution() else {
         return Ok(RetryScope::Anywhere);
@@ -205,5 +204,5 @@
 }
 
 fn objective_margin(fleet: &Fleet) -> Micros {
-    OBJECTIVE_MARGIN_STEPS * fleet.settings.min_call_interval
+    OBJECTIVE_MARGIN_CALL_INTERVALS * fleet.settings.min_call_interval
 }
--- a/crates/balancer/src/policy/retry_policy/tests.rs
+++ b/crates/balancer/src/policy/retry_policy/tests.rs
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn retries_end_two_steps_before_the_objective_or_at_the_deadline_if_late_responses_have_value() {
+fn retries_end_before_the_objective_or_at_the_deadline_if_late_responses_have_value() {
     let before_objective = 250 * MS - 2 * MS;
     let table = [
         (0.0, before_objective, RetryRefusal::TooLateForObjective),
--- a/crates/balancer/src/policy/server_selector.rs
+++ b/crates/balancer/src/policy/server_selector.rs
@@ -26,7 +26,7 @@
 /// Exponent of a server's success rate in its weight. With 1, requests would be distributed in
 /// proportion to the success rate, although a failure costs the whole request and a retry.
 const SUCCESS_RATE_EXPONENT: i32 = 3;
-/// Maximum time that a request without candidates waits for one, as a fraction of its latency
+/// Maximum time that a request waits if there is no candidate, as a fraction of its latency
 /// objective. After a longer wait, there is no time left to serve it.
 const MAX_WAIT_FRACTION_OF_OBJECTIVE: f64 = 0.5;
 /// Time after which server selection is repeated if there is no candidate, in microseconds; equal
@@ -78,8 +78,8 @@
 pub(crate) enum ServerWait {
     /// Server selection is repeated after this time, in microseconds.
     WaitFor(Micros),
-    /// The maximum wait is reached, and the request is given up.
-    GiveUp,
+    /// The maximum wait is reached; the request gets its final response.
+    MaxWaitReached,
 }
 
 /// Selects servers for attempts.
@@ -115,7 +115,7 @@
         if now + 2 * RESELECTION_INTERVAL < wait_until {
             ServerWait::WaitFor(RESELECTION_INTERVAL)
         } else {
-            ServerWait::GiveUp
+            ServerWait::MaxWaitReached
         }
     }
 }
@@ -169,9 +169,9 @@
     capacity / estimates.latency_factor(server)
 }
 
-/// The load by which two servers are compared. Without a source of load information, it is that of
-/// the attempts in flight per core, without the one to be sent: the weight in the draw already
-/// accounts for the rest.
+/// The load by which two servers are compared. Without a source of load information, it is the load
+/// of the attempts in flight per core. The request to be sent is left out: the weight in the draw
+/// already accounts for its service time.
 fn load_for_comparison(estimates: &Estimates<'_>, server: &ServerState) -> f64 {
     let load = estimates.load(server);
     if estimates.settings.load_source() != LoadSource::Unknown {
--- a/crates/balancer/src/policy/server_selector/tests.rs
+++ b/crates/balancer/src/policy/server_selector/tests.rs
@@ -87,5 +87,5 @@
     fleet.now += 74 * MS;
     assert_eq!(wait(fleet.now), ServerWait::WaitFor(25 * MS));
     fleet.now += MS;
-    assert_eq!(wait(fleet.now), ServerWait::GiveUp);
+    assert_eq!(wait(fleet.now), ServerWait::MaxWaitReached);
 }
--- a/crates/balancer/src/policy/slow_start_admission.rs
+++ b/crates/balancer/src/policy/slow_start_admission.rs
@@ -6,17 +6,17 @@
 //! coordination. In addition, the work sent to it within each overload window is limited:
 //!
 //! ```text
-//! admit if  (no work sent in the window  or  work sent < overload factor * f * quota * window)
+//! admit if  (no work sent in the window  or  work sent < overload factor * f * work rate * window)
 //!           and  random < f
 //! ```
 //!
-//! The quota is the rate of work that this balancer sends to a warm server of the subset. Unused
-//! quota does not carry over.
+//! The work rate is that at which this balancer sends work to a warm server of the subset. Work not
+//! sent in one window does not raise the limit of another.
 
 #[cfg(test)]
 mod tests;
 
-use crate::estimators::slow_start::WarmServerQuota;
+use crate::estimators::slow_start::WarmServerWorkRate;
 use crate::fleet::Fleet;
 use crate::state::{ServerIndex, ServerState};
 
@@ -28,21 +28,21 @@
     /// Admitted: the server is in slow start and was drawn.
     Admitted,
     /// Not admitted: the server has reached its limit of work within the overload window.
-    OverQuota,
+    WorkLimitReached,
     /// Not admitted: the server is in slow start and was not drawn.
     SkippedAtRandom,
 }
 
-/// Admits servers as candidates; owns the estimate of a warm server's quota.
+/// Admits servers as candidates; owns the estimate of a warm server's work rate.
 pub(crate) struct SlowStartAdmission {
-    warm_server_quota: WarmServerQuota,
+    warm_server_work_rate: WarmServerWorkRate,
 }
 
 impl SlowStartAdmission {
-    /// Creates an admission without a quota estimate.
+    /// Creates an admission without an estimate of the work rate.
     pub(crate) fn new() -> Self {
         Self {
-            warm_server_quota: WarmServerQuota::new(),
+            warm_server_work_rate: WarmServerWorkRate::new(),
         }
     }
 
@@ -60,11 +60,12 @@
         }
         let window = fleet.settings.slow_start.overload_window;
         let sent = server.slow_start.work_sent_within(window, fleet.now);
-        let quota = self.warm_server_quota.per_microsecond();
-        let max_work = fleet.settings.slow_start.overload_factor * factor * quota * window as f64;
+        let work_rate = self.warm_server_work_rate.per_microsecond();
+        let max_work =
+            fleet.settings.slow_start.overload_factor * factor * work_rate * window as f64;
         let is_below_limit = sent == 0.0 || sent < max_work;
         if !is_below_limit {
-            return Admission::OverQuota;
+            return Admission::WorkLimitReached;
         }
         if rng.f64() < factor {
             Admission::Admitted
@@ -73,18 +74,19 @@
         }
     }
 
-    /// Records work sent to any server; `relative_work` is relative to that of a mean request.
+    /// Records work sent to any server; `relative_work` is relative to that of an average request.
     pub(crate) fn on_work_sent(&mut self, fleet: &Fleet, relative_work: f64) {
-        self.warm_server_quota
+        self.warm_server_work_rate
             .on_work_sent(relative_work, fleet.now);
     }
 
-    /// Updates the estimate of a warm server's quota; `subset` are the servers in use.
+    /// Updates the estimate of a warm server's work rate; `subset` are the servers in use.
     pub(crate) fn on_tick(&mut self, fleet: &Fleet, subset: impl Iterator<Item = ServerIndex>) {
         let factor = |index: ServerIndex| {
             let slow_start = &fleet.servers[index].slow_start;
             slow_start.factor(fleet.now, &fleet.settings)
         };
-        self.warm_server_quota.update(subset.map(factor), fleet.now);
+        self.warm_server_work_rate
+            .update(subset.map(factor), fleet.now);
     }
 }
--- a/crates/balancer/src/policy/slow_start_admission/tests.rs
+++ b/crates/balancer/src/policy/slow_start_admission/tests.rs
@@ -36,19 +36,19 @@
 }
 
 #[test]
-fn work_of_a_server_in_slow_start_is_limited_by_the_quota_of_a_warm_one() {
+fn work_of_a_server_in_slow_start_is_limited_by_the_work_rate_of_a_warm_one() {
     let mut fleet = fleet_with_a_server_in_slow_start();
     let mut rng = fastrand::Rng::with_seed(1);
     let mut admission = SlowStartAdmission::new();
     send(&mut fleet, FIRST, 1);
-    // The quota is not estimated yet, so one request reaches the limit.
+    // The work rate is not estimated yet, so one request reaches the limit.
     let decision = admission.admit(&fleet, &fleet.servers[FIRST], &mut rng);
-    assert_eq!(decision, Admission::OverQuota);
+    assert_eq!(decision, Admission::WorkLimitReached);
     for _ in 0..1_000 {
         fleet.now += MS;
         admission.on_work_sent(&fleet, 1.0);
     }
     admission.on_tick(&fleet, [SECOND].into_iter());
     let decision = admission.admit(&fleet, &fleet.servers[FIRST], &mut rng);
-    assert_ne!(decision, Admission::OverQuota);
+    assert_ne!(decision, Admission::WorkLimitReached);
 }
--- a/crates/balancer/src/policy/subset_size.rs
+++ b/crates/balancer/src/policy/subset_size.rs
@@ -19,8 +19,9 @@
 
 const MICROSECONDS_PER_SECOND: f64 = 1e6;
 
-/// Maximum cost of open connections, as a fraction of the deployment's result, if all balancers use
-/// subsets of this size. Above it the subset shrinks, down to [`MIN_SERVERS`].
+/// Maximum cost of open connections if all balancers use subsets of this size, in units of the
+/// deployment's result ([`Fees`](crate::Fees)). Above it the subset shrinks, down to
+/// [`MIN_SERVERS`].
 const MAX_CONNECTION_COST: f64 = 0.006;
 /// Number of open connections to each server that [`Fees::connection`](crate::Fees::connection) is
 /// defined for.
@@ -34,14 +35,13 @@
 const SERVERS_PER_REQUEST_RATE: f64 = 0.25;
 
 /// Handshake fee above which the cost of new connections, rather than that of open connections,
-/// determines the size of the subset. For one handshake per request, as a fraction of the
-/// deployment's result.
+/// determines the size of the subset. For one handshake per request, in units of the deployment's
+/// result ([`Fees`](crate::Fees)).
 const COSTLY_HANDSHAKE_FEE: f64 = 0.005;
 /// Requests that this balancer sends to each server of the subset within the idle timeout if
 /// handshakes are costly. More requests keep connections in use but concentrate the load; with
-/// fewer, connections are closed before they are reused. With 100 balancers, 1.2 to 9 requests
-/// within 3.75 s were tried, and 9, which is 12 within 5 s, was best (docs/fleet.md, "At 100
-/// sidecars").
+/// fewer, connections are closed before they are reused. With 100 balancers, of 1.2 to 9 requests
+/// within 3.75 s, 9 (12 within 5 s) give the best result (docs/fleet.md, "At 100 sidecars").
 const REQUESTS_PER_IDLE_TIMEOUT: f64 = 12.0;
 /// Minimum number of servers if handshakes are costly: with three, one slow server is a third of
 /// the subset.
@@ -51,8 +51,8 @@
 pub(crate) struct SubsetSize;
 
 impl SubsetSize {
-    /// Number of servers of a fleet of the given size that a balancer uses; `request_rate` is per
-    /// microsecond.
+    /// Returns the number of servers that a balancer uses of a fleet of this size; `request_rate`
+    /// is per microsecond.
     pub(crate) fn compute(settings: &Settings, fleet_size: usize, request_rate: f64) -> usize {
         let fleet_size = fleet_size as f64;
         let size = if settings.fees.handshake > COSTLY_HANDSHAKE_FEE {
--- a/crates/balancer/src/policy/test_support.rs
+++ b/crates/balancer/src/policy/test_support.rs
@@ -90,12 +90,12 @@
     }
 }
 
-/// A request of class 0 and mean work that arrived just now.
+/// A request of class 0 and average work that arrived just now.
 pub(crate) fn request(fleet: &Fleet) -> RequestState {
     request_with_work(fleet, 1.0)
 }
 
-/// A request of class 0 that arrived just now; `relative_work` is relative to that of a mean
+/// A request of class 0 that arrived just now; `relative_work` is relative to that of an average
 /// request.
 pub(crate) fn request_with_work(fleet: &Fleet, relative_work: f64) -> RequestState {
     let class = &fleet.settings.classes[0];
@@ -103,7 +103,7 @@
     RequestState::new(&incoming, class, relative_work, fleet.now)
 }
 
-/// Records an attempt of a request of mean work that was sent to a server just now.
+/// Records an attempt of a request of average work that was sent to a server just now.
 pub(crate) fn send(fleet: &mut Fleet, server: ServerIndex, request: u64) {
     let attempt = InFlightAttempt {
         request: RequestId(request),
--- a/crates/balancer/src/settings/groups.rs
+++ b/crates/balancer/src/settings/groups.rs
@@ -84,7 +84,8 @@
     }
 }
 
-/// Costs of the balancer's own traffic, as fractions of the deployment's result.
+/// Costs of the balancer's own traffic, which are deducted from the deployment's result. The result
+/// is the value of the served requests as a fraction of the value of all requests, from 0 to 1.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fees {
     /// Fee for an average of one health check per request.
--- a/crates/balancer/src/state/endpoint_table.rs
+++ b/crates/balancer/src/state/endpoint_table.rs
@@ -91,7 +91,7 @@
         &mut self,
         endpoint: Endpoint,
         now: Micros,
-        slow_start_time: Micros,
+        slow_start_duration: Micros,
     ) -> MergeResult {
         if let Some(server_index) = self.find(endpoint.server) {
             let restarted = self.servers[server_index.0].on_listed(endpoint);
@@ -103,7 +103,7 @@
         let server_index = ServerIndex(self.servers.len());
         self.index_by_id.insert(endpoint.server, server_index);
         self.servers
-            .push(ServerState::new(endpoint, now, slow_start_time));
+            .push(ServerState::new(endpoint, now, slow_start_duration));
         MergeResult {
             server_index,
             restarted: false,
--- a/crates/balancer/src/state/endpoint_table/tests.rs
+++ b/crates/balancer/src/state/endpoint_table/tests.rs
@@ -1,7 +1,7 @@
 use super::{EndpointTable, ServerIndex};
 use crate::{Endpoint, EndpointStatus, Micros, Outcome, ServerId};
 
-const SLOW_START_TIME: Micros = 10;
+const SLOW_START_DURATION: Micros = 10;
 
 fn table(servers: u32) -> EndpointTable {
     let mut table = EndpointTable::default();
@@ -9,7 +9,7 @@
         table.merge(
             Endpoint::ready(ServerId(n), u64::from(n)),
             1_000,
-            SLOW_START_TIME,
+            SLOW_START_DURATION,
         );
     }
     table
@@ -28,7 +28,7 @@
             incarnation,
             ..Endpoint::ready(ServerId(1), 1)
         };
-        let merged = table.merge(endpoint, 1_000, SLOW_START_TIME);
+        let merged = table.merge(endpoint, 1_000, SLOW_START_DURATION);
         assert_eq!(
             (merged.server_index, merged.restarted),
             (ServerIndex(1), restarted),
@@ -79,6 +79,6 @@
     table[ServerIndex(0)].on_status_listed(EndpointStatus::Draining);
     table[ServerIndex(0)].on_status_listed(EndpointStatus::Ready);
     assert!(table[ServerIndex(0)].is_listed_as_draining());
-    table[ServerIndex(0)].on_restarted(1_000, SLOW_START_TIME);
+    table[ServerIndex(0)].on_restarted(1_000, SLOW_START_DURATION);
     assert!(!table[ServerIndex(0)].is_listed_as_draining());
 }
--- a/crates/balancer/src/state/gossip_queue.rs
+++ b/crates/balancer/src/state/gossip_queue.rs
@@ -3,7 +3,7 @@
 #[cfg(test)]
 mod tests;
 
-use crate::state::gossip_message::GossipMessage;
+use crate::state::gossip_record::GossipRecord;
 
 /// A record and the number of datagrams in which it is still to be sent.
 struct QueuedRecord {
@@ -18,10 +18,10 @@
 }
 
 impl GossipQueue {
-    /// Queues a message to be sent in a number of datagrams.
-    pub(crate) fn push(&mut self, message: &GossipMessage, datagrams: u32) {
+    /// Queues a record to be sent in a number of datagrams.
+    pub(crate) fn push(&mut self, record: &GossipRecord, datagrams: u32) {
         self.records.push(QueuedRecord {
-            bytes: message.encode(),
+            bytes: record.encode(),
             remaining_datagrams: datagrams,
         });
     }
--- a/crates/balancer/src/state/gossip_message.rs
+++ b/crates/balancer/src/state/gossip_record.rs
@@ -1,8 +1,8 @@
 //! Wire format of the gossip messages between balancers.
 //!
-//! A datagram is a sequence of records of [`RECORD_LEN`] bytes: one byte for the kind, then the
-//! server's stable hash and its incarnation, both big-endian. An incomplete record at the end and
-//! records of unknown kinds are ignored.
+//! A message is one datagram, a sequence of records of [`RECORD_LEN`] bytes: one byte for the kind,
+//! then the server's stable hash and its incarnation, both big-endian. An incomplete record at the
+//! end and records of unknown kinds are ignored.
 
 #[cfg(test)]
 mod tests;
@@ -12,7 +12,7 @@
 /// Length of one record in bytes.
 pub(crate) const RECORD_LEN: usize = 17;
 
-/// What a message reports or requests about a server.
+/// What a record reports or requests about a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum GossipKind {
     /// Asks the receiver to check the server's health on behalf of the sender.
@@ -44,8 +44,8 @@
 
 /// One record of a gossip datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct GossipMessage {
-    /// Kind of the message.
+pub(crate) struct GossipRecord {
+    /// Kind of the record.
     pub(crate) kind: GossipKind,
     /// The server, identified by [`Endpoint::stable_hash`](crate::Endpoint::stable_hash).
     pub(crate) stable_hash: u64,
@@ -53,8 +53,8 @@
     pub(crate) incarnation: Micros,
 }
 
-impl GossipMessage {
-    /// Encodes the message as one record.
+impl GossipRecord {
+    /// Encodes the record.
     pub(crate) fn encode(&self) -> Vec<u8> {
         let mut record = Vec::with_capacity(RECORD_LEN);
         record.push(self.kind.code());
--- a/crates/balancer/src/state/gossip_message/tests.rs
+++ b/crates/balancer/src/state/gossip_record/tests.rs
@@ -1,7 +1,7 @@
-use super::{GossipKind, GossipMessage, RECORD_LEN};
+use super::{GossipKind, GossipRecord, RECORD_LEN};
 
-fn suspected(stable_hash: u64) -> GossipMessage {
-    GossipMessage {
+fn suspected(stable_hash: u64) -> GossipRecord {
+    GossipRecord {
         kind: GossipKind::Suspected,
         stable_hash,
         incarnation: 0x0102,
@@ -24,12 +24,12 @@
         GossipKind::ConfirmedAlive,
         GossipKind::Suspected,
     ] {
-        let message = GossipMessage {
+        let record = GossipRecord {
             kind,
             stable_hash: u64::MAX,
             incarnation: 7,
         };
-        assert!(GossipMessage::decode(&message.encode()).eq([message]));
+        assert!(GossipRecord::decode(&record.encode()).eq([record]));
     }
 }
 
@@ -39,5 +39,5 @@
     datagram.extend([9; RECORD_LEN]);
     datagram.extend(suspected(2).encode());
     datagram.extend([2; RECORD_LEN - 1]);
-    assert!(GossipMessage::decode(&datagram).eq([suspected(1), suspected(2)]));
+    assert!(GossipRecord::decode(&datagram).eq([suspected(1), suspected(2)]));
 }
--- a/crates/balancer/src/state/health_check_schedule.rs
+++ b/crates/balancer/src/state/health_check_schedule.rs
@@ -5,7 +5,7 @@
 
 use crate::{Micros, ServerId};
 
-/// Which group of servers the next scheduled health check serves first.
+/// Which group of servers the next scheduled health check prefers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum CheckSource {
     /// Suspected servers.
@@ -58,7 +58,7 @@
         self.expedited.pop()
     }
 
-    /// Returns the group that the next check serves first; the two alternate.
+    /// Selects the group that the next check prefers; the two alternate.
     pub(crate) fn next_source(&mut self) -> CheckSource {
         self.last_source = match self.last_source {
             CheckSource::Suspected => CheckSource::Expedited,
--- a/crates/balancer/src/state/mod.rs
+++ b/crates/balancer/src/state/mod.rs
@@ -4,8 +4,8 @@
 //! estimates in `estimators/`.
 
 mod endpoint_table;
-mod gossip_message;
 mod gossip_queue;
+mod gossip_record;
 pub(crate) mod health_check_record;
 mod health_check_schedule;
 mod request_state;
@@ -16,8 +16,8 @@
 mod suspicion;
 
 pub(crate) use endpoint_table::EndpointTable;
-pub(crate) use gossip_message::{GossipKind, GossipMessage};
 pub(crate) use gossip_queue::GossipQueue;
+pub(crate) use gossip_record::{GossipKind, GossipRecord};
 pub(crate) use health_check_record::HealthCheckKind;
 pub(crate) use health_check_schedule::{CheckSource, HealthCheckSchedule};
 pub(crate) use request_state::{Attempt, RequestState, RetryScope};
--- a/crates/balancer/src/state/request_state.rs
+++ b/crates/balancer/src/state/request_state.rs
@@ -159,14 +159,14 @@
         self.in_flight_attempts().count()
     }
 
-    /// Returns the numbers of the attempts in flight.
+    /// Returns the indices of the attempts in flight.
     pub(crate) fn in_flight_attempts(&self) -> impl Iterator<Item = u32> + '_ {
         let in_flight = |attempt: &Attempt| attempt.state == AttemptState::InFlight;
         self.attempts
             .iter()
             .zip(0..)
             .filter(move |(attempt, _)| in_flight(attempt))
-            .map(|(_, number)| number)
+            .map(|(_, index)| index)
     }
 
     /// Returns the first attempt that is executing or may have executed.
@@ -181,9 +181,9 @@
         self.attempts.iter().map(|attempt| attempt.server).collect()
     }
 
-    /// Records a new attempt; returns its number.
+    /// Records a new attempt; returns its index.
     pub(crate) fn on_attempt_sent(&mut self, endpoint: &Endpoint, now: Micros) -> u32 {
-        let number = self.attempts.len() as u32;
+        let index = self.attempts.len() as u32;
         self.attempts.push(Attempt {
             server: endpoint.server,
             sent_at: now,
@@ -191,12 +191,12 @@
             cell: endpoint.cell,
             state: AttemptState::InFlight,
         });
-        number
+        index
     }
 
-    /// Records the end of an attempt; unknown numbers are ignored.
-    pub(crate) fn on_attempt_ended(&mut self, number: u32, outcome: Outcome) {
-        let Some(attempt) = self.attempts.get_mut(number as usize) else {
+    /// Records the end of an attempt; unknown indices are ignored.
+    pub(crate) fn on_attempt_ended(&mut self, index: u32, outcome: Outcome) {
+        let Some(attempt) = self.attempts.get_mut(index as usize) else {
             return;
         };
         attempt.state = if outcome.never_executed() {
--- a/crates/balancer/src/state/server_state.rs
+++ b/crates/balancer/src/state/server_state.rs
@@ -5,7 +5,7 @@
 use crate::estimators::load::ServerLoad;
 use crate::estimators::slow_start::SlowStartRecord;
 use crate::policy::load_source::LoadSource;
-use crate::state::gossip_message::{GossipKind, GossipMessage};
+use crate::state::gossip_record::{GossipKind, GossipRecord};
 use crate::state::health_check_record::HealthCheckRecord;
 use crate::state::suspicion::SuspicionRecord;
 use crate::{Endpoint, EndpointStatus, Micros, RequestId, ServerId, Settings, SlowStartSettings};
@@ -14,7 +14,7 @@
 pub(crate) struct InFlightAttempt {
     /// The request of the attempt.
     pub(crate) request: RequestId,
-    /// Number of the attempt within its request.
+    /// Index of the attempt within its request.
     pub(crate) attempt: u32,
     /// When the attempt was sent.
     pub(crate) sent_at: Micros,
@@ -47,10 +47,10 @@
 
 impl ServerState {
     /// Creates the state of a server that is new in the endpoint list.
-    pub(crate) fn new(endpoint: Endpoint, now: Micros, slow_start_time: Micros) -> Self {
+    pub(crate) fn new(endpoint: Endpoint, now: Micros, slow_start_duration: Micros) -> Self {
         let mut slow_start = SlowStartRecord::default();
         if let Some(started_at) = endpoint.incarnation {
-            slow_start.on_started(started_at, now, slow_start_time);
+            slow_start.on_started(started_at, now, slow_start_duration);
         }
         Self {
             endpoint,
@@ -81,9 +81,9 @@
         self.endpoint.incarnation.unwrap_or(0)
     }
 
-    /// Creates a gossip message about the current incarnation.
-    pub(crate) fn gossip(&self, kind: GossipKind) -> GossipMessage {
-        GossipMessage {
+    /// Creates a gossip record about the current incarnation.
+    pub(crate) fn gossip_record(&self, kind: GossipKind) -> GossipRecord {
+        GossipRecord {
             kind,
             stable_hash: self.endpoint.stable_hash,
             incarnation: self.incarnation(),
@@ -110,10 +110,10 @@
         &self.in_flight
     }
 
-    /// Returns true if the server can be dropped: the endpoint list no longer names it and no
-    /// attempts are in flight. If only draining binds, an unlisted server can still be sent
-    /// requests, so it is kept until it is dead or draining.
-    pub(crate) fn is_prunable(&self, settings: &Settings) -> bool {
+    /// Returns true if the server's state is no longer needed: the endpoint list no longer names it
+    /// and no attempts are in flight. If `allow_removed_servers` is set, a removed server may still
+    /// be sent requests, so it is kept until it is dead or draining.
+    pub(crate) fn is_obsolete(&self, settings: &Settings) -> bool {
         let may_be_tried =
             settings.allow_removed_servers && !self.suspicion.is_dead() && !self.listed_as_draining;
         self.is_removed() && self.in_flight.is_empty() && !may_be_tried
@@ -150,11 +150,11 @@
     }
 
     /// Resets drain and load, and begins slow start, after the endpoint list showed a restart.
-    pub(crate) fn on_restarted(&mut self, now: Micros, slow_start_time: Micros) {
+    pub(crate) fn on_restarted(&mut self, now: Micros, slow_start_duration: Micros) {
         self.listed_as_draining = false;
         self.load.on_restarted();
         self.slow_start
-            .on_started(self.incarnation(), now, slow_start_time);
+            .on_started(self.incarnation(), now, slow_start_duration);
     }
 
     /// Records an attempt sent to the server.
@@ -175,9 +175,9 @@
     pub(crate) fn on_attempt_ended(
         &mut self,
         request: RequestId,
-        number: u32,
+        index: u32,
     ) -> Option<InFlightAttempt> {
-        let matches = |other: &InFlightAttempt| other.request == request && other.attempt == number;
+        let matches = |other: &InFlightAttempt| other.request == request && other.attempt == index;
         let position = self.in_flight.iter().position(matches)?;
         Some(self.in_flight.swap_remove(position))
     }
