--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -149,7 +149,7 @@
     fn start_unscheduled_health_check(&mut self, server: ServerIndex, actions: &mut Actions) {
         self.fleet.servers[server]
             .health_check
-            .on_load_check_requested();
+            .on_unscheduled_check_requested();
         self.start_health_check(server, actions);
     }
 
--- a/crates/balancer/src/balancer/servers.rs
+++ b/crates/balancer/src/balancer/servers.rs
@@ -112,7 +112,7 @@
         let health_action = if outcome == Outcome::Served {
             server.health_check.on_succeeded();
             FailureDetector::evaluate_successful_check(self.fleet.now, server)
-        } else if kind == HealthCheckKind::LoadOnly {
+        } else if kind == HealthCheckKind::Unscheduled {
             HealthAction::ExpediteCheck
         } else {
             FailureDetector::evaluate_failed_check(&self.fleet, &self.fleet.servers[index])
--- a/crates/balancer/src/policy/final_response.rs
+++ b/crates/balancer/src/policy/final_response.rs
@@ -1,7 +1,7 @@
 //! Chooses the final response to a request that gets no further attempt: a rejection or a failure.
 //!
-//! That no further attempt is made is decided earlier, by `LoadShedder`, `ServerSelector` or
-//! `RetryPolicy`.
+//! `LoadShedder`, `ServerSelector` or `RetryPolicy` decides earlier that no further attempt is
+//! made.
 //!
 //! A rejection tells the client that it may retry. It is therefore used only if a retry is safe:
 //! the request class is idempotent, or its idempotency keys are deduplicated across all servers, or
--- a/crates/balancer/src/policy/health_check_trust.rs
+++ b/crates/balancer/src/policy/health_check_trust.rs
@@ -8,8 +8,8 @@
 #[cfg(test)]
 mod tests;
 
-/// Health checks are trusted up to this fraction of failed servers: their number divided by the sum
-/// of itself and the subset size.
+/// Fraction of failed servers up to which health checks are trusted: the number of failed servers
+/// divided by the sum of that number and the subset size.
 const MAX_FAILED_FRACTION: f64 = 0.3;
 
 /// Whether the results of health checks are trusted.
--- a/crates/balancer/src/policy/health_checker.rs
+++ b/crates/balancer/src/policy/health_checker.rs
@@ -1,7 +1,7 @@
 //! Schedules health checks: which server is checked next, and when.
 //!
 //! A single schedule covers all servers, so that its cost does not grow with their number. With the
-//! request rate `r` and the cost `c` of one health check per request, the interval is
+//! request rate `r` and the fee `c` for one health check per request, the interval is
 //!
 //! ```text
 //! interval = clamp(c / (0.001 * r), 1 s, 5 s)
--- a/crates/balancer/src/policy/retry_budget.rs
+++ b/crates/balancer/src/policy/retry_budget.rs
@@ -35,7 +35,7 @@
 }
 
 impl PriorExecution {
-    /// Derives it from the attempts of a request.
+    /// Returns whether an attempt of this request may have executed.
     pub(crate) fn of(request: &RequestState) -> Self {
         match request.first_possible_execution() {
             Some(_) => Self::Possible,
--- a/crates/balancer/src/settings/groups.rs
+++ b/crates/balancer/src/settings/groups.rs
@@ -158,8 +158,8 @@
     pub initial_capacity: f64,
     /// Time from the start until a server has its full capacity, in microseconds.
     pub duration: Micros,
-    /// Multiple of its capacity above which a server in slow start fails, if it receives that much
-    /// from all balancers within [`overload_window`](Self::overload_window).
+    /// A server in slow start fails if all balancers together send it more than this multiple of
+    /// its capacity within [`overload_window`](Self::overload_window).
     pub overload_factor: f64,
     /// Length of the window in which a server in slow start must not be overloaded, in
     /// microseconds.
--- a/crates/balancer/src/state/health_check_record.rs
+++ b/crates/balancer/src/state/health_check_record.rs
@@ -2,14 +2,16 @@
 
 use crate::{Micros, Outcome};
 
-/// Purpose of a health check.
+/// Kind of a health check, which determines what follows its failure.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum HealthCheckKind {
-    /// It checks the server's health; a failure is followed by a confirmation.
+    /// A scheduled check, or the repetition of a failed one; a failure is evidence that the server
+    /// has failed.
     #[default]
     Full,
-    /// It reads the server's load; a failure is followed by a full check.
-    LoadOnly,
+    /// A load check, or an indirect check for another balancer; a failure only expedites a full
+    /// check.
+    Unscheduled,
 }
 
 /// State of one server's health checks: the one in progress, the last result, and the confirmation
@@ -76,10 +78,10 @@
         self.last_started_at = now;
     }
 
-    /// Marks the next health check as one for the load only; a check in progress keeps its kind.
-    pub(crate) fn on_load_check_requested(&mut self) {
+    /// Marks the next health check as unscheduled; a check in progress keeps its kind.
+    pub(crate) fn on_unscheduled_check_requested(&mut self) {
         if self.started_at.is_none() {
-            self.kind = HealthCheckKind::LoadOnly;
+            self.kind = HealthCheckKind::Unscheduled;
         }
     }
 
--- a/crates/balancer/src/state/server_state.rs
+++ b/crates/balancer/src/state/server_state.rs
@@ -199,8 +199,8 @@
         self.load.on_rejected(queue_depth, now);
     }
 
-    /// Records a rejection without a current endpoint list that would show whether the server
-    /// drains.
+    /// Marks the server as possibly draining: it rejected an attempt, and no current endpoint list
+    /// shows whether it drains.
     pub(crate) fn on_possible_drain(&mut self) {
         self.possibly_draining = true;
     }
--- a/crates/control/src/list_freshness/mod.rs
+++ b/crates/control/src/list_freshness/mod.rs
@@ -28,9 +28,10 @@
     pub push_mode: bool,
     /// In poll mode, how long a list is valid after the last poll.
     pub max_poll_interval: Micros,
-    /// Delay after a silent watch's last event at which the changes it missed count as notified.
+    /// Time after the last event of a silent watch at which the changes that it missed count as
+    /// notified.
     pub silence_notice_delay: Micros,
-    /// Delay after the configured relocation of discovery at which changes at the new address
+    /// Time after a change of discovery's configured address at which changes at the new address
     /// count as notified.
     pub relocation_notice_delay: Micros,
     /// Part of the drain grace period that may pass before an attempt's first byte is sent. The
