--- a/crates/balancer/src/estimators/latency.rs
+++ b/crates/balancer/src/estimators/latency.rs
@@ -14,7 +14,7 @@
 const LATENCY_FACTOR_HALF_LIFE: f64 = 3_000_000.0;
 /// Upper bound of a latency factor, and inverse of its lower bound. Wider, and one response moves a
 /// server's factor too far; narrower, and a slow machine gets more than it can handle. Other bounds
-/// changed the testbed's results by less than 0.003.
+/// change the testbed's results by less than 0.003.
 const MAX_LATENCY_FACTOR: f64 = 4.0;
 /// Mean service time before any response, as a fraction of the shortest latency objective. Only the
 /// first responses depend on it.
--- a/crates/balancer/src/policy/load_shedder.rs
+++ b/crates/balancer/src/policy/load_shedder.rs
@@ -39,20 +39,20 @@
 /// requests in time if it accepts only those that it can serve reliably. The value holds for loads
 /// from 0.7 to 1.2 of capacity.
 const TIME_LEFT_FRACTION_WHEN_FULL: f64 = 0.6;
-/// Reduction of that fraction when all requests miss their objective: 0.35 of the time left
-/// remains. The value holds for loads from 0.7 to 1.2 of capacity.
+/// Reduction of [`TIME_LEFT_FRACTION_WHEN_FULL`] when all requests miss their objective: 0.35 of
+/// the time left remains. The value holds for loads from 0.7 to 1.2 of capacity.
 const TIME_LEFT_FRACTION_MISS_PENALTY: f64 = 0.25;
 /// Minimum number of requests ahead that counts as a queue. Below it, the number is only a
 /// fractional remainder of the estimate.
 const MIN_REQUESTS_AHEAD: f64 = 0.5;
-/// Fraction of requests expected to miss their objective from which late responses are no longer
-/// accepted: the capacity they take is needed for responses in time (docs/deployments.md).
+/// Late responses are no longer accepted once this fraction of requests is expected to miss the
+/// latency objective: the capacity they take is needed for responses in time (docs/deployments.md).
 const MAX_MISS_RATE_FOR_LATE_RESPONSES: f64 = 0.05;
 /// Saturation above which requests of the lowest priority are shed; below it, none are. With 100
 /// balancers, a threshold of 0.25 sheds requests at moderate load (docs/fleet.md).
 const SHEDDING_THRESHOLD: f64 = 0.32;
-/// Saturation above the threshold at which all requests are shed. A smaller range sheds more
-/// steeply (docs/fleet.md).
+/// Excess of the saturation over the threshold at which all requests are shed. A smaller range
+/// sheds more steeply (docs/fleet.md).
 const SHEDDING_RANGE: f64 = 0.35;
 /// Increase of the shedding probability over the range. The range covers all priorities: with 2,
 /// all requests of the lowest priority are shed at its midpoint, where shedding of the highest
--- a/crates/balancer/src/policy/response_forecast.rs
+++ b/crates/balancer/src/policy/response_forecast.rs
@@ -24,7 +24,8 @@
 /// expected. Above it, delays that the estimate does not cover make responses late; below, capacity
 /// is left unused (docs/deployments.md).
 const TIME_LEFT_FRACTION: f64 = 0.6;
-/// Upper bound on that fraction, however valuable the request (docs/deployments.md).
+/// Upper bound on the fraction of the time left, however valuable the request
+/// (docs/deployments.md).
 const MAX_TIME_LEFT_FRACTION: f64 = 0.78;
 /// Exponent of the value density: 0 treats all requests alike, 1 gives a full fleet to the most
 /// valuable ones.
