--- a/crates/balancer/src/settings/groups.rs
+++ b/crates/balancer/src/settings/groups.rs
@@ -84,7 +84,8 @@
     }
 }
 
-/// Costs of the balancer's own traffic, as fractions of the deployment's result.
+/// Costs of the balancer's own traffic, which are deducted from the deployment's result. The result
+/// is the value of the served requests as a fraction of the value of all requests, from 0 to 1.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fees {
     /// Fee for an average of one health check per request.
@@ -157,8 +158,8 @@
     pub initial_capacity: f64,
     /// Time from the start until a server has its full capacity, in microseconds.
     pub duration: Micros,
-    /// Multiple of its capacity above which a server in slow start fails, if it receives that much
-    /// from all balancers within [`overload_window`](Self::overload_window).
+    /// A server in slow start fails if all balancers together send it more than this multiple of
+    /// its capacity within [`overload_window`](Self::overload_window).
     pub overload_factor: f64,
     /// Length of the window in which a server in slow start must not be overloaded, in
     /// microseconds.
