--- a/crates/docs-check/tests/docs_check/allowed_names.rs
+++ b/crates/docs-check/tests/docs_check/allowed_names.rs
@@ -1,15 +1,15 @@
-//! Names in pages that no source file has to have.
+//! Names that pages may use although the repository does not have them.
 
-/// Pages of history: they quote names as they were, and are neither searched for items nor
-/// wrapped.
-pub(crate) const PAGES_OF_FORMER_NAMES: [&str; 1] = ["docs/history/"];
+/// Path prefixes of history pages. They quote former names, so that their items and line widths are
+/// not checked.
+pub(crate) const HISTORY_PAGE_PREFIXES: [&str; 1] = ["docs/history/"];
 
-/// Names that look like items and are none, with the reason.
+/// Names that look like items but are not, with the reason.
 pub(crate) const ALLOWED_NAMES: [(&str, &str); 0] = [];
 
-/// Paths that need not exist, with the reason.
+/// Paths that do not have to exist, with the reason.
 pub(crate) const ALLOWED_PATHS: [(&str, &str); 3] = [
-    ("crates/fleet", "planned in docs/ROADMAP.md, not begun"),
+    ("crates/fleet", "planned in docs/ROADMAP.md, not started"),
     ("foo.rs", "stands for any module in CONTRIBUTING.md"),
     (
         "foo/tests.rs",
--- a/crates/docs-check/tests/docs_check/finding.rs
+++ b/crates/docs-check/tests/docs_check/finding.rs
@@ -1,22 +1,22 @@
-//! What a check reports.
+//! The findings that checks report.
 
 use std::fmt;
 
 use crate::page::{Page, Reference};
 
-/// One disagreement between a page and the repository.
+/// A mismatch between a page and the repository.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct Finding {
-    /// Path of the page, from the root of the repository.
+    /// Path of the page, relative to the root of the repository.
     pub(crate) page: String,
-    /// Line of the page, from 1.
+    /// Line number in the page, from 1.
     pub(crate) line: usize,
-    /// What is wrong, and what to do about it.
+    /// The problem and, where it is not obvious, its solution.
     pub(crate) message: String,
 }
 
 impl Finding {
-    /// A finding at a reference of a page.
+    /// Creates a finding at the line of a reference.
     pub(crate) fn at(page: &Page, reference: &Reference, message: String) -> Self {
         Self {
             page: page.path.clone(),
--- a/crates/docs-check/tests/docs_check/items.rs
+++ b/crates/docs-check/tests/docs_check/items.rs
@@ -1,20 +1,20 @@
-//! Items that pages name in code are in the source.
+//! Checks that items named in the code of pages exist in the source.
 
-use crate::allowed_names::{ALLOWED_NAMES, PAGES_OF_FORMER_NAMES};
+use crate::allowed_names::{ALLOWED_NAMES, HISTORY_PAGE_PREFIXES};
 use crate::finding::Finding;
 use crate::page::{Page, Reference};
 use crate::repository::{Repository, matches_pattern};
 use crate::source_file::SourceFile;
 
-/// The page whose tables set former names beside present ones.
+/// The page whose tables list former names next to current ones.
 const CHANGELOG: &str = "CHANGELOG.md";
 
-/// Checks the item names in the code of all pages. The segments of a path such as
-/// `Balancer::handle` have to stand in one source file (modules may be named by the file's path),
-/// which defines the function or field that is the last one.
+/// Checks the item names in the code of all pages. All segments of a path such as
+/// `Balancer::handle` have to occur in the same source file or in that file's path. If the last
+/// segment is a function or field, this file has to define it.
 pub(crate) fn check(repository: &Repository) -> Vec<Finding> {
     let is_checked = |page: &&Page| {
-        !PAGES_OF_FORMER_NAMES
+        !HISTORY_PAGE_PREFIXES
             .iter()
             .any(|prefix| page.path.starts_with(prefix))
     };
@@ -24,16 +24,16 @@
         .collect()
 }
 
-/// Reports each allowed name that the source has: it needs no permission.
+/// Reports each allowed name that exists in the source and therefore needs no exception.
 pub(crate) fn check_allowed_names(repository: &Repository) -> Vec<Finding> {
-    let superfluous = ALLOWED_NAMES
+    let unnecessary = ALLOWED_NAMES
         .iter()
         .filter(|(name, _)| has_item(repository, name));
-    superfluous
+    unnecessary
         .map(|(name, _)| Finding {
             page: "crates/docs-check/tests/docs_check/allowed_names.rs".to_owned(),
             line: 1,
-            message: format!("`{name}` is in the source: take it off the list"),
+            message: format!("`{name}` exists in the source; remove it from ALLOWED_NAMES"),
         })
         .collect()
 }
@@ -43,19 +43,19 @@
     let spans = page
         .code_spans
         .iter()
-        .filter(|code| !is_former(code) && is_item(&code.text));
+        .filter(|code| !is_former(code) && looks_like_item(&code.text));
     let words = page
         .code_block_words
         .iter()
-        .filter(|word| has_two_humps(&word.text));
+        .filter(|word| looks_like_type(&word.text));
     spans
         .chain(words)
         .filter(|code| !is_allowed(&code.text) && !has_item(repository, &code.text))
         .map(|code| {
             let name = &code.text;
             let message = format!(
-                "no item `{name}` in the source; if it is a term of the field, allow it in \
-                 allowed_names.rs with the reason"
+                "no item `{name}` in the source; if it is an established term, add it to \
+                 ALLOWED_NAMES in allowed_names.rs with the reason"
             );
             Finding::at(page, code, message)
         })
@@ -66,7 +66,7 @@
     ALLOWED_NAMES.iter().any(|(allowed, _)| *allowed == name)
 }
 
-/// Whether a source file has the item; `*` in a name stands for any text.
+/// Whether a source file has the item; `*` in the name matches any text.
 fn has_item(repository: &Repository, name: &str) -> bool {
     let name = name.trim_end_matches("()");
     if name.contains('*') {
@@ -77,14 +77,14 @@
     repository.has_item(&segments)
 }
 
-/// Whether code between backticks looks like a Rust item: a path with `::`, or an identifier in
-/// camel case or with underscores. Single words in small letters may be anything, and what begins
-/// with an underscore is the end of a name.
-fn is_item(code: &str) -> bool {
+/// Whether a code span looks like a Rust item: a path with `::`, or an identifier in camel case or
+/// with underscores. A single lowercase word is ambiguous, and a word with a leading underscore is
+/// the suffix of a name; neither is checked.
+fn looks_like_item(code: &str) -> bool {
     let code = code.trim_end_matches("()");
     let is_identifier = |segment: &str| {
-        let starts_well = segment.starts_with(|c: char| c.is_ascii_alphabetic() || c == '*');
-        starts_well
+        let has_valid_start = segment.starts_with(|c: char| c.is_ascii_alphabetic() || c == '*');
+        has_valid_start
             && segment
                 .chars()
                 .all(|c| c.is_ascii_alphanumeric() || "_*".contains(c))
@@ -97,14 +97,14 @@
     is_camel_case || code.contains("::") || code.contains('_')
 }
 
-/// Whether a word of a code block is a type's name, such as `RetryBudget`; a capital at the start
-/// alone may begin a sentence of a comment.
-fn has_two_humps(word: &str) -> bool {
-    let is_plain = word.chars().all(|c| c.is_ascii_alphanumeric());
+/// Whether a word of a code block looks like a type in camel case, such as `RetryBudget`. A word
+/// with one capital is not checked, because it may start a sentence in a comment.
+fn looks_like_type(word: &str) -> bool {
+    let is_alphanumeric = word.chars().all(|c| c.is_ascii_alphanumeric());
     let capitals = word.chars().filter(char::is_ascii_uppercase).count();
-    let small_letters = word.chars().filter(char::is_ascii_lowercase).count();
-    is_plain
+    let lowercase_letters = word.chars().filter(char::is_ascii_lowercase).count();
+    is_alphanumeric
         && capitals >= 2
-        && small_letters >= 2
+        && lowercase_letters >= 2
         && word.starts_with(|c: char| c.is_ascii_uppercase())
 }
--- a/crates/docs-check/tests/docs_check/links.rs
+++ b/crates/docs-check/tests/docs_check/links.rs
@@ -1,4 +1,4 @@
-//! Relative links lead to files, folders and headings that exist.
+//! Checks that files, folders and headings that relative links lead to exist.
 
 use crate::finding::Finding;
 use crate::page::{Page, Reference};
@@ -48,7 +48,7 @@
     ))
 }
 
-/// The path from the root of `target`, as a page at `page_path` means it.
+/// Resolves a target relative to the folder of the page into a path from the repository's root.
 fn resolve(page_path: &str, target: &str) -> String {
     let mut names: Vec<&str> = page_path.split('/').collect();
     names.pop();
--- a/crates/docs-check/tests/docs_check/main.rs
+++ b/crates/docs-check/tests/docs_check/main.rs
@@ -1,11 +1,11 @@
-//! Tests that the pages of documentation agree with the repository that they describe: links and
-//! their anchors lead somewhere, files and items that are named exist, and prose fits the width.
+//! Checks the documentation against the repository: targets of links and anchors exist, files and
+//! items that pages name exist, and lines do not exceed the maximum width.
 //!
-//! The checks are functions over a [`Repository`], which is loaded from the disk here and built
-//! from a few lines in [`checker`], where each check is seen to fail.
+//! The checks are functions of a [`Repository`]. The tests here load it from disk; those in
+//! [`check_tests`] build small ones, on which each check passes and fails.
 
 mod allowed_names;
-mod checker;
+mod check_tests;
 mod finding;
 mod items;
 mod links;
@@ -20,11 +20,15 @@
 use finding::Finding;
 use repository::Repository;
 
-/// Fails with one line for each finding, each beginning with file and line.
+/// Runs a check on the repository; panics with one line per finding, which begins with file and
+/// line.
 fn assert_no_findings(check: fn(&Repository) -> Vec<Finding>) {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let repository = Repository::load(&root).expect("the repository can be read");
-    assert!(!repository.pages.is_empty(), "no page found");
+    assert!(
+        !repository.pages.is_empty(),
+        "the repository has no Markdown files"
+    );
     let findings: Vec<String> = check(&repository).iter().map(Finding::to_string).collect();
     assert!(
         findings.is_empty(),
@@ -35,22 +39,22 @@
 }
 
 #[test]
-fn relative_links_and_their_anchors_exist() {
+fn targets_of_relative_links_and_anchors_exist() {
     assert_no_findings(links::check);
 }
 
 #[test]
-fn files_and_directories_in_backticks_exist() {
+fn files_and_folders_named_in_code_exist() {
     assert_no_findings(paths::check);
 }
 
 #[test]
-fn items_in_backticks_exist_in_the_source() {
+fn items_named_in_code_exist_in_the_source() {
     assert_no_findings(items::check);
 }
 
 #[test]
-fn prose_tables_and_code_blocks_fit_their_width() {
+fn prose_tables_and_code_blocks_fit_the_maximum_width() {
     assert_no_findings(width::check);
 }
 
--- a/crates/docs-check/tests/docs_check/page.rs
+++ b/crates/docs-check/tests/docs_check/page.rs
@@ -1,58 +1,56 @@
-//! A page of documentation, with all that refers to something outside it.
+//! Pages of documentation and their references: links, and names in code.
 
 use std::collections::BTreeSet;
 use std::ops::Range;
 
 use pulldown_cmark::{Event, Options, Parser, Tag, TagEnd};
 
-/// A link's target or a word in code, with its place.
+/// A link target or a word in code, with its position.
 #[derive(Debug)]
 pub(crate) struct Reference {
-    /// Line of the page, from 1.
+    /// Line number in the page, from 1.
     pub(crate) line: usize,
-    /// The text as the page has it, without backticks.
+    /// Text as in the page, without backticks.
     pub(crate) text: String,
-    /// Whether it stands in a table.
+    /// Whether it is part of a table.
     pub(crate) is_in_table: bool,
 }
 
-/// One Markdown file.
+/// A parsed Markdown file.
 #[derive(Debug, Default)]
 pub(crate) struct Page {
-    /// Path from the root of the repository.
+    /// Path relative to the root of the repository.
     pub(crate) path: String,
-    /// The file's lines.
     pub(crate) lines: Vec<String>,
     /// Targets of links and images.
     pub(crate) links: Vec<Reference>,
-    /// Code between backticks.
+    /// Text of code spans.
     pub(crate) code_spans: Vec<Reference>,
-    /// Words of code blocks, without punctuation around them.
+    /// Words of code blocks, without surrounding punctuation.
     pub(crate) code_block_words: Vec<Reference>,
-    /// Lines that code blocks take, from 1.
+    /// Line numbers of code blocks, from 1.
     pub(crate) code_block_lines: BTreeSet<usize>,
-    /// Anchors of the headings, as GitHub derives them.
+    /// Anchors of the headings, as GitHub generates them.
     pub(crate) anchors: BTreeSet<String>,
 }
 
 impl Page {
-    /// Reads a page's Markdown.
     pub(crate) fn parse(path: &str, text: &str) -> Self {
-        let mut reader = PageReader::new(path, text);
+        let mut parser = PageParser::new(path, text);
         for (event, range) in Parser::new_ext(text, Options::ENABLE_TABLES).into_offset_iter() {
-            reader.read(event, &range);
+            parser.handle_event(event, &range);
         }
-        reader.page
+        parser.page
     }
 
-    /// Code spans, and words of code blocks, in one sequence.
-    pub(crate) fn code(&self) -> impl Iterator<Item = &Reference> {
+    /// Code spans, followed by words of code blocks.
+    pub(crate) fn code_references(&self) -> impl Iterator<Item = &Reference> {
         self.code_spans.iter().chain(&self.code_block_words)
     }
 }
 
 /// Collects a page's references from the parser's events.
-struct PageReader<'a> {
+struct PageParser<'a> {
     text: &'a str,
     page: Page,
     heading: Option<String>,
@@ -60,7 +58,7 @@
     is_in_code_block: bool,
 }
 
-impl<'a> PageReader<'a> {
+impl<'a> PageParser<'a> {
     fn new(path: &str, text: &'a str) -> Self {
         let page = Page {
             path: path.to_owned(),
@@ -76,10 +74,10 @@
         }
     }
 
-    fn read(&mut self, event: Event<'_>, range: &Range<usize>) {
+    fn handle_event(&mut self, event: Event<'_>, range: &Range<usize>) {
         match event {
-            Event::Start(tag) => self.start(&tag, range),
-            Event::End(tag) => self.end(tag),
+            Event::Start(tag) => self.start_tag(&tag, range),
+            Event::End(tag) => self.end_tag(tag),
             Event::Code(code) => {
                 self.append_to_heading(&code);
                 let reference = self.reference(range.start, &code);
@@ -91,14 +89,14 @@
         }
     }
 
-    fn start(&mut self, tag: &Tag<'_>, range: &Range<usize>) {
+    fn start_tag(&mut self, tag: &Tag<'_>, range: &Range<usize>) {
         match tag {
             Tag::Heading { .. } => self.heading = Some(String::new()),
             Tag::Table(_) => self.is_in_table = true,
             Tag::CodeBlock(_) => {
                 self.is_in_code_block = true;
                 let last = range.end.saturating_sub(1).max(range.start);
-                let lines = self.line_at(range.start)..=self.line_at(last);
+                let lines = self.line_number_at(range.start)..=self.line_number_at(last);
                 self.page.code_block_lines.extend(lines);
             }
             Tag::Link { dest_url, .. } | Tag::Image { dest_url, .. } => {
@@ -109,7 +107,7 @@
         }
     }
 
-    fn end(&mut self, tag: TagEnd) {
+    fn end_tag(&mut self, tag: TagEnd) {
         match tag {
             TagEnd::Heading(_) => self.end_heading(),
             TagEnd::Table => self.is_in_table = false,
@@ -118,14 +116,14 @@
         }
     }
 
-    /// A heading that repeats an earlier one gets a number.
+    /// Adds the anchor of a heading; that of a repeated heading gets a numeric suffix.
     fn end_heading(&mut self) {
         let anchor = anchor_of(&self.heading.take().unwrap_or_default());
-        let repeated = (1..).map(|number| format!("{anchor}-{number}"));
-        let free = std::iter::once(anchor.clone())
-            .chain(repeated)
+        let numbered = (1..).map(|number| format!("{anchor}-{number}"));
+        let unused = std::iter::once(anchor.clone())
+            .chain(numbered)
             .find(|candidate| !self.page.anchors.contains(candidate));
-        self.page.anchors.extend(free);
+        self.page.anchors.extend(unused);
     }
 
     fn append_to_heading(&mut self, text: &str) {
@@ -135,7 +133,7 @@
     }
 
     fn read_code_block(&mut self, text: &str, start: usize) {
-        let first_line = self.line_at(start);
+        let first_line = self.line_number_at(start);
         for (index, line) in text.lines().enumerate() {
             for word in line.split(|c: char| c.is_whitespace() || "(),;".contains(c)) {
                 self.page.code_block_words.push(Reference {
@@ -149,18 +147,18 @@
 
     fn reference(&self, start: usize, text: &str) -> Reference {
         Reference {
-            line: self.line_at(start),
+            line: self.line_number_at(start),
             text: text.to_owned(),
             is_in_table: self.is_in_table,
         }
     }
 
-    fn line_at(&self, offset: usize) -> usize {
+    fn line_number_at(&self, offset: usize) -> usize {
         self.text[..offset].matches('\n').count() + 1
     }
 }
 
-/// The anchor that GitHub gives a heading.
+/// Returns the anchor that GitHub generates for a heading, without a numeric suffix.
 fn anchor_of(heading: &str) -> String {
     heading
         .to_lowercase()
--- a/crates/docs-check/tests/docs_check/repository.rs
+++ b/crates/docs-check/tests/docs_check/repository.rs
@@ -1,4 +1,4 @@
-//! The files that pages refer to.
+//! The repository's files, and the parsed contents of pages and sources.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -8,40 +8,41 @@
 use crate::page::Page;
 use crate::source_file::SourceFile;
 
-/// Folders whose files are no part of the sources: results of builds, version control, and
-/// records of runs (a folder of thousands of files that no page names).
-const FOLDERS_NOT_ENTERED: [&str; 3] = ["target", ".git", "journal"];
+/// Folders whose contents are not loaded: build output, version control data, and records of runs
+/// (thousands of files that no page names).
+const SKIPPED_FOLDERS: [&str; 3] = ["target", ".git", "journal"];
 
-/// This crate holds invented names in its tests and former ones in its list of allowed names.
+/// Folder of this crate. Its pages and sources are not parsed, because its tests contain invented
+/// names, and its list of allowed names may contain former ones.
 const OWN_FOLDER: &str = "crates/docs-check/";
 
-/// Paths, pages and sources of the repository.
+/// Paths, pages and sources of a repository.
 #[derive(Debug, Default)]
 pub(crate) struct Repository {
-    /// Files, from the root, with `/` between names.
+    /// Paths of files, relative to the root and separated by `/`.
     pub(crate) files: BTreeSet<String>,
-    /// Folders, likewise, without a final `/`.
+    /// Paths of folders, relative to the root, without a trailing `/`.
     pub(crate) folders: BTreeSet<String>,
-    /// Markdown files.
+    /// Parsed Markdown files.
     pub(crate) pages: Vec<Page>,
-    /// Rust files, and recordings of exchanges, whose file names are names of tests.
+    /// Rust files, and recordings of exchanges, whose file names are test names.
     pub(crate) sources: Vec<SourceFile>,
 }
 
 impl Repository {
-    /// Reads the repository at `root`.
+    /// Loads the repository at `root`.
     ///
     /// # Errors
     ///
-    /// A folder or a text file that cannot be read.
+    /// If a folder, a page or a Rust file cannot be read.
     pub(crate) fn load(root: &Path) -> io::Result<Self> {
         let mut repository = Self::default();
         repository.load_folder(root, "")?;
         Ok(repository)
     }
 
-    /// A repository of these files, given by path and text.
-    pub(crate) fn of_files(files: &[(&str, &str)]) -> Self {
+    /// Builds a repository from pairs of path and text.
+    pub(crate) fn from_files(files: &[(&str, &str)]) -> Self {
         let mut repository = Self::default();
         for (path, text) in files {
             repository.add_file(path, text);
@@ -52,15 +53,15 @@
         repository
     }
 
-    /// Whether a file or folder ends in `path`, at a boundary of names.
+    /// Whether the path of a file or folder has `path` as its last segments.
     pub(crate) fn has_path_ending_in(&self, path: &str) -> bool {
         let folder = path.strip_suffix('/');
         let mut candidates: Box<dyn Iterator<Item = &String>> = match folder {
             Some(_) => Box::new(self.folders.iter()),
             None => Box::new(self.files.iter().chain(&self.folders)),
         };
-        let wanted = folder.unwrap_or(path);
-        candidates.any(|candidate| ends_in(candidate, wanted))
+        let last_segments = folder.unwrap_or(path);
+        candidates.any(|candidate| has_last_segments(candidate, last_segments))
     }
 
     /// Whether a source file has the item with this path.
@@ -78,11 +79,11 @@
                 format!("{folder}/{name}")
             };
             if !entry.file_type()?.is_dir() {
-                self.add_file(&path, &read_if_text(&entry.path())?);
+                self.add_file(&path, &read_if_page_or_source(&entry.path())?);
                 continue;
             }
             self.folders.insert(path.clone());
-            if !FOLDERS_NOT_ENTERED.contains(&name.as_str()) {
+            if !SKIPPED_FOLDERS.contains(&name.as_str()) {
                 self.load_folder(root, &path)?;
             }
         }
@@ -99,13 +100,14 @@
         }
         let is_recording = path.contains("/tests/exchanges/");
         if path.ends_with(".rs") || is_recording {
-            self.sources.push(SourceFile::read(path, text));
+            self.sources.push(SourceFile::parse(path, text));
         }
     }
 }
 
-/// Pages and Rust files are read; of others the name is enough.
-fn read_if_text(path: &Path) -> io::Result<String> {
+/// Reads a page or a Rust file. Returns an empty text for other files, of which only the path is
+/// needed.
+fn read_if_page_or_source(path: &Path) -> io::Result<String> {
     let is_read = path
         .extension()
         .is_some_and(|extension| extension == "md" || extension == "rs");
@@ -116,15 +118,16 @@
     }
 }
 
-/// Whether `path` is `wanted` or has it as its last names; a `*` in `wanted` stands for any text.
-fn ends_in(path: &str, wanted: &str) -> bool {
+/// Whether `path` equals `last_segments` or ends with it after a `/`; a `*` in `last_segments`
+/// matches any text.
+fn has_last_segments(path: &str, last_segments: &str) -> bool {
     let starts = std::iter::once(0).chain(path.match_indices('/').map(|(index, _)| index + 1));
     starts
         .into_iter()
-        .any(|start| matches_pattern(&path[start..], wanted))
+        .any(|start| matches_pattern(&path[start..], last_segments))
 }
 
-/// Whether `text` is `pattern`, in which `*` stands for any text.
+/// Whether the whole `text` matches `pattern`, in which `*` matches any text.
 pub(crate) fn matches_pattern(text: &str, pattern: &str) -> bool {
     let Some((before, after)) = pattern.split_once('*') else {
         return text == pattern;
@@ -132,9 +135,9 @@
     let Some(rest) = text.strip_prefix(before) else {
         return false;
     };
-    let mut remainders = rest
+    let mut suffixes = rest
         .char_indices()
         .map(|(index, _)| &rest[index..])
         .chain([""]);
-    remainders.any(|remainder| matches_pattern(remainder, after))
+    suffixes.any(|suffix| matches_pattern(suffix, after))
 }
--- a/crates/docs-check/tests/docs_check/source_file.rs
+++ b/crates/docs-check/tests/docs_check/source_file.rs
@@ -1,32 +1,32 @@
-//! What a source file names and defines, as far as a look at its words tells.
+//! Identifiers that a source file uses and defines, found by a search of its words without parsing.
 
 use std::collections::HashSet;
 
-/// Words behind which an item's name stands.
-const DEFINING_KEYWORDS: [&str; 8] = [
+/// Keywords that precede the name of an item in its definition.
+const ITEM_KEYWORDS: [&str; 8] = [
     "fn", "struct", "enum", "trait", "const", "static", "type", "mod",
 ];
 
-/// The words of one source file.
+/// The identifiers of a source file.
 #[derive(Debug)]
 pub(crate) struct SourceFile {
-    /// Identifiers outside comment lines, and the names of the file and its folders.
+    /// Identifiers outside comment lines, and the segments of the file's path.
     words: HashSet<String>,
-    /// Those of them that stand behind a keyword, or before a single colon as a field does.
+    /// Identifiers after an item keyword, or before a single colon, as in a field's definition.
     definitions: HashSet<String>,
 }
 
 impl SourceFile {
-    /// Reads the file's text.
-    pub(crate) fn read(path: &str, text: &str) -> Self {
+    /// Collects the identifiers of a file's text.
+    pub(crate) fn parse(path: &str, text: &str) -> Self {
         Self {
             words: words_of(path, text),
             definitions: definitions_of(text),
         }
     }
 
-    /// Whether the file has all segments of an item's path, and defines the last one where that is
-    /// in small letters; types and variants may be defined elsewhere.
+    /// Whether the file has all segments of an item's path. If there are several and the last one
+    /// is lowercase, the file has to define it; types and variants may be defined elsewhere.
     pub(crate) fn has_item(&self, segments: &[&str]) -> bool {
         let last = segments.last().copied().unwrap_or_default();
         let is_type = last.starts_with(|c: char| c.is_uppercase());
@@ -34,7 +34,7 @@
         is_defined && segments.iter().all(|segment| self.words.contains(*segment))
     }
 
-    /// Identifiers outside comment lines, and the names of the file and its folders.
+    /// Identifiers outside comment lines, and the segments of the file's path.
     pub(crate) fn words(&self) -> impl Iterator<Item = &str> {
         self.words.iter().map(String::as_str)
     }
@@ -50,19 +50,20 @@
     words.map(str::to_owned).collect()
 }
 
-/// Parameters and the fields of literals stand before a colon too, and pass for definitions.
+/// Collects the defined identifiers. Parameters and the fields of literals also precede a colon and
+/// are counted as definitions.
 fn definitions_of(text: &str) -> HashSet<String> {
     let mut definitions = HashSet::new();
     for line in code_lines(text) {
         let parts: Vec<&str> = line
             .split(|c: char| c.is_whitespace() || "<({".contains(c))
             .collect();
-        let behind_keyword = parts
+        let after_keyword = parts
             .windows(2)
-            .filter(|pair| DEFINING_KEYWORDS.contains(&pair[0]))
+            .filter(|pair| ITEM_KEYWORDS.contains(&pair[0]))
             .map(|pair| pair[1].trim_end_matches([':', ';']));
         let before_colon = parts.iter().filter_map(|part| part.strip_suffix(':'));
-        let names = behind_keyword
+        let names = after_keyword
             .chain(before_colon)
             .filter(|name| is_identifier(name));
         definitions.extend(names.map(str::to_owned));
--- a/crates/docs-check/tests/docs_check/width.rs
+++ b/crates/docs-check/tests/docs_check/width.rs
@@ -1,19 +1,19 @@
-//! Pages can be read in a terminal.
+//! Checks that pages can be read in a terminal without wrapped lines.
 
-use crate::allowed_names::PAGES_OF_FORMER_NAMES;
+use crate::allowed_names::HISTORY_PAGE_PREFIXES;
 use crate::finding::Finding;
 use crate::page::Page;
 use crate::repository::Repository;
 
-/// Columns of prose.
+/// Maximum width of prose, in columns.
 const MAX_PROSE_WIDTH: usize = 100;
-/// Columns of tables and code blocks, which cannot always be wrapped.
+/// Maximum width of tables and code blocks, which cannot always be wrapped, in columns.
 const MAX_TABLE_WIDTH: usize = 120;
 
-/// Checks the width of all lines of all pages but those of history.
+/// Checks the width of all lines of all pages except history pages.
 pub(crate) fn check(repository: &Repository) -> Vec<Finding> {
     let is_checked = |page: &&Page| {
-        !PAGES_OF_FORMER_NAMES
+        !HISTORY_PAGE_PREFIXES
             .iter()
             .any(|prefix| page.path.starts_with(prefix))
     };
@@ -29,16 +29,16 @@
     let mut findings = Vec::new();
     for (index, line) in page.lines.iter().enumerate() {
         let number = index + 1;
-        let is_table =
+        let is_table_or_code =
             line.trim_start().starts_with('|') || page.code_block_lines.contains(&number);
-        let bound = if is_table {
+        let max_width = if is_table_or_code {
             MAX_TABLE_WIDTH
         } else {
             MAX_PROSE_WIDTH
         };
         let width = line.chars().count();
-        if width > bound {
-            let message = format!("{width} columns, {bound} at most");
+        if width > max_width {
+            let message = format!("{width} columns, {max_width} at most");
             findings.push(Finding {
                 page: page.path.clone(),
                 line: number,
