--- a/crates/testbed/tests/scenario/former_keys.rs
+++ b/crates/testbed/tests/scenario/former_keys.rs
@@ -1,14 +1,18 @@
-//! Scenario files from before keys were renamed: read, set and reported as they name their keys.
+//! Scenario files with former key names: they are read, their keys can be set, and errors name the
+//! keys as the file does.
 
 use std::path::PathBuf;
 
 use arrowstand_testbed::experiment::Plan;
 use arrowstand_testbed::scenario::ScenarioFile;
 
-use super::support::{GOOD, errors, line, message_with_key, read, with_key};
+use super::support::{
+    VALID_SCENARIO, error_keys_and_lines, error_message_with_key, line_number_of, read_valid,
+    with_key,
+};
 
-/// The small scenario as it was written before keys were renamed.
-const FORMER: &str = r#"
+/// A small valid scenario, written with former key names.
+const SCENARIO_WITH_FORMER_KEYS: &str = r#"
 name = "small"
 seconds = 10.0
 
@@ -42,7 +46,7 @@
 "#;
 
 #[test]
-fn stored_scenarios_with_former_keys_give_the_same_scenario_as_the_present_files() {
+fn stored_scenarios_with_former_keys_equal_the_current_ones() {
     let root = PathBuf::from(env!("CARGO_MANIFEST_DIR"));
     for name in ["troubled", "consulta-roll"] {
         let open = |path: String| {
@@ -52,14 +56,14 @@
         };
 
         let former = open(format!("tests/data/{name}-former-keys.toml"));
-        let present = open(format!("scenarios/{name}.toml"));
+        let current = open(format!("scenarios/{name}.toml"));
 
-        assert_eq!(former, present, "{name}");
+        assert_eq!(former, current, "{name}");
     }
 }
 
-/// A part of [`FORMER`], what stands in its place, and the key that is named then.
-const WRONG_VALUES: [(&str, &str, &str); 19] = [
+/// Part of [`SCENARIO_WITH_FORMER_KEYS`], its invalid replacement, and the key in the error.
+const INVALID_VALUES: [(&str, &str, &str); 19] = [
     ("cold_s = 4.0", "cold_s = -4.0", "kind[0].cold_s"),
     ("cold_s = 4.0", "cold_s = \"long\"", "kind[0].cold_s"),
     ("full_tax = 0.3", "full_tax = 1.3", "kind[0].full_tax"),
@@ -86,30 +90,30 @@
 ];
 
 #[test]
-fn a_wrong_value_in_a_file_with_former_keys_is_named_as_the_file_names_it() {
-    assert_eq!(errors(FORMER), []);
+fn an_invalid_value_is_reported_under_the_former_key_that_the_file_has() {
+    assert_eq!(error_keys_and_lines(SCENARIO_WITH_FORMER_KEYS), []);
 
-    for (part, replacement, key) in WRONG_VALUES {
-        let text = FORMER.replacen(part, replacement, 1);
+    for (part, replacement, key) in INVALID_VALUES {
+        let text = SCENARIO_WITH_FORMER_KEYS.replacen(part, replacement, 1);
 
-        let found = errors(&text);
+        let found = error_keys_and_lines(&text);
 
-        let wanted = (key.to_owned(), line(&text, replacement));
+        let expected = (key.to_owned(), line_number_of(&text, replacement));
         assert!(
-            found.contains(&wanted),
-            "{replacement}: {found:?}, wanted {wanted:?}"
+            found.contains(&expected),
+            "{replacement}: {found:?}, expected {expected:?}"
         );
     }
 }
 
 #[test]
-fn former_keys_can_be_set_in_files_of_either_names() {
-    for text in [GOOD, FORMER] {
-        let file = read(text);
+fn former_keys_can_be_set_in_files_with_former_or_current_keys() {
+    for text in [VALID_SCENARIO, SCENARIO_WITH_FORMER_KEYS] {
+        let file = read_valid(text);
         let set = |key: &str, value: toml::Value| with_key(&file, key, value).scenario;
 
         let by_former_key = set("trouble[0].times", 2.5.into());
-        let by_present_key = set("fault[0].factor", 2.5.into());
+        let by_current_key = set("fault[0].factor", 2.5.into());
         let fault = set("trouble[0].part", 0.4.into());
         let clients = set("terminals.leave", 0.4.into());
         let machine_type = set("kind[0].choke.slower", 3.5.into());
@@ -117,7 +121,7 @@
         let permissions = set("allow.probes", false.into());
 
         assert_eq!(by_former_key.fault[0].factor, 2.5);
-        assert_eq!(by_present_key.fault[0].factor, 2.5);
+        assert_eq!(by_current_key.fault[0].factor, 2.5);
         assert_eq!(fault.fault[0].target_share, 0.4);
         assert_eq!(clients.clients.disconnect_share, 0.4);
         let contention = machine_type.machine_type[0].contention.as_ref();
@@ -128,9 +132,9 @@
 }
 
 #[test]
-fn a_list_that_is_set_may_have_former_keys_in_its_items() {
-    for text in [GOOD, FORMER] {
-        let file = read(text);
+fn items_of_a_list_that_is_set_may_have_former_keys() {
+    for text in [VALID_SCENARIO, SCENARIO_WITH_FORMER_KEYS] {
+        let file = read_valid(text);
         let class = toml::toml! { name = "quote" aim_ms = 250.0 };
 
         let variant = with_key(&file, "class", vec![class]);
@@ -140,11 +144,11 @@
 }
 
 #[test]
-fn a_missing_item_is_named_by_the_former_key_that_was_set() {
-    for text in [GOOD, FORMER] {
-        let file = read(text);
+fn a_missing_item_is_reported_under_the_former_key_that_was_set() {
+    for text in [VALID_SCENARIO, SCENARIO_WITH_FORMER_KEYS] {
+        let file = read_valid(text);
 
-        let message = message_with_key(&file, "trouble[4].times", 1.0);
+        let message = error_message_with_key(&file, "trouble[4].times", 1.0);
 
         assert_eq!(
             message,
@@ -154,7 +158,7 @@
 }
 
 #[test]
-fn a_key_under_its_former_and_its_present_name_is_refused_with_line_and_key() {
+fn a_key_under_both_its_former_and_current_name_is_rejected_with_line_and_key() {
     let cases = [
         (
             "aim_ms = 300.0",
@@ -173,18 +177,18 @@
         ),
     ];
     for (part, replacement, key) in cases {
-        let text = FORMER.replacen(part, replacement, 1);
+        let text = SCENARIO_WITH_FORMER_KEYS.replacen(part, replacement, 1);
 
-        let found = errors(&text);
+        let found = error_keys_and_lines(&text);
 
-        let last_of_key = key.rsplit('.').next().unwrap_or_default();
-        let wanted = (key.to_owned(), line(&text, last_of_key));
-        assert_eq!(found, [wanted], "{replacement}");
+        let last_segment = key.rsplit('.').next().unwrap_or_default();
+        let expected = (key.to_owned(), line_number_of(&text, last_segment));
+        assert_eq!(found, [expected], "{replacement}");
     }
 }
 
 #[test]
-fn a_stored_experiment_with_former_keys_as_axes_can_be_read() {
+fn a_stored_experiment_with_former_keys_as_axes_can_be_read_and_applied() {
     let folder = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/data");
     let opened = Plan::open(&folder.join("experiment-former-keys.toml"));
     let (plan, file) = opened.unwrap_or_else(|errors| panic!("{errors}"));
@@ -202,16 +206,19 @@
 }
 
 #[test]
-fn a_wrong_value_set_under_a_former_key_is_named_as_the_file_names_the_key() {
+fn an_invalid_value_set_under_a_former_key_is_reported_under_the_key_that_the_file_has() {
     let cases = [
-        (FORMER, "trouble[0].times: must be above zero"),
-        (GOOD, "fault[0].factor: must be above zero"),
+        (
+            SCENARIO_WITH_FORMER_KEYS,
+            "trouble[0].times: must be above zero",
+        ),
+        (VALID_SCENARIO, "fault[0].factor: must be above zero"),
     ];
-    for (text, wanted) in cases {
-        let file = read(text);
+    for (text, expected) in cases {
+        let file = read_valid(text);
 
-        let message = message_with_key(&file, "trouble[0].times", 0.0);
+        let message = error_message_with_key(&file, "trouble[0].times", 0.0);
 
-        assert!(message.ends_with(wanted), "{message}");
+        assert!(message.ends_with(expected), "{message}");
     }
 }
--- a/crates/testbed/tests/scenario/refusals.rs
+++ b/crates/testbed/tests/scenario/invalid_values.rs
@@ -1,26 +1,26 @@
-//! What is said of a key that does not exist, of a value of another type, and of one out of range;
-//! and in which order, where a file has several errors.
+//! Error messages for unknown keys, values of the wrong type and values out of range, and the order
+//! of the errors in a file with several.
 
 use std::path::Path;
 
 use arrowstand_testbed::scenario::ScenarioFile;
 use serde::Deserialize;
 
-/// A value that one key of `data/complete.toml` must not have.
+/// An invalid value for one key of `data/complete.toml`.
 #[derive(Deserialize)]
-struct Refusal {
+struct InvalidValue {
     /// Path of the key.
     key: String,
-    /// The value.
     value: toml::Value,
-    /// The whole message, one line for each error.
+    /// The complete expected message, with one line for each error.
     message: String,
 }
 
-/// What `data/refusals.toml` holds.
+/// The contents of `data/refusals.toml`.
 #[derive(Deserialize)]
-struct Refusals {
-    refusal: Vec<Refusal>,
+struct InvalidValues {
+    #[serde(rename = "refusal")]
+    invalid_values: Vec<InvalidValue>,
 }
 
 fn stored_text(name: &str) -> String {
@@ -29,26 +29,27 @@
 }
 
 #[test]
-fn each_wrong_key_or_value_is_refused_with_the_stored_message() {
+fn each_invalid_key_or_value_is_rejected_with_the_stored_message() {
     let complete = ScenarioFile::read("complete.toml", &stored_text("complete.toml"))
         .unwrap_or_else(|errors| panic!("{errors}"));
-    let refusals: Refusals = toml::from_str(&stored_text("refusals.toml")).expect("refusals");
+    let stored: InvalidValues =
+        toml::from_str(&stored_text("refusals.toml")).expect("valid test data");
 
-    for Refusal {
+    for InvalidValue {
         key,
         value,
         message,
-    } in refusals.refusal
+    } in stored.invalid_values
     {
-        let set = complete.with_keys_set(&[(key.clone(), value.clone())]);
+        let result = complete.with_keys_set(&[(key.clone(), value.clone())]);
 
-        let found = set.expect_err(&format!("{key} = {value}")).to_string();
+        let found = result.expect_err(&format!("{key} = {value}")).to_string();
         assert_eq!(found, message, "{key} = {value}");
     }
 }
 
 #[test]
-fn errors_are_reported_by_line_and_on_one_line_in_the_order_of_the_checks() {
+fn errors_are_sorted_by_line_and_within_a_line_in_the_order_of_the_checks() {
     let text = stored_text("many_errors.toml");
 
     let errors = ScenarioFile::read("many_errors.toml", &text).expect_err("errors");
--- a/crates/testbed/tests/scenario/main.rs
+++ b/crates/testbed/tests/scenario/main.rs
@@ -1,29 +1,32 @@
-//! Scenario files: shipped and stored ones can be read, what contradicts itself is refused with
-//! line and key, and keys, defaults, messages and their page agree.
+//! Tests of scenario files: shipped and stored ones can be read, invalid ones are rejected with
+//! line and key, and keys, defaults and error messages match the stored ones and the documentation.
 
 mod defaults;
 mod former_keys;
+mod invalid_values;
 mod page;
-mod refusals;
 mod support;
 
 use std::path::{Path, PathBuf};
 
 use arrowstand_testbed::scenario::ScenarioFile;
 
-use support::{GOOD, errors, line, message, message_with_key, read, with_key};
+use support::{
+    VALID_SCENARIO, error_keys_and_lines, error_message, error_message_with_key, line_number_of,
+    read_valid, with_key,
+};
 
-/// A drain of the server that crashes in [`GOOD`], two seconds after its crash.
-const DRAIN_OF_THE_CRASHED_SERVER: &str = r#"
+/// A drain of the server that crashes in [`VALID_SCENARIO`], two seconds after the crash.
+const DRAIN_OF_CRASHED_SERVER: &str = r#"
 [[fault]]
 kind = "drain"
 at_s = 4.0
 servers = ["s1"]
 "#;
 
-/// A part of [`GOOD`], what stands in its place, and the key that is named then. The wrong key is
-/// in the last line of the replacement.
-const WRONG_VALUES_AND_KEYS: [(&str, &str, &str); 12] = [
+/// Part of [`VALID_SCENARIO`], its invalid replacement, and the key in the error. The invalid key
+/// is in the last line of the replacement.
+const INVALID_VALUES_AND_KEYS: [(&str, &str, &str); 12] = [
     ("seconds = 10.0", "seconds = -1.0", "seconds"),
     ("seconds = 10.0", "seconds = \"long\"", "seconds"),
     ("seconds = 10.0", "secs = 10.0", "secs"),
@@ -51,29 +54,29 @@
 ];
 
 #[test]
-fn a_wrong_value_or_key_is_named_by_line_and_key() {
-    assert_eq!(errors(GOOD), []);
+fn an_invalid_value_or_key_is_reported_with_line_and_key() {
+    assert_eq!(error_keys_and_lines(VALID_SCENARIO), []);
 
-    for (part, replacement, key) in WRONG_VALUES_AND_KEYS {
-        let text = GOOD.replacen(part, replacement, 1);
+    for (part, replacement, key) in INVALID_VALUES_AND_KEYS {
+        let text = VALID_SCENARIO.replacen(part, replacement, 1);
 
-        let found = errors(&text);
+        let found = error_keys_and_lines(&text);
 
-        let wrong_line = replacement
+        let invalid_line = replacement
             .lines()
             .last()
-            .and_then(|last| line(&text, last));
-        let wanted = (key.to_owned(), wrong_line);
+            .and_then(|last| line_number_of(&text, last));
+        let expected = (key.to_owned(), invalid_line);
         assert!(
-            found.contains(&wanted),
-            "{replacement}: {found:?}, wanted {wanted:?}"
+            found.contains(&expected),
+            "{replacement}: {found:?}, expected {expected:?}"
         );
     }
 }
 
-/// Keys of choices, and all values that scenario files have for them, whatever the code calls the
-/// variants.
-const CHOICES: [(&str, &[&str]); 8] = [
+/// Keys with enumerated values, and all their values as scenario files name them. The names of the
+/// enum variants may differ.
+const ENUM_VALUES: [(&str, &[&str]); 8] = [
     (
         "fault[0].kind",
         &[
@@ -109,9 +112,9 @@
 }
 
 #[test]
-fn every_value_of_a_choice_is_read_and_written_under_its_stored_name() {
-    let scenario = read(GOOD);
-    for (key, values) in CHOICES {
+fn every_enum_value_is_read_and_written_under_its_stored_name() {
+    let scenario = read_valid(VALID_SCENARIO);
+    for (key, values) in ENUM_VALUES {
         for value in values {
             let changed = with_key(&scenario, key, *value);
 
@@ -123,10 +126,10 @@
 }
 
 #[test]
-fn shares_that_add_up_to_more_than_one_are_refused() {
-    let text = format!("{GOOD}\n[[class]]\nname = \"quote\"\nshare = 0.5\n");
+fn class_shares_with_a_sum_above_one_are_rejected() {
+    let text = format!("{VALID_SCENARIO}\n[[class]]\nname = \"quote\"\nshare = 0.5\n");
 
-    let message = message(&text);
+    let message = error_message(&text);
 
     assert!(
         message.contains("class: shares add up to 1.100"),
@@ -135,32 +138,32 @@
 }
 
 #[test]
-fn a_drain_of_a_server_that_has_crashed_is_refused() {
-    let text = format!("{GOOD}{DRAIN_OF_THE_CRASHED_SERVER}");
+fn a_drain_of_a_crashed_server_is_rejected() {
+    let text = format!("{VALID_SCENARIO}{DRAIN_OF_CRASHED_SERVER}");
 
-    let message = message(&text);
+    let message = error_message(&text);
 
     let last_line = text.lines().count();
-    let wanted = format!("small.toml:{last_line}: fault[1].servers: s1 is already removed");
-    assert!(message.starts_with(&wanted), "{message}");
+    let expected = format!("small.toml:{last_line}: fault[1].servers: s1 is already removed");
+    assert!(message.starts_with(&expected), "{message}");
 }
 
 #[test]
-fn a_drain_of_a_server_that_is_back_after_a_crash_is_accepted() {
-    let later = DRAIN_OF_THE_CRASHED_SERVER.replace("at_s = 4.0", "at_s = 5.5");
+fn a_drain_of_a_server_that_has_restarted_after_a_crash_is_accepted() {
+    let later = DRAIN_OF_CRASHED_SERVER.replace("at_s = 4.0", "at_s = 5.5");
 
-    let found = errors(&format!("{GOOD}{later}"));
+    let found = error_keys_and_lines(&format!("{VALID_SCENARIO}{later}"));
 
     assert_eq!(found, []);
 }
 
 #[test]
 fn several_errors_are_reported_together() {
-    let text = GOOD
+    let text = VALID_SCENARIO
         .replace("count = 3", "count = 0")
         .replace("share = 0.6", "share = 2.0");
 
-    let found = errors(&text);
+    let found = error_keys_and_lines(&text);
 
     for key in ["servers", "class[0].share"] {
         assert!(found.iter().any(|(named, _)| named == key), "{found:?}");
@@ -169,38 +172,38 @@
 }
 
 #[test]
-fn broken_toml_is_reported_by_its_line() {
-    let broken = GOOD.replace("[[class]]", "[[class");
+fn invalid_toml_is_reported_with_its_line() {
+    let invalid = VALID_SCENARIO.replace("[[class]]", "[[class");
 
-    let message = message(&broken);
+    let message = error_message(&invalid);
 
-    let broken_line = line(&broken, "[[class").expect("there");
-    let wanted = format!("small.toml:{broken_line}: ");
-    assert!(message.starts_with(&wanted), "{message}");
+    let invalid_line = line_number_of(&invalid, "[[class").expect("a line with the invalid header");
+    let expected = format!("small.toml:{invalid_line}: ");
+    assert!(message.starts_with(&expected), "{message}");
 }
 
 #[test]
-fn a_key_that_is_set_takes_effect_in_the_variant_only() {
-    let scenario = read(GOOD);
+fn setting_a_key_changes_the_copy_and_not_the_original() {
+    let scenario = read_valid(VALID_SCENARIO);
 
-    let more_sidecars = with_key(&scenario, "sidecars.count", 7);
-    let milder_fault = with_key(&scenario, "fault[0].factor", 2.5);
+    let with_seven_sidecars = with_key(&scenario, "sidecars.count", 7);
+    let with_factor = with_key(&scenario, "fault[0].factor", 2.5);
 
-    assert_eq!(more_sidecars.scenario.sidecars.count, 7);
-    assert_eq!(milder_fault.scenario.fault[0].factor, 2.5);
+    assert_eq!(with_seven_sidecars.scenario.sidecars.count, 7);
+    assert_eq!(with_factor.scenario.fault[0].factor, 2.5);
     assert_eq!(scenario.scenario.sidecars.count, 3);
 }
 
 #[test]
-fn a_key_that_cannot_be_set_is_refused_by_name() {
-    let scenario = read(GOOD);
+fn a_key_that_cannot_be_set_is_named_in_the_error() {
+    let scenario = read_valid(VALID_SCENARIO);
     for (key, value) in [
         ("sidecars.count", -1),
         ("fault[4].factor", 1),
         ("seconds.x", 1),
         ("load.speed", 1),
     ] {
-        let message = message_with_key(&scenario, key, value);
+        let message = error_message_with_key(&scenario, key, value);
 
         let section = key.split('.').next().unwrap_or_default();
         assert!(message.contains(section), "{key}: {message}");
@@ -208,16 +211,16 @@
 }
 
 #[test]
-fn more_arrivals_than_memory_holds_are_refused() {
-    let long = GOOD.replace("seconds = 10.0", "seconds = 1e7");
+fn a_scenario_with_too_many_arrivals_is_rejected() {
+    let long = VALID_SCENARIO.replace("seconds = 10.0", "seconds = 1e7");
 
-    let found = errors(&format!("{long}\n[load]\nrate = 1000.0\n"));
+    let found = error_keys_and_lines(&format!("{long}\n[load]\nrate = 1000.0\n"));
 
     assert!(found.iter().any(|(key, _)| key == "load"), "{found:?}");
 }
 
 /// The TOML files of a folder.
-fn files_in(folder: &Path) -> Vec<PathBuf> {
+fn toml_files_in(folder: &Path) -> Vec<PathBuf> {
     let entries = std::fs::read_dir(folder).expect("a folder");
     entries
         .map(|entry| entry.expect("an entry").path())
@@ -231,7 +234,11 @@
 #[test]
 fn every_shipped_scenario_can_be_read() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("scenarios");
-    let shipped = [files_in(&folder), files_in(&folder.join("losses"))].concat();
+    let shipped = [
+        toml_files_in(&folder),
+        toml_files_in(&folder.join("losses")),
+    ]
+    .concat();
 
     for path in &shipped {
         ScenarioFile::open(path).unwrap_or_else(|errors| panic!("{errors}"));
--- a/crates/testbed/tests/scenario/page.rs
+++ b/crates/testbed/tests/scenario/page.rs
@@ -1,4 +1,4 @@
-//! `docs/scenario.md` describes the keys that scenarios have: each one, with its default.
+//! `docs/scenario.md` lists every key of scenario files with its default.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -10,10 +10,10 @@
 use serde::Serialize;
 use serde_json::Value;
 
-/// Headings of the page, in its order, and the defaults of the section under each.
-fn sections() -> Vec<(&'static str, Value)> {
+/// Headings of the page, in its order, with the defaults of the section under each.
+fn defaults_by_heading() -> Vec<(&'static str, Value)> {
     vec![
-        ("Top of the file", keys_outside_sections()),
+        ("Top of the file", top_level_defaults()),
         ("`[network]`", defaults_of::<Network>()),
         ("`[[machine_type]]`", defaults_of::<MachineType>()),
         ("`contention`", defaults_of::<Contention>()),
@@ -34,24 +34,25 @@
 }
 
 fn defaults_of<S: Default + Serialize>() -> Value {
-    serde_json::to_value(S::default()).expect("JSON")
+    serde_json::to_value(S::default()).expect("the section can be serialised")
 }
 
-/// Defaults of the keys at the top of a file that are no sections.
-fn keys_outside_sections() -> Value {
+/// Defaults of the keys at the top level of a file that are not sections.
+fn top_level_defaults() -> Value {
     let mut scenario = defaults_of::<Scenario>();
     let keys = scenario.as_object_mut().expect("a table");
     keys.retain(|_, value| !value.is_object() && !value.is_array());
     scenario
 }
 
-/// The page's tables of keys, by the start of the heading above each: key and default of each row.
-fn tables_of_keys() -> BTreeMap<String, BTreeMap<String, String>> {
+/// Keys with their defaults in the page's key tables, by the heading above each table up to the
+/// first colon.
+fn key_tables_on_page() -> BTreeMap<String, BTreeMap<String, String>> {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/scenario.md");
-    let page = std::fs::read_to_string(path).expect("the page");
+    let page = std::fs::read_to_string(path).expect("the page can be read");
     let mut tables: BTreeMap<String, BTreeMap<String, String>> = BTreeMap::new();
     let mut heading = "";
-    let mut in_table_of_keys = false;
+    let mut in_key_table = false;
     for line in page.lines() {
         if let Some(text) = line.strip_prefix('#') {
             let text = text.trim_start_matches('#').trim();
@@ -59,21 +60,21 @@
         }
         let cells: Vec<&str> = line.split('|').map(str::trim).collect();
         match cells.as_slice() {
-            ["", "key", "unit", "default", _, ""] => in_table_of_keys = true,
-            ["", key, _, default, _, ""] if in_table_of_keys && key.starts_with('`') => {
+            ["", "key", "unit", "default", _, ""] => in_key_table = true,
+            ["", key, _, default, _, ""] if in_key_table && key.starts_with('`') => {
                 let table = tables.entry(heading.to_owned()).or_default();
                 let key = key.trim_matches('`').to_owned();
                 let earlier = table.insert(key, (*default).to_owned());
                 assert_eq!(earlier, None, "{heading}: {line}");
             }
-            _ => in_table_of_keys &= line.starts_with('|'),
+            _ => in_key_table &= line.starts_with('|'),
         }
     }
     tables
 }
 
-/// A default as the page writes it: `none` for what is absent, strings in backticks.
-fn value_on_page(text: &str) -> Value {
+/// Parses a default on the page: `none` stands for an absent value, and strings are in backticks.
+fn parse_default(text: &str) -> Value {
     let unquoted = text.trim_matches('`');
     match text {
         "none" => Value::Null,
@@ -81,13 +82,12 @@
     }
 }
 
-/// Whether two values are the same to a reader: 40 and 40.0 are, and so are an absent key and an
-/// empty list.
-fn is_same(page: &Value, code: &Value) -> bool {
+/// Whether two values are equivalent: so are 40 and 40.0, and an absent value and an empty list.
+fn are_equivalent(page: &Value, code: &Value) -> bool {
     match (page, code) {
         (Value::Null, Value::Array(items)) => items.is_empty(),
         (Value::Array(page), Value::Array(code)) => {
-            page.len() == code.len() && page.iter().zip(code).all(|(p, c)| is_same(p, c))
+            page.len() == code.len() && page.iter().zip(code).all(|(p, c)| are_equivalent(p, c))
         }
         (Value::Number(page), Value::Number(code)) => page.as_f64() == code.as_f64(),
         _ => page == code,
@@ -95,9 +95,9 @@
 }
 
 #[test]
-fn the_page_has_each_key_with_its_default_and_no_others() {
-    let tables = tables_of_keys();
-    let sections = sections();
+fn the_page_lists_each_key_with_its_default_and_no_others() {
+    let tables = key_tables_on_page();
+    let sections = defaults_by_heading();
 
     for (heading, defaults) in &sections {
         let defaults = defaults.as_object().expect("a table");
@@ -107,9 +107,12 @@
         keys.sort();
         assert_eq!(keys_on_page, keys, "{heading}");
         for (key, text) in table {
-            let on_page = value_on_page(text);
+            let on_page = parse_default(text);
             let default = &defaults[key];
-            assert!(is_same(&on_page, default), "{heading}: {key} is {default}");
+            assert!(
+                are_equivalent(&on_page, default),
+                "{heading}: {key} is {default}"
+            );
         }
     }
     assert_eq!(tables.len(), sections.len(), "{:?}", tables.keys());
--- a/crates/testbed/tests/scenario/support.rs
+++ b/crates/testbed/tests/scenario/support.rs
@@ -1,12 +1,12 @@
-//! A small scenario, and what reading a variant of it gives.
+//! A small valid scenario, and helpers that read variants of it.
 
 use arrowstand_testbed::scenario::ScenarioFile;
 
-/// Name of the file in the messages of all texts that are read here.
-const FILE: &str = "small.toml";
+/// File name in the error messages of all texts that are read here.
+const FILE_NAME: &str = "small.toml";
 
-/// A small scenario without an error in it.
-pub(crate) const GOOD: &str = r#"
+/// A small valid scenario.
+pub(crate) const VALID_SCENARIO: &str = r#"
 name = "small"
 seconds = 10.0
 
@@ -28,12 +28,12 @@
 servers = ["s1"]
 "#;
 
-/// The scenario of a text without an error.
-pub(crate) fn read(text: &str) -> ScenarioFile {
-    ScenarioFile::read(FILE, text).unwrap_or_else(|errors| panic!("{errors}"))
+/// Reads a valid scenario.
+pub(crate) fn read_valid(text: &str) -> ScenarioFile {
+    ScenarioFile::read(FILE_NAME, text).unwrap_or_else(|errors| panic!("{errors}"))
 }
 
-/// A scenario with one key set to a value that it may have.
+/// A copy of the scenario with one key set to a valid value.
 pub(crate) fn with_key(
     scenario: &ScenarioFile,
     key: &str,
@@ -43,8 +43,8 @@
     variant.unwrap_or_else(|errors| panic!("{errors}"))
 }
 
-/// The message where one key is set to a value that it must not have.
-pub(crate) fn message_with_key(
+/// The error message when one key is set to an invalid value.
+pub(crate) fn error_message_with_key(
     scenario: &ScenarioFile,
     key: &str,
     value: impl Into<toml::Value>,
@@ -53,15 +53,15 @@
     variant.expect_err(key).to_string()
 }
 
-/// The whole message of a text with errors.
-pub(crate) fn message(text: &str) -> String {
-    let read = ScenarioFile::read(FILE, text);
-    read.expect_err("an error in the text").to_string()
+/// The complete error message of an invalid scenario.
+pub(crate) fn error_message(text: &str) -> String {
+    let result = ScenarioFile::read(FILE_NAME, text);
+    result.expect_err("an error in the text").to_string()
 }
 
-/// Keys and lines of what is wrong with a text; nothing for a text without an error.
-pub(crate) fn errors(text: &str) -> Vec<(String, Option<usize>)> {
-    match ScenarioFile::read(FILE, text) {
+/// Key and line of each error in a scenario; empty for a valid one.
+pub(crate) fn error_keys_and_lines(text: &str) -> Vec<(String, Option<usize>)> {
+    match ScenarioFile::read(FILE_NAME, text) {
         Ok(_) => Vec::new(),
         Err(errors) => {
             let errors = errors.errors.into_iter();
@@ -70,8 +70,8 @@
     }
 }
 
-/// The first line of a text that contains something, counted from 1.
-pub(crate) fn line(text: &str, part: &str) -> Option<usize> {
+/// Number of the first line that contains `part`, from 1.
+pub(crate) fn line_number_of(text: &str, part: &str) -> Option<usize> {
     let position = text.lines().position(|line| line.contains(part));
     position.map(|position| position + 1)
 }
