--- a/crates/testbed/tests/simulator/fleet.rs
+++ b/crates/testbed/tests/simulator/fleet.rs
@@ -1,50 +1,53 @@
-//! Scenarios of large fleets: rules, and bounds on what each server bears.
+//! Scenarios of large fleets: no rule is violated, and the load on each server stays within bounds.
 
 use arrowstand_testbed::simulator;
 use toml::Value;
 
-use super::support::{assert_bounds, assert_ends_every_arrival, assert_keeps_rules, scenario};
+use super::support::{
+    assert_every_arrival_ends, assert_figures_within_bounds, assert_no_violations, shipped_scenario,
+};
 
-/// What the fleet costs, at the size of `docs/fleet.md`: a bound on each server's handshakes and
-/// health checks a second.
+/// Bounds each server's connections, and its handshakes and health checks per second, in a fleet
+/// of the size in `docs/fleet.md`.
 #[test]
-fn scenarios_of_a_large_fleet_keep_the_rules_and_spare_each_server() {
+fn scenarios_of_a_large_fleet_violate_no_rule_and_keep_each_server_within_bounds() {
     let bounds = [
-        ("handshakes_most", 15.0),
-        ("probes_most", 8.0),
-        ("connections_most", 65.0),
+        ("handshakes_max", 15.0),
+        ("health_checks_max", 8.0),
+        ("connections_max", 65.0),
     ];
     for name in ["fleet-herd", "fleet-zone", "fleet-join"] {
         for seed in [1, 2] {
-            let scenario = scenario(name, &[("seed", seed.into())]);
-            let (report, _) = simulator::run(&scenario.scenario, None).expect("played");
+            let scenario = shipped_scenario(name, &[("seed", seed.into())]);
+            let (report, _) =
+                simulator::run(&scenario.scenario, None).expect("the simulation runs");
             let case = format!("{name}, seed {seed}");
-            assert_keeps_rules(&report, &case);
+            assert_no_violations(&report, &case);
             let servers = report.servers_by_number.iter();
             let overloaded = servers.filter(|server| server.overloaded_cold).count();
-            assert_eq!(overloaded, 0, "{case}: none is pushed over");
-            assert_bounds(&report, &bounds, &case);
+            assert_eq!(overloaded, 0, "{case}: servers overloaded while cold");
+            assert_figures_within_bounds(&report, &bounds, &case);
         }
     }
 }
 
-/// Plays a scenario of the full fleet, and holds it to its bounds.
-fn assert_full_size(name: &str, seed: i64, changes: &[(&str, Value)]) {
+/// Simulates a scenario of the full fleet; asserts the rules and the bounds on each server.
+fn assert_full_fleet_within_bounds(name: &str, seed: i64, changes: &[(&str, Value)]) {
     let bounds = [
-        ("handshakes_most", 20.0),
-        ("probes_most", 10.0),
-        ("connections_most", 70.0),
+        ("handshakes_max", 20.0),
+        ("health_checks_max", 10.0),
+        ("connections_max", 70.0),
     ];
     let changes = [&[("seed", seed.into())], changes].concat();
-    let scenario = scenario(name, &changes);
-    let (report, _) = simulator::run(&scenario.scenario, None).expect("played");
+    let scenario = shipped_scenario(name, &changes);
+    let (report, _) = simulator::run(&scenario.scenario, None).expect("the simulation runs");
     let case = format!("{name}, seed {seed}");
-    assert_keeps_rules(&report, &case);
-    assert_ends_every_arrival(&report, &case);
-    assert_bounds(&report, &bounds, &case);
+    assert_no_violations(&report, &case);
+    assert_every_arrival_ends(&report, &case);
+    assert_figures_within_bounds(&report, &bounds, &case);
 }
 
-const FULL_SIZE: [&str; 5] = [
+const FULL_FLEET_SCENARIOS: [&str; 5] = [
     "mass-herd",
     "mass-roll",
     "mass-zone",
@@ -52,23 +55,26 @@
     "mass-join",
 ];
 
-/// The beginning of each scenario, up to where its faults are at their worst.
+/// Simulates the first 16 s of each scenario, which include the peak of its faults.
 #[test]
-fn scenarios_of_the_full_fleet_keep_the_rules() {
+fn first_16_s_of_full_fleet_scenarios_violate_no_rule() {
     std::thread::scope(|scope| {
-        for name in FULL_SIZE {
-            scope.spawn(move || assert_full_size(name, 1, &[("seconds", 16.0.into())]));
+        for name in FULL_FLEET_SCENARIOS {
+            scope.spawn(move || {
+                assert_full_fleet_within_bounds(name, 1, &[("seconds", 16.0.into())]);
+            });
         }
     });
 }
 
+/// Takes too long in a build without optimisation.
 #[test]
-#[ignore = "too long unoptimised: cargo test --release -p arrowstand-testbed --test simulator -- --ignored"]
-fn whole_scenarios_of_the_full_fleet_keep_the_rules_over_seeds() {
+#[ignore = "too slow: use cargo test --release -p arrowstand-testbed --test simulator -- --ignored"]
+fn whole_full_fleet_scenarios_violate_no_rule_with_four_seeds() {
     for seed in 1..=4 {
         std::thread::scope(|scope| {
-            for name in FULL_SIZE {
-                scope.spawn(move || assert_full_size(name, seed, &[]));
+            for name in FULL_FLEET_SCENARIOS {
+                scope.spawn(move || assert_full_fleet_within_bounds(name, seed, &[]));
             }
         });
     }
--- a/crates/testbed/tests/simulator/main.rs
+++ b/crates/testbed/tests/simulator/main.rs
@@ -1,4 +1,4 @@
-//! The simulator: the same bytes for a seed, the rules kept, and its hard cases.
+//! Tests of the simulator: equal reports for equal seeds, no violated rules, and its faults.
 
 mod fleet;
 mod support;
@@ -7,28 +7,28 @@
 use toml::Value;
 
 use support::{
-    assert_ends_every_arrival, assert_keeps_rules, has_response, play, report_json, scenario,
-    scenario_with_fault,
+    assert_every_arrival_ends, assert_no_violations, has_response, shipped_scenario,
+    shipped_scenario_with_fault, simulate, simulate_to_json,
 };
 
 #[test]
-fn a_seed_gives_the_same_report_twice_and_another_seed_a_different_one() {
-    let first = scenario("festival", &[]);
-    let report = report_json(&first);
-    assert_eq!(report, report_json(&first));
-    let other = scenario("festival", &[("seed", 2.into())]);
-    assert_ne!(report, report_json(&other));
+fn equal_seeds_give_equal_reports_and_another_seed_a_different_one() {
+    let first = shipped_scenario("festival", &[]);
+    let report = simulate_to_json(&first);
+    assert_eq!(report, simulate_to_json(&first));
+    let other = shipped_scenario("festival", &[("seed", 2.into())]);
+    assert_ne!(report, simulate_to_json(&other));
 }
 
 #[test]
-fn a_further_server_leaves_arrivals_as_they_are() {
+fn an_additional_server_does_not_change_the_arrivals() {
     let arrivals = |servers: i64| -> Vec<_> {
         let changes = [
             ("seconds", 5.0.into()),
             ("load.rate", 200.0.into()),
             ("servers[0].count", servers.into()),
         ];
-        let (_, log) = play(&scenario("calm", &changes));
+        let (_, log) = simulate(&shipped_scenario("calm", &changes));
         let arrival = |record: &LogRecord| match record.event {
             LogEvent::ArrivalStarted {
                 sidecar,
@@ -40,14 +40,14 @@
         };
         log.iter().filter_map(arrival).collect()
     };
-    let few = arrivals(6);
-    let many = arrivals(7);
-    assert!(few.len() > 500);
-    assert_eq!(few, many);
+    let with_six_servers = arrivals(6);
+    let with_seven_servers = arrivals(7);
+    assert!(with_six_servers.len() > 500);
+    assert_eq!(with_six_servers, with_seven_servers);
 }
 
 #[test]
-fn shipped_scenarios_keep_the_rules_and_end_every_arrival() {
+fn in_shipped_scenarios_no_rule_is_violated_and_every_arrival_ends() {
     for name in [
         "calm",
         "cold-return",
@@ -56,28 +56,29 @@
         "brim",
         "try",
     ] {
-        let (report, _) = play(&scenario(name, &[]));
-        assert_keeps_rules(&report, name);
-        assert_ends_every_arrival(&report, name);
+        let (report, _) = simulate(&shipped_scenario(name, &[]));
+        assert_no_violations(&report, name);
+        assert_every_arrival_ends(&report, name);
     }
 }
 
-/// The kind of site where responses alone report load: requests that share cores, hints, late
-/// value, retries. Without these reports, they come to 0.33 and 0.26 of the service (seed 1).
+/// Scenarios in which only responses carry load reports. Requests share cores and have work hints,
+/// late responses keep some value, and clients retry. Without the load reports, service is 0.33 and
+/// 0.26 (seed 1).
 #[test]
-fn scenarios_where_responses_report_load_keep_the_rules_and_are_served() {
-    for (name, least) in [("consulta-burst", 0.65), ("consulta-roll", 0.7)] {
+fn with_load_reports_in_responses_no_rule_is_violated_and_service_is_above_its_minimum() {
+    for (name, min_service) in [("consulta-burst", 0.65), ("consulta-roll", 0.7)] {
         for seed in 1..=4 {
-            let (report, _) = play(&scenario(name, &[("seed", seed.into())]));
+            let (report, _) = simulate(&shipped_scenario(name, &[("seed", seed.into())]));
             let case = format!("{name}, seed {seed}");
-            assert_keeps_rules(&report, &case);
-            assert!(report.service > least, "{case}: {}", report.service);
+            assert_no_violations(&report, &case);
+            assert!(report.service > min_service, "{case}: {}", report.service);
         }
     }
 }
 
 #[test]
-fn a_server_that_falls_silent_amid_requests_leaves_none_without_a_response() {
+fn a_server_that_falls_silent_amid_requests_fails_some_and_does_no_work_meanwhile() {
     let fault = r#"
 [[fault]]
 kind = "silence"
@@ -85,38 +86,38 @@
 for_s = 4.0
 servers = ["s0"]
 "#;
-    let (report, log) = play(&scenario_with_fault("try", fault));
-    assert_keeps_rules(&report, "silence");
+    let (report, log) = simulate(&shipped_scenario_with_fault("try", fault));
+    assert_no_violations(&report, "silence");
     assert!(has_response(&log, RequestOutcome::Failed));
-    // Nothing ran there while it was away.
-    let ran = |record: &&LogRecord| {
+    // The server does no work while it is silent.
+    let is_work_during_fault = |record: &&LogRecord| {
         matches!(record.event, LogEvent::WorkDone { server, .. } if server.index() == 0)
             && (3_000_000..7_000_000).contains(&record.at)
     };
-    assert_eq!(log.iter().filter(ran).count(), 0);
+    assert_eq!(log.iter().filter(is_work_during_fault).count(), 0);
 }
 
 #[test]
-fn sidecars_restarted_while_servers_are_slow_keep_the_rules() {
+fn sidecars_restarted_while_servers_are_slow_lose_connections_but_violate_no_rule() {
     let changes = [
         ("fault[0].at_s", Value::Float(5.0)),
         ("fault[3].at_s", Value::Float(8.0)),
         ("fault[3].for_s", Value::Float(8.0)),
         ("seconds", Value::Float(101.0)),
     ];
-    let (report, log) = play(&scenario("festival", &changes));
-    assert_keeps_rules(&report, "festival");
+    let (report, log) = simulate(&shipped_scenario("festival", &changes));
+    assert_no_violations(&report, "festival");
     assert!(has_response(&log, RequestOutcome::ConnectionLost));
 }
 
 #[test]
-fn an_overload_beyond_the_open_requests_is_cut_off_and_reported() {
+fn arrivals_above_the_limit_of_open_requests_are_dropped_and_reported() {
     let changes = [
         ("load.rate", Value::Float(5_000.0)),
         ("seconds", Value::Float(4.0)),
         ("load.max_open_requests", Value::Integer(60)),
     ];
-    let (report, _) = play(&scenario("calm", &changes));
+    let (report, _) = simulate(&shipped_scenario("calm", &changes));
     assert!(
         report
             .remarks
@@ -132,8 +133,8 @@
 }
 
 #[test]
-fn slow_servers_cost_service() {
-    let (calm, _) = play(&scenario("calm", &[]));
+fn slow_servers_reduce_service() {
+    let (calm, _) = simulate(&shipped_scenario("calm", &[]));
     let fault = r#"
 [[fault]]
 kind = "slow"
@@ -142,7 +143,7 @@
 target_share = 0.5
 factor = 8.0
 "#;
-    let (slow, _) = play(&scenario_with_fault("calm", fault));
+    let (slow, _) = simulate(&shipped_scenario_with_fault("calm", fault));
     assert!(
         slow.service < calm.service - 0.02,
         "{} {}",
