--- a/crates/testbed/src/cli/arguments.rs
+++ b/crates/testbed/src/cli/arguments.rs
@@ -1,4 +1,4 @@
-//! The verbs, arguments and flags. Verbs and flags of earlier versions are hidden aliases.
+//! Subcommands, arguments and flags, as clap types. Names of earlier versions are hidden aliases.
 
 use std::path::PathBuf;
 
@@ -7,14 +7,15 @@
 use super::error::CliError;
 use crate::emulator;
 
-/// The sidecar's program, as it is looked for beside this one.
+/// File name of the sidecar program, which is expected in the folder of this program by default.
 const SIDECAR_PROGRAM: &str = "arrowstand";
 
-/// Plays scenarios against arrowstand: in a simulator, or in an emulator on loopback sockets.
+/// Runs load-balancing scenarios against arrowstand, in a simulator or in an emulator on loopback
+/// sockets.
 #[derive(Parser)]
 #[command(name = "arrowstand-testbed", version)]
 pub(super) struct Arguments {
-    /// Format of the log lines on standard error.
+    /// Format of the log on standard error.
     #[arg(long, global = true, value_enum, default_value = "lines")]
     pub(super) log: LogFormat,
     #[command(subcommand)]
@@ -29,103 +30,104 @@
 
 #[derive(Subcommand)]
 pub(super) enum Command {
-    /// Plays a scenario in the simulator, in virtual time.
+    /// Runs a scenario in the simulator, in virtual time.
     #[command(alias = "run")]
-    Simulate(PlayArguments),
-    /// Plays a scenario in the emulator: real sidecars among emulated servers, on loopback sockets.
+    Simulate(RunArguments),
+    /// Runs a scenario in the emulator: real sidecars between emulated clients and servers, on
+    /// loopback sockets.
     #[command(alias = "stage")]
     Emulate {
         #[command(flatten)]
-        play: PlayArguments,
+        run: RunArguments,
         #[command(flatten)]
-        program: ProgramArguments,
+        emulator: EmulatorArguments,
     },
     /// Simulates a scenario over a grid of values and seeds, on all cores.
     Experiment(ExperimentArguments),
     /// Prints two reports side by side.
     Compare {
-        /// A report as JSON.
+        /// First report, as written by --json.
         a: PathBuf,
-        /// Another one.
+        /// Second report, as written by --json.
         b: PathBuf,
     },
-    /// Checks scenarios, and prints every error in them.
+    /// Checks scenario files and prints every error in them.
     Check {
-        /// The scenarios' files.
+        /// Scenario files.
         #[arg(required = true)]
         scenarios: Vec<PathBuf>,
     },
-    /// Runs a scenario's emulated servers until Ctrl-C, and prints how to start a sidecar among
-    /// them.
+    /// Runs the emulated servers of a scenario until Ctrl-C, and prints the commands that start its
+    /// sidecars.
     Serve {
-        /// The scenario's file.
+        /// Scenario file.
         scenario: PathBuf,
         #[command(flatten)]
-        program: ProgramArguments,
+        emulator: EmulatorArguments,
     },
-    /// Emulates two servers, one sidecar and a little load, for ten seconds.
+    /// Emulates two servers and one sidecar under a light load for ten seconds.
     Try {
         #[command(flatten)]
-        program: ProgramArguments,
+        emulator: EmulatorArguments,
     },
 }
 
 #[derive(Args)]
-pub(super) struct PlayArguments {
-    /// The scenario's file.
+pub(super) struct RunArguments {
+    /// Scenario file.
     pub(super) scenario: PathBuf,
-    /// Plays this seed instead of the scenario's.
+    /// Seed of the random draws; by default the scenario's.
     #[arg(long)]
     pub(super) seed: Option<u64>,
-    /// Sets a key of the scenario to another value, such as sidecars.count=5.
+    /// Overrides a key of the scenario, such as sidecars.count=5; may be given more than once.
     #[arg(long = "set", value_name = "KEY=VALUE")]
     pub(super) set: Vec<String>,
-    /// Writes the report as JSON.
+    /// Writes the report to this file, as JSON.
     #[arg(long, value_name = "FILE")]
     pub(super) json: Option<PathBuf>,
-    /// Draws the report as SVG.
+    /// Plots the report into this file, as SVG.
     #[arg(long, value_name = "FILE")]
     pub(super) svg: Option<PathBuf>,
-    /// Writes every event, one JSON object a line.
+    /// Writes every event to this file, one JSON object per line.
     #[arg(long, alias = "ledger", value_name = "FILE")]
     pub(super) event_log: Option<PathBuf>,
 }
 
 #[derive(Args)]
 pub(super) struct ExperimentArguments {
-    /// The experiment's file.
+    /// Experiment file.
     pub(super) plan: PathBuf,
-    /// Writes the table, one row a cell of the grid.
+    /// Writes the table to this file, as CSV with one row per cell of the grid.
     #[arg(long, value_name = "FILE")]
     pub(super) csv: Option<PathBuf>,
-    /// Draws the figures as SVG.
+    /// Plots the figures into this file, as SVG.
     #[arg(long, value_name = "FILE")]
     pub(super) svg: Option<PathBuf>,
-    /// Plays this many seeds instead of the file's.
+    /// Number of seeds per cell of the grid; by default that of the experiment file.
     #[arg(long)]
     pub(super) seeds: Option<u64>,
-    /// Shows no progress.
+    /// Hides the progress bar.
     #[arg(long)]
     pub(super) quiet: bool,
 }
 
 #[derive(Args)]
-pub(super) struct ProgramArguments {
-    /// The sidecar's program; by default the one beside this program.
+pub(super) struct EmulatorArguments {
+    /// Sidecar program; by default `arrowstand` in the folder of this program.
     #[arg(long, value_name = "FILE")]
     arrowstand: Option<PathBuf>,
-    /// Folder of the sidecars' configurations and logs.
+    /// Folder for the sidecars' configurations and logs; by default a temporary folder.
     #[arg(long)]
     folder: Option<PathBuf>,
 }
 
-impl ProgramArguments {
-    /// The emulator's options.
+impl EmulatorArguments {
+    /// Converts the arguments to options of the emulator.
     ///
     /// # Errors
-    /// Where the sidecar's program is missing.
-    pub(super) fn options(&self) -> Result<emulator::Options, CliError> {
-        let beside = || {
+    /// Returns an error if the sidecar program is not a file.
+    pub(super) fn emulator_options(&self) -> Result<emulator::Options, CliError> {
+        let default_program = || {
             Some(
                 std::env::current_exe()
                     .ok()?
@@ -136,10 +138,10 @@
         let program = self
             .arrowstand
             .clone()
-            .or_else(beside)
+            .or_else(default_program)
             .unwrap_or_else(|| SIDECAR_PROGRAM.into());
         if !program.is_file() {
-            return Err(CliError::MissingProgram { path: program });
+            return Err(CliError::ProgramNotFound { path: program });
         }
         Ok(emulator::Options {
             program,
--- a/crates/testbed/src/cli/error.rs
+++ b/crates/testbed/src/cli/error.rs
@@ -1,6 +1,6 @@
-//! Why a command fails, how it is printed, and the exit code that follows.
+//! Errors of the command line, their output and their exit codes.
 //!
-//! Owns which errors count as bad input.
+//! Decides which errors count as bad input.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -11,49 +11,51 @@
 use crate::plot::PlotError;
 use crate::scenario::ScenarioErrors;
 
-/// Exit code for bad input.
-const BAD_INPUT: u8 = 2;
+const BAD_INPUT_EXIT_CODE: u8 = 2;
 
-/// A command that could not be executed.
+/// Error that prevents a command from completing.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum CliError {
-    /// The sidecar's program is not where it should be.
-    #[error("--arrowstand: there is no program {}: build the workspace first", .path.display())]
-    MissingProgram { path: PathBuf },
-    /// A `--set` without a key or a value.
-    #[error("--set {argument}: is not KEY=VALUE")]
-    SetSyntax { argument: String },
-    /// A seed beyond the integers of TOML.
-    #[error("--seed: is too large")]
-    SeedTooLarge,
-    /// A scenario or plan with errors.
+    /// The path of the sidecar program is not a file.
+    #[error(
+        "--arrowstand: no program at {}: build the workspace or pass its path",
+        .path.display()
+    )]
+    ProgramNotFound { path: PathBuf },
+    /// The argument of `--set` has no `=`.
+    #[error("--set {argument}: expected KEY=VALUE, such as sidecars.count=5")]
+    MalformedOverride { argument: String },
+    /// The seed exceeds the largest integer of TOML.
+    #[error("--seed: must be at most {}", i64::MAX)]
+    SeedOutOfRange,
+    /// A scenario or an experiment file is invalid.
     #[error(transparent)]
     Scenario(#[from] ScenarioErrors),
-    /// Several of them.
-    #[error("{}", lines(.0))]
+    /// Several scenarios are invalid.
+    #[error("{}", join_lines(.0))]
     Scenarios(Vec<ScenarioErrors>),
-    /// A report cannot be read.
+    /// A report file cannot be read.
     #[error("{}: {source}", .path.display())]
     ReadReport { path: PathBuf, source: io::Error },
-    /// A file is no report.
-    #[error("{}: {source}", .path.display())]
+    /// The content of a file is not a report.
+    #[error("{}: is not a report as written by --json: {source}", .path.display())]
     ParseReport {
         path: PathBuf,
         source: serde_json::Error,
     },
-    /// A file that should be written cannot be created.
+    /// An output file cannot be created.
     #[error("{}: {source}", .path.display())]
     Create { path: PathBuf, source: io::Error },
-    /// A file was created and cannot be written to its end.
+    /// Writing an output file failed after it was created.
     #[error("{}: {source}", .path.display())]
     Write { path: PathBuf, source: io::Error },
-    /// The simulator does not take the scenario.
+    /// The simulator rejected the scenario.
     #[error("{reason}")]
     Simulator { reason: String },
-    /// The emulator could not play the scenario.
+    /// The emulator could not run the scenario.
     #[error(transparent)]
     Emulator(#[from] EmulatorError),
-    /// The experiment could not be played.
+    /// The experiment could not be run.
     #[error(transparent)]
     Experiment(#[from] ExperimentError),
     /// A plot could not be drawn.
@@ -61,12 +63,13 @@
     Plot(#[from] PlotError),
 }
 
-fn lines(errors: &[ScenarioErrors]) -> String {
+fn join_lines(errors: &[ScenarioErrors]) -> String {
     let lines: Vec<String> = errors.iter().map(ToString::to_string).collect();
     lines.join("\n")
 }
 
 impl CliError {
+    /// Returns a function that wraps the error of creating the output file `path`.
     pub(super) fn create(path: &Path) -> impl FnOnce(io::Error) -> Self + '_ {
         |source| Self::Create {
             path: path.to_owned(),
@@ -74,6 +77,7 @@
         }
     }
 
+    /// Returns a function that wraps the error of writing the output file `path`.
     pub(super) fn write(path: &Path) -> impl FnOnce(io::Error) -> Self + '_ {
         |source| Self::Write {
             path: path.to_owned(),
@@ -81,12 +85,12 @@
         }
     }
 
-    /// True where the user has to change the input; otherwise the environment is at fault.
+    /// Returns true if the user has to change the input; otherwise the cause is in the environment.
     fn is_bad_input(&self) -> bool {
         match self {
-            Self::MissingProgram { .. }
-            | Self::SetSyntax { .. }
-            | Self::SeedTooLarge
+            Self::ProgramNotFound { .. }
+            | Self::MalformedOverride { .. }
+            | Self::SeedOutOfRange
             | Self::Scenario(_)
             | Self::Scenarios(_)
             | Self::ReadReport { .. }
@@ -100,7 +104,8 @@
         }
     }
 
-    /// Prints the error on standard error.
+    /// Prints the error on standard error. A message about bad input begins with the file or flag
+    /// in place of the program's name.
     pub(super) fn print(&self) {
         if self.is_bad_input() {
             eprintln!("{self}");
@@ -111,7 +116,7 @@
 
     pub(super) fn exit_code(&self) -> ExitCode {
         if self.is_bad_input() {
-            ExitCode::from(BAD_INPUT)
+            ExitCode::from(BAD_INPUT_EXIT_CODE)
         } else {
             ExitCode::FAILURE
         }
--- a/crates/testbed/src/cli/input.rs
+++ b/crates/testbed/src/cli/input.rs
@@ -1,34 +1,38 @@
-//! Reads what the arguments name: scenarios with their changes, and reports.
+//! Reads the input files of a command: scenarios with their overrides, and reports.
 //!
-//! Owns the form of `--set` and `--seed`; what a key takes is decided by `scenario`.
+//! Parses `--set` and `--seed`; `scenario` checks the keys and values.
 
 use std::path::Path;
 
-use super::arguments::PlayArguments;
+use super::arguments::RunArguments;
 use super::error::CliError;
 use crate::report::Report;
 use crate::scenario::ScenarioFile;
 
-/// The scenario with the changes that the arguments ask for.
+/// Reads the scenario and applies the overrides of `--set` and `--seed`.
 ///
 /// # Errors
-/// What is wrong with the scenario or a change.
-pub(super) fn scenario(arguments: &PlayArguments) -> Result<ScenarioFile, CliError> {
-    let set = arguments.set.iter().map(|argument| change(argument));
-    let mut changes = set.collect::<Result<Vec<_>, _>>()?;
+/// Returns an error if an override is malformed, or if the scenario is invalid with or without the
+/// overrides.
+pub(super) fn read_scenario(arguments: &RunArguments) -> Result<ScenarioFile, CliError> {
+    let parsed = arguments
+        .set
+        .iter()
+        .map(|argument| parse_override(argument));
+    let mut overrides = parsed.collect::<Result<Vec<_>, _>>()?;
     if let Some(seed) = arguments.seed {
-        let seed = i64::try_from(seed).map_err(|_| CliError::SeedTooLarge)?;
-        changes.push(("seed".into(), toml::Value::Integer(seed)));
+        let seed = i64::try_from(seed).map_err(|_| CliError::SeedOutOfRange)?;
+        overrides.push(("seed".into(), toml::Value::Integer(seed)));
     }
     let scenario = ScenarioFile::open(&arguments.scenario)?;
-    Ok(scenario.with(&changes)?)
+    Ok(scenario.with(&overrides)?)
 }
 
-/// The key and value of a `--set`; a value that is no TOML is taken as a string.
-fn change(argument: &str) -> Result<(String, toml::Value), CliError> {
+/// Splits the argument of `--set` into key and value. A value that is not TOML is a string.
+fn parse_override(argument: &str) -> Result<(String, toml::Value), CliError> {
     let Some((key, text)) = argument.split_once('=') else {
         let argument = argument.to_owned();
-        return Err(CliError::SetSyntax { argument });
+        return Err(CliError::MalformedOverride { argument });
     };
     let parsed = format!("v = {text}").parse::<toml::Table>().ok();
     let value = parsed
@@ -37,10 +41,10 @@
     Ok((key.to_owned(), value))
 }
 
-/// Reads a report, of this version or an earlier one.
+/// Reads a report, also one written by an earlier version.
 ///
 /// # Errors
-/// Where there is no such file, or it is no report.
+/// Returns an error if the file cannot be read or is not a report.
 pub(super) fn read_report(path: &Path) -> Result<Report, CliError> {
     let text = std::fs::read_to_string(path).map_err(|source| CliError::ReadReport {
         path: path.to_owned(),
--- a/crates/testbed/src/cli/mod.rs
+++ b/crates/testbed/src/cli/mod.rs
@@ -1,5 +1,5 @@
-//! The command line. Exit codes: 0 for a run that passes; 1 for a violation, a missed expectation,
-//! unreliable figures or a fault of the environment; 2 for bad input.
+//! The command line. Exit codes: 0 if all runs pass; 1 for a violation, a missed expectation,
+//! differing counters, unreliable figures or an error of the environment; 2 for bad input.
 
 mod arguments;
 mod error;
@@ -17,32 +17,32 @@
 use crate::scenario::{ScenarioErrors, ScenarioFile};
 use crate::{emulator, simulator};
 
-use arguments::{Arguments, Command, ExperimentArguments, LogFormat, PlayArguments};
+use arguments::{Arguments, Command, ExperimentArguments, LogFormat, RunArguments};
 use error::CliError;
 
-/// The scenario of `try`: two servers, one sidecar, a little load.
+/// The scenario of `try`: two servers and one sidecar under a light load.
 const TRY_SCENARIO: &str = include_str!("../../scenarios/try.toml");
 
-/// Whether everything that a command played passes.
+/// Whether all runs of a command passed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Verdict {
+enum RunStatus {
     Passed,
     Failed,
 }
 
-impl Verdict {
-    fn of(passes: bool) -> Self {
-        if passes { Self::Passed } else { Self::Failed }
+impl RunStatus {
+    fn from_passed(passed: bool) -> Self {
+        if passed { Self::Passed } else { Self::Failed }
     }
 }
 
-/// Runs the program.
+/// Parses the arguments, executes the command and returns the exit code.
 pub fn main() -> ExitCode {
     let arguments = Arguments::parse();
     start_logging(arguments.log);
     match execute(arguments.command) {
-        Ok(Verdict::Passed) => ExitCode::SUCCESS,
-        Ok(Verdict::Failed) => ExitCode::FAILURE,
+        Ok(RunStatus::Passed) => ExitCode::SUCCESS,
+        Ok(RunStatus::Failed) => ExitCode::FAILURE,
         Err(error) => {
             error.print();
             error.exit_code()
@@ -61,16 +61,15 @@
     }
 }
 
-/// Executes a command.
-fn execute(command: Command) -> Result<Verdict, CliError> {
+fn execute(command: Command) -> Result<RunStatus, CliError> {
     match command {
-        Command::Simulate(arguments) => play(&arguments, simulate),
+        Command::Simulate(arguments) => run_scenario(&arguments, simulate),
         Command::Emulate {
-            play: arguments,
-            program,
+            run: arguments,
+            emulator: emulator_arguments,
         } => {
-            let options = program.options()?;
-            play(&arguments, |scenario, event_log| {
+            let options = emulator_arguments.emulator_options()?;
+            run_scenario(&arguments, |scenario, event_log| {
                 Ok(emulator::run(&scenario.scenario, &options, event_log)?)
             })
         }
@@ -79,11 +78,11 @@
             let a = input::read_report(&a)?;
             let b = input::read_report(&b)?;
             print!("{}", compare(&a, &b));
-            Ok(Verdict::Passed)
+            Ok(RunStatus::Passed)
         }
         Command::Check { scenarios } => check(&scenarios),
-        Command::Serve { scenario, program } => serve(&scenario, &program.options()?),
-        Command::Try { program } => try_out(&program.options()?),
+        Command::Serve { scenario, emulator } => serve(&scenario, &emulator.emulator_options()?),
+        Command::Try { emulator } => run_try(&emulator.emulator_options()?),
     }
 }
 
@@ -98,22 +97,22 @@
     Ok(report)
 }
 
-/// Plays a scenario and writes what is asked for.
-fn play(
-    arguments: &PlayArguments,
+/// Runs a scenario with `engine`, and writes the outputs that the arguments name.
+fn run_scenario(
+    arguments: &RunArguments,
     engine: impl FnOnce(&ScenarioFile, Option<&mut dyn EventLog>) -> Result<Report, CliError>,
-) -> Result<Verdict, CliError> {
-    let scenario = input::scenario(arguments)?;
+) -> Result<RunStatus, CliError> {
+    let scenario = input::read_scenario(arguments)?;
     let report = match &arguments.event_log {
         Some(path) => output::with_event_log(path, |event_log| engine(&scenario, Some(event_log)))?,
         None => engine(&scenario, None)?,
     };
     output::write_report(&report, arguments)?;
     print!("{report}");
-    Ok(Verdict::of(report.passes()))
+    Ok(RunStatus::from_passed(report.passes()))
 }
 
-fn experiment(arguments: &ExperimentArguments) -> Result<Verdict, CliError> {
+fn experiment(arguments: &ExperimentArguments) -> Result<RunStatus, CliError> {
     let (mut plan, scenario) = Plan::open(&arguments.plan)?;
     plan.seeds = arguments.seeds.unwrap_or(plan.seeds);
     let display = if arguments.quiet {
@@ -130,34 +129,36 @@
     if let Some(path) = &arguments.svg {
         results.draw(path)?;
     }
-    Ok(Verdict::of(results.violation_count() == 0))
+    Ok(RunStatus::from_passed(results.violation_count() == 0))
 }
 
-fn check(scenarios: &[impl AsRef<Path>]) -> Result<Verdict, CliError> {
+fn check(scenarios: &[impl AsRef<Path>]) -> Result<RunStatus, CliError> {
     let errors: Vec<ScenarioErrors> = scenarios
         .iter()
         .filter_map(|path| ScenarioFile::open(path.as_ref()).err())
         .collect();
     if errors.is_empty() {
-        Ok(Verdict::Passed)
+        Ok(RunStatus::Passed)
     } else {
         Err(CliError::Scenarios(errors))
     }
 }
 
-fn serve(scenario: &Path, options: &emulator::Options) -> Result<Verdict, CliError> {
+fn serve(scenario: &Path, options: &emulator::Options) -> Result<RunStatus, CliError> {
     let scenario = ScenarioFile::open(scenario)?;
     emulator::serve(&scenario.scenario, options, |commands| {
-        println!("The emulated servers are up until Ctrl-C. To start a sidecar:\n{commands}");
+        println!(
+            "The emulated servers run until Ctrl-C. Commands that start the sidecars:\n{commands}"
+        );
     })?;
-    Ok(Verdict::Passed)
+    Ok(RunStatus::Passed)
 }
 
-fn try_out(options: &emulator::Options) -> Result<Verdict, CliError> {
+fn run_try(options: &emulator::Options) -> Result<RunStatus, CliError> {
     let scenario = ScenarioFile::read("try", TRY_SCENARIO)?;
     let seconds = scenario.scenario.seconds;
-    println!("Two emulated servers, one sidecar, {seconds} s of load ...");
+    println!("Emulating two servers and one sidecar under load for {seconds} s ...");
     let report = emulator::run(&scenario.scenario, options, None)?;
     print!("{report}");
-    Ok(Verdict::of(report.passes()))
+    Ok(RunStatus::from_passed(report.passes()))
 }
--- a/crates/testbed/src/cli/output.rs
+++ b/crates/testbed/src/cli/output.rs
@@ -1,37 +1,37 @@
-//! Writes what the arguments ask for: the event log, and the report as JSON and as a plot.
+//! Writes the output files of a run: the event log, and the report as JSON and as a plot.
 //!
-//! Owns the files; the forms are those of `event_log`, `report` and `plot`.
+//! Opens the files; `event_log`, `report` and `plot` define the formats.
 
 use std::fs::File;
 use std::io::{BufWriter, Write as _};
 use std::path::Path;
 
-use super::arguments::PlayArguments;
+use super::arguments::RunArguments;
 use super::error::CliError;
 use crate::event_log::{EventLog, Writer};
 use crate::plot;
 use crate::report::Report;
 
-/// Plays with an event log that is written to a file.
+/// Calls `run` with an event log that is written to the file `path`.
 ///
 /// # Errors
-/// Those of `play`, and where the file cannot be written.
+/// Returns an error if `run` fails or the file cannot be written.
 pub(super) fn with_event_log(
     path: &Path,
-    play: impl FnOnce(&mut dyn EventLog) -> Result<Report, CliError>,
+    run: impl FnOnce(&mut dyn EventLog) -> Result<Report, CliError>,
 ) -> Result<Report, CliError> {
     let file = File::create(path).map_err(CliError::create(path))?;
     let mut writer = Writer::new(BufWriter::new(file));
-    let report = play(&mut writer)?;
+    let report = run(&mut writer)?;
     writer.finish().map_err(CliError::write(path))?;
     Ok(report)
 }
 
-/// Writes the report to the files that are asked for.
+/// Writes the report to the files given by `--json` and `--svg`.
 ///
 /// # Errors
-/// Where a file cannot be written.
-pub(super) fn write_report(report: &Report, arguments: &PlayArguments) -> Result<(), CliError> {
+/// Returns an error if a file cannot be written.
+pub(super) fn write_report(report: &Report, arguments: &RunArguments) -> Result<(), CliError> {
     if let Some(path) = &arguments.json {
         write_json(report, path)?;
     }
--- a/crates/testbed/tests/cli.rs
+++ b/crates/testbed/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: exit codes, messages, and the files that are written.
+//! Tests of the command line: exit codes, messages and output files.
 
 mod common;
 
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_run_that_passes_exits_with_0_and_writes_what_is_asked_for() {
+fn a_passing_run_exits_with_0_and_writes_the_requested_files() {
     let json = TemporaryPath::new("report.json");
     let svg = TemporaryPath::new("report.svg");
     let event_log = TemporaryPath::new("events");
@@ -60,8 +60,8 @@
 #[test]
 fn bad_input_exits_with_2_and_names_file_line_and_key() {
     let bad = TemporaryPath::with_text("bad.toml", "seconds = 1.0\n[load]\nspeed = 3\n");
-    for verb in ["simulate", "emulate", "check"] {
-        let run = testbed(&[verb, bad.as_str()]);
+    for command in ["simulate", "emulate", "check"] {
+        let run = testbed(&[command, bad.as_str()]);
         let message = text(&run.stderr);
         assert_eq!(run.status.code(), Some(2), "{message}");
         assert!(
@@ -80,20 +80,20 @@
 }
 
 #[test]
-fn bad_arguments_exit_with_2_and_one_line() {
+fn bad_arguments_exit_with_2_and_a_one_line_message() {
     let try_scenario = scenario("try.toml");
     for (arguments, message) in [
         (
             vec!["simulate", &try_scenario, "--set", "seconds"],
-            "--set seconds: is not KEY=VALUE\n",
+            "--set seconds: expected KEY=VALUE, such as sidecars.count=5\n",
         ),
         (
             vec!["simulate", &try_scenario, "--seed", "18446744073709551615"],
-            "--seed: is too large\n",
+            "--seed: must be at most 9223372036854775807\n",
         ),
         (
             vec!["try", "--arrowstand", "/nowhere"],
-            "--arrowstand: there is no program /nowhere: build the workspace first\n",
+            "--arrowstand: no program at /nowhere: build the workspace or pass its path\n",
         ),
         (
             vec!["compare", "/nowhere", "/nowhere"],
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn an_experiment_prints_a_row_a_cell_with_intervals_and_draws_a_plot() {
+fn an_experiment_prints_a_row_per_cell_with_intervals_and_writes_a_plot() {
     let plan_text = format!(
         "name = \"load\"\nscenario = {:?}\nfigures = [\"service\", \"p99_ms\"]\nseeds = 3\n\
          [[axis]]\nkey = \"load.of_capacity\"\nvalues = [0.3, 1.2]\n\
@@ -143,7 +143,7 @@
         "{table}"
     );
     assert!(svg.read().contains("<svg"));
-    let bad_text = plan_text.replace("\"service\"", "\"bliss\"");
+    let bad_text = plan_text.replace("\"service\"", "\"no_such_figure\"");
     let bad = TemporaryPath::with_text("bad-plan.toml", &bad_text);
     let run = testbed(&["experiment", bad.as_str()]);
     assert_eq!(run.status.code(), Some(2));
@@ -151,31 +151,38 @@
 }
 
 #[test]
-fn verbs_and_flags_of_earlier_versions_do_the_same_and_are_not_shown() {
+fn commands_and_flags_of_earlier_versions_are_hidden_aliases() {
     let scenario = scenario("try.toml");
     let old = TemporaryPath::new("old.events");
     let new = TemporaryPath::new("new.events");
-    let play = |verb: &str, flag: &str, file: &TemporaryPath| {
+    let run_command = |command: &str, flag: &str, file: &TemporaryPath| {
         let seconds = ["--set", "seconds=2.0"];
-        let run = testbed(&[verb, &scenario, seconds[0], seconds[1], flag, file.as_str()]);
+        let run = testbed(&[
+            command,
+            &scenario,
+            seconds[0],
+            seconds[1],
+            flag,
+            file.as_str(),
+        ]);
         assert_eq!(run.status.code(), Some(0));
         run.stdout
     };
-    let printed = play("run", "--ledger", &old);
-    assert_eq!(printed, play("simulate", "--event-log", &new));
+    let printed = run_command("run", "--ledger", &old);
+    assert_eq!(printed, run_command("simulate", "--event-log", &new));
     assert!(new.read().lines().count() > 100);
     assert_eq!(old.read(), new.read());
 
     let help = |arguments: &[&str]| text(&testbed(arguments).stdout);
-    let verbs = help(&["--help"]);
+    let commands = help(&["--help"]);
     let flags = help(&["simulate", "--help"]);
     assert!(
-        verbs.contains("simulate") && verbs.contains("emulate"),
-        "{verbs}"
+        commands.contains("simulate") && commands.contains("emulate"),
+        "{commands}"
     );
     assert!(
-        !verbs.contains("\n  run") && !verbs.contains("\n  stage"),
-        "{verbs}"
+        !commands.contains("\n  run") && !commands.contains("\n  stage"),
+        "{commands}"
     );
     assert!(
         flags.contains("--event-log") && !flags.contains("ledger"),
