--- a/crates/testbed/src/experiment/plan.rs
+++ b/crates/testbed/src/experiment/plan.rs
@@ -7,7 +7,7 @@
 use serde::Deserialize;
 
 use crate::conversion::u64_from_count;
-use crate::report::{FIGURES, figure_name};
+use crate::report::{FIGURE_NAMES, current_figure_name};
 use crate::scenario::{ScenarioError, ScenarioErrors, ScenarioFile};
 
 /// Runs that one experiment may ask for: a day of simulation on one core.
@@ -31,7 +31,8 @@
     pub name: String,
     /// The scenario, relative to this file.
     pub scenario: PathBuf,
-    /// Figures of the table and the plot; see [`FIGURES`]. Names of earlier versions are accepted.
+    /// Figures of the table and the plot, from [`FIGURE_NAMES`]; names of earlier versions are
+    /// accepted.
     pub figures: Vec<String>,
     /// Seeds 1 to this.
     pub seeds: u64,
@@ -84,8 +85,11 @@
     /// Puts the present name in place of a figure's earlier one.
     fn rename_figures(&mut self, path: &Path) -> Result<(), ScenarioErrors> {
         for (index, figure) in self.figures.iter_mut().enumerate() {
-            let Some(name) = figure_name(figure) else {
-                let why = format!("{figure:?} is no figure; known are {}", FIGURES.join(", "));
+            let Some(name) = current_figure_name(figure) else {
+                let why = format!(
+                    "{figure:?} is no figure; known are {}",
+                    FIGURE_NAMES.join(", ")
+                );
                 return Err(error(path, &format!("figures[{index}]"), why, None));
             };
             name.clone_into(figure);
--- a/crates/testbed/src/plot/report.rs
+++ b/crates/testbed/src/plot/report.rs
@@ -14,7 +14,7 @@
 const UPPER_HEIGHT: u32 = 330;
 /// Room above the highest point, as a factor.
 const HEADROOM: f64 = 1.05;
-/// The lines of the lower chart: columns of [`crate::report::Second`] and their names.
+/// The lines of the lower chart: columns of [`crate::report::SecondFigures`] and their names.
 const OUTCOME_LINES: [(usize, &str); 5] = [
     (0, "arrivals"),
     (1, "in time"),
--- a/crates/testbed/src/report/compare.rs
+++ b/crates/testbed/src/report/compare.rs
@@ -4,13 +4,13 @@
 
 use std::fmt::Write as _;
 
-use super::{FIGURES, Report};
+use super::{FIGURE_NAMES, Report};
 
 /// A table of all figures of two reports and their differences, with the violations of both below.
 pub fn compare(a: &Report, b: &Report) -> String {
     let mut text = format!("A: {}\nB: {}\n\n", head(a), head(b));
     let _ = writeln!(text, "{:<26}{:>12}{:>12}{:>12}", "", "A", "B", "B - A");
-    for name in FIGURES {
+    for name in FIGURE_NAMES {
         write_row(&mut text, name, a.figure(name), b.figure(name));
     }
     for class in &a.classes {
--- a/crates/testbed/src/report/figures.rs
+++ b/crates/testbed/src/report/figures.rs
@@ -34,42 +34,42 @@
 }
 
 /// All figures, in the order in which they are listed.
-const TABLE: [Figure; 26] = [
+const FIGURES: [Figure; 26] = [
     figure("service", |r| Some(r.service)),
     figure("service_after_prices", |r| Some(r.service_after_prices)),
     renamed("overall", "whole", |r| Some(r.overall)),
     renamed("worst_window", "worst_stretch", |r| Some(r.worst_window)),
     figure("worst_class", |r| Some(r.worst_class)),
     renamed("worst_tenant", "worst_shop", |r| Some(r.worst_tenant)),
-    figure("served", |r| Some(r.served())),
+    figure("served", |r| Some(r.served_share())),
     renamed("rejected", "refused", |r| {
-        Some(r.share(RequestOutcome::Rejected))
+        Some(r.outcome_share(RequestOutcome::Rejected))
     }),
-    figure("failed", |r| Some(r.share(RequestOutcome::Failed))),
+    figure("failed", |r| Some(r.outcome_share(RequestOutcome::Failed))),
     renamed("wasted_work", "wasted", |r| Some(r.wasted_work)),
     figure("goodput", |r| {
         Some(r.overall * f64_from_u64(r.arrivals) / r.seconds)
     }),
     renamed("health_checks_per_server", "probes_per_server", |r| {
-        Some(per_server(r, r.health_checks))
+        Some(rate_per_server(r, r.health_checks))
     }),
     renamed("health_checks_max", "probes_most", |r| {
-        Some(highest(r, |s| s.health_checks) / r.seconds)
+        Some(max_over_servers(r, |s| s.health_checks) / r.seconds)
     }),
     figure("handshakes_per_server", |r| {
-        Some(per_server(r, r.handshakes))
+        Some(rate_per_server(r, r.handshakes))
     }),
     renamed("handshakes_max", "handshakes_most", |r| {
-        Some(highest(r, |s| s.handshakes) / r.seconds)
+        Some(max_over_servers(r, |s| s.handshakes) / r.seconds)
     }),
     renamed("connections_max", "connections_most", |r| {
-        Some(highest(r, |s| u64::from(s.connections_max)))
+        Some(max_over_servers(r, |s| u64::from(s.connections_max)))
     }),
     figure("connections_per_server", |r| {
-        Some(mean_of_gauges(r, |s| s.connections_sum))
+        Some(mean_gauge_per_server(r, |s| s.connections_sum))
     }),
     renamed("in_flight_per_server", "held_per_server", |r| {
-        Some(mean_of_gauges(r, |s| s.in_flight_sum))
+        Some(mean_gauge_per_server(r, |s| s.in_flight_sum))
     }),
     renamed("discovery_polls_per_s", "list_calls", |r| {
         Some(f64_from_u64(r.discovery_polls) / r.seconds)
@@ -92,36 +92,35 @@
 ];
 
 /// The names that [`Report::figure`] knows, beside those of earlier versions.
-pub const FIGURES: [&str; TABLE.len()] = names();
+pub const FIGURE_NAMES: [&str; FIGURES.len()] = figure_names();
 
-const fn names() -> [&'static str; TABLE.len()] {
-    let mut names = [""; TABLE.len()];
+const fn figure_names() -> [&'static str; FIGURES.len()] {
+    let mut names = [""; FIGURES.len()];
     let mut index = 0;
     while index < names.len() {
-        names[index] = TABLE[index].name;
+        names[index] = FIGURES[index].name;
         index += 1;
     }
     names
 }
 
-fn find(name: &str) -> Option<&'static Figure> {
-    const FOUND: &[Figure] = &TABLE;
-    FOUND
-        .iter()
+fn find_figure(name: &str) -> Option<&'static Figure> {
+    const ALL: &[Figure] = &FIGURES;
+    ALL.iter()
         .find(|figure| figure.name == name || figure.old_name == Some(name))
 }
 
 /// The present name of a figure, given by it or by the name of an earlier version; nothing if there
 /// is none.
-pub fn figure_name(name: &str) -> Option<&'static str> {
-    find(name).map(|figure| figure.name)
+pub fn current_figure_name(name: &str) -> Option<&'static str> {
+    find_figure(name).map(|figure| figure.name)
 }
 
 impl Report {
     /// A figure by its name, or by the name of an earlier version; nothing if there is none or it
     /// has no value.
     pub fn figure(&self, name: &str) -> Option<f64> {
-        (find(name)?.value)(self)
+        (find_figure(name)?.value)(self)
     }
 }
 
@@ -131,12 +130,12 @@
 }
 
 /// A count per second and server.
-fn per_server(report: &Report, count: u64) -> f64 {
+fn rate_per_server(report: &Report, count: u64) -> f64 {
     f64_from_u64(count) / report.seconds / f64_from_count(report.servers.max(1))
 }
 
 /// The mean over all servers of their means over all gauges.
-fn mean_of_gauges(report: &Report, sum_of: fn(&ServerFigures) -> u64) -> f64 {
+fn mean_gauge_per_server(report: &Report, sum_of: fn(&ServerFigures) -> u64) -> f64 {
     let means = report
         .servers_by_number
         .iter()
@@ -145,7 +144,7 @@
     means.sum::<f64>() / f64_from_count(report.servers.max(1))
 }
 
-fn highest(report: &Report, count_of: fn(&ServerFigures) -> u64) -> f64 {
+fn max_over_servers(report: &Report, count_of: fn(&ServerFigures) -> u64) -> f64 {
     let counts = report.servers_by_number.iter().map(count_of);
     f64_from_u64(counts.max().unwrap_or(0))
 }
--- a/crates/testbed/src/report/mod.rs
+++ b/crates/testbed/src/report/mod.rs
@@ -20,8 +20,8 @@
 use crate::scenario::Expect;
 
 pub use compare::compare;
-pub use figures::{FIGURES, figure_name};
-pub use parts::{ClassFigures, Second, ServerFigures, TenantFigures};
+pub use figures::{FIGURE_NAMES, current_figure_name};
+pub use parts::{ClassFigures, SecondFigures, ServerFigures, TenantFigures};
 
 /// The simulator's name in a report.
 pub const SIMULATOR: &str = "simulator";
@@ -29,7 +29,7 @@
 pub const EMULATOR: &str = "emulator";
 
 /// An engine's name, also where it is given by that of an earlier version.
-pub fn engine_name(name: &str) -> &str {
+pub fn current_engine_name(name: &str) -> &str {
     match name {
         "model" => SIMULATOR,
         "stage" => EMULATOR,
@@ -39,7 +39,7 @@
 
 fn read_engine_name<'de, D: Deserializer<'de>>(deserializer: D) -> Result<String, D::Error> {
     let name = String::deserialize(deserializer)?;
-    Ok(engine_name(&name).to_owned())
+    Ok(current_engine_name(&name).to_owned())
 }
 
 /// A run, summed up.
@@ -116,7 +116,7 @@
     #[serde(alias = "shops")]
     pub tenants: Vec<TenantFigures>,
     /// Arrivals second by second.
-    pub timeline: Vec<Second>,
+    pub timeline: Vec<SecondFigures>,
     /// Figures by server, at its number.
     #[serde(alias = "fleet")]
     pub servers_by_number: Vec<ServerFigures>,
@@ -147,7 +147,7 @@
     }
 
     /// Accepted requests with this outcome.
-    pub fn count(&self, outcome: RequestOutcome) -> u64 {
+    pub fn outcome_count(&self, outcome: RequestOutcome) -> u64 {
         self.responses
             .iter()
             .find(|(listed, _)| *listed == outcome)
@@ -155,13 +155,13 @@
     }
 
     /// Share of the accepted requests that was served.
-    pub fn served(&self) -> f64 {
-        self.share(RequestOutcome::Served)
+    pub fn served_share(&self) -> f64 {
+        self.outcome_share(RequestOutcome::Served)
     }
 
     /// Share of the accepted requests with this outcome.
-    fn share(&self, outcome: RequestOutcome) -> f64 {
-        f64_from_u64(self.count(outcome)) / f64_from_u64(self.accepted.max(1))
+    fn outcome_share(&self, outcome: RequestOutcome) -> f64 {
+        f64_from_u64(self.outcome_count(outcome)) / f64_from_u64(self.accepted.max(1))
     }
 
     /// Compares the figures with the scenario's expectations, and lists those that are missed.
@@ -173,7 +173,7 @@
             }
         };
         at_least("service", self.service, expect.service);
-        at_least("served", self.served(), expect.served);
+        at_least("served", self.served_share(), expect.served);
         if let Some(limit) = expect.recovered_s {
             match self.recovered_s {
                 Some(took) if took <= limit => {}
--- a/crates/testbed/src/report/parts.rs
+++ b/crates/testbed/src/report/parts.rs
@@ -9,9 +9,9 @@
 
 /// Arrivals of one second, by class: `[arrived, served in time, served late, rejected, failed]`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Second(pub Vec<[u32; 5]>);
+pub struct SecondFigures(pub Vec<[u32; 5]>);
 
-impl Second {
+impl SecondFigures {
     /// No arrivals in any of so many classes.
     pub fn new(classes: usize) -> Self {
         Self(vec![[0; 5]; classes])
--- a/crates/testbed/src/report/tests.rs
+++ b/crates/testbed/src/report/tests.rs
@@ -3,7 +3,10 @@
 
 use std::collections::HashSet;
 
-use super::{EMULATOR, FIGURES, Report, SIMULATOR, Second, ServerFigures, compare, figure_name};
+use super::{
+    EMULATOR, FIGURE_NAMES, Report, SIMULATOR, SecondFigures, ServerFigures, compare,
+    current_figure_name,
+};
 use crate::event_log::RequestOutcome;
 
 /// The report of a calm run, with two seconds of its timeline and two of its servers.
@@ -90,7 +93,7 @@
     assert_eq!(report.tenants[5].name, "oita-funai");
     assert_eq!(
         report.timeline[0],
-        Second(vec![
+        SecondFigures(vec![
             [76, 75, 1, 0, 0],
             [47, 47, 0, 0, 0],
             [23, 23, 0, 0, 0],
@@ -154,7 +157,10 @@
     let new: Report = serde_json::from_str(&text).expect("read");
     assert_eq!(new, old);
     let compared = compare(&old, &new);
-    for name in FIGURES.iter().filter(|name| old.figure(name).is_some()) {
+    for name in FIGURE_NAMES
+        .iter()
+        .filter(|name| old.figure(name).is_some())
+    {
         let row = compared
             .lines()
             .find(|line| line.starts_with(&format!("{name} ")));
@@ -170,20 +176,26 @@
     let report = old_report();
     for (old, new) in RENAMED {
         assert!(
-            FIGURES.contains(&new) && !FIGURES.contains(&old),
+            FIGURE_NAMES.contains(&new) && !FIGURE_NAMES.contains(&old),
             "{old}, {new}"
         );
-        assert_eq!((figure_name(old), figure_name(new)), (Some(new), Some(new)));
+        assert_eq!(
+            (current_figure_name(old), current_figure_name(new)),
+            (Some(new), Some(new))
+        );
         assert!(report.figure(old).is_some(), "{old}");
         assert_eq!(report.figure(old), report.figure(new), "{old}, {new}");
     }
     for name in KEPT {
-        assert!(FIGURES.contains(&name), "{name}");
-        assert_eq!(figure_name(name), Some(name));
+        assert!(FIGURE_NAMES.contains(&name), "{name}");
+        assert_eq!(current_figure_name(name), Some(name));
     }
-    assert_eq!(RENAMED.len() + KEPT.len(), FIGURES.len());
-    assert_eq!(HashSet::from(FIGURES).len(), FIGURES.len());
-    assert_eq!((figure_name("bliss"), report.figure("bliss")), (None, None));
+    assert_eq!(RENAMED.len() + KEPT.len(), FIGURE_NAMES.len());
+    assert_eq!(HashSet::from(FIGURE_NAMES).len(), FIGURE_NAMES.len());
+    assert_eq!(
+        (current_figure_name("bliss"), report.figure("bliss")),
+        (None, None)
+    );
 }
 
 #[test]
--- a/crates/testbed/src/statistics/mod.rs
+++ b/crates/testbed/src/statistics/mod.rs
@@ -13,7 +13,7 @@
 use crate::conversion::{MICROS_PER_MS, MICROS_PER_S, count_from_f64, f64_from_u64, second_of};
 use crate::event_log::{EventLog, LogEvent, LogRecord, ProcessState, RequestOutcome};
 use crate::index::{ArrivalNumber, ClassIndex, TenantIndex};
-use crate::report::{ClassFigures, Report, TenantFigures, engine_name};
+use crate::report::{ClassFigures, Report, TenantFigures, current_engine_name};
 use crate::scenario::{Micros, Scenario};
 
 use arrival::{Gain, OpenArrival};
@@ -106,7 +106,7 @@
         let traffic = &self.traffic;
         Report {
             name: scenario.name.clone(),
-            engine: engine_name(engine).to_owned(),
+            engine: current_engine_name(engine).to_owned(),
             seed,
             seconds: scenario.seconds,
             sidecars: scenario.sidecars.count,
--- a/crates/testbed/src/statistics/outcomes.rs
+++ b/crates/testbed/src/statistics/outcomes.rs
@@ -9,7 +9,7 @@
 use crate::conversion::ms_from_micros;
 use crate::event_log::RequestOutcome;
 use crate::index::ClassIndex;
-use crate::report::Second;
+use crate::report::SecondFigures;
 
 /// Quantiles of the latencies in a report.
 const QUANTILES: [f64; 5] = [0.5, 0.9, 0.99, 0.999, 1.0];
@@ -22,7 +22,7 @@
 
 /// Counts and latencies.
 pub(super) struct Outcomes {
-    timeline: Vec<Second>,
+    timeline: Vec<SecondFigures>,
     by_class: Vec<Counts>,
     latency: Histogram<u64>,
     class_latency: Vec<Histogram<u64>>,
@@ -47,7 +47,7 @@
 impl Outcomes {
     pub(super) fn new(classes: usize, seconds: usize) -> Self {
         Self {
-            timeline: (0..seconds).map(|_| Second::new(classes)).collect(),
+            timeline: (0..seconds).map(|_| SecondFigures::new(classes)).collect(),
             by_class: vec![FxHashMap::default(); classes],
             latency: histogram(),
             class_latency: vec![histogram(); classes],
@@ -94,7 +94,7 @@
     }
 
     /// The first seconds of the timeline.
-    pub(super) fn timeline(&self, seconds: usize) -> Vec<Second> {
+    pub(super) fn timeline(&self, seconds: usize) -> Vec<SecondFigures> {
         self.timeline[..seconds.min(self.timeline.len())].to_vec()
     }
 }
--- a/crates/testbed/tests/emulator.rs
+++ b/crates/testbed/tests/emulator.rs
@@ -80,7 +80,7 @@
     let first = emulate("quiet", "");
     let second = emulate("quiet-again", "");
     assert_eq!(first.arrivals, second.arrivals);
-    assert_eq!(first.count(RequestOutcome::Served), first.accepted);
+    assert_eq!(first.outcome_count(RequestOutcome::Served), first.accepted);
     assert_eq!(first.responses, second.responses);
     assert!(
         first
@@ -96,7 +96,7 @@
     let fault = "[[fault]]\nkind = \"silence\"\nat_s = 1.0\nfor_s = 1.5\nservers = [\"s0\"]\n";
     let report = emulate("silence", fault);
     assert!(
-        report.count(RequestOutcome::Served) > report.accepted / 2,
+        report.outcome_count(RequestOutcome::Served) > report.accepted / 2,
         "{report}"
     );
 }
@@ -125,7 +125,7 @@
     let report = emulate("faults", fault);
     // Half of what ran at s0 and s1 for a second was lost with its connection: unsafe work among it
     // must fail.
-    assert!(report.count(RequestOutcome::Failed) > 0, "{report}");
+    assert!(report.outcome_count(RequestOutcome::Failed) > 0, "{report}");
 }
 
 #[test]
