--- a/crates/testbed/src/report/figures.rs
+++ b/crates/testbed/src/report/figures.rs
@@ -1,15 +1,17 @@
-//! The figures of a report by name, for experiments, tables and comparisons.
+//! Access to the figures of a report by name, for experiments, tables and comparisons.
 //!
-//! Owns the table of names, with those of earlier versions; the values stand in the report.
+//! Names of earlier versions are accepted.
 
 use super::{Report, ServerFigures};
 use crate::conversion::{f64_from_count, f64_from_u64};
 use crate::event_log::RequestOutcome;
 
-/// A figure: its name, that of earlier versions where it differs, and how a report gives it.
+/// A figure of a report.
 struct Figure {
     name: &'static str,
+    /// Its name in earlier versions, if it was another one.
     old_name: Option<&'static str>,
+    /// Reads or computes its value; `None` if the report has none.
     value: fn(&Report) -> Option<f64>,
 }
 
@@ -33,7 +35,7 @@
     }
 }
 
-/// All figures, in the order in which they are listed.
+/// All figures, in the order of the comparison table.
 const FIGURES: [Figure; 26] = [
     figure("service", |r| Some(r.service)),
     figure("service_after_prices", |r| Some(r.service_after_prices)),
@@ -91,7 +93,7 @@
     }),
 ];
 
-/// The names that [`Report::figure`] knows, beside those of earlier versions.
+/// Names of all figures, without those of earlier versions.
 pub const FIGURE_NAMES: [&str; FIGURES.len()] = figure_names();
 
 const fn figure_names() -> [&'static str; FIGURES.len()] {
@@ -110,31 +112,32 @@
         .find(|figure| figure.name == name || figure.old_name == Some(name))
 }
 
-/// The present name of a figure, given by it or by the name of an earlier version; nothing if there
-/// is none.
+/// Returns the current name of a figure, given its current name or that of an earlier version;
+/// `None` for an unknown name.
 pub fn current_figure_name(name: &str) -> Option<&'static str> {
     find_figure(name).map(|figure| figure.name)
 }
 
 impl Report {
-    /// A figure by its name, or by the name of an earlier version; nothing if there is none or it
-    /// has no value.
+    /// Returns a figure by its current name or that of an earlier version; `None` if the name is
+    /// unknown or the figure has no value.
     pub fn figure(&self, name: &str) -> Option<f64> {
         (find_figure(name)?.value)(self)
     }
 }
 
-/// A part of a whole; of nothing it is the part itself.
-fn ratio(part: u64, whole: u64) -> f64 {
-    f64_from_u64(part) / f64_from_u64(whole.max(1))
+/// Divides two counts; a divisor of 0 counts as 1.
+fn ratio(dividend: u64, divisor: u64) -> f64 {
+    f64_from_u64(dividend) / f64_from_u64(divisor.max(1))
 }
 
-/// A count per second and server.
+/// Returns a count per second and server.
 fn rate_per_server(report: &Report, count: u64) -> f64 {
     f64_from_u64(count) / report.seconds / f64_from_count(report.servers.max(1))
 }
 
-/// The mean over all servers of their means over all gauges.
+/// Returns the mean over all servers of each server's mean over its gauges. Servers without gauges
+/// count as 0.
 fn mean_gauge_per_server(report: &Report, sum_of: fn(&ServerFigures) -> u64) -> f64 {
     let means = report
         .servers_by_number
--- a/crates/testbed/src/report/mod.rs
+++ b/crates/testbed/src/report/mod.rs
@@ -1,8 +1,8 @@
-//! The summary of a run: its figures as data, as text, and beside another run's.
+//! The report of a run: its figures as data, as text, and in comparison with another run's.
 //!
-//! Owns the form of the report and what counts as a pass. The figures are gathered by `statistics`,
-//! the violations by `audit`. Keys of earlier versions are accepted as aliases, so that stored
-//! reports stay readable.
+//! Defines the stored form and which runs pass. `statistics` computes the figures, `audit` finds
+//! the violations. Keys of earlier versions are accepted as aliases, so that stored reports stay
+//! readable.
 
 mod compare;
 mod figures;
@@ -28,7 +28,8 @@
 /// The emulator's name in a report.
 pub const EMULATOR: &str = "emulator";
 
-/// An engine's name, also where it is given by that of an earlier version.
+/// Maps an engine's name in earlier versions to its current name; other names are returned as they
+/// are.
 pub fn current_engine_name(name: &str) -> &str {
     match name {
         "model" => SIMULATOR,
@@ -42,7 +43,7 @@
     Ok(current_engine_name(&name).to_owned())
 }
 
-/// A run, summed up.
+/// Report of a run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Report {
     /// Name of the scenario.
@@ -52,16 +53,17 @@
     pub engine: String,
     /// Seed of all random draws.
     pub seed: u64,
-    /// Length of the run.
+    /// Time in which requests arrived, in seconds.
     pub seconds: f64,
     /// Number of sidecars.
     pub sidecars: usize,
-    /// Number of servers, replacements among them.
+    /// Number of servers, including replacements.
     pub servers: usize,
-    /// Value served in time as a share of the value that arrived: the weighted mean of the four
-    /// figures below.
+    /// Value served in time as a share of the value that arrived: the weighted mean of `overall`,
+    /// `worst_window`, `worst_class` and `worst_tenant`.
     pub service: f64,
-    /// `service` less the prices of what the sidecars cost others.
+    /// `service` minus the prices of the costs that the sidecars caused, such as cross-zone
+    /// attempts, health checks and wasted work.
     pub service_after_prices: f64,
     /// Service of the whole run.
     #[serde(alias = "whole")]
@@ -74,10 +76,10 @@
     /// Service of the worst tenant, within its quota.
     #[serde(alias = "worst_shop")]
     pub worst_tenant: f64,
-    /// What clients wanted, each with its retries.
+    /// Arrivals; one arrival is a first request and its retries.
     #[serde(alias = "asked")]
     pub arrivals: u64,
-    /// Requests of the clients, retries among them.
+    /// Requests that clients sent, including retries.
     #[serde(alias = "tries")]
     pub requests: u64,
     /// Requests that a sidecar accepted.
@@ -86,7 +88,7 @@
     /// Accepted requests by their outcome.
     #[serde(alias = "answered")]
     pub responses: Vec<(RequestOutcome, u64)>,
-    /// Attempts that sidecars began to forward.
+    /// Attempts that sidecars started.
     #[serde(alias = "routed")]
     pub attempts: u64,
     /// Attempts from one zone to another.
@@ -103,50 +105,51 @@
     /// Most polls of discovery in one second.
     #[serde(alias = "list_calls_peak")]
     pub discovery_polls_peak: u32,
-    /// Share of the work done that served no response.
+    /// Share of the work done that led to no served response.
     #[serde(alias = "wasted")]
     pub wasted_work: f64,
-    /// As that of a class.
+    /// Latency of all classes; see [`ClassFigures::latency_ms`].
     pub latency_ms: [f64; 5],
-    /// From the last restart of a sidecar to 0.95 of the service before the first.
+    /// Seconds from the last restart of a sidecar until the service was back at 0.95 of its value
+    /// before the first restart; absent without restarts or recovery.
     pub recovered_s: Option<f64>,
-    /// Figures by class, in the scenario's order.
+    /// Figures by class, in the order of the scenario.
     pub classes: Vec<ClassFigures>,
-    /// Figures by tenant, in the scenario's order.
+    /// Figures by tenant, in the order of the scenario.
     #[serde(alias = "shops")]
     pub tenants: Vec<TenantFigures>,
-    /// Arrivals second by second.
+    /// Figures by second of the run.
     pub timeline: Vec<SecondFigures>,
-    /// Figures by server, at its number.
+    /// Figures by server, in the order of the server numbers.
     #[serde(alias = "fleet")]
     pub servers_by_number: Vec<ServerFigures>,
-    /// The first violations, as lines.
+    /// The first violations, one line each.
     #[serde(alias = "broken")]
     pub violations: Vec<String>,
-    /// Number of all violations.
+    /// Number of all violations, also of those that are not listed.
     #[serde(alias = "broken_count")]
     pub violation_count: u64,
-    /// Expectations of the scenario that were missed.
+    /// Expectations of the scenario that the run missed, one line each.
     #[serde(alias = "missed")]
     pub missed_expectations: Vec<String>,
-    /// Where the sidecars' counters differ from what clients and servers saw.
+    /// Differences between the sidecars' counters and the observations of clients and servers.
     #[serde(alias = "uncounted")]
     pub counter_differences: Vec<String>,
-    /// Why the figures are unreliable, where the machine ran late.
+    /// Why the figures are unreliable, if the machine ran late.
     #[serde(alias = "late")]
     pub unreliable: Option<String>,
-    /// Further lines for the reader.
+    /// Additional lines of the text report.
     pub remarks: Vec<String>,
 }
 
 impl Report {
-    /// Takes over what the auditor found.
+    /// Adds the violations that the auditor found.
     pub fn add_audit(&mut self, auditor: &Auditor) {
         self.violations = auditor.violations().map(ToString::to_string).collect();
         self.violation_count = auditor.violation_count();
     }
 
-    /// Accepted requests with this outcome.
+    /// Returns the number of accepted requests with this outcome.
     pub fn outcome_count(&self, outcome: RequestOutcome) -> u64 {
         self.responses
             .iter()
@@ -154,17 +157,17 @@
             .map_or(0, |(_, count)| *count)
     }
 
-    /// Share of the accepted requests that was served.
+    /// Returns the share of the accepted requests that was served.
     pub fn served_share(&self) -> f64 {
         self.outcome_share(RequestOutcome::Served)
     }
 
-    /// Share of the accepted requests with this outcome.
+    /// Returns the share of the accepted requests with this outcome.
     fn outcome_share(&self, outcome: RequestOutcome) -> f64 {
         f64_from_u64(self.outcome_count(outcome)) / f64_from_u64(self.accepted.max(1))
     }
 
-    /// Compares the figures with the scenario's expectations, and lists those that are missed.
+    /// Compares the figures with the scenario's expectations and lists the missed ones.
     pub fn check_expectations(&mut self, expect: &Expect) {
         let mut missed = Vec::new();
         let mut at_least = |name: &str, actual: f64, expected: Option<f64>| {
@@ -176,18 +179,20 @@
         at_least("served", self.served_share(), expect.served);
         if let Some(limit) = expect.recovered_s {
             match self.recovered_s {
-                Some(took) if took <= limit => {}
-                Some(took) => missed.push(format!("recovered_s is {took:.1}, above {limit:.1}")),
+                Some(recovered) if recovered <= limit => {}
+                Some(recovered) => {
+                    missed.push(format!("recovered_s is {recovered:.1}, above {limit:.1}"));
+                }
                 None => missed.push(format!(
-                    "recovered_s: not recovered, {limit:.1} were expected"
+                    "recovered_s: no recovery during the run, expected at most {limit:.1}"
                 )),
             }
         }
         self.missed_expectations = missed;
     }
 
-    /// True for a run that passes: no violations, no missed expectations, equal counters, reliable
-    /// figures.
+    /// Returns true for a run without violations, missed expectations, differing counters or
+    /// unreliable figures.
     pub fn passes(&self) -> bool {
         self.violation_count == 0
             && self.missed_expectations.is_empty()
--- a/crates/testbed/src/report/tests.rs
+++ b/crates/testbed/src/report/tests.rs
@@ -1,5 +1,5 @@
-//! Stored reports of earlier versions are read, what is written reads back, and figures keep their
-//! old names.
+//! Tests of the report: reading reports of earlier versions, round trips, figures under current and
+//! old names, and the text form.
 
 use std::collections::HashSet;
 
@@ -9,10 +9,11 @@
 };
 use crate::event_log::RequestOutcome;
 
-/// The report of a calm run, with two seconds of its timeline and two of its servers.
+/// A report that an earlier version wrote for the scenario `calm`, cut to two seconds of its
+/// timeline and two of its servers.
 const OLD_REPORT: &str = include_str!("../../tests/data/records/calm-1.json");
 
-/// Figures that had another name, with what the old report gives for them.
+/// Renamed figures: old and current name.
 const RENAMED: [(&str, &str); 15] = [
     ("whole", "overall"),
     ("worst_stretch", "worst_window"),
@@ -31,7 +32,7 @@
     ("broken", "violations"),
 ];
 
-/// Figures that keep their name.
+/// Figures that were never renamed.
 const KEPT: [&str; 11] = [
     "service",
     "service_after_prices",
@@ -50,7 +51,8 @@
     serde_json::from_str(OLD_REPORT).expect("read")
 }
 
-/// Equal but for the last digit: `serde_json` reads some numbers one unit in the last place off.
+/// Asserts equality up to the last digit: `serde_json` reads some numbers one unit in the last
+/// place off.
 fn assert_close(actual: f64, expected: f64) {
     let tolerance = 2.0 * f64::EPSILON * expected.abs();
     assert!(
@@ -61,7 +63,7 @@
 
 #[test]
 #[expect(clippy::too_many_lines, reason = "one table of cases")]
-fn an_old_report_says_what_it_said() {
+fn a_report_of_an_earlier_version_keeps_its_figures() {
     let report = old_report();
     assert_eq!((report.name.as_str(), report.seed), ("calm", 1));
     assert_close(report.overall, 0.994_049_094_966_526_2);
@@ -123,22 +125,22 @@
 }
 
 #[test]
-fn faults_in_an_old_report_still_fail_it() {
-    let with = |key: &str, value: serde_json::Value| {
+fn an_old_report_with_violations_or_unreliable_figures_does_not_pass() {
+    let report_with = |key: &str, value: serde_json::Value| {
         let mut report: serde_json::Value = serde_json::from_str(OLD_REPORT).expect("read");
         report[key] = value;
         serde_json::from_value::<Report>(report).expect("read")
     };
-    let report = with("broken", vec!["rule 'one final answer'"].into());
+    let report = report_with("broken", vec!["rule 'one final answer'"].into());
     assert_eq!(report.violations, ["rule 'one final answer'"]);
-    assert!(!with("broken_count", 1.into()).passes());
-    assert!(!with("missed", vec!["service is 0.9"].into()).passes());
-    assert!(!with("uncounted", vec!["answers served"].into()).passes());
-    assert!(!with("late", "the machine ran late".into()).passes());
+    assert!(!report_with("broken_count", 1.into()).passes());
+    assert!(!report_with("missed", vec!["service is 0.9"].into()).passes());
+    assert!(!report_with("uncounted", vec!["answers served"].into()).passes());
+    assert!(!report_with("late", "the machine ran late".into()).passes());
 }
 
 #[test]
-fn engines_of_old_reports_have_the_present_names() {
+fn engine_names_of_old_reports_become_the_current_names() {
     for (old, new) in [("model", SIMULATOR), ("stage", EMULATOR)] {
         let text = OLD_REPORT.replace("\"engine\": \"model\"", &format!("\"engine\": {old:?}"));
         let report: Report = serde_json::from_str(&text).expect("read");
@@ -147,7 +149,7 @@
 }
 
 #[test]
-fn an_old_report_written_anew_reads_back_the_same_and_compares_equal() {
+fn an_old_report_is_unchanged_by_a_round_trip_in_the_current_form() {
     let old = old_report();
     let text = serde_json::to_string_pretty(&old).expect("written");
     assert!(
@@ -172,7 +174,7 @@
 }
 
 #[test]
-fn each_figure_is_found_by_its_present_and_its_old_name() {
+fn each_figure_is_found_by_its_current_and_its_old_name() {
     let report = old_report();
     for (old, new) in RENAMED {
         assert!(
@@ -193,13 +195,16 @@
     assert_eq!(RENAMED.len() + KEPT.len(), FIGURE_NAMES.len());
     assert_eq!(HashSet::from(FIGURE_NAMES).len(), FIGURE_NAMES.len());
     assert_eq!(
-        (current_figure_name("bliss"), report.figure("bliss")),
+        (
+            current_figure_name("no_such_figure"),
+            report.figure("no_such_figure")
+        ),
         (None, None)
     );
 }
 
 #[test]
-fn the_text_names_figures_violations_and_faults_in_the_fields_words() {
+fn the_text_lists_figures_violations_and_reasons_for_failure() {
     let mut report = old_report();
     report.unreliable = Some("the machine ran late".into());
     report.counter_differences = vec!["responses served: sidecars 1, emulated servers 2".into()];
--- a/crates/testbed/src/report/text.rs
+++ b/crates/testbed/src/report/text.rs
@@ -1,6 +1,4 @@
-//! A report as text, for a person to read.
-//!
-//! Owns the wording and the order of the lines.
+//! The text form of a report.
 
 use std::fmt::{self, Display, Formatter};
 
@@ -10,7 +8,7 @@
 
 impl Display for Report {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
-        write_head(self, f)?;
+        write_header(self, f)?;
         write_service(self, f)?;
         write_traffic(self, f)?;
         write_latency(self, f)?;
@@ -21,8 +19,8 @@
     }
 }
 
-/// `served 6100, rejected 36`.
-fn counts(outcomes: &[(RequestOutcome, u64)]) -> String {
+/// Formats outcomes with their counts, such as `served 6100, rejected 36`.
+fn format_outcomes(outcomes: &[(RequestOutcome, u64)]) -> String {
     let parts: Vec<String> = outcomes
         .iter()
         .map(|(outcome, count)| format!("{outcome} {count}"))
@@ -30,18 +28,18 @@
     parts.join(", ")
 }
 
-fn quantiles(ms: &[f64; 5]) -> String {
+fn format_quantiles(ms: &[f64; 5]) -> String {
     format!(
         "{:.1} / {:.1} / {:.1} / {:.1} / {:.1}",
         ms[0], ms[1], ms[2], ms[3], ms[4]
     )
 }
 
-fn service_or_dash(service: Option<f64>) -> String {
+fn format_service(service: Option<f64>) -> String {
     service.map_or("-".into(), |service| format!("{service:.4}"))
 }
 
-fn write_head(report: &Report, f: &mut Formatter<'_>) -> fmt::Result {
+fn write_header(report: &Report, f: &mut Formatter<'_>) -> fmt::Result {
     let Report {
         name,
         engine,
@@ -81,7 +79,7 @@
         "arrivals {}, requests {}, accepted {}",
         report.arrivals, report.requests, report.accepted
     )?;
-    writeln!(f, "responses: {}", counts(&report.responses))?;
+    writeln!(f, "responses: {}", format_outcomes(&report.responses))?;
     writeln!(
         f,
         "attempts {} ({} across zones), health checks {}, handshakes {}, \
@@ -100,12 +98,12 @@
     writeln!(
         f,
         "latency in ms, 50 / 90 / 99 / 99.9 / 100 %: {}",
-        quantiles(&report.latency_ms)
+        format_quantiles(&report.latency_ms)
     )?;
     match report.recovered_s {
-        Some(took) => writeln!(
+        Some(recovered) => writeln!(
             f,
-            "recovered {took:.1} s after the last restart of a sidecar"
+            "recovered {recovered:.1} s after the last restart of a sidecar"
         ),
         None => Ok(()),
     }
@@ -113,17 +111,17 @@
 
 fn write_classes(report: &Report, f: &mut Formatter<'_>) -> fmt::Result {
     for class in &report.classes {
-        let service = service_or_dash(class.service);
-        let ended = counts(&class.ended);
+        let service = format_service(class.service);
+        let ended = format_outcomes(&class.ended);
         writeln!(f, "  {:<14} service {service}; {ended}", class.name)?;
-        writeln!(f, "  {:<14} {}", "", quantiles(&class.latency_ms))?;
+        writeln!(f, "  {:<14} {}", "", format_quantiles(&class.latency_ms))?;
     }
     Ok(())
 }
 
 fn write_tenants(report: &Report, f: &mut Formatter<'_>) -> fmt::Result {
     for tenant in &report.tenants {
-        let service = service_or_dash(tenant.service);
+        let service = format_service(tenant.service);
         writeln!(
             f,
             "  {:<20} service {service} within its quota",
@@ -152,7 +150,7 @@
     let listed = u64_from_count(report.violations.len());
     match report.violation_count.saturating_sub(listed) {
         0 => Ok(()),
-        further => writeln!(f, "VIOLATED: {further} more"),
+        unlisted => writeln!(f, "VIOLATED: {unlisted} more"),
     }
 }
 
