--- a/crates/testbed/src/cli/mod.rs
+++ b/crates/testbed/src/cli/mod.rs
@@ -120,7 +120,7 @@
     } else {
         ProgressDisplay::Bar
     };
-    let results = plan.play(&scenario, display)?;
+    let results = plan.run(&scenario, display)?;
     let table = results.csv();
     print!("{table}");
     if let Some(path) = &arguments.csv {
--- a/crates/testbed/src/experiment/mod.rs
+++ b/crates/testbed/src/experiment/mod.rs
@@ -1,8 +1,8 @@
-//! Experiments: a scenario with axes, simulated over many seeds on all cores, as a table and a
-//! plot.
+//! Experiments: simulate a scenario over a grid of values and over many seeds, on all cores, and
+//! show the means as a table and a plot.
 //!
-//! Owns the form of a plan, its runs and their means; a single run is the simulator's, its figures
-//! the report's.
+//! `plan` reads the file of an experiment, `runner` simulates its runs, and `results` computes the
+//! means.
 
 mod plan;
 mod results;
@@ -12,5 +12,5 @@
 mod tests;
 
 pub use plan::{Axis, Plan};
-pub use results::{Cell, Results, mean};
+pub use results::{GridCell, Results, mean_with_interval};
 pub use runner::{ExperimentError, ProgressDisplay};
