--- a/crates/testbed/src/plot/experiment.rs
+++ b/crates/testbed/src/plot/experiment.rs
@@ -1,6 +1,4 @@
-//! The plot of an experiment: one chart a figure, along the first axis.
-//!
-//! Owns the axes and their scale; means and intervals come from `experiment`.
+//! The plot of an experiment: one chart per figure, against the first axis of the grid.
 
 use std::ops::Range;
 use std::path::Path;
@@ -9,62 +7,68 @@
 use plotters::element::ErrorBarOrientV;
 use plotters::prelude::*;
 
-use super::{Canvas, MARGIN, PlotError, SIZE, SvgError, THICK_LINE, colour, legend_line, titled};
+use super::{
+    Canvas, MARGIN, PLOT_SIZE, PlotError, SERIES_LINE_WIDTH, SvgError, colour, legend_line,
+    titled_canvas,
+};
 use crate::conversion::u32_from_count;
 
 /// Height of the title, in pixels.
 const TITLE_HEIGHT: u32 = 60;
 /// Height of each chart, in pixels.
 const CHART_HEIGHT: u32 = 280;
-/// An axis of positive values whose largest is this many times the least is logarithmic.
-const LOGARITHMIC_FROM: f64 = 50.0;
-/// Room beside the outermost points, as a share of the axis.
-const SIDE_MARGIN: f64 = 0.03;
-/// Least room beside them, in units of the axis, where all points lie at one place.
-const MIN_SIDE_MARGIN: f64 = 1e-3;
-/// Room above the highest point, as a share of the height.
-const HEADROOM: f64 = 0.08;
-/// Width of an error bar's ends, in pixels.
-const ERROR_BAR_WIDTH: u32 = 6;
-
-/// A chart whose axes are both numbers.
+/// Ratio of the largest to the smallest value from which an axis of positive values is logarithmic.
+const MIN_LOGARITHMIC_RATIO: f64 = 50.0;
+/// Padding beside the outermost points, as a share of the axis.
+const HORIZONTAL_PADDING: f64 = 0.03;
+/// Minimum padding, in units of the axis, for points that all have the same coordinate.
+const MIN_HORIZONTAL_PADDING: f64 = 1e-3;
+/// Padding above the highest point, as a share of the height.
+const TOP_PADDING: f64 = 0.08;
+/// Width of the caps of an error bar, in pixels.
+const ERROR_BAR_CAP_WIDTH: u32 = 6;
+
+/// A chart with two numeric axes.
 type Chart<'a, 'b> = ChartContext<'a, SVGBackend<'b>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
 
 /// One line of a chart.
 pub struct Series {
-    /// Its name in the legend; empty for the only one.
+    /// Name in the legend; empty if the chart has no other line.
     pub name: String,
-    /// Place on the axis, mean, and half the width of the mean's confidence interval.
+    /// Value on the horizontal axis, mean, and half-width of the mean's confidence interval.
     pub points: Vec<(f64, f64, f64)>,
 }
 
 /// The horizontal axis of all charts.
-struct Axis<'a> {
+struct HorizontalAxis<'a> {
     name: &'a str,
     logarithmic: bool,
+    /// Coordinates of both ends; on a logarithmic axis these are logarithms of the values.
     range: Range<f64>,
 }
 
-impl<'a> Axis<'a> {
-    fn over(name: &'a str, figures: &[(String, Vec<Series>)]) -> Self {
+impl<'a> HorizontalAxis<'a> {
+    /// Creates an axis that spans the points of all figures.
+    fn spanning(name: &'a str, figures: &[(String, Vec<Series>)]) -> Self {
         let series = || figures.iter().flat_map(|(_, series)| series);
-        let places = || series().flat_map(|line| &line.points).map(|point| point.0);
-        let least = places().fold(f64::MAX, f64::min);
-        let most = places().fold(f64::MIN, f64::max);
-        let logarithmic = least > 0.0 && most / least >= LOGARITHMIC_FROM;
+        let values = || series().flat_map(|line| &line.points).map(|point| point.0);
+        let min = values().fold(f64::MAX, f64::min);
+        let max = values().fold(f64::MIN, f64::max);
+        let logarithmic = min > 0.0 && max / min >= MIN_LOGARITHMIC_RATIO;
         let mut axis = Self {
             name,
             logarithmic,
             range: 0.0..0.0,
         };
-        let from = axis.place(least);
-        let to = axis.place(most.max(least + f64::MIN_POSITIVE));
-        let gap = ((to - from) * SIDE_MARGIN).max(MIN_SIDE_MARGIN);
-        axis.range = (from - gap)..(to + gap);
+        let from = axis.coordinate(min);
+        let to = axis.coordinate(max.max(min + f64::MIN_POSITIVE));
+        let padding = ((to - from) * HORIZONTAL_PADDING).max(MIN_HORIZONTAL_PADDING);
+        axis.range = (from - padding)..(to + padding);
         axis
     }
 
-    fn place(&self, value: f64) -> f64 {
+    /// Returns the coordinate of a value: its logarithm on a logarithmic axis.
+    fn coordinate(&self, value: f64) -> f64 {
         if self.logarithmic {
             value.log10()
         } else {
@@ -72,19 +76,20 @@
         }
     }
 
-    fn label(&self, place: f64) -> String {
+    /// Returns the label of the value at a coordinate.
+    fn label(&self, coordinate: f64) -> String {
         if self.logarithmic {
-            format!("{:.0}", 10f64.powf(place))
+            format!("{:.0}", 10f64.powf(coordinate))
         } else {
-            format!("{place:.2}")
+            format!("{coordinate:.2}")
         }
     }
 }
 
-/// Draws figures against an axis into an SVG file, one chart a figure.
+/// Plots figures against an axis into an SVG file, one chart per figure.
 ///
 /// # Errors
-/// Where the file cannot be written.
+/// Returns an error if the file cannot be written or a value is not finite.
 pub fn experiment(
     title: &str,
     axis: &str,
@@ -102,21 +107,22 @@
 ) -> Result<(), SvgError> {
     let charts = figures.len().max(1);
     let height = TITLE_HEIGHT + CHART_HEIGHT * u32_from_count(charts);
-    let root = titled(path, (SIZE.0, height), title)?;
-    let axis = Axis::over(axis, figures);
+    let root = titled_canvas(path, (PLOT_SIZE.0, height), title)?;
+    let axis = HorizontalAxis::spanning(axis, figures);
     for (area, (figure, series)) in root.split_evenly((charts, 1)).iter().zip(figures) {
         draw_figure(area, &axis, figure, series)?;
     }
     root.present()
 }
 
-/// The heights of a chart: from the lowest interval or 0 to above the highest.
-fn heights(series: &[Series]) -> Range<f64> {
+/// Returns the range of a chart's vertical axis: from 0 or the lowest end of an interval, to above
+/// the highest one.
+fn vertical_range(series: &[Series]) -> Range<f64> {
     let points = || series.iter().flat_map(|line| &line.points);
     let top = points().map(|p| p.1 + p.2).fold(f64::MIN, f64::max);
     let bottom = points().map(|p| p.1 - p.2).fold(0.0, f64::min);
     let top = if top > bottom {
-        top + (top - bottom) * HEADROOM
+        top + (top - bottom) * TOP_PADDING
     } else {
         bottom + 1.0
     };
@@ -125,7 +131,7 @@
 
 fn draw_figure(
     area: &Canvas<'_>,
-    axis: &Axis<'_>,
+    axis: &HorizontalAxis<'_>,
     figure: &str,
     series: &[Series],
 ) -> Result<(), SvgError> {
@@ -133,16 +139,16 @@
         .margin(MARGIN)
         .x_label_area_size(36)
         .y_label_area_size(64)
-        .build_cartesian_2d(axis.range.clone(), heights(series))?;
+        .build_cartesian_2d(axis.range.clone(), vertical_range(series))?;
     chart
         .configure_mesh()
         .x_desc(axis.name)
         .y_desc(figure)
-        .x_label_formatter(&|place| axis.label(*place))
+        .x_label_formatter(&|coordinate| axis.label(*coordinate))
         .max_light_lines(2)
         .draw()?;
-    for (position, line) in series.iter().enumerate() {
-        draw_line(&mut chart, axis, line, position)?;
+    for (series_index, line) in series.iter().enumerate() {
+        draw_line(&mut chart, axis, line, series_index)?;
     }
     if series.iter().all(|line| line.name.is_empty()) {
         return Ok(());
@@ -154,36 +160,38 @@
         .draw()
 }
 
-/// Draws the line of a series; `position` is its place among the others of the chart.
+/// Draws the line of a series with its error bars.
 fn draw_line(
     chart: &mut Chart<'_, '_>,
-    axis: &Axis<'_>,
+    axis: &HorizontalAxis<'_>,
     line: &Series,
-    position: usize,
+    series_index: usize,
 ) -> Result<(), SvgError> {
-    let points = line.points.iter().map(|p| (axis.place(p.0), p.1));
-    let style = colour(position).stroke_width(THICK_LINE);
+    let points = line.points.iter().map(|p| (axis.coordinate(p.0), p.1));
+    let style = colour(series_index).stroke_width(SERIES_LINE_WIDTH);
     let drawn = chart.draw_series(LineSeries::new(points, style))?;
     if !line.name.is_empty() {
-        drawn.label(line.name.clone()).legend(legend_line(position));
+        drawn
+            .label(line.name.clone())
+            .legend(legend_line(series_index));
     }
-    chart.draw_series(error_bars(axis, line, colour(position)))?;
+    chart.draw_series(error_bars(axis, line, colour(series_index)))?;
     Ok(())
 }
 
 fn error_bars(
-    axis: &Axis<'_>,
+    axis: &HorizontalAxis<'_>,
     line: &Series,
     colour: RGBColor,
 ) -> impl Iterator<Item = ErrorBar<f64, f64, ErrorBarOrientV<f64, f64>>> {
-    line.points.iter().map(move |&(place, mean, half)| {
+    line.points.iter().map(move |&(value, mean, half_width)| {
         ErrorBar::new_vertical(
-            axis.place(place),
-            mean - half,
+            axis.coordinate(value),
+            mean - half_width,
             mean,
-            mean + half,
+            mean + half_width,
             colour.filled(),
-            ERROR_BAR_WIDTH,
+            ERROR_BAR_CAP_WIDTH,
         )
     })
 }
--- a/crates/testbed/src/plot/mod.rs
+++ b/crates/testbed/src/plot/mod.rs
@@ -1,6 +1,6 @@
-//! Reports and experiments as SVG files.
+//! Plots of reports and experiments, as SVG files.
 //!
-//! Owns sizes, colours and the form of the charts; the figures come from `report` and `experiment`.
+//! This file has the sizes, colours and elements that both plots share.
 
 mod experiment;
 mod report;
@@ -15,16 +15,16 @@
 pub use report::report;
 
 /// Width and height of a report's plot, and width of an experiment's, in pixels.
-const SIZE: (u32, u32) = (960, 640);
-/// Size of the title's letters, in pixels.
+const PLOT_SIZE: (u32, u32) = (960, 640);
+/// Font size of the title, in pixels.
 const TITLE_SIZE: i32 = 18;
 /// Margin around a chart, in pixels.
 const MARGIN: i32 = 8;
-/// Length of a line in a legend, in pixels.
-const LEGEND_LINE: i32 = 16;
-/// Width of the lines that stand for a class or a value, in pixels.
-const THICK_LINE: u32 = 2;
-/// Colours of the series, in their order; a seventh series has that of the first.
+/// Length of the line samples in a legend, in pixels.
+const LEGEND_LINE_LENGTH: i32 = 16;
+/// Width of the line of a series, in pixels.
+const SERIES_LINE_WIDTH: u32 = 2;
+/// Colours of the series, by index; they repeat from the seventh series on.
 const COLOURS: [RGBColor; 6] = [
     RGBColor(31, 119, 180),
     RGBColor(214, 39, 40),
@@ -37,17 +37,18 @@
 type SvgError = DrawingAreaErrorKind<io::Error>;
 type Canvas<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 
-/// A plot that could not be drawn: its file cannot be written, or a figure is not finite.
+/// Error of drawing a plot: the file cannot be written, or a figure is not finite.
 #[derive(Debug, thiserror::Error)]
 #[error("{}: {source}", .path.display())]
 pub struct PlotError {
     /// The plot's file.
     pub path: PathBuf,
-    /// What went wrong.
+    /// The error of the plotting library.
     pub source: SvgError,
 }
 
 impl PlotError {
+    /// Returns a function that adds the path of the plot's file to an error.
     fn at(path: &Path) -> impl FnOnce(SvgError) -> Self + '_ {
         |source| Self {
             path: path.to_owned(),
@@ -56,24 +57,30 @@
     }
 }
 
-/// The colour of a series, by its place among the others.
-fn colour(position: usize) -> RGBColor {
-    COLOURS[position % COLOURS.len()]
+/// Returns the colour of the series with this index.
+fn colour(series_index: usize) -> RGBColor {
+    COLOURS[series_index % COLOURS.len()]
 }
 
-/// An empty sheet with its title.
-fn titled<'a>(path: &'a Path, size: (u32, u32), title: &str) -> Result<Canvas<'a>, SvgError> {
+/// Creates a white canvas with a title.
+fn titled_canvas<'a>(
+    path: &'a Path,
+    size: (u32, u32),
+    title: &str,
+) -> Result<Canvas<'a>, SvgError> {
     let root = SVGBackend::new(path, size).into_drawing_area();
     root.fill(&WHITE)?;
     root.titled(title, ("sans-serif", TITLE_SIZE))
 }
 
-/// The line that stands for a series in a legend.
-fn legend_line(position: usize) -> impl Fn((i32, i32)) -> PathElement<(i32, i32)> + Copy + 'static {
+/// Returns the line sample of a series for the legend.
+fn legend_line(
+    series_index: usize,
+) -> impl Fn((i32, i32)) -> PathElement<(i32, i32)> + Copy + 'static {
     move |(x, y)| {
         PathElement::new(
-            [(x, y), (x + LEGEND_LINE, y)],
-            colour(position).stroke_width(THICK_LINE),
+            [(x, y), (x + LEGEND_LINE_LENGTH, y)],
+            colour(series_index).stroke_width(SERIES_LINE_WIDTH),
         )
     }
 }
--- a/crates/testbed/src/plot/report.rs
+++ b/crates/testbed/src/plot/report.rs
@@ -1,20 +1,22 @@
-//! The plot of a report: service by class above, outcomes of all arrivals below, second by second.
-//!
-//! Owns the choice of lines; their values come from the report.
+//! The plot of a report, by second of the run: the service of each class in the upper chart, the
+//! outcomes of all arrivals in the lower one.
 
 use std::path::Path;
 
 use plotters::prelude::*;
 
-use super::{Canvas, MARGIN, PlotError, SIZE, SvgError, THICK_LINE, colour, legend_line, titled};
+use super::{
+    Canvas, MARGIN, PLOT_SIZE, PlotError, SERIES_LINE_WIDTH, SvgError, colour, legend_line,
+    titled_canvas,
+};
 use crate::conversion::f64_from_count;
 use crate::report::Report;
 
 /// Height of the upper chart, in pixels.
 const UPPER_HEIGHT: u32 = 330;
-/// Room above the highest point, as a factor.
+/// Upper end of the vertical axes, as a multiple of the highest value.
 const HEADROOM: f64 = 1.05;
-/// The lines of the lower chart: columns of [`crate::report::SecondFigures`] and their names.
+/// Lines of the lower chart: columns of [`crate::report::SecondFigures`] and their labels.
 const OUTCOME_LINES: [(usize, &str); 5] = [
     (0, "arrivals"),
     (1, "in time"),
@@ -23,10 +25,10 @@
     (4, "failed"),
 ];
 
-/// Draws a report into an SVG file.
+/// Plots a report into an SVG file.
 ///
 /// # Errors
-/// Where the file cannot be written.
+/// Returns an error if the file cannot be written.
 pub fn report(report: &Report, path: &Path) -> Result<(), PlotError> {
     draw(report, path).map_err(PlotError::at(path))
 }
@@ -36,7 +38,7 @@
         "{}: {}, seed {}, service {:.3}",
         report.name, report.engine, report.seed, report.service
     );
-    let root = titled(path, SIZE, &title)?;
+    let root = titled_canvas(path, PLOT_SIZE, &title)?;
     let (upper, lower) = root.split_vertically(UPPER_HEIGHT);
     let end = f64_from_count(report.timeline.len().max(1));
     draw_service(report, &upper, end)?;
@@ -44,8 +46,8 @@
     root.present()
 }
 
-/// The middle of a second on the time axis.
-fn middle(second: usize) -> f64 {
+/// Returns the middle of a second on the time axis.
+fn middle_of_second(second: usize) -> f64 {
     f64_from_count(second) + 0.5
 }
 
@@ -60,18 +62,18 @@
         .y_desc("served in time, by class")
         .max_light_lines(2)
         .draw()?;
-    for (position, class) in report.classes.iter().enumerate() {
+    for (class_index, class) in report.classes.iter().enumerate() {
         let seconds = report.timeline.iter().enumerate();
         let points = seconds.filter_map(|(second, row)| {
-            let counts = row.0.get(position)?;
+            let counts = row.0.get(class_index)?;
             let share = f64::from(counts[1]) / f64::from(counts[0]);
-            (counts[0] > 0).then(|| (middle(second), share))
+            (counts[0] > 0).then(|| (middle_of_second(second), share))
         });
-        let line = LineSeries::new(points, colour(position).stroke_width(THICK_LINE));
+        let line = LineSeries::new(points, colour(class_index).stroke_width(SERIES_LINE_WIDTH));
         chart
             .draw_series(line)?
             .label(class.name.clone())
-            .legend(legend_line(position));
+            .legend(legend_line(class_index));
     }
     chart
         .configure_series_labels()
@@ -80,8 +82,8 @@
         .draw()
 }
 
-/// The counts of each second, over all classes.
-fn sums(report: &Report) -> Vec<[u32; 5]> {
+/// Returns the counts of each second, summed over all classes.
+fn counts_by_second(report: &Report) -> Vec<[u32; 5]> {
     let sum = |classes: &[[u32; 5]]| {
         let mut sum = [0; 5];
         for counts in classes {
@@ -97,8 +99,13 @@
 }
 
 fn draw_outcomes(report: &Report, area: &Canvas<'_>, end: f64) -> Result<(), SvgError> {
-    let sums = sums(report);
-    let highest = sums.iter().map(|sum| sum[0]).max().unwrap_or(1).max(1);
+    let counts_by_second = counts_by_second(report);
+    let highest = counts_by_second
+        .iter()
+        .map(|counts| counts[0])
+        .max()
+        .unwrap_or(1)
+        .max(1);
     let mut chart = ChartBuilder::on(area)
         .margin(MARGIN)
         .x_label_area_size(32)
@@ -111,8 +118,9 @@
         .max_light_lines(2)
         .draw()?;
     for (column, name) in OUTCOME_LINES {
-        let seconds = sums.iter().enumerate();
-        let points = seconds.map(|(second, sum)| (middle(second), f64::from(sum[column])));
+        let seconds = counts_by_second.iter().enumerate();
+        let points =
+            seconds.map(|(second, counts)| (middle_of_second(second), f64::from(counts[column])));
         let line = LineSeries::new(points, colour(column).stroke_width(1));
         chart
             .draw_series(line)?
