--- a/crates/testbed/src/statistics/outcomes.rs
+++ b/crates/testbed/src/statistics/outcomes.rs
@@ -9,7 +9,7 @@
 use crate::conversion::ms_from_micros;
 use crate::event_log::RequestOutcome;
 use crate::index::ClassIndex;
-use crate::report::Second;
+use crate::report::SecondFigures;
 
 /// Quantiles of the latency that a report gives.
 const REPORTED_QUANTILES: [f64; 5] = [0.5, 0.9, 0.99, 0.999, 1.0];
@@ -23,7 +23,7 @@
 /// Outcomes and latencies of arrivals, and outcomes of requests.
 pub(super) struct OutcomeStatistics {
     /// Arrivals by the second of their start.
-    timeline: Vec<Second>,
+    timeline: Vec<SecondFigures>,
     /// Arrivals by class and outcome.
     by_class: Vec<Counts>,
     latency: Histogram<u64>,
@@ -50,7 +50,7 @@
 impl OutcomeStatistics {
     pub(super) fn new(classes: usize, seconds: usize) -> Self {
         Self {
-            timeline: (0..seconds).map(|_| Second::new(classes)).collect(),
+            timeline: (0..seconds).map(|_| SecondFigures::new(classes)).collect(),
             by_class: vec![FxHashMap::default(); classes],
             latency: histogram(),
             class_latency: vec![histogram(); classes],
@@ -97,7 +97,7 @@
     }
 
     /// The given number of seconds from the start of the timeline.
-    pub(super) fn timeline(&self, seconds: usize) -> Vec<Second> {
+    pub(super) fn timeline(&self, seconds: usize) -> Vec<SecondFigures> {
         self.timeline[..seconds.min(self.timeline.len())].to_vec()
     }
 }
--- a/crates/testbed/tests/emulator.rs
+++ b/crates/testbed/tests/emulator.rs
@@ -76,7 +76,7 @@
     let first = run_and_check("quiet", "");
     let second = run_and_check("quiet-again", "");
     assert_eq!(first.arrivals, second.arrivals);
-    assert_eq!(first.count(RequestOutcome::Served), first.accepted);
+    assert_eq!(first.outcome_count(RequestOutcome::Served), first.accepted);
     assert_eq!(first.responses, second.responses);
     assert!(
         first
@@ -92,7 +92,7 @@
     let fault = "[[fault]]\nkind = \"silence\"\nat_s = 1.0\nfor_s = 1.5\nservers = [\"s0\"]\n";
     let report = run_and_check("silence", fault);
     assert!(
-        report.count(RequestOutcome::Served) > report.accepted / 2,
+        report.outcome_count(RequestOutcome::Served) > report.accepted / 2,
         "{report}"
     );
 }
@@ -121,7 +121,7 @@
     let report = run_and_check("faults", fault);
     // Half of the requests that s0 and s1 run during their fault are lost with their connection;
     // the unsafe ones among them must fail.
-    assert!(report.count(RequestOutcome::Failed) > 0, "{report}");
+    assert!(report.outcome_count(RequestOutcome::Failed) > 0, "{report}");
 }
 
 #[test]
