--- a/crates/control/src/list_freshness/mod.rs
+++ b/crates/control/src/list_freshness/mod.rs
@@ -130,9 +130,9 @@
         self.on_watch_ended(now);
     }
 
-    /// True while the list may be missing a drain, now or later. Polls then skip the balancer's
-    /// backoff.
-    pub fn needs_immediate_poll(&self) -> bool {
+    /// True while the list may be missing a drain, now or later. Discovery is then polled before the
+    /// balancer's backoff ends.
+    pub fn needs_early_poll(&self) -> bool {
         self.bounds.push_mode || self.silence_expiry.is_some()
     }
 
--- a/crates/control/src/list_freshness/tests.rs
+++ b/crates/control/src/list_freshness/tests.rs
@@ -223,7 +223,7 @@
 
     freshness.on_watch_silent(1_000_000, 4_000_000);
 
-    assert!(freshness.needs_immediate_poll());
+    assert!(freshness.needs_early_poll());
     assert_eq!(freshness.trusted_until(None), Some(7_500_000));
     assert_eq!(
         freshness.trusted_until(Some(4_500_000)),
--- a/crates/sidecar/src/discovery/watcher.rs
+++ b/crates/sidecar/src/discovery/watcher.rs
@@ -14,16 +14,16 @@
 use super::watch_error::WatchError;
 use crate::limits::Limits;
 
-/// Minimum delay of an early poll as a fraction of the retry delay. The rest is random jitter that
+/// Minimum delay of an early poll as a fraction of its maximum delay. The rest is random jitter that
 /// prevents many sidecars from polling at the same time.
-const MIN_RETRY_DELAY_FACTOR: f64 = 0.25;
+const MIN_EARLY_POLL_DELAY_FACTOR: f64 = 0.25;
 
 /// Reason for a poll.
 #[derive(Clone, Copy, PartialEq)]
 enum PollReason {
-    /// The balancer requested the poll, or it replaces a requested poll.
+    /// The balancer requested the poll, or the poll replaces a watch on discovery's old address.
     Requested,
-    /// The balancer has not requested the poll yet.
+    /// The poll does not wait for the balancer, which has not requested it yet.
     Early,
 }
 
@@ -121,18 +121,17 @@
     /// Waits until discovery must be polled again after a watch has ended.
     async fn next_poll(&mut self) -> PollReason {
         // The balancer's backoff may be longer than the time until the list becomes stale.
-        let needs_immediate_poll = self.sink.freshness().needs_immediate_poll();
-        let delay =
-            self.limits.discovery.poll_retry_delay.mul_f64(
-                MIN_RETRY_DELAY_FACTOR + (1.0 - MIN_RETRY_DELAY_FACTOR) * self.random.f64(),
-            );
+        let needs_early_poll = self.sink.freshness().needs_early_poll();
+        let delay = self.limits.discovery.max_early_poll_delay.mul_f64(
+            MIN_EARLY_POLL_DELAY_FACTOR + (1.0 - MIN_EARLY_POLL_DELAY_FACTOR) * self.random.f64(),
+        );
         tokio::select! {
             () = self.sink.poll_requested() => PollReason::Requested,
             () = wait_for_relocation(&mut self.discovery) => {
                 self.on_discovery_relocated();
                 PollReason::Early
             }
-            () = sleep(delay), if needs_immediate_poll => PollReason::Early,
+            () = sleep(delay), if needs_early_poll => PollReason::Early,
         }
     }
 
--- a/crates/sidecar/src/host/endpoint_list_freshness.rs
+++ b/crates/sidecar/src/host/endpoint_list_freshness.rs
@@ -66,10 +66,10 @@
         self.update(ListFreshness::on_discovery_relocated);
     }
 
-    /// True if discovery must be polled without the balancer's backoff, because the list may become
-    /// stale during it.
-    pub(crate) fn needs_immediate_poll(&self) -> bool {
-        self.freshness.get().needs_immediate_poll()
+    /// True if discovery must be polled before the balancer's backoff ends, because the list may
+    /// become stale during it.
+    pub(crate) fn needs_early_poll(&self) -> bool {
+        self.freshness.get().needs_early_poll()
     }
 
     /// True if the list is so old that the server may be draining without the list showing it.
--- a/crates/sidecar/src/limits/discovery.rs
+++ b/crates/sidecar/src/limits/discovery.rs
@@ -21,8 +21,8 @@
 const MAX_OBJECT_BYTES: usize = 512 * 1024;
 /// Deeper than any endpoint list. JSON is parsed recursively, so this bounds the use of the stack.
 const MAX_JSON_DEPTH: usize = 32;
-/// Smallest and largest value of [`DiscoveryLimits::poll_retry_delay`].
-const POLL_RETRY_DELAYS: (Duration, Duration) =
+/// Smallest and largest value of [`DiscoveryLimits::max_early_poll_delay`].
+const MAX_EARLY_POLL_DELAYS: (Duration, Duration) =
     (Duration::from_millis(50), Duration::from_millis(300));
 
 /// Limits on polls of discovery, on its watches and on the endpoint list.
@@ -34,12 +34,13 @@
     pub(crate) max_json_depth: usize,
     /// Timeout for the response head of a poll. The time between the last event of a watch that
     /// fails and the end of the poll that replaces it must not exceed the change notice delay plus
-    /// the drain grace period: a drain that becomes known later can no longer be obeyed.
+    /// the drain grace period: by then the grace period of a drain that was missed has ended.
     pub(crate) poll_timeout: Duration,
     /// A watch that is silent for this long counts as lost.
     pub(crate) watch_silence_timeout: Duration,
-    /// Upper bound of the random delay before a poll is retried for an overdue endpoint list.
-    pub(crate) poll_retry_delay: Duration,
+    /// Upper bound of the random delay before an early poll, which does not wait for the balancer's
+    /// backoff because the endpoint list may become stale.
+    pub(crate) max_early_poll_delay: Duration,
     /// When changes that are missing from the list count as notified. Half of the drain grace
     /// period is reserved for requests in transit.
     pub(crate) staleness: StalenessBounds,
@@ -47,7 +48,7 @@
 
 impl DiscoveryLimits {
     pub(super) fn derive(inputs: &LimitInputs) -> Self {
-        let (min_delay, max_delay) = POLL_RETRY_DELAYS;
+        let (min_delay, max_delay) = MAX_EARLY_POLL_DELAYS;
         Self {
             max_object_bytes: MAX_OBJECT_BYTES,
             max_json_depth: MAX_JSON_DEPTH,
@@ -55,7 +56,7 @@
                 .saturating_sub(WATCH_SILENCE_TIMEOUT + MAX_POLL_BACKOFF)
                 .max(WATCH_SILENCE_TIMEOUT),
             watch_silence_timeout: WATCH_SILENCE_TIMEOUT,
-            poll_retry_delay: (inputs.drain_grace / 4).clamp(min_delay, max_delay),
+            max_early_poll_delay: (inputs.drain_grace / 4).clamp(min_delay, max_delay),
             staleness: StalenessBounds {
                 push_mode: inputs.push_mode,
                 max_poll_interval: micros(inputs.max_poll_interval),
