--- a/crates/sidecar/src/counters.rs
+++ b/crates/sidecar/src/counters.rs
@@ -57,9 +57,10 @@
     attempts_reset: "Attempts without a complete response once the request was written.",
     attempts_cancelled: "Attempts that were cancelled or never sent.",
     attempts_blocked_client_left: "Attempts not sent because the client had disconnected.",
-    attempts_blocked_no_time: "Attempts not sent because no time was left.",
-    attempts_blocked_window_over: "Retries not sent because the deduplication window had expired.",
-    attempts_blocked_server_draining: "Attempts not sent because the server was draining or moved.",
+    attempts_blocked_no_time: "Attempts not sent because they had timed out.",
+    attempts_blocked_window_over: "Retries not sent because the retry window had expired.",
+    attempts_blocked_server_draining:
+        "Attempts not sent because the server was draining or its address had changed.",
     attempts_blocked_list_stale: "Attempts not sent because the endpoint list was stale.",
     health_checks_sent: "Health checks started.",
     health_checks_failed: "Health checks that failed.",
@@ -76,7 +77,7 @@
     pub(crate) fn on_attempt_blocked(&self, blocked: SendBlocked) {
         let counter = match blocked {
             SendBlocked::ClientDisconnected => &self.attempts_blocked_client_left,
-            SendBlocked::TimedOut => &self.attempts_blocked_no_time,
+            SendBlocked::AttemptTimedOut => &self.attempts_blocked_no_time,
             SendBlocked::RetryWindowExpired => &self.attempts_blocked_window_over,
             SendBlocked::ServerDraining | SendBlocked::ServerAddressChanged => {
                 &self.attempts_blocked_server_draining
--- a/crates/sidecar/src/discovery/watcher.rs
+++ b/crates/sidecar/src/discovery/watcher.rs
@@ -14,8 +14,8 @@
 use super::watch_error::WatchError;
 use crate::limits::Limits;
 
-/// Minimum delay of an early poll as a fraction of its maximum delay. The rest is random jitter that
-/// prevents many sidecars from polling at the same time.
+/// Minimum delay of an early poll as a fraction of its maximum delay. The rest is random jitter, so
+/// that many sidecars do not poll at the same time.
 const MIN_EARLY_POLL_DELAY_FACTOR: f64 = 0.25;
 
 /// Reason for a poll.
--- a/crates/sidecar/src/upstream/send_guard.rs
+++ b/crates/sidecar/src/upstream/send_guard.rs
@@ -42,11 +42,11 @@
         let time_until = |instant: Instant| instant.saturating_duration_since(now);
         SendConditions {
             client_disconnected: self.presence.is_disconnected(),
-            time_left: time_until(self.attempt_deadline),
-            retry_time_left: self.start_before.map(time_until),
+            attempt_time_left: time_until(self.attempt_deadline),
+            retry_window_left: self.start_before.map(time_until),
             drain_age: self.server.drain_age(),
             server_address_changed: self.server.address() != self.address,
-            list_stale: self.list_freshness.is_stale_for(&self.server),
+            endpoint_list_stale: self.list_freshness.is_stale_for(&self.server),
         }
     }
 }
