--- a/crates/adapter/src/reply.rs
+++ b/crates/adapter/src/reply.rs
@@ -14,7 +14,7 @@
 /// End of every reply, including the line break.
 const SUFFIX: &str = "]}\n";
 /// Microseconds per millisecond, the simulator's unit of time.
-const MICROS_PER_MILLISECOND: Micros = 1_000;
+const MICROS_PER_MS: Micros = 1_000;
 
 /// Builder of one reply.
 pub(crate) struct Reply {
@@ -70,8 +70,8 @@
 
     /// Adds a time in milliseconds with three decimals.
     pub(crate) fn millis(&mut self, name: &str, value: Micros) -> &mut Self {
-        let whole = value / MICROS_PER_MILLISECOND;
-        let fraction = value % MICROS_PER_MILLISECOND;
+        let whole = value / MICROS_PER_MS;
+        let fraction = value % MICROS_PER_MS;
         let _ = write!(self.buffer, ",\"{name}\":{whole}.{fraction:03}");
         self
     }
--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -54,7 +54,7 @@
     /// Time until the client's deadline, in milliseconds.
     #[serde(rename = "left-ms")]
     pub(crate) time_left_ms: Option<f64>,
-    /// Expected work of a request, in milliseconds on an average core.
+    /// The client's estimate of a request's execution time on a standard core, in milliseconds.
     #[serde(rename = "size-hint-ms")]
     pub(crate) work_hint_ms: Option<f64>,
     /// Number of an attempt, from 0 in the order in which attempts are sent.
--- a/crates/sidecar/src/config.rs
+++ b/crates/sidecar/src/config.rs
@@ -24,7 +24,7 @@
 
 /// Maximum nesting depth of the file's JSON, which is parsed recursively.
 const MAX_JSON_DEPTH: usize = 64;
-/// Default for `limits.sockets`: the usual soft limit on file descriptors of a process.
+/// Default for `limits.sockets`: the default soft limit of Linux on a process's file descriptors.
 const DEFAULT_SOCKETS: f64 = 1_024.0;
 /// Default for `limits.memory_mb`, in MiB.
 const DEFAULT_MEMORY_MIB: f64 = 192.0;
--- a/crates/sidecar/src/downstream/client_permits.rs
+++ b/crates/sidecar/src/downstream/client_permits.rs
@@ -1,5 +1,5 @@
-//! Limits client connections, and selects the idle connection to close when a new client needs its
-//! permit.
+//! Limits the number of client connections, and selects the idle connection to close when a new
+//! client needs its permit.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -10,10 +10,11 @@
 use super::connection::ClientConnection;
 use crate::limits::ClientLimits;
 
-/// Counts client connections and issues permits to those that are served.
+/// Counts accepted client connections and issues permits to those that are served.
 #[derive(Default)]
 pub(super) struct ClientPermits {
-    /// Connections that hold a file descriptor, with or without a permit.
+    /// Accepted connections that are not closed yet, with or without a permit. Each holds a file
+    /// descriptor.
     open_connections: Cell<usize>,
     /// Connections with a permit, in order of arrival.
     permitted: RefCell<BTreeMap<u64, Rc<ClientConnection>>>,
@@ -27,30 +28,31 @@
         self.open_connections.get() >= limits.max_accepted_connections
     }
 
-    /// Counts a new connection and gives it a permit if one is free or can be freed.
-    pub(super) fn admit(
+    /// Counts a newly accepted connection and gives it a permit if one is free or can be freed.
+    pub(super) fn register(
         self: &Rc<Self>,
         client: &Rc<ClientConnection>,
         limits: &ClientLimits,
-    ) -> ClientPermit {
-        let is_permitted = self.ensure_free_permit(limits);
+    ) -> AcceptedConnection {
+        let has_permit = self.ensure_free_permit(limits);
         let connection_id = self.next_connection_id.get();
         self.next_connection_id.set(connection_id + 1);
         self.open_connections.set(self.open_connections.get() + 1);
-        if is_permitted {
+        if has_permit {
             self.permitted
                 .borrow_mut()
                 .insert(connection_id, Rc::clone(client));
         }
-        ClientPermit {
+        AcceptedConnection {
             permits: Rc::clone(self),
             connection_id,
-            is_permitted,
+            has_permit,
         }
     }
 
-    /// Returns whether a permit is free for a new client. If all are taken, takes that of the idle
-    /// connection with the lowest [`IdleRank`](super::connection::IdleRank), if any, and closes it.
+    /// Returns whether a permit is free for a new client. If all are taken, takes the permit of the
+    /// idle connection with the lowest [`IdleRank`](super::connection::IdleRank), if any, and
+    /// requests that it close.
     fn ensure_free_permit(&self, limits: &ClientLimits) -> bool {
         let mut permitted = self.permitted.borrow_mut();
         if permitted.len() < limits.max_connections {
@@ -90,21 +92,22 @@
     }
 }
 
-/// A counted client connection; its file descriptor counts until this is dropped.
-pub(super) struct ClientPermit {
+/// An accepted client connection, with or without a permit; counts as open until this is dropped.
+pub(super) struct AcceptedConnection {
     permits: Rc<ClientPermits>,
     connection_id: u64,
-    is_permitted: bool,
+    has_permit: bool,
 }
 
-impl ClientPermit {
-    /// True if the client is served; false if its request is only rejected as over capacity.
-    pub(super) fn is_permitted(&self) -> bool {
-        self.is_permitted
+impl AcceptedConnection {
+    /// True if the connection got a permit, so that its requests are served; false if its request is
+    /// only rejected as over capacity.
+    pub(super) fn has_permit(&self) -> bool {
+        self.has_permit
     }
 
-    /// Releases the permit for another client: the connection takes no more requests.
-    pub(super) fn release(&self) {
+    /// Releases the permit, if any, for another client: the connection takes no more requests.
+    pub(super) fn release_permit(&self) {
         self.permits
             .permitted
             .borrow_mut()
@@ -112,9 +115,9 @@
     }
 }
 
-impl Drop for ClientPermit {
+impl Drop for AcceptedConnection {
     fn drop(&mut self) {
-        self.release();
+        self.release_permit();
         let open_connections = &self.permits.open_connections;
         open_connections.set(open_connections.get() - 1);
         self.permits.connection_closed.notify_waiters();
--- a/crates/sidecar/src/downstream/listener.rs
+++ b/crates/sidecar/src/downstream/listener.rs
@@ -138,16 +138,18 @@
         O: ConnectionService + 'static,
     {
         let client = ClientConnection::new(Some(stream));
-        let permit = self.permits.admit(&client, &self.context.limits().client);
+        let connection = self
+            .permits
+            .register(&client, &self.context.limits().client);
         let listener = Rc::clone(self);
         let services = Rc::clone(services);
         actix_rt::spawn(async move {
-            if permit.is_permitted() {
+            if connection.has_permit() {
                 listener.serve(&services.permitted, &client).await;
             } else {
                 listener.serve(&services.over_capacity, &client).await;
             }
-            permit.release();
+            connection.release_permit();
             if let Some(socket) = client.socket_slot().take() {
                 lingering_close(
                     socket,
--- a/crates/sidecar/src/downstream/request_headers.rs
+++ b/crates/sidecar/src/downstream/request_headers.rs
@@ -10,13 +10,18 @@
 use super::service_context::ServiceContext;
 use crate::message::FORWARDED_HEADERS;
 
-const REQUEST_ID: &str = "x-request-id";
-const IDEMPOTENCY_KEY: &str = "idempotency-key";
-const PRIORITY_CLASS: &str = "x-priority-class";
-const TIMEOUT: &str = "x-timeout";
-const COST: &str = "x-cost";
-
-const MICROS_PER_MILLISECOND: f64 = 1_000.0;
+/// The request id that the client chose.
+const REQUEST_ID_HEADER: &str = "x-request-id";
+/// The key by which servers detect repeated requests.
+const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
+/// The name of the request class.
+const PRIORITY_CLASS_HEADER: &str = "x-priority-class";
+/// How long the client waits for the response: a number with the unit suffix `m` or `u`.
+const TIMEOUT_HEADER: &str = "x-timeout";
+/// The work hint in microseconds.
+const WORK_HINT_HEADER: &str = "x-cost";
+
+const MICROS_PER_MS: f64 = 1_000.0;
 /// The accepted work hints, in microseconds: up to a minute. Responses take seconds, so a
 /// larger value is no plausible estimate.
 const WORK_HINT_RANGE_MICROS: RangeInclusive<f64> = 1.0..=6e7;
@@ -31,7 +36,7 @@
     pub class: ClassId,
     /// How long the client waits for the response, from the request's last byte.
     pub client_timeout: Duration,
-    /// The request's work on a server of usual speed, if the client estimated it.
+    /// The client's estimate of the execution time on a standard core, if it sent one.
     pub work_hint: Option<Duration>,
 }
 
@@ -46,10 +51,10 @@
     ) -> Result<Self, MalformedRequest> {
         let classes = context.classes();
         let max_chars = context.limits().client.max_token_chars;
-        let id = parse_token(headers, REQUEST_ID, max_chars)?
+        let id = parse_token(headers, REQUEST_ID_HEADER, max_chars)?
             .ok_or(MalformedRequest::RequestIdMissing)?;
-        let idempotency_key = parse_token(headers, IDEMPOTENCY_KEY, max_chars)?;
-        let class = parse_token(headers, PRIORITY_CLASS, max_chars)?
+        let idempotency_key = parse_token(headers, IDEMPOTENCY_KEY_HEADER, max_chars)?;
+        let class = parse_token(headers, PRIORITY_CLASS_HEADER, max_chars)?
             .and_then(|name| classes.id(&name))
             .ok_or(MalformedRequest::PriorityClassUnknown)?;
         let client_timeout = client_timeout(context, headers, class);
@@ -84,7 +89,7 @@
 /// How long the client waits for the response. The header is optional, so a value that cannot be
 /// parsed is treated as absent instead of failing the request.
 fn client_timeout(context: &ServiceContext, headers: &HeaderMap, class: ClassId) -> Duration {
-    match header_text(headers, TIMEOUT).and_then(parse_timeout) {
+    match header_text(headers, TIMEOUT_HEADER).and_then(parse_timeout) {
         Some(timeout) => timeout.min(context.limits().client.max_timeout),
         None => {
             context.counters().timeout_headers_skipped.inc();
@@ -94,8 +99,8 @@
 }
 
 fn work_hint(context: &ServiceContext, headers: &HeaderMap) -> Option<Duration> {
-    let work_hint = header_text(headers, COST).and_then(parse_work_hint);
-    if work_hint.is_none() && headers.contains_key(COST) {
+    let work_hint = header_text(headers, WORK_HINT_HEADER).and_then(parse_work_hint);
+    if work_hint.is_none() && headers.contains_key(WORK_HINT_HEADER) {
         context.counters().cost_headers_skipped.inc();
     }
     work_hint
@@ -124,7 +129,7 @@
 fn parse_timeout(text: &str) -> Option<Duration> {
     let micros = match text.strip_suffix('u') {
         Some(number) => number.parse::<f64>().ok()?,
-        None => text.strip_suffix('m')?.parse::<f64>().ok()? * MICROS_PER_MILLISECOND,
+        None => text.strip_suffix('m')?.parse::<f64>().ok()? * MICROS_PER_MS,
     };
     (micros.is_finite() && micros >= 0.0).then(|| duration_from_micros(micros))
 }
--- a/crates/sidecar/src/host/in_flight_request.rs
+++ b/crates/sidecar/src/host/in_flight_request.rs
@@ -31,7 +31,7 @@
 
 impl InFlightRequest {
     /// Admits a request to the balancer. `time_left` is the time until the client's deadline,
-    /// `work_hint` the client's estimate of the work on a typical server, if it sent one.
+    /// `work_hint` the client's estimate of the execution time on a standard core, if it sent one.
     pub(crate) fn admit(
         host: &Rc<BalancerHost>,
         class: ClassId,
--- a/crates/sidecar/src/message/request.rs
+++ b/crates/sidecar/src/message/request.rs
@@ -39,7 +39,7 @@
     pub received_at: Instant,
     /// How long the client waits for the response after `received_at`.
     pub client_timeout: Duration,
-    /// The client's estimate of the work on a typical server, if it sent one.
+    /// The client's estimate of the execution time on a standard core, if it sent one.
     pub work_hint: Option<Duration>,
     /// Whether the client is still connected.
     pub presence: ClientPresence,
