--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -1,7 +1,7 @@
 //! Hosts the balancers of many simulated sidecars in one process.
 //!
-//! The host owns the attached instances and the endpoint tables that they share. It leaves the
-//! fields of events and actions to the decoder and the encoder.
+//! The host keeps the attached instances and the endpoint tables that they share. The decoder and
+//! the encoder handle the fields of events and actions.
 
 mod action_encoder;
 mod endpoint_table;
--- a/crates/adapter/src/host/instance.rs
+++ b/crates/adapter/src/host/instance.rs
@@ -1,7 +1,7 @@
 //! One simulated sidecar: its balancer, and the names behind the balancer's ids.
 //!
 //! Ids of servers, classes and zones are local to an instance, because instances share nothing but
-//! the endpoint tables, which the host owns.
+//! the endpoint tables, which the host keeps.
 
 use std::collections::HashMap;
 
--- a/crates/adapter/src/host/settings.rs
+++ b/crates/adapter/src/host/settings.rs
@@ -19,11 +19,11 @@
 ///
 /// # Errors
 /// Returns the first key with an invalid value.
-pub(super) fn parse(conf: &Value) -> Result<PlatformSettings, KeyError> {
-    let value = to_tinyjson(conf);
-    let conf = Node::root(&value);
-    let mut platform = PlatformSettings::read(&conf, DEFAULT_MAX_RETRY_AFTER)?;
-    SimulatorFeatures::read(&conf)?.apply(&mut platform.balancer);
+pub(super) fn parse(settings: &Value) -> Result<PlatformSettings, KeyError> {
+    let value = to_tinyjson(settings);
+    let settings_node = Node::root(&value);
+    let mut platform = PlatformSettings::read(&settings_node, DEFAULT_MAX_RETRY_AFTER)?;
+    SimulatorFeatures::read(&settings_node)?.apply(&mut platform.balancer);
     Ok(platform)
 }
 
--- a/crates/adapter/src/host/settings/tests.rs
+++ b/crates/adapter/src/host/settings/tests.rs
@@ -115,10 +115,10 @@
         },
         retries: RetrySettings {
             hedging: false,
+            // The sidecar's default is 1 s.
             max_retry_after: 0,
             ..RetrySettings::default()
         },
-        // The sidecar's default is 1 s.
         fees: Fees {
             health_check: 0.0,
             ..Fees::default()
--- a/crates/adapter/src/reply.rs
+++ b/crates/adapter/src/reply.rs
@@ -1,7 +1,7 @@
 //! The output of the line protocol: a reply is one line of JSON with a list of actions, written
 //! into a reused buffer.
 //!
-//! This module owns the syntax; the host's encoder chooses the fields of each action.
+//! This module writes the syntax; the host's encoder chooses the fields of each action.
 
 use std::fmt::{Display, Write as _};
 
--- a/crates/platform/src/settings/document.rs
+++ b/crates/platform/src/settings/document.rs
@@ -14,9 +14,9 @@
 
 /// The contents of a settings object, as returned by the readers of its three groups.
 ///
-/// Two keys are read into two groups each. The value of the transport settings is written: their
-/// idle timeout, which the balancer's settings have too, and their membership mode, which decides
-/// whether the features include polling. The features are off in the balancer's settings (see
+/// Two keys are read into two groups each and written from the transport settings: the idle
+/// timeout, which the balancer's settings have too, and the membership mode, from which the features
+/// derive whether to poll. The features are off in the balancer's settings (see
 /// [`PlatformSettings::balancer`]), so they are written from [`SimulatorFeatures`] alone.
 #[derive(Clone, Copy, Debug)]
 pub struct SettingsDocument<'a> {
--- a/crates/platform/src/settings/document/tests.rs
+++ b/crates/platform/src/settings/document/tests.rs
@@ -9,7 +9,7 @@
 use super::SettingsDocument;
 use crate::json::{Node, parse};
 use crate::{PlatformSettings, SimulatorFeatures, TransportSettings};
-use strategies::any_settings_parts;
+use strategies::any_settings_groups;
 
 /// The nesting depth of the settings: the object, the array of classes and a class.
 const MAX_DEPTH: usize = 3;
@@ -18,13 +18,13 @@
 
 /// The three groups of a settings object.
 #[derive(Debug)]
-struct SettingsParts {
+struct SettingsGroups {
     platform: PlatformSettings,
     transport: TransportSettings,
     features: SimulatorFeatures,
 }
 
-impl SettingsParts {
+impl SettingsGroups {
     fn read(text: &str) -> Self {
         let value = parse(text, MAX_DEPTH).expect("JSON");
         let settings_node = Node::root(&value);
@@ -65,19 +65,19 @@
 
 #[test]
 fn settings_with_the_common_keys_are_written_as_they_were_read() {
-    let parts = SettingsParts::read(COMMON_KEYS);
+    let groups = SettingsGroups::read(COMMON_KEYS);
 
-    assert_eq!(parts.to_text(), COMMON_KEYS);
+    assert_eq!(groups.to_text(), COMMON_KEYS);
 }
 
 #[test]
 fn optional_keys_are_written_where_they_differ_from_their_defaults() {
-    let mut parts = SettingsParts::read(COMMON_KEYS);
-    parts.platform.balancer.fees.connection = 0.03;
-    parts.platform.balancer.allow_removed_servers = true;
-    parts.platform.balancer.classes[0].objective_per_work = 1.5;
+    let mut groups = SettingsGroups::read(COMMON_KEYS);
+    groups.platform.balancer.fees.connection = 0.03;
+    groups.platform.balancer.allow_removed_servers = true;
+    groups.platform.balancer.classes[0].objective_per_work = 1.5;
 
-    let text = parts.to_text();
+    let text = groups.to_text();
 
     for key in [
         r#""connection":0.03"#,
@@ -92,9 +92,9 @@
     /// Compares the `Debug` output, as the balancer's settings do not implement `PartialEq`. The
     /// output has all digits of floating-point numbers.
     #[test]
-    fn reading_written_settings_gives_the_same_settings(parts in any_settings_parts()) {
-        let read = SettingsParts::read(&parts.to_text());
+    fn reading_written_settings_gives_the_same_settings(groups in any_settings_groups()) {
+        let read = SettingsGroups::read(&groups.to_text());
 
-        prop_assert_eq!(format!("{read:#?}"), format!("{parts:#?}"));
+        prop_assert_eq!(format!("{read:#?}"), format!("{groups:#?}"));
     }
 }
--- a/crates/platform/src/settings/document/tests/strategies.rs
+++ b/crates/platform/src/settings/document/tests/strategies.rs
@@ -9,7 +9,7 @@
 };
 use proptest::prelude::*;
 
-use super::SettingsParts;
+use super::SettingsGroups;
 use crate::settings::UNKNOWN_ZONE;
 use crate::{
     LoadReportLayout, MembershipMode, PlatformSettings, SimulatorFeatures, TransportSettings,
@@ -195,7 +195,7 @@
 }
 
 prop_compose! {
-    pub(super) fn any_settings_parts()(
+    pub(super) fn any_settings_groups()(
         balancer in any_balancer(),
         (load_report, host) in any_layout_and_host(),
         (zones, zone) in any_zones(),
@@ -203,11 +203,11 @@
         (gossip, retry_after) in any::<(bool, bool)>(),
         class_names in prop::collection::vec(any::<String>(), 4),
         streamed in prop::collection::vec(any::<bool>(), 4),
-    ) -> SettingsParts {
+    ) -> SettingsGroups {
         let class_count = balancer.classes.len();
         let idle_timeout = Micros::try_from(transport.idle_timeout.as_micros()).expect("short");
         let identity = BalancerIdentity { zone, ..balancer.identity };
-        SettingsParts {
+        SettingsGroups {
             platform: PlatformSettings {
                 balancer: Settings { identity, host, idle_timeout, ..balancer },
                 class_names: class_names[..class_count].to_vec(),
--- a/crates/platform/src/settings/tests.rs
+++ b/crates/platform/src/settings/tests.rs
@@ -28,13 +28,13 @@
    "only-draining-binds": true, "drain-grace-ms": 1500.0}}"#;
 
 /// The three groups of a settings object.
-struct SettingsParts {
+struct SettingsGroups {
     platform: PlatformSettings,
     features: SimulatorFeatures,
     transport: TransportSettings,
 }
 
-impl SettingsParts {
+impl SettingsGroups {
     fn read(text: &str) -> Self {
         let value = parse(text, 8).expect("JSON");
         let settings_node = Node::root(&value);
@@ -49,7 +49,7 @@
 
 #[test]
 fn names_zones_and_numbers_of_the_deployment_are_read() {
-    let platform = SettingsParts::read(EVERY_KEY).platform;
+    let platform = SettingsGroups::read(EVERY_KEY).platform;
 
     let identity = BalancerIdentity {
         zone: 1,
@@ -70,7 +70,7 @@
 
 #[test]
 fn simulator_features_are_read() {
-    let features = SettingsParts::read(EVERY_KEY).features;
+    let features = SettingsGroups::read(EVERY_KEY).features;
 
     let expected = SimulatorFeatures {
         gossip: true,
@@ -83,7 +83,7 @@
 
 #[test]
 fn permissions_and_fees_are_read() {
-    let settings = SettingsParts::read(EVERY_KEY).platform.balancer;
+    let settings = SettingsGroups::read(EVERY_KEY).platform.balancer;
 
     let retries = RetrySettings {
         max_attempts: 5,
@@ -106,11 +106,11 @@
 
 #[test]
 fn safety_rules_and_transport_settings_are_read() {
-    let SettingsParts {
+    let SettingsGroups {
         platform,
         transport,
         ..
-    } = SettingsParts::read(EVERY_KEY);
+    } = SettingsGroups::read(EVERY_KEY);
 
     let settings = &platform.balancer;
     let slow_start = SlowStartSettings {
@@ -134,7 +134,7 @@
 
 #[test]
 fn every_key_of_a_request_class_is_read() {
-    let settings = SettingsParts::read(EVERY_KEY).platform.balancer;
+    let settings = SettingsGroups::read(EVERY_KEY).platform.balancer;
 
     let [look, pay, book] = &settings.classes[..] else {
         panic!("three classes");
@@ -183,9 +183,9 @@
 
 #[test]
 fn missing_keys_take_the_defaults_and_turn_permissions_off() {
-    let SettingsParts {
+    let SettingsGroups {
         platform, features, ..
-    } = SettingsParts::read("{}");
+    } = SettingsGroups::read("{}");
 
     let expected = settings_without_keys();
     assert_eq!(format!("{:?}", platform.balancer), format!("{expected:?}"));
@@ -195,9 +195,9 @@
 
 #[test]
 fn simulator_features_are_off_until_they_are_applied() {
-    let SettingsParts {
+    let SettingsGroups {
         platform, features, ..
-    } = SettingsParts::read(EVERY_KEY);
+    } = SettingsGroups::read(EVERY_KEY);
     let mut settings = platform.balancer;
     assert!(!settings.host.gossip);
     assert!(!settings.host.retry_after);
@@ -231,7 +231,7 @@
     for (report, in_health_checks, in_responses) in REPORT_SOURCES {
         let text = format!(r#"{{"report": {report}}}"#);
 
-        let host = SettingsParts::read(&text).platform.balancer.host;
+        let host = SettingsGroups::read(&text).platform.balancer.host;
 
         assert_eq!(
             host.load_reports_in_health_checks, in_health_checks,
--- a/crates/platform/src/settings/transport.rs
+++ b/crates/platform/src/settings/transport.rs
@@ -30,7 +30,7 @@
 pub enum MembershipMode {
     /// Discovery sends the list only in response to a poll.
     OnRequest,
-    /// Discovery pushes changes: the balancer counts as notified even if no watch is open.
+    /// Discovery pushes changes: a change counts as notified even if no watch is open.
     Pushed,
     /// The settings have no mode, or an unknown one.
     Unspecified,
--- a/crates/sidecar/src/discovery/mod.rs
+++ b/crates/sidecar/src/discovery/mod.rs
@@ -1,7 +1,7 @@
 //! Service discovery client: polls discovery and receives the endpoint list over a watch.
 //!
-//! This module owns the connection to discovery and the revision up to which its changes have been
-//! received. The host and the balancer apply the endpoint lists.
+//! Keeps the connection to discovery open and tracks the last received revision. The host and the
+//! balancer apply the endpoint lists.
 
 mod endpoint_sink;
 mod object_decoder;
--- a/crates/sidecar/src/discovery/watch.rs
+++ b/crates/sidecar/src/discovery/watch.rs
@@ -73,8 +73,7 @@
         limits.discovery.max_json_depth,
     );
     loop {
-        // A peer that is gone may not have closed the connection: missing heartbeats are the only
-        // sign of it.
+        // If discovery fails without closing the connection, missing heartbeats are the only sign.
         let chunk = timeout(silence_timeout, body.next())
             .await
             .map_err(|_| WatchError::WatchSilent { last_received_at })?
--- a/crates/sidecar/src/downstream/client_permits.rs
+++ b/crates/sidecar/src/downstream/client_permits.rs
@@ -100,8 +100,8 @@
 }
 
 impl AcceptedConnection {
-    /// True if the connection got a permit, so that its requests are served; false if its request is
-    /// only rejected as over capacity.
+    /// True if the connection got a permit, so that its requests are served; false if its request
+    /// is only rejected as over capacity.
     pub(super) fn has_permit(&self) -> bool {
         self.has_permit
     }
--- a/crates/sidecar/src/downstream/request.rs
+++ b/crates/sidecar/src/downstream/request.rs
@@ -25,7 +25,7 @@
 }
 
 impl RequestHead {
-    /// Creates the proxy's request, with its arrival now that the body is complete.
+    /// Creates the proxy's request. It counts as received now, when its body is complete.
     fn into_request(self, body: Bytes, presence: ClientPresence) -> ProxyRequest {
         ProxyRequest {
             method: self.method,
--- a/crates/sidecar/src/host/clock.rs
+++ b/crates/sidecar/src/host/clock.rs
@@ -1,4 +1,4 @@
-//! The balancer's clock: starts at the Unix time and advances monotonically. Owns no timers.
+//! The balancer's clock: starts at the Unix time and advances monotonically.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
--- a/crates/sidecar/src/limits/shutdown.rs
+++ b/crates/sidecar/src/limits/shutdown.rs
@@ -4,14 +4,16 @@
 
 use super::inputs::LimitInputs;
 
-/// Upper bound on the longest deadline when the end of a shutdown is computed: SIGKILL follows
-/// SIGTERM no earlier than the smaller of the two plus 0.7 s, as the protocol defines.
+/// Longest deadline that a shutdown waits for. As the protocol defines, the time from SIGTERM to
+/// SIGKILL is at least the longest deadline, or this bound if the deadline is longer, plus 0.7 s.
 const MAX_SHUTDOWN_DEADLINE: Duration = Duration::from_secs(3);
 /// Clients may still connect for 0.4 s after SIGTERM, as the protocol defines.
 const ACCEPT_PERIOD: Duration = Duration::from_millis(500);
-/// By then the deadline of the last accepted request has passed.
+/// Added to the longest deadline: the last request is accepted up to [`ACCEPT_PERIOD`] after the
+/// SIGTERM, and its deadline must have passed.
 const FORCED_RESPONSE_MARGIN: Duration = Duration::from_millis(550);
-/// Leaves 0.1 s to write the last responses, and 0.05 s before the SIGKILL.
+/// Added to the longest deadline: leaves 0.1 s to write the last responses, and 0.05 s before the
+/// SIGKILL.
 const EXIT_MARGIN: Duration = Duration::from_millis(650);
 
 /// Time limits of a shutdown, each measured from the SIGTERM.
--- a/crates/sidecar/src/startup.rs
+++ b/crates/sidecar/src/startup.rs
@@ -1,7 +1,7 @@
 //! Lifecycle of the sidecar: starts its components from a configuration in the order of their
 //! dependencies, switches to a new discovery address on reload, and shuts the components down.
 
-mod shared_parts;
+mod shared_components;
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -22,7 +22,7 @@
 use crate::shutdown::shut_down;
 use crate::startup_error::StartupError;
 use crate::upstream::Upstream;
-use shared_parts::SharedParts;
+use shared_components::SharedComponents;
 
 /// A running sidecar. Its tasks run until the runtime ends.
 pub(crate) struct Sidecar {
@@ -32,7 +32,7 @@
     listener: Rc<Listener>,
     /// Task that accepts client connections.
     accept_task: JoinHandle<()>,
-    /// Address of discovery.
+    /// Passes the address of discovery to the watcher.
     discovery_address: watch::Sender<SocketAddr>,
 }
 
@@ -45,28 +45,28 @@
     /// the listening socket for clients cannot be opened.
     pub(crate) async fn start(config: Config) -> Result<Self, StartupError> {
         let balancer = WorkAwareBalancer::new(config.settings, config.seed)?;
-        let (parts, servers_to_check) =
-            SharedParts::new(balancer, config.deployment, config.limits);
-        let upstream = new_upstream(&parts);
+        let (components, servers_to_check) =
+            SharedComponents::new(balancer, config.deployment, config.limits);
+        let upstream = new_upstream(&components);
         let socket = listen(config.listen_address).await?;
 
         let cached = config.cached_endpoints.unwrap_or_default();
-        parts
+        components
             .host
             .update_endpoints(UpdateKind::Cached, cached.revision, &cached);
-        spawn_background_tasks(&parts.host, &upstream, servers_to_check);
+        spawn_background_tasks(&components.host, &upstream, servers_to_check);
         let (discovery_address, address) = watch::channel(config.discovery_address);
-        let limits = Rc::clone(&parts.limits);
+        let limits = Rc::clone(&components.limits);
         let watcher = Watcher::new(
-            parts.endpoint_sink(),
+            components.endpoint_sink(),
             address,
             cached.revision,
             limits,
             config.seed,
         );
         actix_rt::spawn(watcher.run());
-        let proxy = new_proxy(&parts, upstream);
-        let listener = Listener::new(parts.service_context(), Rc::clone(&proxy));
+        let proxy = new_proxy(&components, upstream);
+        let listener = Listener::new(components.service_context(), Rc::clone(&proxy));
         let accept_task = actix_rt::spawn(Rc::clone(&listener).accept(socket));
         tracing::info!(
             sidecar = %config.name,
@@ -74,8 +74,8 @@
             "listening for clients"
         );
         Ok(Self {
-            limits: parts.limits,
-            counters: parts.counters,
+            limits: components.limits,
+            counters: components.counters,
             proxy,
             listener,
             accept_task,
@@ -114,20 +114,20 @@
     }
 }
 
-fn new_upstream(parts: &SharedParts) -> Rc<Upstream> {
+fn new_upstream(components: &SharedComponents) -> Rc<Upstream> {
     Upstream::new(
-        parts.server_directory(),
-        Rc::clone(&parts.limits),
-        Rc::clone(&parts.counters),
+        components.server_directory(),
+        Rc::clone(&components.limits),
+        Rc::clone(&components.counters),
     )
 }
 
-fn new_proxy(parts: &SharedParts, upstream: Rc<Upstream>) -> Rc<Proxy> {
+fn new_proxy(components: &SharedComponents, upstream: Rc<Upstream>) -> Rc<Proxy> {
     Proxy::new(
-        parts.request_admission(),
+        components.request_admission(),
         upstream,
-        Rc::clone(&parts.limits),
-        Rc::clone(&parts.counters),
+        Rc::clone(&components.limits),
+        Rc::clone(&components.counters),
     )
 }
 
--- a/crates/sidecar/src/startup/shared_parts.rs
+++ b/crates/sidecar/src/startup/shared_components.rs
@@ -1,4 +1,5 @@
-//! The parts that several sides of the sidecar share, and the interface of each side to them.
+//! The components that discovery, the proxy, upstream and downstream share, and the interfaces
+//! through which they access them.
 
 use std::rc::Rc;
 
@@ -15,8 +16,8 @@
 use crate::proxy::RequestAdmission;
 use crate::upstream::ServerDirectory;
 
-/// What the sides share. No side gets all of it.
-pub(super) struct SharedParts {
+/// The shared components. Each module gets only an interface to those that it needs.
+pub(super) struct SharedComponents {
     pub(super) host: Rc<BalancerHost>,
     pub(super) limits: Rc<Limits>,
     pub(super) counters: Rc<Counters>,
@@ -25,9 +26,9 @@
     freshness: Rc<EndpointListFreshness>,
 }
 
-impl SharedParts {
-    /// The parts that run this balancer; the receiver yields the servers whose health is to be
-    /// checked. Its clock starts now.
+impl SharedComponents {
+    /// Creates the components around `balancer` and starts its clock. The receiver yields the
+    /// servers whose health is to be checked.
     pub(super) fn new(
         balancer: WorkAwareBalancer,
         deployment: DeploymentMetadata,
@@ -46,7 +47,7 @@
             Rc::clone(&limits),
             Rc::clone(&counters),
         );
-        let parts = Self {
+        let components = Self {
             host,
             limits,
             counters,
@@ -54,10 +55,10 @@
             classes: Rc::new(classes),
             freshness: Rc::new(freshness),
         };
-        (parts, servers_to_check)
+        (components, servers_to_check)
     }
 
-    /// What discovery needs.
+    /// Creates the interface of the discovery client.
     pub(super) fn endpoint_sink(&self) -> EndpointSink {
         EndpointSink::new(
             Rc::clone(&self.host),
@@ -66,12 +67,12 @@
         )
     }
 
-    /// What the proxy needs.
+    /// Creates the interface of the proxy.
     pub(super) fn request_admission(&self) -> RequestAdmission {
         RequestAdmission::new(Rc::clone(&self.host), Rc::clone(&self.classes))
     }
 
-    /// What the transport needs.
+    /// Creates the interface of the upstream side.
     pub(super) fn server_directory(&self) -> ServerDirectory {
         ServerDirectory::new(
             Rc::clone(&self.host),
@@ -80,7 +81,7 @@
         )
     }
 
-    /// What the listener needs.
+    /// Creates the interface of the listener and its connections.
     pub(super) fn service_context(&self) -> ServiceContext {
         ServiceContext::new(
             Rc::clone(&self.host),
--- a/crates/sidecar/src/upstream/connector.rs
+++ b/crates/sidecar/src/upstream/connector.rs
@@ -1,4 +1,4 @@
-//! Opens connections to servers and creates the awc clients that use them. `connection_pool` owns
+//! Opens connections to servers and creates the awc clients that use them. `connection_pool` keeps
 //! the clients.
 
 use std::io;
--- a/crates/sidecar/src/upstream/health_check.rs
+++ b/crates/sidecar/src/upstream/health_check.rs
@@ -1,4 +1,4 @@
-//! Health checks: requests the load of servers when the balancer asks for it.
+//! Health checks: requests a server's load report when the balancer asks for a check.
 
 use std::rc::Rc;
 
@@ -62,8 +62,8 @@
 
     /// Starts each requested health check without waiting for earlier ones, until the channel is
     /// closed.
-    pub(super) async fn run(self: Rc<Self>, mut requested: mpsc::Receiver<ServerId>) {
-        while let Some(id) = requested.recv().await {
+    pub(super) async fn run(self: Rc<Self>, mut servers_to_check: mpsc::Receiver<ServerId>) {
+        while let Some(id) = servers_to_check.recv().await {
             match self.servers.find(id) {
                 Some(server) => Rc::clone(&self).start(server),
                 None => self.report(id, HealthCheckResult::without_report(Outcome::NotSent)),
--- a/crates/sidecar/src/upstream/mod.rs
+++ b/crates/sidecar/src/upstream/mod.rs
@@ -94,14 +94,17 @@
     }
 
     /// Executes the health checks that the balancer requests, until the channel is closed.
-    pub(crate) async fn run_health_checks(self: Rc<Self>, requested: mpsc::Receiver<ServerId>) {
+    pub(crate) async fn run_health_checks(
+        self: Rc<Self>,
+        servers_to_check: mpsc::Receiver<ServerId>,
+    ) {
         let checker = HealthChecker::new(
             Rc::clone(&self.servers),
             Rc::clone(&self.pools),
             Rc::clone(&self.limits),
             Rc::clone(&self.counters),
         );
-        checker.run(requested).await;
+        checker.run(servers_to_check).await;
     }
 
     /// Periodically closes the connections of servers that get no requests any more. Never returns.
--- a/crates/sidecar/src/upstream/response_reader.rs
+++ b/crates/sidecar/src/upstream/response_reader.rs
@@ -1,7 +1,7 @@
 //! Reads one response at a time from a connection to a server, and nothing past its end.
 //!
-//! Owns the socket and drops it once the connection must not be used any more. `tracked_stream`
-//! documents the invariant that depends on this and the symptoms of a violation.
+//! Drops the socket once the connection must not be used any more. `tracked_stream` documents the
+//! invariant that depends on this and the symptoms of a violation.
 
 use std::io;
 use std::pin::Pin;
