--- a/crates/adapter/src/host/settings/tests.rs
+++ b/crates/adapter/src/host/settings/tests.rs
@@ -4,17 +4,24 @@
 };
 
 /// Settings with every known key and one unknown key.
-const EVERY_KEY: &str = r#"{"az": "z1", "zones": ["z0", "z1"], "step-ms": 4.5, "membership-mode": "on_request",
+const EVERY_KEY: &str = concat!(
+    r#"{"az": "z1", "zones": ["z0", "z1"], "step-ms": 4.5, "membership-mode": "on_request",
   "my-number": 3, "balancers": 7, "worth-by": "work", "unheard-of": {"x": [1]},
   "request-classes": [
-   {"name": "pay", "semantics": "token", "dedup-scope": "zone", "importance": 1.5, "late-value": 0.25,
-    "aim-stretch": 0.5, "window-ms": 60000, "objective-ms": 150.0004, "deadline-ms": 600, "streamed": true}],
-  "permissions": {"cancel": true, "probes": true, "may-duplicate": true, "peers": true, "retry-after": true,
-   "max-retry-after-ms": 2500, "max-attempts": 5, "idle-close-ms": 750, "connect-timeout-ms": "ignored"},
+   {"name": "pay", "semantics": "token", "dedup-scope": "zone", "importance": 1.5, "#,
+    r#""late-value": 0.25,
+    "aim-stretch": 0.5, "window-ms": 60000, "objective-ms": 150.0004, "deadline-ms": 600, "#,
+    r#""streamed": true}],
+  "permissions": {"cancel": true, "probes": true, "may-duplicate": true, "peers": true, "#,
+    r#""retry-after": true,
+   "max-retry-after-ms": 2500, "max-attempts": 5, "idle-close-ms": 750, "#,
+    r#""connect-timeout-ms": "ignored"},
   "fees": {"probe": 0.30000000000000004, "handshake": 0.02, "connection": 0.03, "cross-zone": 0.04},
   "report": {"fields": ["waiting", "active"], "source": "answers"},
-  "safety": {"ask-every-ms": 20000, "only-draining-binds": true, "cold-from": 0.13, "cold-ms": 24000,
-   "overload-factor": 3.5, "fall-ms": 900, "drain-grace-ms": "ignored"}}"#;
+  "safety": {"ask-every-ms": 20000, "only-draining-binds": true, "cold-from": 0.13, "#,
+    r#""cold-ms": 24000,
+   "overload-factor": 3.5, "fall-ms": 900, "drain-grace-ms": "ignored"}}"#,
+);
 
 const ONE_CLASS: &str = r#"{"request-classes": [
    {"name": "look", "semantics": "side_effect", "objective-ms": 150, "deadline-ms": 600}]}"#;
--- a/crates/adapter/tests/wire.rs
+++ b/crates/adapter/tests/wire.rs
@@ -3,9 +3,21 @@
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-const ATTACH: &str = r#"{"msg":"attach","i":"sidecar/0","random-seed":3,"conf":{"az":"a","zones":["a"],"unheard-of":{"x":1},"request-classes":[{"name":"get","objective-ms":200.0,"deadline-ms":500.0,"semantics":"pure"}],"permissions":{"probes":true}}}"#;
-const LIST: &str = r#"{"msg":"roster","table":0,"members-list":[{"launched-ms":null,"condition":"in_service","model":"m","server":"10.0.0.1:80","pod":0,"area":"a","units":1}]},{"msg":"roster-change","i":"sidecar/0","table":0,"kind":"warm_copy","gen":1}"#;
-const REQUEST: &str = r#"{"msg":"request","i":"sidecar/0","txn":"445f20855d3a91c4","grade":"get","billing":null,"name-key":null,"left-ms":400.0,"size-hint-ms":null,"again-by-client":false,"is-write":false}"#;
+const ATTACH: &str = concat!(
+    r#"{"msg":"attach","i":"sidecar/0","random-seed":3,"conf":{"az":"a","zones":["a"],"#,
+    r#""unheard-of":{"x":1},"request-classes":[{"name":"get","objective-ms":200.0,"#,
+    r#""deadline-ms":500.0,"semantics":"pure"}],"permissions":{"probes":true}}}"#,
+);
+const LIST: &str = concat!(
+    r#"{"msg":"roster","table":0,"members-list":[{"launched-ms":null,"condition":"in_service","#,
+    r#""model":"m","server":"10.0.0.1:80","pod":0,"area":"a","units":1}]},{"msg":"roster-change","#,
+    r#""i":"sidecar/0","table":0,"kind":"warm_copy","gen":1}"#,
+);
+const REQUEST: &str = concat!(
+    r#"{"msg":"request","i":"sidecar/0","txn":"445f20855d3a91c4","grade":"get","billing":null,"#,
+    r#""name-key":null,"left-ms":400.0,"size-hint-ms":null,"again-by-client":false,"#,
+    r#""is-write":false}"#,
+);
 
 fn batch(clock: f64, events: &[&str]) -> String {
     format!(
@@ -30,7 +42,10 @@
 
 #[test]
 fn a_request_is_sent_and_every_batch_gets_a_one_line_reply() {
-    let served = r#"{"msg":"response","i":"sidecar/0","txn":"445f20855d3a91c4","finished":true,"server":"10.0.0.1:80","rc":"served","n":0,"time-taken-ms":18.5,"stats":null}"#;
+    let served = concat!(
+        r#"{"msg":"response","i":"sidecar/0","txn":"445f20855d3a91c4","finished":true,"#,
+        r#""server":"10.0.0.1:80","rc":"served","n":0,"time-taken-ms":18.5,"stats":null}"#,
+    );
     let exit = r#"{"msg":"exit","i":"sidecar/0"}"#;
     let input = batch(1.0, &[])
         + &batch(2.0, &[ATTACH, LIST])
--- a/crates/platform/src/endpoint_list/tests.rs
+++ b/crates/platform/src/endpoint_list/tests.rs
@@ -3,13 +3,16 @@
 use super::{EndpointList, ListKind, ListedEndpoint};
 
 /// A list whose entries 1, 2 and 3 are invalid.
-const LIST_WITH_INVALID_ENTRIES: &str = r#"{"rev": 9, "all": true, "targets": [
-    {"uid": "s0", "endpoint": "127.0.0.1:80", "az": "z1", "pod_group": 3, "state": "draining", "boot_ms": 5.5,
+const LIST_WITH_INVALID_ENTRIES: &str = concat!(
+    r#"{"rev": 9, "all": true, "targets": [
+    {"uid": "s0", "endpoint": "127.0.0.1:80", "az": "z1", "pod_group": 3, "state": "draining", "#,
+    r#""boot_ms": 5.5,
      "model": "std-3"},
     {"uid": "s1", "endpoint": "here", "state": "ready"},
     {"uid": "s2", "endpoint": "127.0.0.1:80", "state": "tidy"},
     {"uid": "s3", "endpoint": "127.0.0.1:80", "state": "ready", "boot_ms": 1e15},
-    {"uid": "s4", "endpoint": "127.0.0.1:81", "state": "gone"}]}"#;
+    {"uid": "s4", "endpoint": "127.0.0.1:81", "state": "gone"}]}"#,
+);
 
 /// The first and the last entry of [`LIST_WITH_INVALID_ENTRIES`], as they are read.
 fn readable_entries() -> [ListedEndpoint; 2] {
--- a/crates/platform/src/settings/simulator/tests.rs
+++ b/crates/platform/src/settings/simulator/tests.rs
@@ -4,8 +4,11 @@
 
 #[test]
 fn simulator_keys_are_ignored_by_the_platform_settings_reader() {
-    let text = r#"{"membership-mode": 1, "permissions": {"peers": "no", "retry-after": 1},
-        "request-classes": [{"name": "a", "semantics": "pure", "objective-ms": 1, "deadline-ms": 1, "streamed": 0}]}"#;
+    let text = concat!(
+        r#"{"membership-mode": 1, "permissions": {"peers": "no", "retry-after": 1},
+        "request-classes": [{"name": "a", "semantics": "pure", "objective-ms": 1, "#,
+        r#""deadline-ms": 1, "streamed": 0}]}"#,
+    );
     let value = parse(text, 8).expect("JSON");
     let settings_node = Node::root(&value);
 
--- a/crates/platform/src/settings/tests.rs
+++ b/crates/platform/src/settings/tests.rs
@@ -12,20 +12,26 @@
 /// Differs from the default in [`Settings`].
 const DEFAULT_MAX_RETRY_AFTER: u64 = 77_000;
 
-const EVERY_KEY: &str = r#"{"az": "z1", "zones": ["z0", "z1"], "step-ms": 5.0, "membership-mode": "on_request",
+const EVERY_KEY: &str = concat!(
+    r#"{"az": "z1", "zones": ["z0", "z1"], "step-ms": 5.0, "membership-mode": "on_request",
   "my-number": 3, "balancers": 300, "worth-by": "work",
   "request-classes": [
    {"name": "look", "semantics": "pure", "importance": 2.5, "late-value": 0.25, "aim-stretch": 1.5,
     "objective-ms": 150.0004, "deadline-ms": 600, "streamed": true},
-   {"name": "pay", "semantics": "token", "dedup-scope": "cell", "window-ms": 60000, "objective-ms": 1,
+   {"name": "pay", "semantics": "token", "dedup-scope": "cell", "window-ms": 60000, "#,
+    r#""objective-ms": 1,
     "deadline-ms": 2},
    {"name": "book", "semantics": "side_effect", "objective-ms": 1, "deadline-ms": 2}],
-  "permissions": {"cancel": true, "probes": true, "peers": true, "may-duplicate": true, "retry-after": true,
-   "max-retry-after-ms": 2000.0, "max-attempts": 5, "connect-timeout-ms": 300.5, "idle-close-ms": 750},
+  "permissions": {"cancel": true, "probes": true, "peers": true, "may-duplicate": true, "#,
+    r#""retry-after": true,
+   "max-retry-after-ms": 2000.0, "max-attempts": 5, "connect-timeout-ms": 300.5, "#,
+    r#""idle-close-ms": 750},
   "fees": {"probe": 0.01, "handshake": 0.02, "connection": 0.03, "cross-zone": 0.04},
   "report": {"fields": ["waiting", "active"], "source": "answers"},
-  "safety": {"ask-every-ms": 20000.0, "cold-from": 0.13, "cold-ms": 24000.0, "overload-factor": 3.5, "fall-ms": 900,
-   "only-draining-binds": true, "drain-grace-ms": 1500.0}}"#;
+  "safety": {"ask-every-ms": 20000.0, "cold-from": 0.13, "cold-ms": 24000.0, "#,
+    r#""overload-factor": 3.5, "fall-ms": 900,
+   "only-draining-binds": true, "drain-grace-ms": 1500.0}}"#,
+);
 
 /// The three groups of a settings object.
 struct SettingsGroups {
