--- a/crates/sidecar/src/config/error.rs
+++ b/crates/sidecar/src/config/error.rs
@@ -2,7 +2,6 @@
 
 use std::io;
 
-use arrowstand_balancer::SettingsError;
 use arrowstand_platform::{JsonError, KeyError};
 use thiserror::Error;
 
@@ -25,12 +24,9 @@
     /// The file is not valid JSON.
     #[error("NODE_CONFIG: not JSON: {0}")]
     InvalidJson(#[source] JsonError),
-    /// A key is missing or has an invalid value.
+    /// A key is missing, has an invalid value or has one that the balancer rejects.
     #[error(transparent)]
     Key(#[from] KeyError),
-    /// The balancer rejects a setting.
-    #[error("settings: {0}")]
-    Settings(#[from] SettingsError),
     /// The operator's machine table is invalid.
     #[error(transparent)]
     MachineTable(#[from] MachineTableError),
