--- a/crates/sidecar/src/discovery/endpoint_sink.rs
+++ b/crates/sidecar/src/discovery/endpoint_sink.rs
@@ -35,8 +35,8 @@
         self.host.poll_requested().await;
     }
 
-    /// Returns the tracker of the age of the endpoint list.
-    pub(super) fn freshness(&self) -> &EndpointListFreshness {
+    /// The freshness of the endpoint list.
+    pub(super) fn list_freshness(&self) -> &EndpointListFreshness {
         &self.freshness
     }
 
--- a/crates/sidecar/src/discovery/watch.rs
+++ b/crates/sidecar/src/discovery/watch.rs
@@ -31,7 +31,7 @@
         "http://{discovery}/v1/endpoints?stream=1&index={}",
         cursor.revision()
     );
-    sink.freshness().on_poll_started();
+    sink.list_freshness().on_poll_started();
     cursor.on_poll_started();
     match poll(client, &uri, &limits.discovery).await {
         Ok(response) => {
@@ -96,7 +96,7 @@
 ) -> Result<(), WatchError> {
     let text = String::from_utf8_lossy(object);
     if text.trim().is_empty() {
-        sink.freshness().on_watch_event();
+        sink.list_freshness().on_watch_event();
         return Ok(());
     }
     match EndpointList::parse(&text, limits.discovery.max_json_depth) {
--- a/crates/sidecar/src/discovery/watcher.rs
+++ b/crates/sidecar/src/discovery/watcher.rs
@@ -85,7 +85,7 @@
                 self.next_poll().await
             }
             WatchExit::Superseded => {
-                self.sink.freshness().on_poll_abandoned();
+                self.sink.list_freshness().on_poll_abandoned();
                 PollReason::Requested
             }
             WatchExit::Relocated => {
@@ -121,7 +121,7 @@
     /// Waits until discovery must be polled again after a watch has ended.
     async fn next_poll(&mut self) -> PollReason {
         // The balancer's backoff may be longer than the time until the list becomes stale.
-        let needs_early_poll = self.sink.freshness().needs_early_poll();
+        let needs_early_poll = self.sink.list_freshness().needs_early_poll();
         let delay = self.limits.discovery.max_early_poll_delay.mul_f64(
             MIN_EARLY_POLL_DELAY_FACTOR + (1.0 - MIN_EARLY_POLL_DELAY_FACTOR) * self.random.f64(),
         );
@@ -137,7 +137,7 @@
 
     fn on_watch_ended(&self, error: &WatchError) {
         tracing::warn!(%error, "discovery watch ended");
-        let freshness = self.sink.freshness();
+        let freshness = self.sink.list_freshness();
         match error {
             WatchError::WatchSilent { last_received_at } => {
                 freshness.on_watch_silent(*last_received_at);
@@ -154,7 +154,7 @@
     /// Limits the time for which the list still counts as fresh, whether or not a poll succeeds
     /// within it.
     fn on_discovery_relocated(&self) {
-        self.sink.freshness().on_discovery_relocated();
+        self.sink.list_freshness().on_discovery_relocated();
     }
 }
 
--- a/crates/sidecar/src/downstream/bounded_stream.rs
+++ b/crates/sidecar/src/downstream/bounded_stream.rs
@@ -1,12 +1,12 @@
-//! The client socket as seen by the HTTP implementation, actix-http (below: the protocol).
+//! The client socket as seen by actix-http, the HTTP implementation.
 //!
 //! # Invariant
-//! While the protocol runs, the socket is read continuously, every byte is reported to the
-//! [`ClientConnection`] before the protocol sees it, and the protocol buffers little more than one
+//! While actix-http runs, the socket is read continuously, every byte is reported to the
+//! [`ClientConnection`] before actix-http sees it, and actix-http buffers little more than one
 //! request. Input that can no longer belong to a valid request is discarded instead of being left
 //! in the socket: the end of file comes after it, and a disconnect is detected only by reading that
-//! far. After the last response the protocol sees the end of file, whatever the socket holds.
-//! However the protocol ends, the socket is returned to the connection, and only `lingering_close`
+//! far. After the last response actix-http sees the end of file, whatever the socket holds.
+//! However actix-http ends, the socket is returned to the connection, and only `lingering_close`
 //! closes it.
 //!
 //! # Failure modes and symptoms
@@ -43,13 +43,13 @@
 /// Discarding reads in one poll, before the task yields to others.
 const DISCARD_READS_PER_POLL: usize = 8;
 
-/// A client's socket while the protocol uses it.
+/// A client's socket while actix-http uses it.
 pub(super) struct BoundedStream {
     socket: Option<TcpStream>,
     client: Rc<ClientConnection>,
     limits: Rc<Limits>,
-    /// Bytes given to the protocol since it last processed its buffer, and their maximum. Bounds
-    /// memory: the protocol reads until no more input is available before it processes a request,
+    /// Bytes given to actix-http since it last processed its buffer, and their maximum. Bounds
+    /// memory: actix-http reads until no more input is available before it processes a request,
     /// and buffers every request it has read, so it is given little more than one.
     chunk_bytes: usize,
     max_chunk_bytes: usize,
@@ -75,7 +75,7 @@
         &self.client
     }
 
-    /// Waits for the first byte or the end of file. The protocol allocates its buffers when it
+    /// Waits for the first byte or the end of file. actix-http allocates its buffers when it
     /// starts, so it is not started for clients that send nothing.
     pub(super) async fn wait_for_first_byte(&self) {
         if let Some(socket) = &self.socket {
@@ -91,7 +91,7 @@
             .ok_or_else(|| io::ErrorKind::NotConnected.into())
     }
 
-    /// Reads the next part of a chunk for the protocol.
+    /// Reads the next part of a chunk for actix-http.
     fn poll_chunk(&mut self, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         if self.chunk_bytes == 0 {
             let limits = &self.limits.client;
@@ -112,7 +112,7 @@
         read.map_ok(drop)
     }
 
-    /// Discards input. While a request is in flight, the protocol would stop reading at some point
+    /// Discards input. While a request is in flight, actix-http would stop reading at some point
     /// and not detect a disconnect. Input past the limit belongs to no request that can be served.
     fn poll_discard(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let mut discarded = [0; DISCARD_BUFFER_BYTES];
@@ -204,7 +204,7 @@
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        // A request after the last response would get no response, so the protocol sees the end of
+        // A request after the last response would get no response, so actix-http sees the end of
         // file instead.
         if self.client.close_state().is_last_response_ready() {
             return Poll::Ready(Ok(()));
@@ -234,7 +234,7 @@
         flushed
     }
 
-    /// Does nothing: only `lingering_close` shuts down the write side, however the protocol ended.
+    /// Does nothing: only `lingering_close` shuts down the write side, however actix-http ended.
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         Poll::Ready(Ok(()))
     }
--- a/crates/sidecar/src/downstream/connection.rs
+++ b/crates/sidecar/src/downstream/connection.rs
@@ -65,7 +65,7 @@
         })
     }
 
-    /// Holds the socket while the protocol does not use it.
+    /// Holds the socket while actix-http does not use it.
     pub(super) fn socket_slot(&self) -> &SocketSlot {
         &self.socket
     }
@@ -127,7 +127,7 @@
         self.lifecycle.get().has_input()
     }
 
-    /// True if the protocol must get no more input until the response to the request in flight is
+    /// True if actix-http must get no more input until the response to the request in flight is
     /// ready.
     pub(super) fn is_pipeline_full(&self, limits: &Limits) -> bool {
         self.lifecycle.get().is_in_flight()
--- a/crates/sidecar/src/downstream/connection/close_state.rs
+++ b/crates/sidecar/src/downstream/connection/close_state.rs
@@ -23,7 +23,7 @@
     response_unwritten: Cell<bool>,
     /// The next response is the last, and the connection closes once no response is unwritten.
     is_closing: Cell<bool>,
-    /// The last response is ready: the protocol gets no more input.
+    /// The last response is ready: actix-http gets no more input.
     is_last_response_ready: Cell<bool>,
     close_requested: Notify,
 }
--- a/crates/sidecar/src/downstream/connection/socket_slot.rs
+++ b/crates/sidecar/src/downstream/connection/socket_slot.rs
@@ -1,4 +1,4 @@
-//! Holds a client's socket while the protocol does not use it.
+//! Holds a client's socket while actix-http does not use it.
 
 use std::cell::RefCell;
 use std::io;
@@ -6,7 +6,7 @@
 
 use tokio::net::TcpStream;
 
-/// A client's socket; none while the protocol uses it, and after it was taken to be closed.
+/// A client's socket; none while actix-http uses it, and after it was taken to be closed.
 pub(in crate::downstream) struct SocketSlot(RefCell<Option<TcpStream>>);
 
 impl SocketSlot {
--- a/crates/sidecar/src/downstream/connection/tests.rs
+++ b/crates/sidecar/src/downstream/connection/tests.rs
@@ -112,7 +112,7 @@
     }
 }
 
-/// Applies the events of one sequence, up to the first that the protocol cannot produce.
+/// Applies the events of one sequence, up to the first that actix-http cannot produce.
 fn run_sequence(sequence: &[Event], limits: &Limits, seen: &mut BTreeSet<Combination>) {
     let mut times = EventTimes::new();
     let before = Instant::now();
--- a/crates/sidecar/src/downstream/connection/tests/model.rs
+++ b/crates/sidecar/src/downstream/connection/tests/model.rs
@@ -82,7 +82,7 @@
         disconnected: false,
     };
 
-    /// True for events that the protocol can produce: it reads no input after the last response,
+    /// True for events that actix-http can produce: it reads no input after the last response,
     /// and completes a request only if bytes arrived since the last response and no other request
     /// is in flight.
     pub(super) fn allows(&self, event: Event) -> bool {
@@ -148,7 +148,7 @@
         self.closing |= self.discarded_input;
     }
 
-    /// True if input is withheld from the protocol; that input is then discarded.
+    /// True if input is withheld from actix-http; that input is then discarded.
     pub(super) fn is_pipeline_full(&mut self, limits: &Limits) -> bool {
         let full =
             self.idle_since.is_none() && self.pipelined_bytes >= limits.client.max_pipelined_bytes;
--- a/crates/sidecar/src/downstream/mod.rs
+++ b/crates/sidecar/src/downstream/mod.rs
@@ -4,7 +4,7 @@
 //! those listed before it:
 //! - `connection`: the state of one client connection, with a submodule for each concern;
 //!   `connection_timeout`: enforces its deadlines;
-//! - `bounded_stream`: its socket as the protocol reads and writes it; `lingering_close`: closes
+//! - `bounded_stream`: its socket as actix-http reads and writes it; `lingering_close`: closes
 //!   the socket;
 //! - `service_context`: gives the modules below access to the rest of the sidecar;
 //! - `malformed_request`, `request_headers`, `request`, `response`: convert between HTTP and the
--- a/crates/sidecar/src/limits/client.rs
+++ b/crates/sidecar/src/limits/client.rs
@@ -44,7 +44,8 @@
 /// Limits on client connections and their input.
 #[derive(Clone, Debug)]
 pub(crate) struct ClientLimits {
-    /// Maximum number of connections that are served; further ones get an overload rejection.
+    /// Maximum number of connections that are served; requests on further ones are rejected as over
+    /// capacity.
     pub(crate) max_connections: usize,
     /// Maximum number of connections that are accepted, including those that are only rejected.
     pub(crate) max_accepted_connections: usize,
--- a/crates/sidecar/src/limits/discovery.rs
+++ b/crates/sidecar/src/limits/discovery.rs
@@ -8,9 +8,9 @@
 use crate::units::micros;
 
 /// Time after which a change to the endpoint list counts as notified, whether or not it arrived;
-/// defined by the protocol.
+/// defined by the platform.
 pub(super) const CHANGE_NOTICE_DELAY: Duration = Duration::from_secs(6);
-/// The same after a new configuration relocates discovery; defined by the protocol.
+/// The same after a new configuration relocates discovery; defined by the platform.
 const RELOCATION_NOTICE_DELAY: Duration = Duration::from_secs(4);
 /// 1.5 times the heartbeat interval of 2 s. A watch that is silent for longer counts as lost.
 const WATCH_SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
--- a/crates/sidecar/src/limits/shutdown.rs
+++ b/crates/sidecar/src/limits/shutdown.rs
@@ -4,10 +4,10 @@
 
 use super::inputs::LimitInputs;
 
-/// Longest deadline that a shutdown waits for. As the protocol defines, the time from SIGTERM to
+/// Longest deadline that a shutdown waits for. As the platform defines, the time from SIGTERM to
 /// SIGKILL is at least the longest deadline, or this bound if the deadline is longer, plus 0.7 s.
 const MAX_SHUTDOWN_DEADLINE: Duration = Duration::from_secs(3);
-/// Clients may still connect for 0.4 s after SIGTERM, as the protocol defines.
+/// Clients may still connect for 0.4 s after SIGTERM, as the platform defines.
 const ACCEPT_PERIOD: Duration = Duration::from_millis(500);
 /// Added to the longest deadline: the last request is accepted up to [`ACCEPT_PERIOD`] after the
 /// SIGTERM, and its deadline must have passed.
--- a/crates/sidecar/src/limits/upstream.rs
+++ b/crates/sidecar/src/limits/upstream.rs
@@ -14,7 +14,7 @@
 /// Maximum size of a body of unannounced length with its framing; half of it is for the framing.
 const MAX_UNSIZED_RESPONSE_BYTES: usize = 2 * MAX_BODY_BYTES;
 /// Erroneous second responses arrived 1.3 to 5.9 ms after the first in measurements
-/// (docs/crossings.md); the protocol says that they may be some milliseconds late.
+/// (docs/crossings.md); the platform states that they may be some milliseconds late.
 const REUSE_DELAY: Duration = Duration::from_millis(8);
 /// Minimum idle reuse timeout. The pool sweep sleeps for part of this timeout, so it must not be
 /// zero.
--- a/crates/sidecar/src/message/request.rs
+++ b/crates/sidecar/src/message/request.rs
@@ -28,8 +28,8 @@
     pub target: String,
     /// The request id that the client chose.
     pub id: String,
-    /// The key by which servers recognise a retry; present for every request of a class that
-    /// requires one.
+    /// The key by which servers detect repeated requests; present for every request of a class
+    /// that requires one.
     pub idempotency_key: Option<String>,
     /// The request class.
     pub class: ClassId,
--- a/crates/sidecar/src/upstream/attempt.rs
+++ b/crates/sidecar/src/upstream/attempt.rs
@@ -23,7 +23,7 @@
 const REQUEST_ID_HEADER: &str = "x-request-id";
 /// How long the sidecar waits for the response, in microseconds with the unit suffix `u`.
 const TIMEOUT_HEADER: &str = "x-timeout";
-/// By this key servers recognise the retry of a request that they have executed.
+/// The key by which servers detect repeated requests.
 const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 /// A response header: the server's load report.
 const SERVER_LOAD_HEADER: &str = "x-server-load";
--- a/crates/sidecar/src/upstream/connection_limiter.rs
+++ b/crates/sidecar/src/upstream/connection_limiter.rs
@@ -11,7 +11,7 @@
 }
 
 impl ConnectionLimiter {
-    /// A limiter that allows `max_open` simultaneous connections.
+    /// Creates a limiter that allows `max_open` simultaneous connections.
     pub(super) fn new(max_open: usize) -> Rc<Self> {
         Rc::new(Self {
             open: Cell::new(0),
@@ -19,7 +19,7 @@
         })
     }
 
-    /// A permit for one more connection; `None` if the limit is reached.
+    /// Returns a permit for one more connection; `None` if the limit is reached.
     pub(super) fn try_acquire(self: &Rc<Self>) -> Option<ConnectionPermit> {
         if self.open.get() >= self.max_open {
             return None;
--- a/crates/sidecar/src/upstream/connection_pool.rs
+++ b/crates/sidecar/src/upstream/connection_pool.rs
@@ -33,7 +33,7 @@
 }
 
 impl ConnectionPools {
-    /// Starts without pools; connections are subject to `limits`.
+    /// Creates an empty set of pools; connections are subject to `limits`.
     pub(super) fn new(limits: Rc<Limits>, counters: Rc<Counters>) -> Self {
         Self {
             pools: RefCell::default(),
@@ -43,7 +43,7 @@
         }
     }
 
-    /// A client whose connections go to the server's current address.
+    /// Returns a client whose connections go to the server's current address.
     pub(super) fn client_for(&self, server: &Server) -> Client {
         let now = Instant::now();
         self.reuse_delay_queue.release_due(now);
--- a/crates/sidecar/src/upstream/connector.rs
+++ b/crates/sidecar/src/upstream/connector.rs
@@ -25,7 +25,7 @@
 }
 
 impl BoundedConnector {
-    /// A connector without open connections.
+    /// Creates a connector without open connections.
     pub(super) fn new(limits: Rc<Limits>, counters: Rc<Counters>) -> Rc<Self> {
         Rc::new(Self {
             limiter: ConnectionLimiter::new(limits.upstream.max_connections),
@@ -34,7 +34,8 @@
         })
     }
 
-    /// A client with its own pool, without awc's request timeout, redirects and default headers.
+    /// Creates a client with its own pool, without awc's request timeout, redirects and default
+    /// headers.
     pub(super) fn new_client(self: &Rc<Self>) -> Client {
         let this = Rc::clone(self);
         let connect = fn_service(move |info: ConnectInfo<Uri>| {
--- a/crates/sidecar/src/upstream/exchange.rs
+++ b/crates/sidecar/src/upstream/exchange.rs
@@ -31,7 +31,7 @@
     }
 }
 
-/// There is no complete response: the connection failed, or the response violated the protocol or
+/// There is no complete response: the connection failed, or the response violated HTTP or
 /// exceeded a limit. Only the [`WriteProgress`] shows how much of the request was written.
 pub(super) struct ExchangeFailed;
 
--- a/crates/sidecar/src/upstream/health_check.rs
+++ b/crates/sidecar/src/upstream/health_check.rs
@@ -45,7 +45,7 @@
 }
 
 impl HealthChecker {
-    /// A health checker that reports to `servers` and uses the connections of `pools`.
+    /// Creates a health checker that reports to `servers` and uses the connections of `pools`.
     pub(super) fn new(
         servers: Rc<ServerDirectory>,
         pools: Rc<ConnectionPools>,
--- a/crates/sidecar/src/upstream/mod.rs
+++ b/crates/sidecar/src/upstream/mod.rs
@@ -52,7 +52,7 @@
 }
 
 impl Upstream {
-    /// An upstream without open connections.
+    /// Creates an upstream without open connections.
     pub(crate) fn new(
         servers: ServerDirectory,
         limits: Rc<Limits>,
--- a/crates/sidecar/src/upstream/response_framing.rs
+++ b/crates/sidecar/src/upstream/response_framing.rs
@@ -69,7 +69,7 @@
 }
 
 impl ResponseFraming {
-    /// The state for a connection on which a request is about to be written.
+    /// Creates the state for a connection on which a request is about to be written.
     pub(super) fn awaiting_head() -> Self {
         Self {
             state: FramingState::Head,
--- a/crates/sidecar/src/upstream/response_head.rs
+++ b/crates/sidecar/src/upstream/response_head.rs
@@ -31,7 +31,7 @@
     Final { length: usize, body: BodyFraming },
 }
 
-/// Why a response is not passed on: it violates the protocol or exceeds a limit. The read from the
+/// Why a response is not passed on: it violates HTTP or exceeds a limit. The read from the
 /// connection fails with this error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MalformedResponse {
--- a/crates/sidecar/src/upstream/response_reader.rs
+++ b/crates/sidecar/src/upstream/response_reader.rs
@@ -29,7 +29,7 @@
 }
 
 impl ResponseReader {
-    /// A reader for a newly established connection.
+    /// Creates a reader for a newly established connection.
     pub(super) fn new(stream: TcpStream, limits: Rc<Limits>) -> Self {
         Self {
             stream: Some(stream),
--- a/crates/sidecar/src/upstream/reuse_delay_queue.rs
+++ b/crates/sidecar/src/upstream/reuse_delay_queue.rs
@@ -31,7 +31,7 @@
 }
 
 impl ReuseDelayQueue {
-    /// An empty queue that holds each connection for `delay` after its response.
+    /// Creates an empty queue that holds each connection for `delay` after its response.
     pub(super) fn new(delay: Duration) -> Self {
         Self {
             delay,
--- a/crates/sidecar/src/upstream/server_directory.rs
+++ b/crates/sidecar/src/upstream/server_directory.rs
@@ -16,7 +16,7 @@
 }
 
 impl ServerDirectory {
-    /// The directory of the servers of `host`.
+    /// Creates the interface to `host`.
     pub(crate) fn new(
         host: Rc<BalancerHost>,
         freshness: Rc<EndpointListFreshness>,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// The server with that id; `None` if it is no longer registered.
+    /// The server with this id; `None` once it has been discarded.
     pub(super) fn find(&self, id: ServerId) -> Option<Rc<Server>> {
         self.host.server(id)
     }
--- a/crates/sidecar/src/upstream/write_progress.rs
+++ b/crates/sidecar/src/upstream/write_progress.rs
@@ -80,8 +80,8 @@
 }
 
 impl WriteProgress {
-    /// The progress of a request with a body of `body_length` bytes, whose first byte `guard` may
-    /// block.
+    /// Creates the progress of a request with a body of `body_length` bytes. `guard` may block its
+    /// first byte.
     pub(super) fn new(guard: Option<SendGuard>, body_length: usize) -> Rc<Self> {
         Rc::new(Self {
             guard,
