--- a/crates/platform/src/error.rs
+++ b/crates/platform/src/error.rs
@@ -1,7 +1,6 @@
 //! Errors of the readers. Each message is a single line that names the key, so that an operator can
 //! correct the file.
 
-use arrowstand_balancer::SettingsError;
 use thiserror::Error;
 
 /// The text cannot be parsed as JSON.
@@ -80,9 +79,6 @@
     /// The string must be a non-empty name that no other entry has.
     #[error("{0:?} is empty or duplicated")]
     EmptyOrDuplicateName(String),
-    /// The balancer rejects the value. Its message has the balancer's name of the setting.
-    #[error(transparent)]
-    Rejected(#[from] SettingsError),
 }
 
 /// A document cannot be read: it is not JSON, or the value of a key is missing or invalid.
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -22,7 +22,7 @@
 use crate::json::Node;
 use crate::keys;
 use crate::load_report::LoadReportLayout;
-use balancer::{read_balancer_settings, rejected_setting_node};
+use balancer::read_balancer_settings;
 use request_class::read_request_class;
 
 pub use document::SettingsDocument;
@@ -64,7 +64,7 @@
     /// all.
     ///
     /// # Errors
-    /// Names the first key whose value is invalid. [`validate`](Self::validate) checks the ranges.
+    /// Names the first key whose value is invalid. [`Settings::validate`] checks the ranges.
     pub fn read(settings_node: &Node, default_max_retry_after: Micros) -> Result<Self, KeyError> {
         let (class_names, classes) = read_request_classes(settings_node)?;
         let zones = read_zones(settings_node)?;
@@ -94,17 +94,6 @@
             load_report: report.layout,
         })
     }
-
-    /// Validates the balancer's settings. `settings_node` is the object that was read; it gives the
-    /// path in the error.
-    ///
-    /// # Errors
-    /// Names the key of the first setting that the balancer rejects.
-    pub fn validate(&self, settings_node: &Node) -> Result<(), KeyError> {
-        self.balancer
-            .validate()
-            .map_err(|error| rejected_setting_node(settings_node, error).error(error.into()))
-    }
 }
 
 /// The names of the request classes and the classes, both in the order of the settings.
--- a/crates/platform/src/settings/balancer.rs
+++ b/crates/platform/src/settings/balancer.rs
@@ -5,11 +5,10 @@
 
 use arrowstand_balancer::{
     BalancerIdentity, Fees, HostCapabilities, PollingSettings, RetrySettings, Settings,
-    SettingsError, SlowStartSettings,
+    SlowStartSettings,
 };
 
 use super::WEIGHT_BY_WORK;
-use super::request_class::rejected_class_key;
 use super::transport::idle_timeout_node;
 use super::values::{boolean_or_false, count_or, micros_or, number_or};
 use crate::error::KeyError;
@@ -136,28 +135,3 @@
         )?,
     })
 }
-
-/// The key from which a setting was read that the balancer rejects.
-pub(super) fn rejected_setting_node<'a>(
-    settings_node: &Node<'a>,
-    error: SettingsError,
-) -> Node<'a> {
-    let permissions = settings_node.at(keys::settings::PERMISSIONS);
-    let safety = settings_node.at(keys::settings::SAFETY);
-    let classes = settings_node.at(keys::settings::REQUEST_CLASSES);
-    match error {
-        SettingsError::NoClasses => classes,
-        SettingsError::RequestClass { index, error } => {
-            let class = classes.items().unwrap_or_default().into_iter().nth(index);
-            class.map_or(classes, |class| class.at(rejected_class_key(error)))
-        }
-        SettingsError::MaxAttemptsZero => permissions.at(keys::permissions::MAX_ATTEMPTS),
-        SettingsError::InitialCapacityOutOfRange => safety.at(keys::safety::INITIAL_CAPACITY),
-        SettingsError::OverloadFactorOutOfRange => safety.at(keys::safety::OVERLOAD_FACTOR),
-        SettingsError::FeeNotFinite => settings_node.at(keys::settings::FEES),
-        SettingsError::PollIntervalZero => safety.at(keys::safety::MAX_POLL_INTERVAL_MS),
-    }
-}
-
-#[cfg(test)]
-mod tests;
--- a/crates/platform/src/settings/request_class.rs
+++ b/crates/platform/src/settings/request_class.rs
@@ -1,6 +1,6 @@
 //! Reader and writer of a request class in the settings.
 
-use arrowstand_balancer::{DeduplicationScope, Idempotency, RequestClass, RequestClassError};
+use arrowstand_balancer::{DeduplicationScope, Idempotency, RequestClass};
 use serde_json::{Value, json};
 
 use super::values::{insert_unless_default, number_or};
@@ -64,17 +64,6 @@
     }
 }
 
-/// The key from which a setting of a class was read that the balancer rejects.
-pub(super) fn rejected_class_key(error: RequestClassError) -> &'static str {
-    match error {
-        RequestClassError::PriorityWeight => keys::PRIORITY_WEIGHT,
-        RequestClassError::LatencyObjective => keys::LATENCY_OBJECTIVE_MS,
-        RequestClassError::Deadline => keys::DEADLINE_MS,
-        RequestClassError::LateValue => keys::LATE_VALUE,
-        RequestClassError::ObjectivePerWork => keys::OBJECTIVE_PER_WORK,
-    }
-}
-
 /// Writes a class and its name; `streamed` comes from
 /// [`SimulatorFeatures`](super::SimulatorFeatures).
 pub(super) fn write_request_class(name: &str, class: &RequestClass, streamed: bool) -> Value {
--- a/crates/sidecar/src/config.rs
+++ b/crates/sidecar/src/config.rs
@@ -131,7 +131,7 @@
     }
     let mut platform = PlatformSettings::read(node, RetrySettings::default().max_retry_after)?;
     override_simulator_settings(&mut platform.balancer);
-    platform.validate(node)?;
+    platform.balancer.validate()?;
     Ok(platform)
 }
 
--- a/crates/sidecar/src/config/error.rs
+++ b/crates/sidecar/src/config/error.rs
@@ -2,6 +2,7 @@
 
 use std::io;
 
+use arrowstand_balancer::SettingsError;
 use arrowstand_platform::{JsonError, KeyError};
 use thiserror::Error;
 
@@ -24,9 +25,12 @@
     /// The file is not valid JSON.
     #[error("NODE_CONFIG: not JSON: {0}")]
     InvalidJson(#[source] JsonError),
-    /// A key is missing, has an invalid value or has one that the balancer rejects.
+    /// A key is missing or has an invalid value.
     #[error(transparent)]
     Key(#[from] KeyError),
+    /// The balancer rejects a setting.
+    #[error("settings: {0}")]
+    Settings(#[from] SettingsError),
     /// The operator's machine table is invalid.
     #[error(transparent)]
     MachineTable(#[from] MachineTableError),
