--- a/crates/sidecar/src/discovery/watch.rs
+++ b/crates/sidecar/src/discovery/watch.rs
@@ -31,7 +31,7 @@
         "http://{discovery}/v1/endpoints?stream=1&index={}",
         cursor.revision()
     );
-    sink.freshness().on_poll_started();
+    sink.list_freshness().on_poll_started();
     cursor.on_poll_started();
     match poll(client, &uri, &limits.discovery).await {
         Ok(response) => {
@@ -73,8 +73,7 @@
         limits.discovery.max_json_depth,
     );
     loop {
-        // A peer that is gone may not have closed the connection: missing heartbeats are the only
-        // sign of it.
+        // If discovery fails without closing the connection, missing heartbeats are the only sign.
         let chunk = timeout(silence_timeout, body.next())
             .await
             .map_err(|_| WatchError::WatchSilent { last_received_at })?
@@ -97,7 +96,7 @@
 ) -> Result<(), WatchError> {
     let text = String::from_utf8_lossy(object);
     if text.trim().is_empty() {
-        sink.freshness().on_watch_event();
+        sink.list_freshness().on_watch_event();
         return Ok(());
     }
     match EndpointList::parse(&text, limits.discovery.max_json_depth) {
--- a/crates/sidecar/src/message/request.rs
+++ b/crates/sidecar/src/message/request.rs
@@ -28,8 +28,8 @@
     pub target: String,
     /// The request id that the client chose.
     pub id: String,
-    /// The key by which servers recognise a retry; present for every request of a class that
-    /// requires one.
+    /// The key by which servers detect repeated requests; present for every request of a class
+    /// that requires one.
     pub idempotency_key: Option<String>,
     /// The request class.
     pub class: ClassId,
@@ -39,7 +39,7 @@
     pub received_at: Instant,
     /// How long the client waits for the response after `received_at`.
     pub client_timeout: Duration,
-    /// The client's estimate of the work on a typical server, if it sent one.
+    /// The client's estimate of the execution time on a standard core, if it sent one.
     pub work_hint: Option<Duration>,
     /// Whether the client is still connected.
     pub presence: ClientPresence,
--- a/crates/sidecar/src/upstream/response_reader.rs
+++ b/crates/sidecar/src/upstream/response_reader.rs
@@ -1,7 +1,7 @@
 //! Reads one response at a time from a connection to a server, and nothing past its end.
 //!
-//! Owns the socket and drops it once the connection must not be used any more. `tracked_stream`
-//! documents the invariant that depends on this and the symptoms of a violation.
+//! Drops the socket once the connection must not be used any more. `tracked_stream` documents the
+//! invariant that depends on this and the symptoms of a violation.
 
 use std::io;
 use std::pin::Pin;
@@ -29,7 +29,7 @@
 }
 
 impl ResponseReader {
-    /// A reader for a newly established connection.
+    /// Creates a reader for a newly established connection.
     pub(super) fn new(stream: TcpStream, limits: Rc<Limits>) -> Self {
         Self {
             stream: Some(stream),
