--- a/crates/testbed/src/scenario/time.rs
+++ b/crates/testbed/src/scenario/time.rs
@@ -1,6 +1,6 @@
 //! The time unit of both engines, and conversions from the times in a scenario file.
 //!
-//! The current time comes from the simulator's timeline and the emulator's clock.
+//! The current time is kept by the simulator's `scheduler` and the emulator's `clock`.
 
 /// Microseconds: a time since the start of the run, or a duration.
 pub type Micros = u64;
--- a/crates/testbed/src/simulator/context.rs
+++ b/crates/testbed/src/simulator/context.rs
@@ -1,16 +1,18 @@
-//! What all components of the simulator share: the scenario, virtual time and the event log.
+//! The context that the simulator passes to each of its components: the scenario, the scheduler and
+//! the event log.
 //!
-//! Holds no state of clients, sidecars or servers.
+//! It holds no state of clients, sidecars or servers.
 
 use super::event::SimulatorEvent;
-use super::timeline::Timeline;
+use super::scheduler::Scheduler;
 use crate::event_log::{EventSink, LogEvent, LogRecord};
 use crate::scenario::{Micros, Scenario};
 
-/// The simulated scenario, the timeline and the event log.
+/// The context of a run. Through it, a component reads the scenario and the virtual time, schedules
+/// events and writes to the event log.
 pub(super) struct Context<'a> {
     scenario: &'a Scenario,
-    timeline: Timeline,
+    scheduler: Scheduler,
     log: &'a mut dyn EventSink,
 }
 
@@ -19,7 +21,7 @@
     pub(super) fn new(scenario: &'a Scenario, log: &'a mut dyn EventSink) -> Self {
         Self {
             scenario,
-            timeline: Timeline::new(),
+            scheduler: Scheduler::new(),
             log,
         }
     }
@@ -31,28 +33,28 @@
 
     /// Returns the virtual time in microseconds since the start of the run.
     pub(super) fn now(&self) -> Micros {
-        self.timeline.now()
+        self.scheduler.now()
     }
 
     /// Schedules an event. A time in the past counts as the present: the event then follows the
     /// events that are already scheduled for now.
     pub(super) fn schedule_at(&mut self, at: Micros, event: SimulatorEvent) {
-        self.timeline.schedule_at(at, event);
+        self.scheduler.schedule_at(at, event);
     }
 
     /// Schedules an event after a delay in microseconds.
     pub(super) fn schedule_after(&mut self, delay: Micros, event: SimulatorEvent) {
-        self.timeline.schedule_after(delay, event);
+        self.scheduler.schedule_after(delay, event);
     }
 
     /// Advances the clock to the next event and returns it, or `None` if there is none until `end`.
     pub(super) fn next_event(&mut self, end: Micros) -> Option<SimulatorEvent> {
-        self.timeline.next_event(end)
+        self.scheduler.next_event(end)
     }
 
     /// Writes an event to the event log with the current virtual time.
     pub(super) fn record(&mut self, event: LogEvent) {
-        let at = self.timeline.now();
+        let at = self.scheduler.now();
         self.log.record(&LogRecord { at, event });
     }
 }
--- a/crates/testbed/src/simulator/event.rs
+++ b/crates/testbed/src/simulator/event.rs
@@ -14,7 +14,7 @@
 use crate::server_model::LoadReport;
 use crate::workload::Arrival;
 
-/// An event on the timeline.
+/// An event that the scheduler delivers at its time.
 pub(super) enum SimulatorEvent {
     /// A client of this sidecar has a new arrival.
     Arrival(SidecarIndex, Arrival),
--- a/crates/testbed/src/simulator/handover.rs
+++ b/crates/testbed/src/simulator/event_handlers.rs
@@ -1,7 +1,5 @@
-//! Handlers of the events that involve several components: each passes the result of one component
-//! on to the next, and gives each component the other components that it needs.
-//!
-//! Holds no state and makes no decisions.
+//! Handlers of the events that involve several components. A handler calls these in turn, passes
+//! each the components that it uses, and hands the results of one on to the next.
 
 use super::Simulator;
 use super::attempts::AttemptKey;
@@ -9,7 +7,7 @@
 use super::event::{Cancellation, ClientResponse, HealthCheck, SimulatorEvent};
 use super::faults::FaultEffect;
 use super::request::{ArrivalKey, RequestKey};
-use super::sidecars::{Environment, Sidecars};
+use super::sidecars::{Dependencies, Sidecars};
 use crate::event_log::{LogEvent, RequestOutcome};
 use crate::index::{ServerIndex, SidecarIndex};
 use crate::scenario::Micros;
@@ -19,23 +17,23 @@
 const GAUGE_INTERVAL: Micros = 1_000_000;
 
 impl<'a> Simulator<'a> {
-    /// Splits the simulator into the sidecars and the other components that they use.
-    pub(super) fn sidecars_with_environment(&mut self) -> (&mut Sidecars, Environment<'_, 'a>) {
-        let environment = Environment {
+    /// Borrows the sidecars, and the components that they use, at the same time.
+    pub(super) fn sidecars_and_dependencies(&mut self) -> (&mut Sidecars, Dependencies<'_, 'a>) {
+        let deps = Dependencies {
             context: &mut self.context,
             network: &mut self.network,
             attempts: &mut self.attempts,
             fleet: &mut self.fleet,
             discovery: &mut self.discovery,
         };
-        (&mut self.sidecars, environment)
+        (&mut self.sidecars, deps)
     }
 
     /// Starts all sidecars and schedules their clients' first arrivals, then the faults.
     pub(super) fn start(&mut self) {
         for index in self.sidecars.indexes() {
-            let (sidecars, mut environment) = self.sidecars_with_environment();
-            sidecars.get_mut(index).start(&mut environment);
+            let (sidecars, mut deps) = self.sidecars_and_dependencies();
+            sidecars.get_mut(index).start(&mut deps);
             let context = &mut self.context;
             self.clients.schedule_next_arrival(index, context);
         }
@@ -69,9 +67,9 @@
             return;
         };
         if self.sidecars.is_running(request.process) {
-            let (sidecars, mut environment) = self.sidecars_with_environment();
+            let (sidecars, mut deps) = self.sidecars_and_dependencies();
             let sidecar = sidecars.get_mut(request.process.sidecar);
-            sidecar.accept_request(key, request, &mut environment);
+            sidecar.accept_request(key, request, &mut deps);
         } else {
             let unreachable = ClientResponse {
                 request: key,
@@ -88,9 +86,9 @@
             return;
         };
         if self.sidecars.awaits_response(&request, self.context.now()) {
-            let (sidecars, mut environment) = self.sidecars_with_environment();
+            let (sidecars, mut deps) = self.sidecars_and_dependencies();
             let sidecar = sidecars.get_mut(request.process.sidecar);
-            sidecar.abandon_request(request.number, &mut environment);
+            sidecar.abandon_request(request.number, &mut deps);
             self.clients.on_timed_out(key, &mut self.context);
         }
     }
@@ -104,9 +102,9 @@
             self.context.record(LogEvent::ClientDisconnected {
                 request: request.number,
             });
-            let (sidecars, mut environment) = self.sidecars_with_environment();
+            let (sidecars, mut deps) = self.sidecars_and_dependencies();
             let sidecar = sidecars.get_mut(request.process.sidecar);
-            sidecar.abandon_request(request.number, &mut environment);
+            sidecar.abandon_request(request.number, &mut deps);
             self.clients.on_disconnected(key, &mut self.context);
         }
     }
--- a/crates/testbed/src/simulator/mod.rs
+++ b/crates/testbed/src/simulator/mod.rs
@@ -3,9 +3,9 @@
 //! clients, which behave as the scenario describes.
 //!
 //! `Simulator` owns the components and dispatches each event to the component that handles it;
-//! `handover` handles the events that involve several components. Each component owns its state and
-//! receives the components that it uses as arguments, along with the `context`, which holds the
-//! scenario, the timeline and the event log.
+//! `event_handlers` has the handlers of events that involve several components. Each component owns
+//! its state and receives the components that it uses as arguments, along with the `context`, which
+//! holds the scenario, the scheduler and the event log.
 //!
 //! A run is deterministic: events are processed in queue order and every source of randomness has
 //! its own random stream, so that a scenario and a seed always produce the same event log. The
@@ -17,16 +17,16 @@
 mod discovery;
 mod error;
 mod event;
+mod event_handlers;
 mod event_queue;
 pub mod faults;
 mod fleet;
-mod handover;
 mod network;
 mod process;
 mod request;
 mod run;
+mod scheduler;
 pub(crate) mod sidecars;
-mod timeline;
 
 use crate::event_log::EventSink;
 use crate::scenario::{Micros, Scenario, from_s};
@@ -107,44 +107,46 @@
         }
     }
 
-    /// Dispatches an event to the component that handles it, or to `handover` if it involves
-    /// several.
+    /// Dispatches an event to the component that handles it, or to `event_handlers` if the event
+    /// involves several.
     fn handle(&mut self, event: SimulatorEvent) {
         use SimulatorEvent as Event;
-        let (sidecars, env) = &mut self.sidecars_with_environment();
+        let (sidecars, deps) = &mut self.sidecars_and_dependencies();
         match event {
             Event::Arrival(sidecar, arrival) => self.on_arrival(sidecar, &arrival),
             Event::RetryDue(sidecar, arrival) => self.on_retry_due(sidecar, arrival),
             Event::RequestAtSidecar(request) => self.on_request_at_sidecar(request),
-            Event::BalancerTimer(timer) => sidecars.on_balancer_timer(&timer, env),
+            Event::BalancerTimer(timer) => sidecars.on_balancer_timer(&timer, deps),
             Event::ResponseDeadline(sidecar, request) => {
-                sidecars.get_mut(sidecar).on_response_deadline(request, env);
+                sidecars
+                    .get_mut(sidecar)
+                    .on_response_deadline(request, deps);
             }
             Event::ClientTimeout(request) => self.on_client_timeout(request),
             Event::ClientDisconnect(request) => self.on_client_disconnect(request),
             Event::ResponseAtClient(response) => self.on_response_at_client(&response),
             Event::ConnectAtServer(attempt) => self.on_connect_at_server(attempt),
             Event::ConnectionOpen(sidecar, attempt) => {
-                sidecars.get_mut(sidecar).on_connection_open(attempt, env);
+                sidecars.get_mut(sidecar).on_connection_open(attempt, deps);
             }
             Event::AttemptAtServer(attempt) => self.on_attempt_at_server(attempt),
             Event::AttemptResultAtSidecar(sidecar, attempt, outcome) => {
                 let sidecar = sidecars.get_mut(sidecar);
-                sidecar.on_attempt_result(attempt, outcome, env);
+                sidecar.on_attempt_result(attempt, outcome, deps);
             }
             Event::AttemptTimeout(sidecar, attempt) => {
-                sidecars.get_mut(sidecar).on_attempt_timeout(attempt, env);
+                sidecars.get_mut(sidecar).on_attempt_timeout(attempt, deps);
             }
             Event::CancellationAtServer(cancellation) => self.on_cancellation(&cancellation),
             Event::ServerTimer(server, generation) => self.on_server_timer(server, generation),
             Event::HealthCheckAtServer(check) => self.on_health_check_at_server(&check),
-            Event::HealthCheckResult(result) => sidecars.on_health_check_result(&result, env),
-            Event::PollResult(result) => sidecars.on_poll_result(&result, env),
-            Event::WatchNotification(process) => sidecars.on_watch_notification(process, env),
+            Event::HealthCheckResult(result) => sidecars.on_health_check_result(&result, deps),
+            Event::PollResult(result) => sidecars.on_poll_result(&result, deps),
+            Event::WatchNotification(process) => sidecars.on_watch_notification(process, deps),
             Event::ListChange(endpoint) => self.on_list_change(endpoint),
             Event::Fault { index, starts } => self.on_fault(index, starts),
-            Event::SidecarRestart(restart) => sidecars.on_restart(&restart, env),
-            Event::SidecarUp(sidecar) => sidecars.get_mut(sidecar).start(env),
+            Event::SidecarRestart(restart) => sidecars.on_restart(&restart, deps),
+            Event::SidecarUp(sidecar) => sidecars.get_mut(sidecar).start(deps),
             Event::GaugeTick => self.on_gauge_tick(),
         }
     }
--- a/crates/testbed/src/simulator/timeline.rs
+++ b/crates/testbed/src/simulator/scheduler.rs
@@ -1,17 +1,18 @@
-//! The simulator's virtual clock and its scheduled events.
+//! The simulator's scheduler: the virtual clock and the queue of scheduled events.
 
 use super::event::SimulatorEvent;
 use super::event_queue::EventQueue;
 use crate::scenario::Micros;
 
-/// Virtual time, which stands still while an event is handled and then jumps to the next event.
-pub(super) struct Timeline {
+/// Holds the virtual time, which does not advance while an event is handled and then jumps to the
+/// time of the next event.
+pub(super) struct Scheduler {
     now: Micros,
     queue: EventQueue<SimulatorEvent>,
 }
 
-impl Timeline {
-    /// Creates a timeline at time 0 without events.
+impl Scheduler {
+    /// Creates a scheduler at time 0 without events.
     pub(super) fn new() -> Self {
         Self {
             now: 0,
--- a/crates/testbed/src/simulator/sidecars/attempts.rs
+++ b/crates/testbed/src/simulator/sidecars/attempts.rs
@@ -1,6 +1,6 @@
 //! The sidecar's side of attempts: how they are sent, end, time out and are cancelled.
 //!
-//! Their connections are handled in `connecting`, and their processing at servers in `fleet`.
+//! Their connections are handled in `attempt_connections`, and their processing at servers in `fleet`.
 
 use std::collections::VecDeque;
 
@@ -8,8 +8,8 @@
     AttemptEnd, Event as BalancerEvent, LoadReport, Outcome, RequestId, ServerId,
 };
 
-use super::connecting::{close_connection, schedule_attempt};
-use super::environment::Environment;
+use super::attempt_connections::{close_connection, schedule_attempt};
+use super::dependencies::Dependencies;
 use super::requests::OpenRequest;
 use super::sidecar::Sidecar;
 use crate::conversion::u32_from_count;
@@ -26,29 +26,29 @@
         server: ServerIndex,
         timeout: Option<Micros>,
         events: &mut VecDeque<BalancerEvent>,
-        environment: &mut Environment<'_, '_>,
+        deps: &mut Dependencies<'_, '_>,
     ) {
         let Some(open) = self.open_requests.get(&number) else {
             return;
         };
         let class = open.request.class;
-        let now = environment.context.now();
+        let now = deps.context.now();
         let mut details = attempt_details(open, server, timeout, now);
-        let server_exists = environment.fleet.contains(server);
-        environment.draw_attempt(&mut details, class, server_exists);
+        let server_exists = deps.fleet.contains(server);
+        deps.draw_attempt(&mut details, class, server_exists);
         let reused_connection = if server_exists {
-            self.reuse_connection(server, environment)
+            self.reuse_connection(server, deps)
         } else {
             None
         };
-        let key = environment.attempts.start(details, reused_connection);
+        let key = deps.attempts.start(details, reused_connection);
         if let Some(open) = self.open_requests.get_mut(&number) {
             open.attempts.push(key);
         }
         if server_exists {
-            schedule_attempt(key, environment);
+            schedule_attempt(key, deps);
         } else {
-            self.end_attempt(key, Outcome::NotSent, events, environment);
+            self.end_attempt(key, Outcome::NotSent, events, deps);
         }
     }
 
@@ -57,37 +57,37 @@
         &mut self,
         key: AttemptKey,
         outcome: Outcome,
-        environment: &mut Environment<'_, '_>,
+        deps: &mut Dependencies<'_, '_>,
     ) {
-        let Some(attempt) = environment.attempts.get_mut(key) else {
+        let Some(attempt) = deps.attempts.get_mut(key) else {
             return;
         };
         if !attempt.has_ended() {
             let server = attempt.details.server;
             if let Some(start) = attempt.take_connection() {
                 if is_complete_response(outcome) {
-                    let idle_since = environment.context.now();
-                    self.keep_connection(server, idle_since, start, environment.fleet);
+                    let idle_since = deps.context.now();
+                    self.keep_connection(server, idle_since, start, deps.fleet);
                 } else {
-                    environment.fleet.close_connection(server, start);
+                    deps.fleet.close_connection(server, start);
                 }
             }
-            self.on_attempt_ended(key, outcome, environment);
+            self.on_attempt_ended(key, outcome, deps);
         }
-        environment.attempts.remove(key);
+        deps.attempts.remove(key);
     }
 
     /// Handles the timeout of an attempt or of opening its connection.
     pub(in crate::simulator) fn on_attempt_timeout(
         &mut self,
         key: AttemptKey,
-        environment: &mut Environment<'_, '_>,
+        deps: &mut Dependencies<'_, '_>,
     ) {
-        let Some(attempt) = environment.attempts.get(key) else {
+        let Some(attempt) = deps.attempts.get(key) else {
             return;
         };
         // This is the connect timeout, and the connection has opened in the meantime.
-        let is_stale = attempt.is_written() && environment.context.now() < attempt.details.deadline;
+        let is_stale = attempt.is_written() && deps.context.now() < attempt.details.deadline;
         if attempt.has_ended() || is_stale {
             return;
         }
@@ -98,10 +98,10 @@
         } else {
             Outcome::ConnectFailed
         };
-        close_connection(key, environment);
-        self.on_attempt_ended(key, outcome, environment);
-        if outcome == Outcome::ConnectFailed && !environment.fleet.has_job(server, job) {
-            environment.attempts.remove(key);
+        close_connection(key, deps);
+        self.on_attempt_ended(key, outcome, deps);
+        if outcome == Outcome::ConnectFailed && !deps.fleet.has_job(server, job) {
+            deps.attempts.remove(key);
         }
     }
 
@@ -110,12 +110,12 @@
         &mut self,
         key: AttemptKey,
         events: &mut VecDeque<BalancerEvent>,
-        environment: &mut Environment<'_, '_>,
+        deps: &mut Dependencies<'_, '_>,
     ) {
-        let attempt = environment.attempts.get(key);
+        let attempt = deps.attempts.get(key);
         if attempt.is_some_and(|attempt| !attempt.has_ended()) {
-            close_connection(key, environment);
-            self.end_attempt(key, Outcome::Cancelled, events, environment);
+            close_connection(key, deps);
+            self.end_attempt(key, Outcome::Cancelled, events, deps);
         }
     }
 
@@ -124,11 +124,11 @@
         &mut self,
         key: AttemptKey,
         outcome: Outcome,
-        environment: &mut Environment<'_, '_>,
+        deps: &mut Dependencies<'_, '_>,
     ) {
         let mut events = VecDeque::new();
-        self.end_attempt(key, outcome, &mut events, environment);
-        self.handle_balancer_events(events, environment);
+        self.end_attempt(key, outcome, &mut events, deps);
+        self.handle_balancer_events(events, deps);
     }
 
     /// Ends an attempt and reports it to the balancer; a served attempt completes its request.
@@ -137,9 +137,9 @@
         key: AttemptKey,
         outcome: Outcome,
         events: &mut VecDeque<BalancerEvent>,
-        environment: &mut Environment<'_, '_>,
+        deps: &mut Dependencies<'_, '_>,
     ) {
-        let attempt = environment.attempts.get_mut(key);
+        let attempt = deps.attempts.get_mut(key);
         let Some(attempt) = attempt.filter(|attempt| !attempt.has_ended()) else {
             return;
         };
@@ -147,10 +147,10 @@
         let number = attempt.details.request;
         let is_served = outcome == Outcome::Served;
         let finished = is_served || !self.has_open_request(number);
-        let end = attempt_end(attempt, outcome, finished, environment.context.now());
+        let end = attempt_end(attempt, outcome, finished, deps.context.now());
         events.push_back(BalancerEvent::AttemptEnded(end));
         if is_served {
-            self.respond(number, RequestOutcome::Served, 0, events, environment);
+            self.respond(number, RequestOutcome::Served, 0, events, deps);
         }
     }
 }
--- a/crates/testbed/src/simulator/sidecars/environment.rs
+++ b/crates/testbed/src/simulator/sidecars/dependencies.rs
@@ -1,4 +1,4 @@
-//! The components that a sidecar uses besides its own state.
+//! The dependencies of a sidecar: the components of the simulator that its methods use.
 
 use crate::index::{ClassIndex, ServerIndex, SidecarIndex};
 use crate::scenario::Micros;
@@ -8,9 +8,9 @@
 use crate::simulator::fleet::Fleet;
 use crate::simulator::network::Network;
 
-/// The components that a sidecar uses. The clients, to which it responds through events, and the
-/// other sidecars are not among them.
-pub(in crate::simulator) struct Environment<'r, 'a> {
+/// The components that a sidecar's methods read or change. Clients are not among them, as a sidecar
+/// responds to them through events.
+pub(in crate::simulator) struct Dependencies<'r, 'a> {
     pub(in crate::simulator) context: &'r mut Context<'a>,
     pub(in crate::simulator) network: &'r mut Network,
     pub(in crate::simulator) attempts: &'r mut Attempts,
@@ -18,7 +18,7 @@
     pub(in crate::simulator) discovery: &'r mut Discovery,
 }
 
-impl Environment<'_, '_> {
+impl Dependencies<'_, '_> {
     /// Draws the one-way delay from a sidecar to a server, in microseconds.
     pub(super) fn draw_delay(&mut self, sidecar: SidecarIndex, server: ServerIndex) -> Micros {
         let zone = self.fleet.zone(server);
--- a/crates/testbed/src/simulator/sidecars/endpoints.rs
+++ b/crates/testbed/src/simulator/sidecars/endpoints.rs
@@ -7,7 +7,7 @@
 use arrowstand_balancer::{Endpoint, EndpointStatus, Event as BalancerEvent, ServerId, UpdateKind};
 use arrowstand_control::stable_hash;
 
-use super::environment::Environment;
+use super::dependencies::Dependencies;
 use super::sidecar::Sidecar;
 use crate::event_log::{ListedStatus, LogEvent};
 use crate::index::ServerIndex;
@@ -90,35 +90,33 @@
     }
 
     /// Polls the list; a watch follows once the poll is answered.
-    pub(super) fn poll_endpoints(&mut self, environment: &mut Environment<'_, '_>) {
+    pub(super) fn poll_endpoints(&mut self, deps: &mut Dependencies<'_, '_>) {
         let sidecar = self.index;
-        environment
-            .context
-            .record(LogEvent::DiscoveryPolled { sidecar });
+        deps.context.record(LogEvent::DiscoveryPolled { sidecar });
         let poll = EndpointPoll {
             process: self.process(),
             number: self.subscription.on_poll_started(),
         };
-        environment.discovery.on_poll(poll, environment.context);
+        deps.discovery.on_poll(poll, deps.context);
     }
 
     /// Handles the result of the last poll: applies the changes and starts the watch, or tells the
     /// balancer that the poll has failed.
-    pub(super) fn on_poll_result(&mut self, failed: bool, environment: &mut Environment<'_, '_>) {
-        if failed || !environment.discovery.is_up() {
-            self.on_endpoints_lost(environment);
+    pub(super) fn on_poll_result(&mut self, failed: bool, deps: &mut Dependencies<'_, '_>) {
+        if failed || !deps.discovery.is_up() {
+            self.on_endpoints_lost(deps);
         } else {
             self.subscription.is_watching = true;
-            self.apply_changes(environment);
+            self.apply_changes(deps);
         }
     }
 
     /// Handles a notification of a change of the list.
-    pub(super) fn on_watch_notification(&mut self, environment: &mut Environment<'_, '_>) {
-        let discovery = &*environment.discovery;
+    pub(super) fn on_watch_notification(&mut self, deps: &mut Dependencies<'_, '_>) {
+        let discovery = &*deps.discovery;
         let has_changes = self.subscription.cached.version < discovery.version();
         if self.subscription.is_watching && discovery.is_up() && has_changes {
-            self.apply_changes(environment);
+            self.apply_changes(deps);
         }
     }
 
@@ -135,30 +133,30 @@
     }
 
     /// Delivers the cached list to a new balancer.
-    pub(super) fn restore_endpoints(&mut self, environment: &mut Environment<'_, '_>) {
+    pub(super) fn restore_endpoints(&mut self, deps: &mut Dependencies<'_, '_>) {
         let cached = &self.subscription.cached;
         let version = cached.version;
         let entries: Vec<_> = cached.endpoints.values().copied().collect();
-        self.deliver_endpoints(UpdateKind::Cached, version, &entries, environment);
+        self.deliver_endpoints(UpdateKind::Cached, version, &entries, deps);
     }
 
     /// Applies all changes since the version of the cached list; there may be none.
-    fn apply_changes(&mut self, environment: &mut Environment<'_, '_>) {
-        let discovery = &*environment.discovery;
+    fn apply_changes(&mut self, deps: &mut Dependencies<'_, '_>) {
+        let discovery = &*deps.discovery;
         let version = discovery.version();
         let changes = discovery.changes_since(self.subscription.cached.version);
-        self.deliver_endpoints(UpdateKind::Incremental, version, &changes, environment);
+        self.deliver_endpoints(UpdateKind::Incremental, version, &changes, deps);
     }
 
     /// Tells the balancer that updates of the endpoint list have stopped.
-    fn on_endpoints_lost(&mut self, environment: &mut Environment<'_, '_>) {
+    fn on_endpoints_lost(&mut self, deps: &mut Dependencies<'_, '_>) {
         self.subscription.on_watch_ended();
         let lost = BalancerEvent::EndpointsUpdated {
             kind: UpdateKind::Lost,
             version: 0,
             endpoints: Vec::new(),
         };
-        self.handle_balancer_event(lost, environment);
+        self.handle_balancer_event(lost, deps);
     }
 
     fn deliver_endpoints(
@@ -166,19 +164,19 @@
         kind: UpdateKind,
         version: u64,
         listed: &[ListedEndpoint],
-        environment: &mut Environment<'_, '_>,
+        deps: &mut Dependencies<'_, '_>,
     ) {
-        let scenario = environment.context.scenario();
+        let scenario = deps.context.scenario();
         let mut endpoints = Vec::with_capacity(listed.len());
         for &endpoint in listed {
-            environment.context.record(LogEvent::EndpointListed {
+            deps.context.record(LogEvent::EndpointListed {
                 sidecar: self.index,
                 server: endpoint.server,
                 status: endpoint.status,
                 incarnation: endpoint.incarnation,
             });
             self.subscription.cached.apply(endpoint);
-            endpoints.push(balancer_endpoint(endpoint, environment.fleet, scenario));
+            endpoints.push(balancer_endpoint(endpoint, deps.fleet, scenario));
         }
         self.subscription.cached.version = version;
         let update = BalancerEvent::EndpointsUpdated {
@@ -186,7 +184,7 @@
             version,
             endpoints,
         };
-        self.handle_balancer_event(update, environment);
+        self.handle_balancer_event(update, deps);
     }
 }
 
--- a/crates/testbed/src/simulator/sidecars/health_checks.rs
+++ b/crates/testbed/src/simulator/sidecars/health_checks.rs
@@ -2,7 +2,7 @@
 
 use arrowstand_balancer::{Event as BalancerEvent, LoadReport, ServerId};
 
-use super::environment::Environment;
+use super::dependencies::Dependencies;
 use super::sidecar::Sidecar;
 use crate::event_log::LogEvent;
 use crate::index::ServerIndex;
@@ -18,14 +18,14 @@
     pub(super) fn send_health_check(
         &mut self,
         server: ServerIndex,
-        environment: &mut Environment<'_, '_>,
+        deps: &mut Dependencies<'_, '_>,
     ) {
-        environment.context.record(LogEvent::HealthChecked {
+        deps.context.record(LogEvent::HealthChecked {
             sidecar: self.index,
             server,
         });
-        let delay = environment.draw_delay(self.index, server);
-        let new_connection = self.reuse_connection(server, environment).is_none();
+        let delay = deps.draw_delay(self.index, server);
+        let new_connection = self.reuse_connection(server, deps).is_none();
         let arrives_after = if new_connection {
             NEW_CONNECTION_ONE_WAY_DELAYS * delay
         } else {
@@ -37,14 +37,14 @@
             delay,
             new_connection,
         });
-        environment.context.schedule_after(arrives_after, check);
+        deps.context.schedule_after(arrives_after, check);
     }
 
     /// Reports the result of a health check to the balancer.
     pub(super) fn on_health_check_result(
         &mut self,
         result: &HealthCheckResult,
-        environment: &mut Environment<'_, '_>,
+        deps: &mut Dependencies<'_, '_>,
     ) {
         let load_report = result.load.map(|load| LoadReport {
             in_flight: load.in_flight as f64,
@@ -55,6 +55,6 @@
             outcome: result.outcome,
             load_report,
         };
-        self.handle_balancer_event(ended, environment);
+        self.handle_balancer_event(ended, deps);
     }
 }
--- a/crates/testbed/src/simulator/sidecars/connections.rs
+++ b/crates/testbed/src/simulator/sidecars/idle_connections.rs
@@ -4,7 +4,7 @@
 
 use rustc_hash::FxHashMap;
 
-use super::environment::Environment;
+use super::dependencies::Dependencies;
 use super::sidecar::Sidecar;
 use crate::conversion::scaled_micros;
 use crate::index::ServerIndex;
@@ -73,16 +73,14 @@
     pub(super) fn reuse_connection(
         &mut self,
         server: ServerIndex,
-        environment: &mut Environment<'_, '_>,
+        deps: &mut Dependencies<'_, '_>,
     ) -> Option<u32> {
-        let open_start = environment.fleet.open_start(server);
+        let open_start = deps.fleet.open_start(server);
         let connection = self.connections.take(server, open_start)?;
-        if connection.idle_since + reuse_timeout(environment.context) > environment.context.now() {
+        if connection.idle_since + reuse_timeout(deps.context) > deps.context.now() {
             return Some(connection.server_start);
         }
-        environment
-            .fleet
-            .close_connection(server, connection.server_start);
+        deps.fleet.close_connection(server, connection.server_start);
         None
     }
 
--- a/crates/testbed/src/simulator/sidecars/mod.rs
+++ b/crates/testbed/src/simulator/sidecars/mod.rs
@@ -1,18 +1,19 @@
 //! The simulator's sidecars, each of which hosts one balancer like the real program.
 //!
-//! Owns all sidecars, and ignores events for earlier processes of a sidecar. `sidecar` has the
-//! state, start and restarts of one sidecar; `host` executes its balancer's actions. `requests`,
-//! `attempts` and `health_checks` handle the sidecar's side of requests, attempts and health
-//! checks, `connecting` the connections of attempts, `connections` the pool of idle connections,
-//! and `endpoints` the sidecar's copy of the endpoint list. Servers are handled in `fleet`.
-
+//! Passes each event to its sidecar, and ignores events for earlier processes of a sidecar.
+//! `sidecar` has the state, start and restarts of one sidecar; `host` executes its balancer's
+//! actions. `requests`, `attempts` and `health_checks` handle the sidecar's side of requests,
+//! attempts and health checks, `attempt_connections` the connections of attempts,
+//! `idle_connections` the pool of idle connections, and `endpoints` the sidecar's copy of the
+//! endpoint list. `fleet` simulates the servers.
+
+mod attempt_connections;
 mod attempts;
-mod connecting;
-mod connections;
+mod dependencies;
 mod endpoints;
-mod environment;
 mod health_checks;
 mod host;
+mod idle_connections;
 mod requests;
 pub(crate) mod settings;
 mod sidecar;
@@ -31,7 +32,7 @@
 use settings::balancer_settings;
 use sidecar::Sidecar;
 
-pub(super) use environment::Environment;
+pub(super) use dependencies::Dependencies;
 
 /// All sidecars of a run.
 pub(super) struct Sidecars {
@@ -105,11 +106,11 @@
     pub(super) fn on_balancer_timer(
         &mut self,
         timer: &BalancerTimer,
-        environment: &mut Environment<'_, '_>,
+        deps: &mut Dependencies<'_, '_>,
     ) {
         let sidecar = self.get_mut(timer.process.sidecar);
         if sidecar.is_current(timer.process) {
-            sidecar.on_balancer_timer(timer.token, environment);
+            sidecar.on_balancer_timer(timer.token, deps);
         }
     }
 
@@ -117,23 +118,19 @@
     pub(super) fn on_health_check_result(
         &mut self,
         result: &HealthCheckResult,
-        environment: &mut Environment<'_, '_>,
+        deps: &mut Dependencies<'_, '_>,
     ) {
         let sidecar = self.get_mut(result.process.sidecar);
         if sidecar.is_current(result.process) {
-            sidecar.on_health_check_result(result, environment);
+            sidecar.on_health_check_result(result, deps);
         }
     }
 
     /// Handles the result of a poll, unless it belongs to an earlier process or poll.
-    pub(super) fn on_poll_result(
-        &mut self,
-        result: &PollResult,
-        environment: &mut Environment<'_, '_>,
-    ) {
+    pub(super) fn on_poll_result(&mut self, result: &PollResult, deps: &mut Dependencies<'_, '_>) {
         let sidecar = self.get_mut(result.poll.process.sidecar);
         if sidecar.awaits_poll(result.poll) {
-            sidecar.on_poll_result(result.failed, environment);
+            sidecar.on_poll_result(result.failed, deps);
         }
     }
 
@@ -141,23 +138,19 @@
     pub(super) fn on_watch_notification(
         &mut self,
         process: SidecarProcess,
-        environment: &mut Environment<'_, '_>,
+        deps: &mut Dependencies<'_, '_>,
     ) {
         let sidecar = self.get_mut(process.sidecar);
         if sidecar.is_current(process) {
-            sidecar.on_watch_notification(environment);
+            sidecar.on_watch_notification(deps);
         }
     }
 
     /// Restarts a sidecar; one that is already down is not affected.
-    pub(super) fn on_restart(
-        &mut self,
-        restart: &SidecarRestart,
-        environment: &mut Environment<'_, '_>,
-    ) {
+    pub(super) fn on_restart(&mut self, restart: &SidecarRestart, deps: &mut Dependencies<'_, '_>) {
         let sidecar = self.get_mut(restart.sidecar);
         if sidecar.is_up() {
-            sidecar.on_restart(restart, environment);
+            sidecar.on_restart(restart, deps);
         }
     }
 }
--- a/crates/testbed/src/simulator/sidecars/requests.rs
+++ b/crates/testbed/src/simulator/sidecars/requests.rs
@@ -4,8 +4,8 @@
 
 use arrowstand_balancer::{ClassId, Event as BalancerEvent, IncomingRequest, RequestId};
 
-use super::connecting::close_connection;
-use super::environment::Environment;
+use super::attempt_connections::close_connection;
+use super::dependencies::Dependencies;
 use super::settings::RESPONSE_MARGIN;
 use super::sidecar::Sidecar;
 use crate::event_log::{LogEvent, RequestOutcome};
@@ -27,12 +27,12 @@
 impl OpenRequest {
     /// Closes the request's connections when the sidecar's process is killed. The client notices
     /// the loss of its own connection.
-    pub(super) fn on_process_killed(self, environment: &mut Environment<'_, '_>) {
+    pub(super) fn on_process_killed(self, deps: &mut Dependencies<'_, '_>) {
         for attempt in self.attempts {
-            close_connection(attempt, environment);
+            close_connection(attempt, deps);
         }
         let outcome = RequestOutcome::ConnectionLost;
-        send_response(self.key, outcome, 0, environment.context);
+        send_response(self.key, outcome, 0, deps.context);
     }
 }
 
@@ -42,9 +42,9 @@
         &mut self,
         key: RequestKey,
         request: Request,
-        environment: &mut Environment<'_, '_>,
+        deps: &mut Dependencies<'_, '_>,
     ) {
-        let context = &mut *environment.context;
+        let context = &mut *deps.context;
         context.record(LogEvent::RequestAccepted {
             request: request.number,
             arrival: request.arrival_number,
@@ -62,7 +62,7 @@
         let deadline = SimulatorEvent::ResponseDeadline(self.index, request.number);
         context.schedule_at(respond_by, deadline);
         let arrived = request_arrived(&request, context.now());
-        self.handle_balancer_event(arrived, environment);
+        self.handle_balancer_event(arrived, deps);
     }
 
     /// Whether the sidecar has accepted a request and not yet responded to it.
@@ -74,25 +74,25 @@
     pub(in crate::simulator) fn on_response_deadline(
         &mut self,
         number: RequestNumber,
-        environment: &mut Environment<'_, '_>,
+        deps: &mut Dependencies<'_, '_>,
     ) {
         if !self.has_open_request(number) {
             return;
         }
         let mut events = VecDeque::from([client_disconnected(number)]);
-        self.fail_request(number, &mut events, environment);
-        self.handle_balancer_events(events, environment);
+        self.fail_request(number, &mut events, deps);
+        self.handle_balancer_events(events, deps);
     }
 
     /// Cancels the outstanding attempts of a request that its client no longer waits for.
     pub(in crate::simulator) fn abandon_request(
         &mut self,
         number: RequestNumber,
-        environment: &mut Environment<'_, '_>,
+        deps: &mut Dependencies<'_, '_>,
     ) {
         let mut events = VecDeque::from([client_disconnected(number)]);
-        self.close_request(number, &mut events, environment);
-        self.handle_balancer_events(events, environment);
+        self.close_request(number, &mut events, deps);
+        self.handle_balancer_events(events, deps);
     }
 
     /// Sends the final response to a request if it is open, and cancels its outstanding attempts.
@@ -102,10 +102,10 @@
         outcome: RequestOutcome,
         retry_after: Micros,
         events: &mut VecDeque<BalancerEvent>,
-        environment: &mut Environment<'_, '_>,
+        deps: &mut Dependencies<'_, '_>,
     ) {
-        if let Some(key) = self.close_request(number, events, environment) {
-            send_response(key, outcome, retry_after, environment.context);
+        if let Some(key) = self.close_request(number, events, deps) {
+            send_response(key, outcome, retry_after, deps.context);
         }
     }
 
@@ -114,11 +114,11 @@
         &mut self,
         number: RequestNumber,
         events: &mut VecDeque<BalancerEvent>,
-        environment: &mut Environment<'_, '_>,
+        deps: &mut Dependencies<'_, '_>,
     ) -> Option<RequestKey> {
         let open = self.open_requests.remove(&number)?;
         for attempt in open.attempts {
-            self.cancel_attempt(attempt, events, environment);
+            self.cancel_attempt(attempt, events, deps);
         }
         Some(open.key)
     }
--- a/crates/testbed/src/simulator/sidecars/sidecar.rs
+++ b/crates/testbed/src/simulator/sidecars/sidecar.rs
@@ -5,9 +5,9 @@
 use arrowstand_balancer::Action;
 use arrowstand_control::WorkAwareBalancer;
 
-use super::connections::IdleConnections;
+use super::dependencies::Dependencies;
 use super::endpoints::{CachedEndpoints, Subscription};
-use super::environment::Environment;
+use super::idle_connections::IdleConnections;
 use super::requests::OpenRequest;
 use super::settings::balancer_settings;
 use crate::event_log::{LogEvent, ProcessState};
@@ -54,13 +54,13 @@
     }
 
     /// Starts a new process, whose only earlier state is the cached endpoint list.
-    pub(in crate::simulator) fn start(&mut self, environment: &mut Environment<'_, '_>) {
-        let settings = balancer_settings(environment.context.scenario(), self.index);
+    pub(in crate::simulator) fn start(&mut self, deps: &mut Dependencies<'_, '_>) {
+        let settings = balancer_settings(deps.context.scenario(), self.index);
         let seed = self.seeds.next_u64();
         self.balancer = WorkAwareBalancer::new(settings, seed).ok();
         self.subscription.on_watch_ended();
-        self.record_state(ProcessState::Up, environment);
-        self.restore_endpoints(environment);
+        self.record_state(ProcessState::Up, deps);
+        self.restore_endpoints(deps);
     }
 
     pub(super) fn is_up(&self) -> bool {
@@ -87,45 +87,40 @@
 
     /// Restarts the sidecar: kills it, which loses its open requests, or shuts it down, which gives
     /// it `SHUTDOWN_GRACE` to respond to them before it is killed.
-    pub(super) fn on_restart(
-        &mut self,
-        restart: &SidecarRestart,
-        environment: &mut Environment<'_, '_>,
-    ) {
+    pub(super) fn on_restart(&mut self, restart: &SidecarRestart, deps: &mut Dependencies<'_, '_>) {
         if restart.kill {
-            self.kill(restart.down_time, environment);
+            self.kill(restart.down_time, deps);
             return;
         }
-        self.record_state(ProcessState::ShuttingDown, environment);
+        self.record_state(ProcessState::ShuttingDown, deps);
         let kill = SimulatorEvent::SidecarRestart(SidecarRestart {
             sidecar: self.index,
             down_time: restart.down_time.saturating_sub(SHUTDOWN_GRACE),
             kill: true,
         });
-        environment.context.schedule_after(SHUTDOWN_GRACE, kill);
+        deps.context.schedule_after(SHUTDOWN_GRACE, kill);
     }
 
-    fn kill(&mut self, down_time: Micros, environment: &mut Environment<'_, '_>) {
-        self.record_state(ProcessState::Killed, environment);
+    fn kill(&mut self, down_time: Micros, deps: &mut Dependencies<'_, '_>) {
+        self.record_state(ProcessState::Killed, deps);
         self.balancer = None;
         self.incarnation += 1;
         self.subscription.on_watch_ended();
         let connections = std::mem::take(&mut self.connections);
         for (server, server_start) in connections.into_connections() {
-            environment.fleet.close_connection(server, server_start);
+            deps.fleet.close_connection(server, server_start);
         }
         let open_requests = std::mem::take(&mut self.open_requests);
         for request in open_requests.into_values() {
-            request.on_process_killed(environment);
+            request.on_process_killed(deps);
         }
         let up = SimulatorEvent::SidecarUp(self.index);
-        environment.context.schedule_after(down_time, up);
+        deps.context.schedule_after(down_time, up);
     }
 
-    fn record_state(&self, state: ProcessState, environment: &mut Environment<'_, '_>) {
+    fn record_state(&self, state: ProcessState, deps: &mut Dependencies<'_, '_>) {
         let sidecar = self.index;
-        environment
-            .context
+        deps.context
             .record(LogEvent::SidecarStateChanged { sidecar, state });
     }
 }
