--- a/crates/testbed/src/simulator/attempts.rs
+++ b/crates/testbed/src/simulator/attempts.rs
@@ -87,8 +87,8 @@
     }
 
     /// Records that the server process with this start number has accepted the connection.
-    pub(super) fn on_connected(&mut self, server_start: u32) {
-        self.connection = Some(server_start);
+    pub(super) fn on_connected(&mut self, server_start_number: u32) {
+        self.connection = Some(server_start_number);
     }
 
     /// Records that the sidecar has written all of it.
--- a/crates/testbed/src/simulator/clients/mod.rs
+++ b/crates/testbed/src/simulator/clients/mod.rs
@@ -60,14 +60,14 @@
 
 /// When the client of a request times out, and when it disconnects before that.
 struct RequestTimeout {
-    timeout_at: Micros,
+    times_out_at: Micros,
     disconnects_at: Option<Micros>,
 }
 
 impl RequestTimeout {
     /// Schedules the timeout and the disconnect, which apply if no response comes before.
     fn schedule(&self, request: RequestKey, context: &mut Context<'_>) {
-        context.schedule_at(self.timeout_at, SimulatorEvent::ClientTimeout(request));
+        context.schedule_at(self.times_out_at, SimulatorEvent::ClientTimeout(request));
         if let Some(at) = self.disconnects_at {
             context.schedule_at(at, SimulatorEvent::ClientDisconnect(request));
         }
@@ -204,7 +204,7 @@
             work: arrival.work,
             work_hint: arrival.work_hint,
             arrives_at: context.now() + client_delay,
-            deadline: request_timeout.timeout_at,
+            deadline: request_timeout.times_out_at,
         });
         context.schedule_after(client_delay, SimulatorEvent::RequestAtSidecar(request));
         request_timeout.schedule(request, context);
@@ -233,7 +233,7 @@
     let disconnects = random.bernoulli(scenario.clients.disconnect_share);
     let disconnects_at = now + scaled_micros(timeout, random.uniform());
     RequestTimeout {
-        timeout_at: (now + timeout).min(arrival.deadline),
+        times_out_at: (now + timeout).min(arrival.deadline),
         disconnects_at: disconnects.then_some(disconnects_at),
     }
 }
--- a/crates/testbed/src/simulator/discovery/endpoint_list.rs
+++ b/crates/testbed/src/simulator/discovery/endpoint_list.rs
@@ -1,6 +1,6 @@
-//! The endpoint list of the discovery service: entries with the versions at which they changed.
+//! The endpoint list of the discovery service: entries with the revisions at which they changed.
 //!
-//! When a change is noticed, and which sidecars are notified, is decided in `discovery`.
+//! `discovery` decides when a change is listed and which sidecars are notified.
 
 use std::collections::BTreeMap;
 
@@ -21,22 +21,22 @@
 #[derive(Clone, Copy)]
 struct ListEntry {
     endpoint: ListedEndpoint,
-    /// The version of the list in which the entry last changed.
-    version: u64,
+    /// The revision of the list in which the entry last changed.
+    revision: u64,
 }
 
 /// All servers that were ever listed, including those that are gone.
 pub(super) struct EndpointList {
-    version: u64,
+    revision: u64,
     entries: BTreeMap<ServerIndex, ListEntry>,
 }
 
 impl EndpointList {
-    /// Creates version 1 of the list, with the initial servers and the start times of their
+    /// Creates revision 1 of the list, with the initial servers and the start times of their
     /// processes.
     pub(super) fn new(servers: impl Iterator<Item = (ServerIndex, Micros)>) -> Self {
         let mut list = Self {
-            version: 1,
+            revision: 1,
             entries: BTreeMap::new(),
         };
         for (server, incarnation) in servers {
@@ -49,20 +49,20 @@
         list
     }
 
-    /// Returns the version, which each change increments.
-    pub(super) fn version(&self) -> u64 {
-        self.version
+    /// Returns the revision, which each change increments.
+    pub(super) fn revision(&self) -> u64 {
+        self.revision
     }
 
-    /// Adds or replaces a server's entry in a new version of the list.
+    /// Adds or replaces a server's entry in a new revision of the list.
     pub(super) fn update(&mut self, endpoint: ListedEndpoint) {
-        self.version += 1;
+        self.revision += 1;
         self.set_entry(endpoint);
     }
 
     fn set_entry(&mut self, endpoint: ListedEndpoint) {
-        let version = self.version;
-        let entry = ListEntry { endpoint, version };
+        let revision = self.revision;
+        let entry = ListEntry { endpoint, revision };
         self.entries.insert(endpoint.server, entry);
     }
 
@@ -72,9 +72,9 @@
         endpoints.filter(|endpoint| endpoint.status != ListedStatus::Gone)
     }
 
-    /// Returns the entries that changed after a version, ordered by server index.
-    pub(super) fn changes_since(&self, version: u64) -> Vec<ListedEndpoint> {
-        let changed = self.entries.values().filter(|e| e.version > version);
+    /// Returns the entries that changed after a revision, ordered by server index.
+    pub(super) fn changes_since(&self, revision: u64) -> Vec<ListedEndpoint> {
+        let changed = self.entries.values().filter(|e| e.revision > revision);
         changed.map(|entry| entry.endpoint).collect()
     }
 }
--- a/crates/testbed/src/simulator/discovery/mod.rs
+++ b/crates/testbed/src/simulator/discovery/mod.rs
@@ -1,8 +1,8 @@
-//! The simulator's discovery service, which notices changes of servers with a delay and whose
-//! endpoint list sidecars poll and watch.
+//! The simulator's discovery service, whose endpoint list sidecars poll and watch.
 //!
-//! Owns the list (`endpoint_list`), the availability of the service and its queue of polls. A
-//! sidecar's copy of the list, and the poll that it waits for, belong to `sidecars`.
+//! Updates the list (`endpoint_list`) with the changes of servers that it detects, serves polls one
+//! at a time, and notifies the sidecars that watch. `sidecars` keeps each sidecar's copy of the list
+//! and the poll that it waits for.
 
 mod endpoint_list;
 
@@ -24,7 +24,7 @@
 const REFUSAL_DELAY: Micros = 2_000;
 /// Delay until a sidecar gives up a silent watch, in microseconds.
 const WATCH_TIMEOUT: Micros = 3_000_000;
-/// Delay until a sidecar notices that discovery has closed its watch, in microseconds.
+/// Delay until a sidecar detects that discovery has closed its watch, in microseconds.
 const WATCH_CLOSE_DELAY: Micros = 1_000;
 /// Microseconds per second; the capacity is a number of polls per second.
 const MICROS_PER_S: f64 = 1e6;
@@ -69,14 +69,14 @@
         self.list.current()
     }
 
-    /// Returns the entries that changed after a version of the list, ordered by server index.
-    pub(super) fn changes_since(&self, version: u64) -> Vec<ListedEndpoint> {
-        self.list.changes_since(version)
+    /// Returns the entries that changed after a revision of the list, ordered by server index.
+    pub(super) fn changes_since(&self, revision: u64) -> Vec<ListedEndpoint> {
+        self.list.changes_since(revision)
     }
 
-    /// Returns the list's version.
-    pub(super) fn version(&self) -> u64 {
-        self.list.version()
+    /// Returns the list's revision.
+    pub(super) fn revision(&self) -> u64 {
+        self.list.revision()
     }
 
     /// Whether the service answers polls and notifies watches.
@@ -84,9 +84,9 @@
         self.availability == Availability::Up
     }
 
-    /// Handles a change of a server that discovery notices, and notifies the watching processes.
-    /// The change is ignored if the server has started again since, at `started_at`: a removal
-    /// noticed after the restart is obsolete, and so is any other state of the earlier process.
+    /// Lists a change of a server's status, and notifies the watching processes. The change is
+    /// ignored if it concerns an earlier process than the current one, which started at
+    /// `started_at`: a removal that is detected after a restart is obsolete.
     pub(super) fn on_list_change(
         &mut self,
         endpoint: ListedEndpoint,
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Handles a sidecar's poll: schedules its answer, or the time at which the sidecar notices
+    /// Handles a sidecar's poll: schedules its answer, or the time at which the sidecar detects
     /// that it failed.
     pub(super) fn on_poll(&mut self, poll: EndpointPoll, context: &mut Context<'_>) {
         let now = context.now();
@@ -139,7 +139,7 @@
         (self.busy_until, false)
     }
 
-    /// Changes the availability. Returns the delay in microseconds after which sidecars notice that
+    /// Changes the availability. Returns the delay in microseconds after which sidecars detect that
     /// their watches have ended, or `None` if the watches stay open.
     pub(super) fn on_availability_changed(
         &mut self,
--- a/crates/testbed/src/simulator/discovery/tests.rs
+++ b/crates/testbed/src/simulator/discovery/tests.rs
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_change_increments_the_version_and_notifies_watching_sidecars() {
+fn a_change_increments_the_revision_and_notifies_watching_sidecars() {
     let scenario = scenario();
     let mut log: Vec<LogRecord> = Vec::new();
     let mut context = Context::new(&scenario, &mut log);
@@ -79,7 +79,7 @@
     let watching = [process(3), process(5)].into_iter();
     discovery.on_list_change(gone(0), 0, watching, &mut context);
 
-    assert_eq!(discovery.version(), 2);
+    assert_eq!(discovery.revision(), 2);
     assert_eq!(discovery.current_endpoints().count(), 0);
     let changes = discovery.changes_since(1);
     assert_eq!(changes.len(), 1);
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_removal_noticed_after_the_server_restarted_is_ignored() {
+fn a_removal_detected_after_the_server_restarted_is_ignored() {
     let scenario = scenario();
     let mut log: Vec<LogRecord> = Vec::new();
     let mut context = Context::new(&scenario, &mut log);
@@ -108,7 +108,7 @@
     let watching = [process(0)].into_iter();
     discovery.on_list_change(gone(0), restarted_at, watching, &mut context);
 
-    assert_eq!(discovery.version(), 1);
+    assert_eq!(discovery.revision(), 1);
     assert_eq!(discovery.current_endpoints().count(), 1);
     assert!(context.next_event(END).is_none());
 }
@@ -124,7 +124,7 @@
     let watching = [process(0)].into_iter();
     discovery.on_list_change(gone(0), 0, watching, &mut context);
 
-    assert_eq!(discovery.version(), 2);
+    assert_eq!(discovery.revision(), 2);
     assert!(context.next_event(END).is_none());
 }
 
--- a/crates/testbed/src/simulator/event.rs
+++ b/crates/testbed/src/simulator/event.rs
@@ -41,7 +41,7 @@
     AttemptResultAtSidecar(SidecarIndex, AttemptKey, Outcome),
     /// The timeout of an attempt, or of opening its connection, expires.
     AttemptTimeout(SidecarIndex, AttemptKey),
-    /// A server notices that the sidecar has closed an attempt's connection.
+    /// A server detects that the sidecar has closed an attempt's connection.
     CancellationAtServer(Cancellation),
     /// A timer of a server model fires. The number is the generation of the timer, which identifies
     /// stale events.
@@ -50,12 +50,12 @@
     HealthCheckAtServer(HealthCheck),
     /// The result of a health check reaches its sidecar.
     HealthCheckResult(HealthCheckResult),
-    /// The answer to a poll of the endpoint list reaches its sidecar, or the sidecar notices that
+    /// The answer to a poll of the endpoint list reaches its sidecar, or the sidecar detects that
     /// the poll failed or that the watch ended.
     PollResult(PollResult),
     /// A change of the endpoint list reaches a sidecar through its watch.
     WatchNotification(SidecarProcess),
-    /// Discovery notices a change of a server.
+    /// Discovery detects a change of a server's status.
     ListChange(ListedEndpoint),
     /// The fault of this index starts, or ends.
     Fault {
@@ -88,7 +88,7 @@
 pub(super) struct Cancellation {
     pub(super) server: ServerIndex,
     /// Start number of the server process that the connection belongs to.
-    pub(super) server_start: u32,
+    pub(super) server_start_number: u32,
     /// The attempt's job number in the server model.
     pub(super) job: u64,
 }
@@ -131,7 +131,7 @@
 pub(super) struct SidecarRestart {
     pub(super) sidecar: SidecarIndex,
     /// How long the sidecar is down, in microseconds.
-    pub(super) down_time: Micros,
+    pub(super) downtime: Micros,
     /// Whether the process is killed at once; otherwise it first responds to the requests that it
     /// has accepted.
     pub(super) kill: bool,
--- a/crates/testbed/src/simulator/event_handlers.rs
+++ b/crates/testbed/src/simulator/event_handlers.rs
@@ -133,10 +133,11 @@
         let attempts = &mut self.attempts;
         let context = &mut self.context;
         self.fleet
-            .on_server_due(server, generation, attempts, context);
+            .on_server_timer(server, generation, attempts, context);
     }
 
-    /// Handles a change of a server that discovery notices and reports to the watching sidecars.
+    /// Handles a change of a server's status that discovery detects and reports to the sidecars that
+    /// watch the list.
     pub(super) fn on_list_change(&mut self, endpoint: ListedEndpoint) {
         let started_at = self.fleet.started_at(endpoint.server);
         let watching = self.sidecars.watching_processes();
@@ -153,10 +154,15 @@
         let kept = self
             .fleet
             .on_health_check(check, is_running, attempts, context);
-        if let Some(server_start) = kept {
+        if let Some(server_start_number) = kept {
             let idle_since = self.context.now() + check.delay;
             let sidecar = self.sidecars.get_mut(check.process.sidecar);
-            sidecar.keep_connection(check.server, idle_since, server_start, &mut self.fleet);
+            sidecar.keep_connection(
+                check.server,
+                idle_since,
+                server_start_number,
+                &mut self.fleet,
+            );
         }
     }
 
@@ -180,8 +186,9 @@
     fn on_availability_changed(&mut self, availability: Availability) {
         let now = self.context.now();
         let watches_end = self.discovery.on_availability_changed(availability, now);
-        if let Some(notice_delay) = watches_end {
-            self.sidecars.end_watches(notice_delay, &mut self.context);
+        if let Some(detection_delay) = watches_end {
+            self.sidecars
+                .end_watches(detection_delay, &mut self.context);
         }
     }
 
--- a/crates/testbed/src/simulator/faults/schedule.rs
+++ b/crates/testbed/src/simulator/faults/schedule.rs
@@ -94,7 +94,7 @@
 fn schedule_restart(sidecar: SidecarIndex, at: Micros, fault: &Fault, context: &mut Context<'_>) {
     let restart = SidecarRestart {
         sidecar,
-        down_time: from_s(fault.down_s),
+        downtime: from_s(fault.down_s),
         kill: fault.kill,
     };
     context.schedule_at(at, SimulatorEvent::SidecarRestart(restart));
--- a/crates/testbed/src/simulator/fleet/attempts.rs
+++ b/crates/testbed/src/simulator/fleet/attempts.rs
@@ -58,7 +58,7 @@
         let start_number = server.start_number();
         if server.reachability() == Reachability::Silent {
             server.on_blackholed(key);
-        } else if server.open_start().is_none()
+        } else if server.start_number_unless_refusing().is_none()
             || attempt
                 .connection()
                 .is_some_and(|number| number != start_number)
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Handles the closing of an attempt's connection, as the server notices it.
+    /// Handles the closing of an attempt's connection, as the server detects it.
     pub(in crate::simulator) fn on_cancellation(
         &mut self,
         cancellation: &Cancellation,
@@ -133,7 +133,7 @@
     ) {
         let server = &mut self.servers[cancellation.server.index()];
         let is_open = server.reachability() == Reachability::Open;
-        if server.start_number() != cancellation.server_start || !is_open {
+        if server.start_number() != cancellation.server_start_number || !is_open {
             return;
         }
         let job = cancellation.job;
--- a/crates/testbed/src/simulator/fleet/health_checks.rs
+++ b/crates/testbed/src/simulator/fleet/health_checks.rs
@@ -12,8 +12,8 @@
 
 impl Fleet {
     /// Handles a health check at its server. `process_is_running` tells whether the sidecar process
-    /// that sent it still runs. If it does and the server answers, the connection is kept, and its
-    /// start number is returned; otherwise the connection is closed.
+    /// that sent it still runs. If it does and the server answers, the connection is kept, and the
+    /// start number that it belongs to is returned; otherwise the connection is closed.
     pub(in crate::simulator) fn on_health_check(
         &mut self,
         check: &HealthCheck,
--- a/crates/testbed/src/simulator/fleet/mod.rs
+++ b/crates/testbed/src/simulator/fleet/mod.rs
@@ -1,8 +1,9 @@
 //! The simulator's servers: they handle attempts, health checks and faults.
 //!
-//! Owns the servers and their random stream. `attempts` handles attempts at a server,
-//! `health_checks` health checks, `model` the events of a server's model, and `faults` the effects
-//! of faults. `sidecars` handles the results; `discovery` decides when a server is listed.
+//! Creates the servers, and records their states and gauges. `attempts` handles attempts at a
+//! server, `health_checks` health checks, `model` the events of a server's model, and `faults` the
+//! effects of faults. `sidecars` handles the results of attempts and health checks, and `discovery`
+//! decides when a server is listed.
 
 mod attempts;
 mod faults;
@@ -86,10 +87,10 @@
         self.server(server).model.machine_type()
     }
 
-    /// The start number that a new connection to a server would belong to; `None` if connections
-    /// are refused.
-    pub(super) fn open_start(&self, server: ServerIndex) -> Option<u32> {
-        self.server(server).open_start()
+    /// Number of the current process start of a server, to which a new connection would belong;
+    /// `None` if connections are refused.
+    pub(super) fn start_number_unless_refusing(&self, server: ServerIndex) -> Option<u32> {
+        self.server(server).start_number_unless_refusing()
     }
 
     /// Whether a job is queued or running at a server.
@@ -109,7 +110,7 @@
         self.servers.iter().map(max_in_flight).max().unwrap_or(0)
     }
 
-    /// Closes a connection to a server that was opened in the start of this number.
+    /// Closes a connection to the process of a server with this start number.
     pub(super) fn close_connection(&mut self, server: ServerIndex, start_number: u32) {
         self.server_mut(server).close_connection(start_number);
     }
@@ -126,7 +127,8 @@
         }
     }
 
-    /// Schedules when discovery notices a server's new status, `notice_ms` milliseconds from now.
+    /// Schedules the time at which discovery detects a server's new status, `notice_ms` milliseconds
+    /// from now.
     fn schedule_list_change(
         &self,
         server: ServerIndex,
--- a/crates/testbed/src/simulator/fleet/model.rs
+++ b/crates/testbed/src/simulator/fleet/model.rs
@@ -11,7 +11,7 @@
 impl Fleet {
     /// Advances a server's model when its next event is due. An event with an old `generation` is
     /// ignored.
-    pub(in crate::simulator) fn on_server_due(
+    pub(in crate::simulator) fn on_server_timer(
         &mut self,
         server_index: ServerIndex,
         generation: u32,
--- a/crates/testbed/src/simulator/fleet/server/mod.rs
+++ b/crates/testbed/src/simulator/fleet/server/mod.rs
@@ -29,7 +29,8 @@
     pub(super) model: ServerModel,
     zone: u32,
     reachability: Reachability,
-    /// Number of process starts so far. A connection belongs to the start in which it was opened.
+    /// Number that identifies the current process: incremented when a process ends and when one
+    /// starts. A connection belongs to the process that opened it.
     start_number: u32,
     /// When the process started; 0 if it started before the run.
     started_at: Micros,
@@ -104,19 +105,20 @@
         self.reset_share
     }
 
-    /// The start number that a new connection would belong to; `None` if connections are refused.
-    pub(super) fn open_start(&self) -> Option<u32> {
+    /// Number of the current process start, to which a new connection would belong; `None` if
+    /// connections are refused.
+    pub(super) fn start_number_unless_refusing(&self) -> Option<u32> {
         (self.reachability != Reachability::Refusing).then_some(self.start_number)
     }
 
-    /// Opens a connection and returns its start number; `None` if it is refused.
+    /// Opens a connection and returns the start number that it belongs to; `None` if it is refused.
     pub(super) fn try_connect(&mut self) -> Option<u32> {
         let accepted = self.reachability == Reachability::Open && self.model.try_connect();
         accepted.then_some(self.start_number)
     }
 
-    /// Closes a connection that was opened in the start of this number. Those of earlier starts
-    /// ended with their process.
+    /// Closes a connection to the process of this start number. Connections to earlier processes
+    /// ended with them.
     pub(super) fn close_connection(&mut self, start_number: u32) {
         if start_number == self.start_number {
             self.model.on_disconnected();
--- a/crates/testbed/src/simulator/fleet/tests.rs
+++ b/crates/testbed/src/simulator/fleet/tests.rs
@@ -61,7 +61,7 @@
                 return Some((context.now(), outcome));
             }
             SimulatorEvent::ServerTimer(server, generation) => {
-                fleet.on_server_due(server, generation, attempts, context);
+                fleet.on_server_timer(server, generation, attempts, context);
             }
             _ => {}
         }
@@ -104,7 +104,7 @@
 
     fleet.on_connect(attempt, &mut attempts, &mut context);
 
-    assert!(fleet.open_start(SERVER).is_none());
+    assert!(fleet.start_number_unless_refusing(SERVER).is_none());
     let expected = (DELAY, Outcome::ConnectFailed);
     let ended = result(&mut fleet, &mut attempts, &mut context);
     assert_eq!(ended, Some(expected));
--- a/crates/testbed/src/simulator/sidecars/attempt_connections.rs
+++ b/crates/testbed/src/simulator/sidecars/attempt_connections.rs
@@ -76,21 +76,21 @@
     deps.context.record(started);
 }
 
-/// Closes an attempt's connection. If the request was written, the server notices after the one-way
+/// Closes an attempt's connection. If the request was written, the server detects it after the one-way
 /// delay.
 pub(super) fn close_connection(key: AttemptKey, deps: &mut Dependencies<'_, '_>) {
     let Some(attempt) = deps.attempts.get_mut(key) else {
         return;
     };
-    let Some(server_start) = attempt.take_connection() else {
+    let Some(server_start_number) = attempt.take_connection() else {
         return;
     };
     let server = attempt.details.server;
-    deps.fleet.close_connection(server, server_start);
+    deps.fleet.close_connection(server, server_start_number);
     if attempt.is_written() {
         let cancellation = SimulatorEvent::CancellationAtServer(Cancellation {
             server,
-            server_start,
+            server_start_number,
             job: attempt.job(),
         });
         deps.context
--- a/crates/testbed/src/simulator/sidecars/endpoints.rs
+++ b/crates/testbed/src/simulator/sidecars/endpoints.rs
@@ -20,7 +20,7 @@
 
 /// The last endpoint list that a sidecar received, which survives its restarts.
 pub(super) struct CachedEndpoints {
-    version: u64,
+    revision: u64,
     endpoints: BTreeMap<ServerIndex, ListedEndpoint>,
 }
 
@@ -29,7 +29,7 @@
     pub(super) fn new(discovery: &Discovery) -> Self {
         let current = discovery.current_endpoints();
         Self {
-            version: discovery.version(),
+            revision: discovery.revision(),
             endpoints: current
                 .map(|endpoint| (endpoint.server, endpoint))
                 .collect(),
@@ -114,38 +114,38 @@
     /// Handles a notification of a change of the list.
     pub(super) fn on_watch_notification(&mut self, deps: &mut Dependencies<'_, '_>) {
         let discovery = &*deps.discovery;
-        let has_changes = self.subscription.cached.version < discovery.version();
+        let has_changes = self.subscription.cached.revision < discovery.revision();
         if self.subscription.is_watching && discovery.is_up() && has_changes {
             self.apply_changes(deps);
         }
     }
 
-    /// Ends the watch from discovery's side, which the sidecar notices after a delay.
-    pub(super) fn end_watch(&mut self, notice_delay: Micros, context: &mut Context<'_>) {
+    /// Ends the watch from discovery's side, which the sidecar detects after a delay.
+    pub(super) fn end_watch(&mut self, detection_delay: Micros, context: &mut Context<'_>) {
         if std::mem::take(&mut self.subscription.is_watching) {
             let poll = EndpointPoll {
                 process: self.process(),
                 number: self.subscription.poll_count,
             };
             let result = PollResult { poll, failed: true };
-            context.schedule_after(notice_delay, SimulatorEvent::PollResult(result));
+            context.schedule_after(detection_delay, SimulatorEvent::PollResult(result));
         }
     }
 
     /// Delivers the cached list to a new balancer.
     pub(super) fn restore_endpoints(&mut self, deps: &mut Dependencies<'_, '_>) {
         let cached = &self.subscription.cached;
-        let version = cached.version;
+        let revision = cached.revision;
         let entries: Vec<_> = cached.endpoints.values().copied().collect();
-        self.deliver_endpoints(UpdateKind::Cached, version, &entries, deps);
+        self.deliver_endpoints(UpdateKind::Cached, revision, &entries, deps);
     }
 
-    /// Applies all changes since the version of the cached list; there may be none.
+    /// Applies all changes since the revision of the cached list; there may be none.
     fn apply_changes(&mut self, deps: &mut Dependencies<'_, '_>) {
         let discovery = &*deps.discovery;
-        let version = discovery.version();
-        let changes = discovery.changes_since(self.subscription.cached.version);
-        self.deliver_endpoints(UpdateKind::Incremental, version, &changes, deps);
+        let revision = discovery.revision();
+        let changes = discovery.changes_since(self.subscription.cached.revision);
+        self.deliver_endpoints(UpdateKind::Incremental, revision, &changes, deps);
     }
 
     /// Tells the balancer that updates of the endpoint list have stopped.
@@ -162,7 +162,7 @@
     fn deliver_endpoints(
         &mut self,
         kind: UpdateKind,
-        version: u64,
+        revision: u64,
         listed: &[ListedEndpoint],
         deps: &mut Dependencies<'_, '_>,
     ) {
@@ -178,10 +178,10 @@
             self.subscription.cached.apply(endpoint);
             endpoints.push(balancer_endpoint(endpoint, deps.fleet, scenario));
         }
-        self.subscription.cached.version = version;
+        self.subscription.cached.revision = revision;
         let update = BalancerEvent::EndpointsUpdated {
             kind,
-            version,
+            version: revision,
             endpoints,
         };
         self.handle_balancer_event(update, deps);
--- a/crates/testbed/src/simulator/sidecars/idle_connections.rs
+++ b/crates/testbed/src/simulator/sidecars/idle_connections.rs
@@ -20,7 +20,7 @@
 struct IdleConnection {
     idle_since: Micros,
     /// Start number of the server process that the connection belongs to.
-    server_start: u32,
+    server_start_number: u32,
 }
 
 /// Idle connections by server; the most recently used one is reused first.
@@ -34,12 +34,16 @@
         self.pools.entry(server).or_default().push_back(connection);
     }
 
-    /// Takes the most recently used connection to the server's current process, whose start number
-    /// is `open_start`, or `None` while the server refuses connections. Connections to earlier
-    /// processes are dropped, as those processes have reset them.
-    fn take(&mut self, server: ServerIndex, open_start: Option<u32>) -> Option<IdleConnection> {
+    /// Takes the most recently used connection to the server's current process. Connections to
+    /// earlier processes are dropped, as those processes have reset them. `current_start_number` is
+    /// that of the current process, or `None` while the server refuses connections.
+    fn take(
+        &mut self,
+        server: ServerIndex,
+        current_start_number: Option<u32>,
+    ) -> Option<IdleConnection> {
         let pool = self.pools.get_mut(&server)?;
-        pool.retain(|connection| Some(connection.server_start) == open_start);
+        pool.retain(|connection| Some(connection.server_start_number) == current_start_number);
         pool.pop_back()
     }
 
@@ -50,7 +54,7 @@
             pool.retain(|connection| {
                 let expired = connection.idle_since <= before;
                 if expired {
-                    close(server, connection.server_start);
+                    close(server, connection.server_start_number);
                 }
                 !expired
             });
@@ -62,7 +66,7 @@
     pub(super) fn into_connections(self) -> impl Iterator<Item = (ServerIndex, u32)> {
         self.pools.into_iter().flat_map(|(server, pool)| {
             pool.into_iter()
-                .map(move |connection| (server, connection.server_start))
+                .map(move |connection| (server, connection.server_start_number))
         })
     }
 }
@@ -75,12 +79,13 @@
         server: ServerIndex,
         deps: &mut Dependencies<'_, '_>,
     ) -> Option<u32> {
-        let open_start = deps.fleet.open_start(server);
-        let connection = self.connections.take(server, open_start)?;
+        let current_start_number = deps.fleet.start_number_unless_refusing(server);
+        let connection = self.connections.take(server, current_start_number)?;
         if connection.idle_since + reuse_timeout(deps.context) > deps.context.now() {
-            return Some(connection.server_start);
+            return Some(connection.server_start_number);
         }
-        deps.fleet.close_connection(server, connection.server_start);
+        deps.fleet
+            .close_connection(server, connection.server_start_number);
         None
     }
 
@@ -90,17 +95,17 @@
         &mut self,
         server: ServerIndex,
         idle_since: Micros,
-        server_start: u32,
+        server_start_number: u32,
         fleet: &mut Fleet,
     ) {
         if self.is_up() {
             let connection = IdleConnection {
                 idle_since,
-                server_start,
+                server_start_number,
             };
             self.connections.add(server, connection);
         } else {
-            fleet.close_connection(server, server_start);
+            fleet.close_connection(server, server_start_number);
         }
     }
 
@@ -110,8 +115,8 @@
             return;
         };
         self.connections
-            .remove_idle_since(before, |server, server_start| {
-                fleet.close_connection(server, server_start);
+            .remove_idle_since(before, |server, server_start_number| {
+                fleet.close_connection(server, server_start_number);
             });
     }
 }
--- a/crates/testbed/src/simulator/sidecars/mod.rs
+++ b/crates/testbed/src/simulator/sidecars/mod.rs
@@ -88,10 +88,10 @@
         watching.map(Sidecar::process)
     }
 
-    /// Ends all watches of the endpoint list, which the sidecars notice after a delay.
-    pub(super) fn end_watches(&mut self, notice_delay: Micros, context: &mut Context<'_>) {
+    /// Ends all watches of the endpoint list, which the sidecars detect after a delay.
+    pub(super) fn end_watches(&mut self, detection_delay: Micros, context: &mut Context<'_>) {
         for sidecar in &mut self.sidecars {
-            sidecar.end_watch(notice_delay, context);
+            sidecar.end_watch(detection_delay, context);
         }
     }
 
--- a/crates/testbed/src/simulator/sidecars/requests.rs
+++ b/crates/testbed/src/simulator/sidecars/requests.rs
@@ -25,7 +25,7 @@
 }
 
 impl OpenRequest {
-    /// Closes the request's connections when the sidecar's process is killed. The client notices
+    /// Closes the request's connections when the sidecar's process is killed. The client detects
     /// the loss of its own connection.
     pub(super) fn on_process_killed(self, deps: &mut Dependencies<'_, '_>) {
         for attempt in self.attempts {
--- a/crates/testbed/src/simulator/sidecars/sidecar.rs
+++ b/crates/testbed/src/simulator/sidecars/sidecar.rs
@@ -89,33 +89,33 @@
     /// it `SHUTDOWN_GRACE` to respond to them before it is killed.
     pub(super) fn on_restart(&mut self, restart: &SidecarRestart, deps: &mut Dependencies<'_, '_>) {
         if restart.kill {
-            self.kill(restart.down_time, deps);
+            self.kill(restart.downtime, deps);
             return;
         }
         self.record_state(ProcessState::ShuttingDown, deps);
         let kill = SimulatorEvent::SidecarRestart(SidecarRestart {
             sidecar: self.index,
-            down_time: restart.down_time.saturating_sub(SHUTDOWN_GRACE),
+            downtime: restart.downtime.saturating_sub(SHUTDOWN_GRACE),
             kill: true,
         });
         deps.context.schedule_after(SHUTDOWN_GRACE, kill);
     }
 
-    fn kill(&mut self, down_time: Micros, deps: &mut Dependencies<'_, '_>) {
+    fn kill(&mut self, downtime: Micros, deps: &mut Dependencies<'_, '_>) {
         self.record_state(ProcessState::Killed, deps);
         self.balancer = None;
         self.incarnation += 1;
         self.subscription.on_watch_ended();
         let connections = std::mem::take(&mut self.connections);
-        for (server, server_start) in connections.into_connections() {
-            deps.fleet.close_connection(server, server_start);
+        for (server, server_start_number) in connections.into_connections() {
+            deps.fleet.close_connection(server, server_start_number);
         }
         let open_requests = std::mem::take(&mut self.open_requests);
         for request in open_requests.into_values() {
             request.on_process_killed(deps);
         }
         let up = SimulatorEvent::SidecarUp(self.index);
-        deps.context.schedule_after(down_time, up);
+        deps.context.schedule_after(downtime, up);
     }
 
     fn record_state(&self, state: ProcessState, deps: &mut Dependencies<'_, '_>) {
