--- a/crates/testbed/src/audit/cold_server.rs
+++ b/crates/testbed/src/audit/cold_server.rs
@@ -1,4 +1,5 @@
-//! The rule that sidecars which know of a server's start do not overload it while it is cold.
+//! The rule that sidecars which were notified of a server's start do not overload it while it is
+//! cold.
 //!
 //! Sums the work that each cold server received within a sliding window. An overload is reported
 //! once for each start of the server.
@@ -13,10 +14,10 @@
 use crate::scenario::Micros;
 use crate::server_model::cold_work_limit;
 
-/// Smallest share of the work in the window that must come from sidecars that know of the server's
-/// start for an overload to be a violation. Below it, those sidecars could not have prevented the
-/// overload.
-const MIN_INFORMED_SHARE: f64 = 2.0 / 3.0;
+/// An overload is a violation if at least this share of the work in the window came from sidecars
+/// that were notified of the server's start. With a smaller share, those sidecars could not have
+/// prevented it.
+const MIN_NOTIFIED_SHARE: f64 = 2.0 / 3.0;
 
 /// Work that a server received, with the server's state at that time.
 pub(super) struct ReceivedWork {
@@ -30,8 +31,8 @@
 struct WindowEntry {
     at: Micros,
     work: f64,
-    /// Whether the sending sidecar knew of the server's start.
-    informed: bool,
+    /// Whether the sending sidecar was notified of the server's latest start.
+    sender_notified: bool,
 }
 
 #[derive(Default)]
@@ -61,7 +62,7 @@
         self.window.push_back(WindowEntry {
             at,
             work: received.work,
-            informed: notified_start.is_some_and(|notified| notified >= started_at),
+            sender_notified: notified_start.is_some_and(|notified| notified >= started_at),
         });
         while self.window.front().is_some_and(|e| e.at + window <= at) {
             self.window.pop_front();
@@ -72,10 +73,10 @@
         self.window.iter().map(|entry| entry.work).sum()
     }
 
-    /// Work from sidecars that knew of the server's start.
-    fn informed_work_in_window(&self) -> f64 {
-        let informed = self.window.iter().filter(|entry| entry.informed);
-        informed.map(|entry| entry.work).sum()
+    /// Work in the window that came from sidecars that were notified of the server's latest start.
+    fn work_from_notified_sidecars(&self) -> f64 {
+        let notified = self.window.iter().filter(|entry| entry.sender_notified);
+        notified.map(|entry| entry.work).sum()
     }
 }
 
@@ -134,9 +135,9 @@
         }
         server.add_to_window(&received, window, notified_start);
         let total = server.work_in_window();
-        let informed = server.informed_work_in_window();
+        let notified_work = server.work_from_notified_sidecars();
         let limit = cold_work_limit(factor, received.capacity, window, received.work);
-        if total <= limit || informed < MIN_INFORMED_SHARE * total || server.reported {
+        if total <= limit || notified_work < MIN_NOTIFIED_SHARE * total || server.reported {
             return None;
         }
         server.reported = true;
--- a/crates/testbed/src/emulator/discovery/connection.rs
+++ b/crates/testbed/src/emulator/discovery/connection.rs
@@ -8,7 +8,7 @@
 
 use tokio::net::TcpStream;
 
-use super::{Discovery, DiscoveryMode};
+use super::{Availability, Discovery};
 use crate::emulator::http::{HttpConnection, format_response};
 use crate::event_log::LogEvent;
 use crate::index::SidecarIndex;
@@ -31,16 +31,16 @@
 impl Discovery {
     /// Serves one request on a connection, which is closed when the service goes down.
     pub(super) async fn serve(self: Arc<Self>, stream: TcpStream, sidecar: SidecarIndex) {
-        let mut mode = self.mode.subscribe();
+        let mut availability = self.availability.subscribe();
         let mut connection = HttpConnection::new(stream);
-        let down = *self.mode.borrow() == DiscoveryMode::Down;
+        let down = *self.availability.borrow() == Availability::Down;
         if down {
             let _ = connection.write(&unavailable_response()).await;
             return;
         }
         let service_down = async {
-            while *mode.borrow_and_update() != DiscoveryMode::Down {
-                if mode.changed().await.is_err() {
+            while *availability.borrow_and_update() != Availability::Down {
+                if availability.changed().await.is_err() {
                     return;
                 }
             }
@@ -56,9 +56,9 @@
 
     /// Waits while the service is silent.
     async fn wait_while_silent(&self) {
-        let mut mode = self.mode.subscribe();
-        while *mode.borrow_and_update() == DiscoveryMode::Silent {
-            if mode.changed().await.is_err() {
+        let mut availability = self.availability.subscribe();
+        while *availability.borrow_and_update() == Availability::Silent {
+            if availability.changed().await.is_err() {
                 return;
             }
         }
--- a/crates/testbed/src/emulator/discovery/mod.rs
+++ b/crates/testbed/src/emulator/discovery/mod.rs
@@ -29,9 +29,9 @@
 
 use endpoint_list::{EndpointList, ListEntry};
 
-/// Whether and how the service responds.
+/// Availability of the service, as in the simulator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum DiscoveryMode {
+pub(super) enum Availability {
     /// Responds normally.
     Up,
     /// Responds with errors, and closes all connections.
@@ -60,7 +60,7 @@
     random: Mutex<RandomStream>,
     /// Revision of the list; watches wait for it to change.
     revision: watch::Sender<u64>,
-    mode: watch::Sender<DiscoveryMode>,
+    availability: watch::Sender<Availability>,
 }
 
 async fn listen(address: SocketAddr) -> Result<TcpListener, EmulatorError> {
@@ -95,7 +95,7 @@
             list: Mutex::new(list),
             busy_until: Mutex::new(0),
             random: Mutex::new(RandomStream::new(seed, StreamId::Discovery, 0)),
-            mode: watch::channel(DiscoveryMode::Up).0,
+            availability: watch::channel(Availability::Up).0,
         });
         for (sidecar, listener) in SidecarIndex::all(listeners.len()).zip(listeners) {
             let accept_loop = Arc::clone(&discovery).accept(listener, sidecar);
@@ -115,8 +115,8 @@
         self.addresses[sidecar.index()]
     }
 
-    pub(super) fn set_mode(&self, mode: DiscoveryMode) {
-        self.mode.send_replace(mode);
+    pub(super) fn set_availability(&self, availability: Availability) {
+        self.availability.send_replace(availability);
     }
 
     /// Lists the new status of a server, unless a later incarnation of it is listed. `position` is
--- a/crates/testbed/src/emulator/emulated_server/faults.rs
+++ b/crates/testbed/src/emulator/emulated_server/faults.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use super::{EmulatedServer, NetworkMode};
+use super::{EmulatedServer, Reachability};
 use crate::emulator::lock::lock;
 use crate::event_log::ServerState;
 use crate::index::ServerIndex;
@@ -31,18 +31,18 @@
 }
 
 impl EmulatedServer {
-    /// Stops the process, or the whole machine in the mode `Silent`; all executions are lost.
-    pub(in crate::emulator) async fn stop(self: &Arc<Self>, mode: NetworkMode) {
+    /// Stops the process, or the whole machine if `reachability` is `Silent`; all executions are lost.
+    pub(in crate::emulator) async fn stop(self: &Arc<Self>, reachability: Reachability) {
         self.network.send_modify(|network| {
-            network.mode = mode;
-            network.connection_epoch += u32::from(mode == NetworkMode::Refusing);
+            network.reachability = reachability;
+            network.connection_epoch += u32::from(reachability == Reachability::Refusing);
         });
         {
             let mut process = lock(&self.process);
             process.stop(self.shared.clock.now());
         }
         self.listeners.close().await;
-        if mode == NetworkMode::Silent {
+        if reachability == Reachability::Silent {
             self.listen_without_accepting();
         }
     }
@@ -57,7 +57,7 @@
         lock(&self.process).start(now);
         self.record_state_at(now, ServerState::Cold);
         self.network.send_modify(|network| {
-            network.mode = NetworkMode::Open;
+            network.reachability = Reachability::Open;
             network.connection_epoch += 1;
         });
         self.listen_again().await;
--- a/crates/testbed/src/emulator/emulated_server/mod.rs
+++ b/crates/testbed/src/emulator/emulated_server/mod.rs
@@ -39,9 +39,9 @@
 /// server models.
 const RANDOM_STREAM_OFFSET: usize = 1 << 20;
 
-/// How the network at a server behaves.
+/// How a server reacts to packets, as in the simulator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum NetworkMode {
+pub(super) enum Reachability {
     /// Connections are accepted.
     Open,
     /// Connections are refused: the process is not running.
@@ -53,7 +53,7 @@
 /// State of the network at a server.
 #[derive(Clone, Copy)]
 struct Network {
-    mode: NetworkMode,
+    reachability: Reachability,
     /// Incremented to reset all open connections.
     connection_epoch: u32,
 }
@@ -103,13 +103,13 @@
     ) -> Result<Self, EmulatorError> {
         let scenario = &shared.scenario;
         let stream = RANDOM_STREAM_OFFSET + index.index();
-        let random = RandomStream::new(scenario.seed, StreamId::Machines, stream);
+        let random = RandomStream::new(scenario.seed, StreamId::Servers, stream);
         let model = ServerModel::from_scenario(scenario, machine_type, index, 0, group.cold);
         let addresses = (0..scenario.sidecars.count)
             .map(|_| allocate_address())
             .collect::<Result<_, _>>()?;
         let network = Network {
-            mode: NetworkMode::Open,
+            reachability: Reachability::Open,
             connection_epoch: 0,
         };
         Ok(Self {
@@ -170,7 +170,7 @@
     }
 
     fn is_silent(&self) -> bool {
-        self.network.borrow().mode == NetworkMode::Silent
+        self.network.borrow().reachability == Reachability::Silent
     }
 
     /// Changes the process, applies the events of its model, and wakes the model's task.
@@ -205,7 +205,7 @@
     fn on_overload_shutdown(&self) {
         self.record_state(ServerState::OverloadShutdown);
         self.network.send_modify(|network| {
-            network.mode = NetworkMode::Refusing;
+            network.reachability = Reachability::Refusing;
             network.connection_epoch += 1;
         });
         self.listeners.abort();
--- a/crates/testbed/src/emulator/fault_schedule.rs
+++ b/crates/testbed/src/emulator/fault_schedule.rs
@@ -12,8 +12,8 @@
 use tokio::task::JoinSet;
 
 use super::Emulation;
-use super::discovery::{Discovery, DiscoveryMode};
-use super::emulated_server::{EmulatedServer, NetworkMode, ResponseFault};
+use super::discovery::{Availability, Discovery};
+use super::emulated_server::{EmulatedServer, Reachability, ResponseFault};
 use super::shared::Shared;
 use super::sidecars::Termination;
 use crate::event_log::{ListedStatus, ServerState};
@@ -34,10 +34,10 @@
                 restart_sidecars(emulation, fault_index, fault, &mut tasks);
             }
             FaultKind::DiscoveryDown => {
-                tasks.spawn(run_discovery_fault(emulation, fault, DiscoveryMode::Down));
+                tasks.spawn(run_discovery_fault(emulation, fault, Availability::Down));
             }
             FaultKind::DiscoverySilent => {
-                tasks.spawn(run_discovery_fault(emulation, fault, DiscoveryMode::Silent));
+                tasks.spawn(run_discovery_fault(emulation, fault, Availability::Silent));
             }
             _ => schedule_server_faults(
                 emulation,
@@ -87,11 +87,11 @@
     }
 }
 
-/// Sets the mode of discovery for the duration of the fault.
+/// Sets the availability of discovery for the duration of the fault.
 fn run_discovery_fault(
     emulation: &Emulation,
     fault: &Fault,
-    mode: DiscoveryMode,
+    availability: Availability,
 ) -> impl Future<Output = ()> + Send + 'static {
     let discovery = Arc::clone(&emulation.discovery);
     let clock = emulation.shared.clock;
@@ -99,9 +99,9 @@
     let duration = from_s(fault.for_s);
     async move {
         clock.sleep_until(at).await;
-        discovery.set_mode(mode);
+        discovery.set_availability(availability);
         clock.sleep_until(at + duration).await;
-        discovery.set_mode(DiscoveryMode::Up);
+        discovery.set_availability(Availability::Up);
     }
 }
 
@@ -173,12 +173,12 @@
             FaultKind::ConnectionResets => server.set_response_fault(ResponseFault::Reset(share)),
             FaultKind::Crash => {
                 server.record_state(ServerState::Down);
-                server.stop(NetworkMode::Refusing).await;
+                server.stop(Reachability::Refusing).await;
                 self.schedule_list_update(server_index, ListedStatus::Gone, discovery.notice_ms);
             }
             FaultKind::Silence => {
                 server.record_state(ServerState::Silent);
-                server.stop(NetworkMode::Silent).await;
+                server.stop(Reachability::Silent).await;
                 self.schedule_list_update(
                     server_index,
                     ListedStatus::Gone,
@@ -213,7 +213,7 @@
                 self.schedule_list_update(server_index, ListedStatus::Ready, add_ms);
             }
             FaultKind::Drain => {
-                server.stop(NetworkMode::Refusing).await;
+                server.stop(Reachability::Refusing).await;
                 server.restart(None).await;
                 self.schedule_list_update(server_index, ListedStatus::Ready, add_ms);
             }
@@ -225,7 +225,7 @@
     /// Stops the server and starts another one, with a new index, at its addresses.
     async fn replace(&self, server_index: ServerIndex) {
         let discovery = &self.shared.scenario.discovery;
-        self.server.stop(NetworkMode::Refusing).await;
+        self.server.stop(Reachability::Refusing).await;
         self.server.record_state(ServerState::Down);
         self.schedule_list_update(server_index, ListedStatus::Gone, discovery.notice_ms);
         let replacement = ServerIndex::new(self.next_server_index.fetch_add(1, Ordering::Relaxed));
--- a/crates/testbed/src/emulator/mod.rs
+++ b/crates/testbed/src/emulator/mod.rs
@@ -134,26 +134,26 @@
     }
 }
 
-/// Runs a scenario on sockets and reports its results; `additional_log` receives the event log too.
+/// Runs a scenario on sockets and reports its results; `extra_log` receives the event log too.
 ///
 /// # Errors
 /// If the emulation cannot be set up, or a sidecar cannot be started.
 pub fn run(
     scenario: &Scenario,
     options: &Options,
-    additional_log: Option<&mut dyn EventSink>,
+    extra_log: Option<&mut dyn EventSink>,
 ) -> Result<Report, EmulatorError> {
     let result = runtime()?.block_on(async {
         let emulation = Emulation::set_up(scenario, options).await?;
         emulation.run().await
     })?;
-    Ok(build_report(scenario, result, additional_log))
+    Ok(build_report(scenario, result, extra_log))
 }
 
 fn build_report(
     scenario: &Scenario,
     result: EmulationResult,
-    additional_log: Option<&mut dyn EventSink>,
+    extra_log: Option<&mut dyn EventSink>,
 ) -> Report {
     let extra_time = from_ms(scenario.rules.emulator_extra_ms);
     let mut auditor = Auditor::new(scenario, extra_time);
@@ -161,7 +161,7 @@
     let mut readers = Tee {
         first: &mut auditor,
         second: &mut statistics,
-        further: additional_log,
+        third: extra_log,
     };
     result
         .records
--- a/crates/testbed/src/event_log/writer.rs
+++ b/crates/testbed/src/event_log/writer.rs
@@ -1,6 +1,4 @@
-//! Sinks of events: the trait, a tee, and a writer of JSON lines.
-//!
-//! The caller chooses where a log is stored.
+//! Sinks of records: the trait, a tee, and a writer of JSON lines.
 
 use std::io::{self, Write};
 
@@ -18,22 +16,22 @@
     }
 }
 
-/// Passes each record to the two sinks that every run has, and to an optional third.
+/// Passes each record to the two sinks that every run has, and to an optional third one.
 pub struct Tee<'a, 'b, A, B> {
     /// Receives each record first.
     pub first: &'a mut A,
     /// Receives each record second.
     pub second: &'a mut B,
     /// Receives each record last, if present.
-    pub further: Option<&'b mut dyn EventSink>,
+    pub third: Option<&'b mut dyn EventSink>,
 }
 
 impl<A: EventSink, B: EventSink> EventSink for Tee<'_, '_, A, B> {
     fn record(&mut self, record: &LogRecord) {
         self.first.record(record);
         self.second.record(record);
-        if let Some(further) = &mut self.further {
-            further.record(record);
+        if let Some(third) = &mut self.third {
+            third.record(record);
         }
     }
 }
--- a/crates/testbed/src/random.rs
+++ b/crates/testbed/src/random.rs
@@ -1,7 +1,5 @@
-//! Independent random streams, one per purpose and index, so that adding a server, say, does not
-//! change the arrivals.
-//!
-//! Only draws numbers; the callers decide what to use them for.
+//! Independent random streams, one per purpose and index, so that adding a server, for example, does
+//! not change the arrivals.
 
 use rand::{RngExt as _, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
@@ -21,8 +19,8 @@
     Clients = 3,
     /// Network delays, and the noise of attempts; indexed by sidecar.
     Network = 4,
-    /// Speed and errors of servers, indexed by server; also resets and malformed responses.
-    Machines = 5,
+    /// Speeds and errors of servers, indexed by server; also resets and malformed responses.
+    Servers = 5,
     /// Shares of the traffic that the sidecars receive.
     TrafficShares = 6,
     /// Targets of faults; indexed by fault.
@@ -45,7 +43,8 @@
 pub struct RandomStream(ChaCha8Rng);
 
 impl RandomStream {
-    /// The stream for a purpose and an index, such as that of a sidecar. `seed` is the scenario's.
+    /// Creates the stream of the scenario's `seed` for a purpose and an index, such as the index of a
+    /// sidecar.
     pub fn new(seed: u64, id: StreamId, index: usize) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         rng.set_stream((id as u64) << INDEX_BITS | u64_from_count(index));
--- a/crates/testbed/src/scenario/check/faults.rs
+++ b/crates/testbed/src/scenario/check/faults.rs
@@ -73,7 +73,7 @@
         };
         for (i, later) in removing() {
             for (j, earlier) in removing() {
-                if !starts_during((i, later), (j, earlier)) {
+                if !overlaps_earlier_fault((i, later), (j, earlier)) {
                     continue;
                 }
                 if let Some(name) = common_server(later, earlier) {
@@ -94,9 +94,9 @@
     )
 }
 
-/// Whether a fault starts during another, earlier one. Of two that start at the same time, the one
-/// that is first in the file is the earlier.
-fn starts_during(later: (usize, &Fault), earlier: (usize, &Fault)) -> bool {
+/// Whether a fault, given with its index, starts while an earlier one is active. Of two faults that
+/// start at the same time, the first one in the file counts as earlier.
+fn overlaps_earlier_fault(later: (usize, &Fault), earlier: (usize, &Fault)) -> bool {
     let (later_index, later) = later;
     let (earlier_index, earlier) = earlier;
     let is_later =
--- a/crates/testbed/src/server_model/service.rs
+++ b/crates/testbed/src/server_model/job_progress.rs
@@ -1,4 +1,4 @@
-//! Advances a server's jobs over time.
+//! The progress of a server's jobs over time: they start, run and complete as the model advances.
 //!
 //! Time advances in steps; `speed` computes the speed, which is constant within a step.
 
--- a/crates/testbed/src/server_model/mod.rs
+++ b/crates/testbed/src/server_model/mod.rs
@@ -2,15 +2,16 @@
 //! and reads no clock: the simulator and the emulator pass in the time, so that both run the same
 //! server.
 //!
-//! All running jobs progress at the same rate (processor sharing): `running_jobs` holds their
-//! progress, and `service` advances it over time at the rate that `speed` computes. Slow start,
-//! contention and load reports each own their state.
+//! All running jobs progress at the same rate (processor sharing): `running_jobs` stores their
+//! progress, and `job_progress` advances it over time at the rate that `speed` computes.
+//! `slow_start`, `contention`, `load_report` and `health_check_limiter` have the model's other parts,
+//! and `state_change` changes its state.
 
 mod contention;
 mod health_check_limiter;
+mod job_progress;
 mod load_report;
 mod running_jobs;
-mod service;
 mod slow_start;
 mod speed;
 mod state_change;
@@ -146,7 +147,7 @@
         now: Micros,
         cold: bool,
     ) -> Self {
-        let mut random = RandomStream::new(scenario.seed, StreamId::Machines, index.index() + 1);
+        let mut random = RandomStream::new(scenario.seed, StreamId::Servers, index.index() + 1);
         let spread = machine_type.speed_spread;
         let warm_core_speed = machine_type.speed * random.uniform_in(1.0 - spread, 1.0 + spread);
         let rule = OverloadRule {
--- a/crates/testbed/src/server_model/state_change.rs
+++ b/crates/testbed/src/server_model/state_change.rs
@@ -1,6 +1,6 @@
 //! Changes to a server's state by faults, connections and cancellations.
 //!
-//! Jobs progress in `service`.
+//! Jobs progress in `job_progress`.
 
 use super::{RunState, ServerModel, ServerModelEvent};
 use crate::conversion::MICROS_PER_MS;
--- a/crates/testbed/src/server_model/tests.rs
+++ b/crates/testbed/src/server_model/tests.rs
@@ -9,7 +9,7 @@
 use crate::scenario::{Contention, LoadReportSource, LoadReports, MachineType, Micros};
 
 fn server_of(machine_type: MachineType) -> ServerModel {
-    let random = RandomStream::new(1, StreamId::Machines, 0);
+    let random = RandomStream::new(1, StreamId::Servers, 0);
     let rule = OverloadRule {
         factor: 2.5,
         window: 1_500_000,
--- a/crates/testbed/src/simulator/fleet/mod.rs
+++ b/crates/testbed/src/simulator/fleet/mod.rs
@@ -39,7 +39,7 @@
         let scenario = context.scenario();
         let mut fleet = Self {
             servers: Vec::new(),
-            random: RandomStream::new(scenario.seed, StreamId::Machines, 0),
+            random: RandomStream::new(scenario.seed, StreamId::Servers, 0),
             model_events: Vec::new(),
         };
         for (position, (machine_type, group)) in scenario.fleet().into_iter().enumerate() {
--- a/crates/testbed/src/simulator/run.rs
+++ b/crates/testbed/src/simulator/run.rs
@@ -29,7 +29,7 @@
     let mut readers = Tee {
         first: &mut auditor,
         second: &mut statistics,
-        further: extra_log,
+        third: extra_log,
     };
     let mut simulator = Simulator::new(scenario, &mut readers)?;
     simulator.run_to_completion();
