--- a/crates/testbed/src/audit/drain.rs
+++ b/crates/testbed/src/audit/drain.rs
@@ -1,7 +1,8 @@
 //! The rule that a sidecar starts no attempt to a server after the notification that the server
 //! drains or is gone.
 //!
-//! A grace period after the notification is allowed. `endpoint_view` keeps the notifications.
+//! An attempt may still start within a grace period after the notification. `endpoint_view` stores
+//! the notifications.
 
 use crate::conversion::s_from_micros;
 use crate::scenario::Micros;
--- a/crates/testbed/src/audit/endpoint_view.rs
+++ b/crates/testbed/src/audit/endpoint_view.rs
@@ -1,7 +1,7 @@
-//! The state of each server as each sidecar was notified of it.
+//! The state of each server according to the notifications that each sidecar received.
 //!
-//! It is derived from the notifications in the log alone. A sidecar's own endpoint table may
-//! differ, and the rules do not consider it.
+//! It is derived from the notifications in the log alone. The endpoint table in a sidecar's memory
+//! may differ, and the rules do not consider it.
 
 use rustc_hash::FxHashMap;
 
@@ -9,7 +9,7 @@
 use crate::index::{ServerIndex, SidecarIndex};
 use crate::scenario::Micros;
 
-/// The state of one server as one sidecar was notified of it.
+/// The state of one server according to the notifications that one sidecar received.
 #[derive(Default)]
 struct EndpointView {
     /// When the sidecar was first notified that the server drains or is gone; `None` if it was
--- a/crates/testbed/src/audit/requests.rs
+++ b/crates/testbed/src/audit/requests.rs
@@ -1,7 +1,7 @@
 //! The accepted requests, with the attempts that servers received.
 //!
-//! Keeps each request for a limited time after its deadline. The rules read this state; none is
-//! checked here.
+//! Keeps each request for a limited time after its deadline. The rules that read this state are
+//! checked in other files.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -81,7 +81,7 @@
         });
     }
 
-    /// Stores the outcome; true if the request already had a response.
+    /// Stores the outcome of a response; returns true if the request already had one.
     pub(super) fn on_response(&mut self, outcome: RequestOutcome) -> bool {
         self.response.replace(outcome).is_some()
     }
--- a/crates/testbed/src/audit/violation.rs
+++ b/crates/testbed/src/audit/violation.rs
@@ -10,7 +10,7 @@
 use crate::index::{RequestNumber, ServerIndex};
 use crate::scenario::Micros;
 
-/// Most violations that are listed, to keep reports readable; further ones are only counted.
+/// Maximum number of listed violations, to keep reports readable; further ones are only counted.
 const MAX_LISTED_VIOLATIONS: usize = 50;
 
 /// A rule that every run must keep.
@@ -25,7 +25,7 @@
     /// A sidecar starts no attempt to a server after the notification that the server drains or is
     /// gone.
     NoAttemptAfterDrain,
-    /// Sidecars that know of a server's start do not overload it while it is cold.
+    /// Sidecars that were notified of a server's start do not overload it while it is cold.
     ColdServerNotOverloaded,
     /// A request that a server may have executed is not rejected, unless a retry by the client has
     /// no further side effect.
--- a/crates/testbed/src/emulator/client/mod.rs
+++ b/crates/testbed/src/emulator/client/mod.rs
@@ -69,7 +69,7 @@
         let mut open_arrivals = JoinSet::new();
         for (index, arrival) in arrivals.enumerate() {
             self.shared.clock.sleep_until(arrival.at).await;
-            self.shared.record_delay(arrival.at);
+            self.shared.record_lag(arrival.at);
             open_arrivals.spawn(Arc::clone(&self).run_arrival(arrival, index));
             while open_arrivals.try_join_next().is_some() {}
         }
--- a/crates/testbed/src/emulator/emulated_server/connection.rs
+++ b/crates/testbed/src/emulator/emulated_server/connection.rs
@@ -48,7 +48,7 @@
     pub(super) async fn serve(self: Arc<Self>, stream: TcpStream, sidecar: SidecarIndex) {
         let mut network = self.network.subscribe();
         let epoch = network.borrow().connection_epoch;
-        let accepted = lock(&self.process).connect();
+        let accepted = lock(&self.process).try_connect();
         let _ = stream.set_zero_linger();
         if !accepted {
             return;
@@ -73,7 +73,7 @@
             tracing::debug!(%server, %sidecar, %error, "connection to emulated server failed");
         }
         if self.network.borrow().connection_epoch == epoch {
-            lock(&self.process).disconnect();
+            lock(&self.process).on_disconnected();
         }
     }
 
--- a/crates/testbed/src/emulator/emulated_server/faults.rs
+++ b/crates/testbed/src/emulator/emulated_server/faults.rs
@@ -12,17 +12,17 @@
 use crate::event_log::ServerState;
 use crate::index::ServerIndex;
 
-/// How often a restart tries to listen on the server's addresses: a sidecar process that was being
-/// started when the listener closed may have inherited its socket, which keeps the address in use
-/// for a while. If all attempts fail, the server stays unreachable.
-const MAX_LISTEN_ATTEMPTS: usize = 50;
-/// Time between two of these attempts.
+/// Number of times that a restart tries to listen on the server's addresses: a sidecar process that
+/// was being started when the listener closed may have inherited its socket, which keeps the
+/// address in use for a while. If all of them fail, the server stays unreachable.
+const MAX_LISTEN_TRIES: usize = 50;
+/// Time between two tries.
 const LISTEN_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A fault of the responses, with the share of the responses that it hits.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(in crate::emulator) enum ResponseFault {
-    /// Responses are errors; `None` restores the machine type's own share.
+    /// Responses are errors; `None` restores the share of the machine type.
     Errors(Option<f64>),
     /// Responses cannot be parsed.
     Malformed(f64),
@@ -31,7 +31,8 @@
 }
 
 impl EmulatedServer {
-    /// Stops the process, or the whole machine if `reachability` is `Silent`; all executions are lost.
+    /// Stops the process, or the whole machine if `reachability` is `Silent`; all executions are
+    /// lost.
     pub(in crate::emulator) async fn stop(self: &Arc<Self>, reachability: Reachability) {
         self.network.send_modify(|network| {
             network.reachability = reachability;
@@ -65,7 +66,7 @@
     }
 
     async fn listen_again(self: &Arc<Self>) {
-        for _ in 0..MAX_LISTEN_ATTEMPTS {
+        for _ in 0..MAX_LISTEN_TRIES {
             let Err(error) = self.listen().await else {
                 return;
             };
@@ -104,7 +105,7 @@
     /// Sets a fault of the responses from now on; a share of 0 ends it.
     pub(in crate::emulator) fn set_response_fault(&self, fault: ResponseFault) {
         self.update_process(|process, _| match fault {
-            ResponseFault::Errors(share) => process.set_error_share(share),
+            ResponseFault::Errors(share) => process.set_error_rate(share),
             ResponseFault::Malformed(share) => process.set_malformed_share(share),
             ResponseFault::Reset(share) => process.set_reset_share(share),
         });
--- a/crates/testbed/src/emulator/emulated_server/health_check.rs
+++ b/crates/testbed/src/emulator/emulated_server/health_check.rs
@@ -32,7 +32,7 @@
             self.shared.on_health_check_blackholed();
             return Reply::NoResponse;
         }
-        let report = self.update_process(|process, now| process.health_check(now));
+        let report = self.update_process(|process, now| process.answer_health_check(now));
         sleep_for(incoming.one_way_delay).await;
         Reply::Send(match report {
             Some(load) => {
--- a/crates/testbed/src/emulator/emulated_server/mod.rs
+++ b/crates/testbed/src/emulator/emulated_server/mod.rs
@@ -217,7 +217,7 @@
             match self.advance_model() {
                 Some(next) => {
                     tokio::select! {
-                        () = self.shared.clock.sleep_until(next) => self.shared.record_delay(next),
+                        () = self.shared.clock.sleep_until(next) => self.shared.record_lag(next),
                         () = self.process_changed.notified() => {}
                     }
                 }
--- a/crates/testbed/src/emulator/emulated_server/process.rs
+++ b/crates/testbed/src/emulator/emulated_server/process.rs
@@ -113,17 +113,17 @@
         overloaded
     }
 
-    /// Opens a connection; false if the server is at its limit of connections.
-    pub(super) fn connect(&mut self) -> bool {
+    /// Opens a connection; returns false if the server is at its limit of connections.
+    pub(super) fn try_connect(&mut self) -> bool {
         self.model.try_connect()
     }
 
-    pub(super) fn disconnect(&mut self) {
+    pub(super) fn on_disconnected(&mut self) {
         self.model.on_disconnected();
     }
 
     /// The load report of a health check; `None` if the check is rejected.
-    pub(super) fn health_check(&mut self, now: Micros) -> Option<LoadReport> {
+    pub(super) fn answer_health_check(&mut self, now: Micros) -> Option<LoadReport> {
         self.model.answer_health_check(now, &mut self.events)
     }
 
@@ -233,8 +233,8 @@
         self.draining = true;
     }
 
-    /// Sets the share of attempts that end in an error; `None` restores the machine type's own.
-    pub(super) fn set_error_share(&mut self, share: Option<f64>) {
+    /// Sets the share of attempts that end in an error; `None` restores that of the machine type.
+    pub(super) fn set_error_rate(&mut self, share: Option<f64>) {
         self.model.set_error_rate(share);
     }
 
--- a/crates/testbed/src/emulator/fault_schedule.rs
+++ b/crates/testbed/src/emulator/fault_schedule.rs
@@ -1,8 +1,7 @@
 //! Injects the faults of a scenario into the emulated servers, discovery and the sidecars.
 //!
 //! Schedules the start and end of each fault and the updates of the endpoint list that follow. The
-//! targets are drawn by the simulator's functions, so that a fault has the same targets in both
-//! engines.
+//! targets are drawn by `simulator::faults`, so that a fault has the same targets in both engines.
 
 use std::future::pending;
 use std::sync::Arc;
@@ -234,7 +233,7 @@
     }
 
     /// Updates the server's status in the endpoint list after `delay_ms`, the time until discovery
-    /// notices the change.
+    /// detects the change.
     fn schedule_list_update(&self, server_index: ServerIndex, status: ListedStatus, delay_ms: f64) {
         let discovery = Arc::clone(&self.discovery);
         let position = self.position;
--- a/crates/testbed/src/emulator/http/head.rs
+++ b/crates/testbed/src/emulator/http/head.rs
@@ -4,7 +4,7 @@
 
 use super::{Message, invalid_data};
 
-/// Most header fields that a message may have; the sidecar and the emulator send about ten.
+/// Maximum number of header fields in a message; the sidecar and the emulator send about ten.
 const MAX_HEADERS: usize = 64;
 
 /// Parses the head of a request, with its length in bytes; `None` while the head is incomplete.
--- a/crates/testbed/src/emulator/shared.rs
+++ b/crates/testbed/src/emulator/shared.rs
@@ -43,8 +43,8 @@
         self.record_at(self.clock.now(), event);
     }
 
-    /// Records how late an action that was due at `due` happens now.
-    pub(super) fn record_delay(&self, due: Micros) {
+    /// Records how late an event that was due at `due` runs now.
+    pub(super) fn record_lag(&self, due: Micros) {
         self.schedule_lag.record(due, self.clock.now());
     }
 
--- a/crates/testbed/src/emulator/sidecars/mod.rs
+++ b/crates/testbed/src/emulator/sidecars/mod.rs
@@ -42,7 +42,7 @@
     discovery: Arc<Discovery>,
     program: PathBuf,
     folder: PathBuf,
-    /// The operators' table of machine types, which each sidecar reads at its start.
+    /// File with the operators' table of machine types, which each sidecar reads at its start.
     machine_types_path: PathBuf,
     sidecars: Vec<Sidecar>,
 }
--- a/crates/testbed/src/emulator/sidecars/settings.rs
+++ b/crates/testbed/src/emulator/sidecars/settings.rs
@@ -1,8 +1,8 @@
 //! Builds the sidecars' configuration from a scenario.
 //!
 //! Defines the top-level keys of the configuration and those of the table of machine types. The
-//! keys of the settings and of the endpoint list are defined by `arrowstand_platform`; the
-//! balancer's settings are the simulator's.
+//! keys of the settings and of the endpoint list are defined by `arrowstand_platform`. The
+//! balancer's settings are built as for the simulator, by `simulator::sidecars::settings`.
 
 #[cfg(test)]
 mod tests;
--- a/crates/testbed/src/index.rs
+++ b/crates/testbed/src/index.rs
@@ -71,7 +71,8 @@
 }
 
 index_type! {
-    /// A server. Servers that replace others during a run are numbered after the scenario's own.
+    /// A server. Servers that replace others during a run are numbered after the servers of the
+    /// scenario.
     ServerIndex(u32)
 }
 
--- a/crates/testbed/src/random.rs
+++ b/crates/testbed/src/random.rs
@@ -1,5 +1,5 @@
-//! Independent random streams, one per purpose and index, so that adding a server, for example, does
-//! not change the arrivals.
+//! Independent random streams, one per purpose and index, so that adding a server, for example,
+//! does not change the arrivals.
 
 use rand::{RngExt as _, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
@@ -43,8 +43,8 @@
 pub struct RandomStream(ChaCha8Rng);
 
 impl RandomStream {
-    /// Creates the stream of the scenario's `seed` for a purpose and an index, such as the index of a
-    /// sidecar.
+    /// Creates the stream of the scenario's `seed` for a purpose and an index, such as the index of
+    /// a sidecar.
     pub fn new(seed: u64, id: StreamId, index: usize) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         rng.set_stream((id as u64) << INDEX_BITS | u64_from_count(index));
--- a/crates/testbed/src/scenario/check/faults.rs
+++ b/crates/testbed/src/scenario/check/faults.rs
@@ -7,7 +7,7 @@
 use crate::scenario::{Fault, FaultKind, Scenario};
 
 impl Scenario {
-    /// Checks each fault by itself and, if the scenario has no errors, the faults for overlaps.
+    /// Checks each fault, and then the faults for overlaps if no check has found an error so far.
     pub(super) fn check_faults(&self, checker: &mut Checker) {
         for (i, fault) in self.fault.iter().enumerate() {
             self.check_fault(checker, fault, &format!("fault[{i}]"));
--- a/crates/testbed/src/scenario/check/fleet.rs
+++ b/crates/testbed/src/scenario/check/fleet.rs
@@ -64,7 +64,7 @@
         checker.not_negative(self.sidecars.skew, "sidecars.skew");
     }
 
-    /// Checks that a zone, if given, is one of the network's.
+    /// Checks that a zone, if given, is listed in `network.zones`.
     pub(super) fn check_zone(&self, checker: &mut Checker, zone: Option<&str>, key: &str) {
         if let Some(zone) = zone {
             let known = self.network.zones.iter().any(|name| name == zone);
--- a/crates/testbed/src/scenario/fleet.rs
+++ b/crates/testbed/src/scenario/fleet.rs
@@ -5,17 +5,17 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Zones, and one-way delays between processes.
+/// Zones, and one-way delays of messages between processes.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Network {
     /// Names of the zones; at least one.
     pub zones: Vec<String>,
-    /// Delay within a zone, in milliseconds.
+    /// One-way delay between a sidecar and a server of the same zone, in milliseconds.
     pub same_ms: f64,
-    /// Delay between two zones, in milliseconds.
+    /// One-way delay between a sidecar and a server of another zone, in milliseconds.
     pub cross_ms: f64,
-    /// Delay between a client and its sidecar in the simulator, in milliseconds.
+    /// One-way delay between a client and its sidecar in the simulator, in milliseconds.
     pub client_ms: f64,
     /// Maximum random increase of a delay between sidecar and server, as a share of the delay.
     pub jitter: f64,
@@ -187,7 +187,8 @@
     pub count: usize,
     /// Coefficient of variation of their shares of the traffic; 0 for equal shares.
     pub skew: f64,
-    /// Whether they know the cores and speed of each machine type, as from an operator's table.
+    /// Whether they know the cores and speed of each machine type, as from a table that operators
+    /// provide.
     pub knows_machine_types: bool,
     /// Memory limit of each in the emulator, in megabytes.
     pub memory_mb: u64,
--- a/crates/testbed/src/scenario/traffic.rs
+++ b/crates/testbed/src/scenario/traffic.rs
@@ -157,7 +157,7 @@
     /// Whether the weight of a request is its class's weight times its work divided by the class's
     /// mean work.
     pub weight_by_work: bool,
-    /// Maximum number of open requests; arrivals beyond it are not sent, and counted as not played.
+    /// Maximum number of open requests; arrivals beyond it are skipped.
     pub max_open_requests: usize,
 }
 
--- a/crates/testbed/src/server_model/health_check_limiter.rs
+++ b/crates/testbed/src/server_model/health_check_limiter.rs
@@ -1,6 +1,5 @@
-//! Rate limit on the health checks that a server answers.
-//!
-//! Holds the token bucket; the rate is a setting of the machine type.
+//! Rate limit on the health checks that a server answers: a token bucket, whose rate is a setting
+//! of the machine type.
 
 use crate::conversion::s_from_micros;
 use crate::scenario::Micros;
--- a/crates/testbed/src/server_model/load_report.rs
+++ b/crates/testbed/src/server_model/load_report.rs
@@ -1,7 +1,7 @@
 //! Load reports of a server, in responses to health checks and to other requests.
 //!
-//! Holds the samples and errors, and decides how old they are when reported. The wire format is the
-//! emulator's.
+//! Stores the samples and errors, and decides how old they are when reported. The emulator formats
+//! the reports for the wire.
 
 use std::collections::VecDeque;
 
@@ -9,8 +9,8 @@
 use crate::conversion::{MICROS_PER_MS, f64_from_count};
 use crate::scenario::{LoadReportSource, LoadReports, Micros, from_ms};
 
-/// Microseconds for which a load report for health checks is reused, as the operators' real servers
-/// do.
+/// Time for which a load report for health checks is reused, in microseconds. The real servers that
+/// the model imitates reuse theirs for as long.
 const REFRESH_INTERVAL: Micros = 3_000;
 /// Window of the error rate, in microseconds: one second, so that the number of errors in it is the
 /// rate per second.
--- a/crates/testbed/src/server_model/mod.rs
+++ b/crates/testbed/src/server_model/mod.rs
@@ -4,8 +4,8 @@
 //!
 //! All running jobs progress at the same rate (processor sharing): `running_jobs` stores their
 //! progress, and `job_progress` advances it over time at the rate that `speed` computes.
-//! `slow_start`, `contention`, `load_report` and `health_check_limiter` have the model's other parts,
-//! and `state_change` changes its state.
+//! `slow_start`, `contention`, `load_report` and `health_check_limiter` have the model's other
+//! parts, and `state_change` changes its state.
 
 mod contention;
 mod health_check_limiter;
--- a/crates/testbed/src/server_model/speed.rs
+++ b/crates/testbed/src/server_model/speed.rs
@@ -1,6 +1,6 @@
 //! The current speed of a server.
 //!
-//! Holds only the formulas; the state of each factor is in the factor's own file.
+//! The formulas only; `slow_start` and `contention` track the state of their factors.
 
 use super::{RunState, ServerModel};
 use crate::conversion::{count_from_u32, f64_from_count};
--- a/crates/testbed/src/simulator/attempts.rs
+++ b/crates/testbed/src/simulator/attempts.rs
@@ -1,7 +1,8 @@
 //! Attempts in flight between sidecars and servers.
 //!
-//! Owns the attempts' records and assigns their job numbers. The sidecar and the server update a
-//! record through its methods; whichever of them learns last that the attempt is over removes it.
+//! Stores a record of each attempt and assigns its job number. The sidecar and the server update
+//! the record through its methods; whichever of them learns last that the attempt is over removes
+//! it.
 
 use slotmap::{SlotMap, new_key_type};
 
--- a/crates/testbed/src/simulator/clients/mod.rs
+++ b/crates/testbed/src/simulator/clients/mod.rs
@@ -1,8 +1,8 @@
 //! The simulator's clients: they send requests, time out, disconnect and retry.
 //!
-//! Owns the open arrivals, the requests that clients wait for, the tenants' quotas and the clients'
-//! random streams. `responses` handles the end of a request at its client. Sidecars handle requests
-//! in `sidecars`.
+//! Tracks the open arrivals and the requests that clients wait for, and checks each arrival against
+//! the tenants' quotas and the limit of open requests. `responses` handles the end of a request at
+//! its client, `sidecars` the request at its sidecar.
 
 mod responses;
 
@@ -19,9 +19,9 @@
 use crate::scenario::{Micros, Scenario, from_ms};
 use crate::workload::{Arrival, ArrivalStream, TenantQuota, tenant_quotas, traffic_shares};
 
-/// Index of the first sidecar's random stream for its clients' requests. It is above the indexes of
-/// the streams for arrivals.
-const REQUEST_STREAMS: usize = 1 << 30;
+/// Offset of the indexes of the random streams for requests, which keeps them apart from those for
+/// arrivals.
+const RANDOM_STREAM_OFFSET: usize = 1 << 30;
 
 /// An arrival that has not ended, with the state of its requests.
 struct OpenArrival {
@@ -50,7 +50,7 @@
     /// The clients of a sidecar, which send this fraction of all traffic.
     fn new(scenario: &Scenario, sidecar: SidecarIndex, traffic_share: f64) -> Self {
         // Requests draw from a separate stream, so that the arrivals do not depend on them.
-        let stream = sidecar.index() + REQUEST_STREAMS;
+        let stream = sidecar.index() + RANDOM_STREAM_OFFSET;
         Self {
             arrivals: ArrivalStream::new(scenario, sidecar, traffic_share),
             random: RandomStream::new(scenario.seed, StreamId::Clients, stream),
@@ -82,7 +82,7 @@
     requests: SlotMap<RequestKey, Request>,
     /// The number of the next arrival or request.
     next_number: u64,
-    /// Number of arrivals that were not played because too many requests were open.
+    /// Number of arrivals that were skipped because too many requests were open.
     not_played: u64,
 }
 
@@ -107,7 +107,7 @@
         self.arrivals.is_empty()
     }
 
-    /// Number of arrivals that were not played because too many requests were open.
+    /// Number of arrivals that were skipped because too many requests were open.
     pub(super) fn not_played(&self) -> u64 {
         self.not_played
     }
@@ -181,6 +181,7 @@
     }
 
     /// Sends the first request of an arrival, or a retry, to the current process of its sidecar.
+    /// The request arrives there after `client_ms`, the one-way delay between client and sidecar.
     pub(super) fn send_request(
         &mut self,
         key: ArrivalKey,
--- a/crates/testbed/src/simulator/clients/tests.rs
+++ b/crates/testbed/src/simulator/clients/tests.rs
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn an_arrival_over_the_limit_of_open_requests_is_not_played() {
+fn an_arrival_over_the_limit_of_open_requests_is_skipped() {
     let mut scenario = scenario(Idempotency::Idempotent);
     scenario.load.max_open_requests = 1;
     let mut log: Vec<LogRecord> = Vec::new();
--- a/crates/testbed/src/simulator/discovery/mod.rs
+++ b/crates/testbed/src/simulator/discovery/mod.rs
@@ -1,8 +1,8 @@
 //! The simulator's discovery service, whose endpoint list sidecars poll and watch.
 //!
 //! Updates the list (`endpoint_list`) with the changes of servers that it detects, serves polls one
-//! at a time, and notifies the sidecars that watch. `sidecars` keeps each sidecar's copy of the list
-//! and the poll that it waits for.
+//! at a time, and notifies the sidecars that watch. `sidecars` keeps each sidecar's copy of the
+//! list and the poll that it waits for.
 
 mod endpoint_list;
 
--- a/crates/testbed/src/simulator/event_handlers.rs
+++ b/crates/testbed/src/simulator/event_handlers.rs
@@ -136,8 +136,8 @@
             .on_server_timer(server, generation, attempts, context);
     }
 
-    /// Handles a change of a server's status that discovery detects and reports to the sidecars that
-    /// watch the list.
+    /// Handles a change of a server's status that discovery detects and reports to the sidecars
+    /// that watch the list.
     pub(super) fn on_list_change(&mut self, endpoint: ListedEndpoint) {
         let started_at = self.fleet.started_at(endpoint.server);
         let watching = self.sidecars.watching_processes();
--- a/crates/testbed/src/simulator/faults/schedule.rs
+++ b/crates/testbed/src/simulator/faults/schedule.rs
@@ -1,7 +1,7 @@
 //! Schedules the start and end of the simulator's faults, and routes each to its component.
 //!
-//! Holds the target servers of each fault. `fleet` implements the effects on servers, `sidecars`
-//! implements restarts, and `workload` includes bursts and expensive requests in the arrivals.
+//! `fleet` implements the effects on servers and `sidecars` the restarts; `workload` includes
+//! bursts and expensive requests in the arrivals.
 
 use super::{rolling_restart_times, target_servers};
 use crate::index::{ServerIndex, SidecarIndex};
--- a/crates/testbed/src/simulator/fleet/mod.rs
+++ b/crates/testbed/src/simulator/fleet/mod.rs
@@ -29,7 +29,7 @@
     servers: Vec<Server>,
     /// Draws resets and malformed responses.
     random: RandomStream,
-    /// Buffer of events that a server's model returned and that are not applied yet.
+    /// Events that a server's model has returned and that are not applied yet.
     model_events: Vec<ServerModelEvent>,
 }
 
@@ -127,8 +127,8 @@
         }
     }
 
-    /// Schedules the time at which discovery detects a server's new status, `notice_ms` milliseconds
-    /// from now.
+    /// Schedules the time at which discovery detects a server's new status, `notice_ms`
+    /// milliseconds from now.
     fn schedule_list_change(
         &self,
         server: ServerIndex,
--- a/crates/testbed/src/simulator/fleet/server/mod.rs
+++ b/crates/testbed/src/simulator/fleet/server/mod.rs
@@ -1,7 +1,7 @@
 //! One simulated server: its model and its reachability over the network.
 //!
 //! Tracks the attempts that the server has accepted. `Fleet` schedules events and writes the event
-//! log. `state_change` has the changes by faults.
+//! log, and `state_change` applies faults.
 
 mod state_change;
 
@@ -44,15 +44,16 @@
     malformed_share: f64,
     /// Fraction of connections that are reset during an attempt.
     reset_share: f64,
-    /// Incremented when the model's next event is rescheduled, so that the scheduled ones become
-    /// stale.
+    /// Incremented when the model's next event is rescheduled, so that events which were scheduled
+    /// earlier become stale.
     event_generation: u32,
     /// The scheduled time of the model's next event.
     next_event_at: Option<Micros>,
 }
 
 impl Server {
-    /// A server whose speed is drawn. A cold one starts now, any other started before the run.
+    /// Creates a server with a drawn speed. A cold server starts now, a warm one started before the
+    /// run.
     pub(super) fn new(
         scenario: &Scenario,
         machine_type: &MachineType,
@@ -182,9 +183,8 @@
         }
     }
 
-    /// Checks whether the model's next event has changed since it was scheduled. If so, returns the
-    /// generation and time of the new event, which the caller schedules; `None` also if there is no
-    /// next event.
+    /// Returns the generation and time of the model's next event for the caller to schedule. `None`
+    /// if the event is scheduled already, or if there is no next event.
     pub(super) fn reschedule(&mut self, now: Micros) -> Option<(u32, Micros)> {
         let next = self.model.next_event_at();
         if next == self.next_event_at && next.is_none_or(|at| at > now) {
--- a/crates/testbed/src/simulator/fleet/tests.rs
+++ b/crates/testbed/src/simulator/fleet/tests.rs
@@ -26,7 +26,7 @@
     }
 }
 
-/// Starts an attempt on a kept connection of this server start, or on a new one if `None`.
+/// Starts an attempt on a kept connection with this start number, or on a new one if `None`.
 fn start_attempt(attempts: &mut Attempts, kept_connection: Option<u32>) -> AttemptKey {
     let details = AttemptDetails {
         request: RequestNumber::new(1),
--- a/crates/testbed/src/simulator/mod.rs
+++ b/crates/testbed/src/simulator/mod.rs
@@ -2,10 +2,10 @@
 //! `arrowstand_balancer` balancer per sidecar against simulated servers, network, discovery and
 //! clients, which behave as the scenario describes.
 //!
-//! `Simulator` owns the components and dispatches each event to the component that handles it;
-//! `event_handlers` has the handlers of events that involve several components. Each component owns
-//! its state and receives the components that it uses as arguments, along with the `context`, which
-//! holds the scenario, the scheduler and the event log.
+//! `Simulator` dispatches each event to the component that handles it; `event_handlers` has the
+//! handlers of events that involve several components. A component has private state and receives
+//! the other components that it uses as arguments, along with the `context`, which consists of the
+//! scenario, the scheduler and the event log.
 //!
 //! A run is deterministic: events are processed in queue order and every source of randomness has
 //! its own random stream, so that a scenario and a seed always produce the same event log. The
--- a/crates/testbed/src/simulator/network.rs
+++ b/crates/testbed/src/simulator/network.rs
@@ -1,7 +1,7 @@
 //! The network between sidecars and servers: random delays, and the noise of attempts' work.
 //!
-//! Owns each sidecar's zone and its random stream. Messages and their effects are handled by
-//! `sidecars` and `fleet`.
+//! Draws from one random stream per sidecar. `sidecars` and `fleet` schedule the messages and
+//! handle their effects.
 
 use crate::index::{ClassIndex, SidecarIndex};
 use crate::random::{RandomStream, StreamId};
--- a/crates/testbed/src/simulator/process.rs
+++ b/crates/testbed/src/simulator/process.rs
@@ -1,4 +1,4 @@
-//! Identifies one process of a sidecar across restarts.
+//! Identifies each process of a sidecar, which has a new one after each restart.
 
 use crate::index::SidecarIndex;
 
--- a/crates/testbed/src/simulator/request.rs
+++ b/crates/testbed/src/simulator/request.rs
@@ -1,7 +1,7 @@
 //! A client's request to its sidecar.
 //!
-//! A request is immutable. `clients` tracks its outcome at the client; `sidecars` owns its attempts
-//! and its response.
+//! A request is immutable. `clients` tracks its outcome at the client; `sidecars` handles its
+//! attempts and its response.
 
 use slotmap::new_key_type;
 
--- a/crates/testbed/src/simulator/sidecars/attempt_connections.rs
+++ b/crates/testbed/src/simulator/sidecars/attempt_connections.rs
@@ -76,8 +76,8 @@
     deps.context.record(started);
 }
 
-/// Closes an attempt's connection. If the request was written, the server detects it after the one-way
-/// delay.
+/// Closes an attempt's connection. If the request was written, the server detects it after the
+/// one-way delay.
 pub(super) fn close_connection(key: AttemptKey, deps: &mut Dependencies<'_, '_>) {
     let Some(attempt) = deps.attempts.get_mut(key) else {
         return;
--- a/crates/testbed/src/simulator/sidecars/attempts.rs
+++ b/crates/testbed/src/simulator/sidecars/attempts.rs
@@ -1,6 +1,7 @@
 //! The sidecar's side of attempts: how they are sent, end, time out and are cancelled.
 //!
-//! Their connections are handled in `attempt_connections`, and their processing at servers in `fleet`.
+//! Their connections are handled in `attempt_connections`, and their processing at servers in
+//! `fleet`.
 
 use std::collections::VecDeque;
 
--- a/crates/testbed/src/simulator/sidecars/endpoints.rs
+++ b/crates/testbed/src/simulator/sidecars/endpoints.rs
@@ -1,6 +1,6 @@
 //! A sidecar's copy of the endpoint list, and the delivery of its changes to the balancer.
 //!
-//! Owns the cached list and the state of poll and watch. The list itself belongs to `discovery`.
+//! Polls and watches the list of `discovery`, and caches it across restarts of the sidecar.
 
 use std::collections::BTreeMap;
 
--- a/crates/testbed/src/simulator/sidecars/requests.rs
+++ b/crates/testbed/src/simulator/sidecars/requests.rs
@@ -144,7 +144,8 @@
     BalancerEvent::ClientDisconnected { request }
 }
 
-/// Schedules the arrival of a response, or of the connection's end, at the client.
+/// Schedules the arrival of a response, or of the connection's end, at the client, after
+/// `client_ms`, the one-way delay between client and sidecar.
 fn send_response(
     request: RequestKey,
     outcome: RequestOutcome,
--- a/crates/testbed/src/simulator/sidecars/sidecar.rs
+++ b/crates/testbed/src/simulator/sidecars/sidecar.rs
@@ -17,8 +17,9 @@
 use crate::simulator::event::{SidecarRestart, SimulatorEvent};
 use crate::simulator::process::SidecarProcess;
 
-/// How long a sidecar keeps responding after it is asked to shut down, in microseconds; the real
-/// program accepts requests for as long, and drains.
+/// Time from the order to shut a sidecar down until its process ends, in microseconds. It accepts
+/// and answers requests until then; the real program also accepts requests for this time, and
+/// drains.
 const SHUTDOWN_GRACE: Micros = 700_000;
 
 /// A sidecar and its state.
--- a/crates/testbed/src/statistics/mod.rs
+++ b/crates/testbed/src/statistics/mod.rs
@@ -53,8 +53,8 @@
         self.open_arrivals.insert(number, arrival);
     }
 
-    /// Value of an arrival: its class's priority weight, scaled by its work if the scenario says
-    /// so, and reduced if its tenant is beyond its quota.
+    /// Value of an arrival: the priority weight of its class, multiplied by its relative work if
+    /// the scenario sets `weight_by_work`, and reduced if its tenant is over its quota.
     fn arrival_value(&self, class: ClassIndex, work: f64, within_quota: bool) -> f64 {
         let relative_work = |mean_ms: f64| {
             if self.scenario.load.weight_by_work {
--- a/crates/testbed/src/statistics/service.rs
+++ b/crates/testbed/src/statistics/service.rs
@@ -1,15 +1,15 @@
 //! The service figure: the value that was served, as a share of the value that arrivals offered.
 //!
-//! Sums the value by class, tenant and second, and weights the shares into one figure. A late
-//! response is credited with its class's share of the value.
+//! Sums the value by class, tenant and second, and combines the shares to one weighted mean. A late
+//! response is credited with the `late_value` of its class.
 
 use super::arrival::{ArrivalResult, OpenArrival};
 use crate::conversion::{f64_from_count, s_from_micros, second_ceil, second_floor};
 use crate::index::{ClassIndex, TenantIndex};
 use crate::scenario::Micros;
 
-/// Weights of the whole run, the worst window, the worst class and the worst tenant, as the
-/// operators set them.
+/// Weights of the four parts of the service figure: the whole run, the worst window, the worst
+/// class and the worst tenant. The benchmark defines them.
 const SERVICE_WEIGHTS: [f64; 4] = [0.25, 0.45, 0.20, 0.10];
 /// Length of the worst window, in seconds.
 const WORST_WINDOW_S: usize = 10;
@@ -52,7 +52,7 @@
     if lowest.is_finite() { lowest } else { 1.0 }
 }
 
-/// The shares that the service figure is the weighted mean of.
+/// The four parts of the service figure, which is their weighted mean.
 pub(super) struct ServiceParts {
     pub(super) overall: f64,
     pub(super) worst_window: f64,
@@ -122,7 +122,7 @@
         self.by_tenant[tenant.index()].share()
     }
 
-    /// Price of the value lost by arrivals that ended late, per offered value.
+    /// Cost of the value that arrivals lost by ending late, as a share of the offered value.
     pub(super) fn late_cost(&self, price: f64) -> f64 {
         price * self.value_lost_late / self.total.offered.max(f64::MIN_POSITIVE)
     }
@@ -145,8 +145,8 @@
         lowest(windows.filter_map(total_share))
     }
 
-    /// Seconds from the last restart until the service has recovered to [`RECOVERED_SHARE`] of that
-    /// before the first one; `None` without a restart or a recovery.
+    /// Seconds from the last restart until the service is back at [`RECOVERED_SHARE`] of its level
+    /// before the first restart; `None` without a restart or a recovery.
     pub(super) fn recovery_s(&self, restarts: &[Micros]) -> Option<f64> {
         let first = *restarts.first()?;
         let last = *restarts.last()?;
