--- a/crates/testbed/src/emulator/clock.rs
+++ b/crates/testbed/src/emulator/clock.rs
@@ -10,8 +10,8 @@
 
 /// Milliseconds in a second.
 const MS_PER_S: f64 = 1_000.0;
-/// Shorter sleeps are skipped, in microseconds: half of the runtime's timer resolution of one
-/// millisecond, to which it rounds up.
+/// Minimum length of a sleep, in microseconds; shorter ones are skipped. It is half of the
+/// runtime's timer resolution of one millisecond, to which the runtime rounds up.
 const MIN_SLEEP: Micros = 500;
 
 /// The start of the run on the monotonic clock and in Unix time.
--- a/crates/testbed/src/emulator/emulated_server/mod.rs
+++ b/crates/testbed/src/emulator/emulated_server/mod.rs
@@ -1,8 +1,9 @@
 //! Emulated servers: server models behind HTTP/1.1, with faults of the process, the network and the
 //! responses.
 //!
-//! This file sets a server up, changes its process and runs its model. The other files have its
-//! listeners, its connections, its replies and its faults.
+//! This module sets a server up, changes its process and runs its model. `listeners` accepts its
+//! connections, `connection` reads requests and writes replies, `attempt` and `health_check`
+//! produce the replies, and `faults` applies faults.
 
 mod admission;
 mod attempt;
--- a/crates/testbed/src/emulator/fault_schedule.rs
+++ b/crates/testbed/src/emulator/fault_schedule.rs
@@ -173,12 +173,12 @@
             FaultKind::Crash => {
                 server.record_state(ServerState::Down);
                 server.stop(Reachability::Refusing).await;
-                self.schedule_list_update(server_index, ListedStatus::Gone, discovery.notice_ms);
+                self.schedule_list_change(server_index, ListedStatus::Gone, discovery.notice_ms);
             }
             FaultKind::Silence => {
                 server.record_state(ServerState::Silent);
                 server.stop(Reachability::Silent).await;
-                self.schedule_list_update(
+                self.schedule_list_change(
                     server_index,
                     ListedStatus::Gone,
                     discovery.silent_notice_ms,
@@ -186,7 +186,7 @@
             }
             FaultKind::Drain | FaultKind::Replace => {
                 server.set_draining();
-                self.schedule_list_update(
+                self.schedule_list_change(
                     server_index,
                     ListedStatus::Draining,
                     discovery.notice_ms,
@@ -209,12 +209,12 @@
             FaultKind::ConnectionResets => server.set_response_fault(ResponseFault::Reset(0.0)),
             FaultKind::Crash | FaultKind::Silence => {
                 server.restart(None).await;
-                self.schedule_list_update(server_index, ListedStatus::Ready, add_ms);
+                self.schedule_list_change(server_index, ListedStatus::Ready, add_ms);
             }
             FaultKind::Drain => {
                 server.stop(Reachability::Refusing).await;
                 server.restart(None).await;
-                self.schedule_list_update(server_index, ListedStatus::Ready, add_ms);
+                self.schedule_list_change(server_index, ListedStatus::Ready, add_ms);
             }
             FaultKind::Replace => self.replace(server_index).await,
             _ => {}
@@ -226,15 +226,15 @@
         let discovery = &self.shared.scenario.discovery;
         self.server.stop(Reachability::Refusing).await;
         self.server.record_state(ServerState::Down);
-        self.schedule_list_update(server_index, ListedStatus::Gone, discovery.notice_ms);
+        self.schedule_list_change(server_index, ListedStatus::Gone, discovery.notice_ms);
         let replacement = ServerIndex::new(self.next_server_index.fetch_add(1, Ordering::Relaxed));
         self.server.restart(Some(replacement)).await;
-        self.schedule_list_update(replacement, ListedStatus::Ready, discovery.add_ms);
+        self.schedule_list_change(replacement, ListedStatus::Ready, discovery.add_ms);
     }
 
     /// Updates the server's status in the endpoint list after `delay_ms`, the time until discovery
     /// detects the change.
-    fn schedule_list_update(&self, server_index: ServerIndex, status: ListedStatus, delay_ms: f64) {
+    fn schedule_list_change(&self, server_index: ServerIndex, status: ListedStatus, delay_ms: f64) {
         let discovery = Arc::clone(&self.discovery);
         let position = self.position;
         let started_at = self.server.started_at();
--- a/crates/testbed/src/scenario/discovery.rs
+++ b/crates/testbed/src/scenario/discovery.rs
@@ -6,7 +6,8 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Discovery {
-    /// Time from a drain, crash or planned stop until it is in the list, in milliseconds.
+    /// Time from a drain, crash or planned stop of a server until the list shows it, in
+    /// milliseconds.
     pub notice_ms: f64,
     /// Time from when a machine falls silent until it is listed as gone, in milliseconds.
     pub silent_notice_ms: f64,
--- a/crates/testbed/src/scenario/rules.rs
+++ b/crates/testbed/src/scenario/rules.rs
@@ -112,20 +112,20 @@
     }
 }
 
-/// Deductions from the service, which lies between 0 and 1.
+/// Deductions from the service figure, which lies between 0 and 1. Each is proportional to the
+/// quantity that it prices.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Prices {
-    /// For cross-zone attempts, if there is one per arrival.
+    /// Deduction for one cross-zone attempt per arrival.
     pub cross_zone: f64,
-    /// For wasted work, if it equals the mean work of all arrivals.
+    /// Deduction for wasted work that equals the mean work of a request per arrival.
     pub waste: f64,
-    /// For health checks, if there is one per arrival.
+    /// Deduction for one health check per arrival.
     pub health_check: f64,
-    /// For new connections, if there is one per arrival.
+    /// Deduction for one new connection per arrival.
     pub handshake: f64,
-    /// For value lost by arrivals that end after their latency objective, if it is the value of all
-    /// arrivals.
+    /// Deduction if all arrivals lost their whole value by ending after their latency objective.
     pub late_fail: f64,
 }
 
--- a/crates/testbed/src/simulator/attempts.rs
+++ b/crates/testbed/src/simulator/attempts.rs
@@ -166,7 +166,7 @@
         self.open.get_mut(key)
     }
 
-    /// Removes an attempt that no further event concerns.
+    /// Removes an attempt that neither the sidecar nor the server refers to any more.
     pub(super) fn remove(&mut self, key: AttemptKey) {
         self.open.remove(key);
     }
--- a/crates/testbed/src/simulator/clients/mod.rs
+++ b/crates/testbed/src/simulator/clients/mod.rs
@@ -58,7 +58,7 @@
     }
 }
 
-/// When the client of a request times out, and when it disconnects before that.
+/// When the client of a request times out, and when it disconnects if it does so earlier.
 struct RequestTimeout {
     times_out_at: Micros,
     disconnects_at: Option<Micros>,
@@ -218,7 +218,8 @@
     }
 }
 
-/// Draws when the client times out or disconnects from the request that it sends now.
+/// Draws when the client of a request that is sent now times out, and whether and when it
+/// disconnects.
 fn draw_request_timeout(
     arrival: &OpenArrival,
     random: &mut RandomStream,
--- a/crates/testbed/src/simulator/fleet/mod.rs
+++ b/crates/testbed/src/simulator/fleet/mod.rs
@@ -1,14 +1,14 @@
 //! The simulator's servers: they handle attempts, health checks and faults.
 //!
 //! Creates the servers, and records their states and gauges. `attempts` handles attempts at a
-//! server, `health_checks` health checks, `model` the events of a server's model, and `faults` the
-//! effects of faults. `sidecars` handles the results of attempts and health checks, and `discovery`
-//! decides when a server is listed.
+//! server, `health_checks` health checks, `model_events` the events of a server's model, and
+//! `faults` the effects of faults. `sidecars` handles the results of attempts and health checks,
+//! and `discovery` decides when a server is listed.
 
 mod attempts;
 mod faults;
 mod health_checks;
-mod model;
+mod model_events;
 mod server;
 
 use super::attempts::Attempts;
--- a/crates/testbed/src/simulator/mod.rs
+++ b/crates/testbed/src/simulator/mod.rs
@@ -84,8 +84,8 @@
         Ok(simulator)
     }
 
-    /// Processes events until all arrivals are closed after the arrival period, or until
-    /// `MAX_TIME_AFTER_ARRIVALS` has passed since.
+    /// Processes events until the arrival period is over and all arrivals are closed, but at most
+    /// for `MAX_TIME_AFTER_ARRIVALS` after that period.
     fn run_to_completion(&mut self) {
         let arrivals_end = from_s(self.context.scenario().seconds);
         while let Some(event) = self
--- a/crates/testbed/src/simulator/sidecars/endpoints.rs
+++ b/crates/testbed/src/simulator/sidecars/endpoints.rs
@@ -83,8 +83,8 @@
         self.subscription.is_watching
     }
 
-    /// Whether a poll is the last one of the running process, whose result, or the end of the watch
-    /// that followed, still matters.
+    /// Whether a poll is the latest one of the running process. The results of other polls, and the
+    /// ends of the watches that followed them, are ignored.
     pub(super) fn awaits_poll(&self, poll: EndpointPoll) -> bool {
         self.is_running(poll.process) && self.subscription.poll_count == poll.number
     }
--- a/crates/testbed/src/simulator/sidecars/settings.rs
+++ b/crates/testbed/src/simulator/sidecars/settings.rs
@@ -12,8 +12,8 @@
     Scenario, from_ms, from_s,
 };
 
-/// How long before the client's timeout a sidecar responds at the latest, in microseconds; the real
-/// program's `step-ms`.
+/// A sidecar responds at least this long before the client's timeout, in microseconds; `step-ms` in
+/// the settings of the real program.
 pub(super) const RESPONSE_MARGIN: Micros = 5_000;
 
 fn request_class(class: &Class) -> RequestClass {
--- a/crates/testbed/src/statistics/traffic.rs
+++ b/crates/testbed/src/statistics/traffic.rs
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Work done beyond the latest execution of each served request.
+    /// All work done except that of the latest execution of each served request.
     pub(super) fn wasted_work(&self) -> f64 {
         (self.work_done - self.useful_work).max(0.0)
     }
