--- a/crates/testbed/src/simulator/mod.rs
+++ b/crates/testbed/src/simulator/mod.rs
@@ -117,10 +117,8 @@
             Event::RetryDue(sidecar, arrival) => self.on_retry_due(sidecar, arrival),
             Event::RequestAtSidecar(request) => self.on_request_at_sidecar(request),
             Event::BalancerTimer(timer) => sidecars.on_balancer_timer(&timer, deps),
-            Event::ResponseDeadline(sidecar, request) => {
-                sidecars
-                    .get_mut(sidecar)
-                    .on_response_deadline(request, deps);
+            Event::ResponseDeadline(sidecar, number) => {
+                sidecars.get_mut(sidecar).on_response_deadline(number, deps);
             }
             Event::ClientTimeout(request) => self.on_client_timeout(request),
             Event::ClientDisconnect(request) => self.on_client_disconnect(request),
