--- a/crates/testbed/src/emulator/fault_schedule.rs
+++ b/crates/testbed/src/emulator/fault_schedule.rs
@@ -1,8 +1,7 @@
 //! Injects the faults of a scenario into the emulated servers, discovery and the sidecars.
 //!
 //! Schedules the start and end of each fault and the updates of the endpoint list that follow. The
-//! targets are drawn by the simulator's functions, so that a fault has the same targets in both
-//! engines.
+//! targets are drawn by `simulator::faults`, so that a fault has the same targets in both engines.
 
 use std::future::pending;
 use std::sync::Arc;
@@ -12,8 +11,8 @@
 use tokio::task::JoinSet;
 
 use super::Emulation;
-use super::discovery::{Discovery, DiscoveryMode};
-use super::emulated_server::{EmulatedServer, NetworkMode, ResponseFault};
+use super::discovery::{Availability, Discovery};
+use super::emulated_server::{EmulatedServer, Reachability, ResponseFault};
 use super::shared::Shared;
 use super::sidecars::Termination;
 use crate::event_log::{ListedStatus, ServerState};
@@ -34,10 +33,10 @@
                 restart_sidecars(emulation, fault_index, fault, &mut tasks);
             }
             FaultKind::DiscoveryDown => {
-                tasks.spawn(run_discovery_fault(emulation, fault, DiscoveryMode::Down));
+                tasks.spawn(run_discovery_fault(emulation, fault, Availability::Down));
             }
             FaultKind::DiscoverySilent => {
-                tasks.spawn(run_discovery_fault(emulation, fault, DiscoveryMode::Silent));
+                tasks.spawn(run_discovery_fault(emulation, fault, Availability::Silent));
             }
             _ => schedule_server_faults(
                 emulation,
@@ -87,11 +86,11 @@
     }
 }
 
-/// Sets the mode of discovery for the duration of the fault.
+/// Sets the availability of discovery for the duration of the fault.
 fn run_discovery_fault(
     emulation: &Emulation,
     fault: &Fault,
-    mode: DiscoveryMode,
+    availability: Availability,
 ) -> impl Future<Output = ()> + Send + 'static {
     let discovery = Arc::clone(&emulation.discovery);
     let clock = emulation.shared.clock;
@@ -99,9 +98,9 @@
     let duration = from_s(fault.for_s);
     async move {
         clock.sleep_until(at).await;
-        discovery.set_mode(mode);
+        discovery.set_availability(availability);
         clock.sleep_until(at + duration).await;
-        discovery.set_mode(DiscoveryMode::Up);
+        discovery.set_availability(Availability::Up);
     }
 }
 
@@ -173,13 +172,13 @@
             FaultKind::ConnectionResets => server.set_response_fault(ResponseFault::Reset(share)),
             FaultKind::Crash => {
                 server.record_state(ServerState::Down);
-                server.stop(NetworkMode::Refusing).await;
-                self.schedule_list_update(server_index, ListedStatus::Gone, discovery.notice_ms);
+                server.stop(Reachability::Refusing).await;
+                self.schedule_list_change(server_index, ListedStatus::Gone, discovery.notice_ms);
             }
             FaultKind::Silence => {
                 server.record_state(ServerState::Silent);
-                server.stop(NetworkMode::Silent).await;
-                self.schedule_list_update(
+                server.stop(Reachability::Silent).await;
+                self.schedule_list_change(
                     server_index,
                     ListedStatus::Gone,
                     discovery.silent_notice_ms,
@@ -187,7 +186,7 @@
             }
             FaultKind::Drain | FaultKind::Replace => {
                 server.set_draining();
-                self.schedule_list_update(
+                self.schedule_list_change(
                     server_index,
                     ListedStatus::Draining,
                     discovery.notice_ms,
@@ -210,12 +209,12 @@
             FaultKind::ConnectionResets => server.set_response_fault(ResponseFault::Reset(0.0)),
             FaultKind::Crash | FaultKind::Silence => {
                 server.restart(None).await;
-                self.schedule_list_update(server_index, ListedStatus::Ready, add_ms);
+                self.schedule_list_change(server_index, ListedStatus::Ready, add_ms);
             }
             FaultKind::Drain => {
-                server.stop(NetworkMode::Refusing).await;
+                server.stop(Reachability::Refusing).await;
                 server.restart(None).await;
-                self.schedule_list_update(server_index, ListedStatus::Ready, add_ms);
+                self.schedule_list_change(server_index, ListedStatus::Ready, add_ms);
             }
             FaultKind::Replace => self.replace(server_index).await,
             _ => {}
@@ -225,17 +224,17 @@
     /// Stops the server and starts another one, with a new index, at its addresses.
     async fn replace(&self, server_index: ServerIndex) {
         let discovery = &self.shared.scenario.discovery;
-        self.server.stop(NetworkMode::Refusing).await;
+        self.server.stop(Reachability::Refusing).await;
         self.server.record_state(ServerState::Down);
-        self.schedule_list_update(server_index, ListedStatus::Gone, discovery.notice_ms);
+        self.schedule_list_change(server_index, ListedStatus::Gone, discovery.notice_ms);
         let replacement = ServerIndex::new(self.next_server_index.fetch_add(1, Ordering::Relaxed));
         self.server.restart(Some(replacement)).await;
-        self.schedule_list_update(replacement, ListedStatus::Ready, discovery.add_ms);
+        self.schedule_list_change(replacement, ListedStatus::Ready, discovery.add_ms);
     }
 
     /// Updates the server's status in the endpoint list after `delay_ms`, the time until discovery
-    /// notices the change.
-    fn schedule_list_update(&self, server_index: ServerIndex, status: ListedStatus, delay_ms: f64) {
+    /// detects the change.
+    fn schedule_list_change(&self, server_index: ServerIndex, status: ListedStatus, delay_ms: f64) {
         let discovery = Arc::clone(&self.discovery);
         let position = self.position;
         let started_at = self.server.started_at();
--- a/crates/testbed/src/simulator/attempts.rs
+++ b/crates/testbed/src/simulator/attempts.rs
@@ -1,7 +1,8 @@
 //! Attempts in flight between sidecars and servers.
 //!
-//! Owns the attempts' records and assigns their job numbers. The sidecar and the server update a
-//! record through its methods; whichever of them learns last that the attempt is over removes it.
+//! Stores a record of each attempt and assigns its job number. The sidecar and the server update
+//! the record through its methods; whichever of them learns last that the attempt is over removes
+//! it.
 
 use slotmap::{SlotMap, new_key_type};
 
@@ -87,8 +88,8 @@
     }
 
     /// Records that the server process with this start number has accepted the connection.
-    pub(super) fn on_connected(&mut self, server_start: u32) {
-        self.connection = Some(server_start);
+    pub(super) fn on_connected(&mut self, server_start_number: u32) {
+        self.connection = Some(server_start_number);
     }
 
     /// Records that the sidecar has written all of it.
@@ -165,7 +166,7 @@
         self.open.get_mut(key)
     }
 
-    /// Removes an attempt that no further event concerns.
+    /// Removes an attempt that neither the sidecar nor the server refers to any more.
     pub(super) fn remove(&mut self, key: AttemptKey) {
         self.open.remove(key);
     }
--- a/crates/testbed/src/simulator/faults/schedule.rs
+++ b/crates/testbed/src/simulator/faults/schedule.rs
@@ -1,7 +1,7 @@
 //! Schedules the start and end of the simulator's faults, and routes each to its component.
 //!
-//! Holds the target servers of each fault. `fleet` implements the effects on servers, `sidecars`
-//! implements restarts, and `workload` includes bursts and expensive requests in the arrivals.
+//! `fleet` implements the effects on servers and `sidecars` the restarts; `workload` includes
+//! bursts and expensive requests in the arrivals.
 
 use super::{rolling_restart_times, target_servers};
 use crate::index::{ServerIndex, SidecarIndex};
@@ -94,7 +94,7 @@
 fn schedule_restart(sidecar: SidecarIndex, at: Micros, fault: &Fault, context: &mut Context<'_>) {
     let restart = SidecarRestart {
         sidecar,
-        down_time: from_s(fault.down_s),
+        downtime: from_s(fault.down_s),
         kill: fault.kill,
     };
     context.schedule_at(at, SimulatorEvent::SidecarRestart(restart));
--- a/crates/testbed/src/simulator/fleet/server/mod.rs
+++ b/crates/testbed/src/simulator/fleet/server/mod.rs
@@ -1,7 +1,7 @@
 //! One simulated server: its model and its reachability over the network.
 //!
 //! Tracks the attempts that the server has accepted. `Fleet` schedules events and writes the event
-//! log. `state_change` has the changes by faults.
+//! log, and `state_change` applies faults.
 
 mod state_change;
 
@@ -29,7 +29,8 @@
     pub(super) model: ServerModel,
     zone: u32,
     reachability: Reachability,
-    /// Number of process starts so far. A connection belongs to the start in which it was opened.
+    /// Number that identifies the current process: incremented when a process ends and when one
+    /// starts. A connection belongs to the process that opened it.
     start_number: u32,
     /// When the process started; 0 if it started before the run.
     started_at: Micros,
@@ -43,15 +44,16 @@
     malformed_share: f64,
     /// Fraction of connections that are reset during an attempt.
     reset_share: f64,
-    /// Incremented when the model's next event is rescheduled, so that the scheduled ones become
-    /// stale.
+    /// Incremented when the model's next event is rescheduled, so that events which were scheduled
+    /// earlier become stale.
     event_generation: u32,
     /// The scheduled time of the model's next event.
     next_event_at: Option<Micros>,
 }
 
 impl Server {
-    /// A server whose speed is drawn. A cold one starts now, any other started before the run.
+    /// Creates a server with a drawn speed. A cold server starts now, a warm one started before the
+    /// run.
     pub(super) fn new(
         scenario: &Scenario,
         machine_type: &MachineType,
@@ -104,19 +106,20 @@
         self.reset_share
     }
 
-    /// The start number that a new connection would belong to; `None` if connections are refused.
-    pub(super) fn open_start(&self) -> Option<u32> {
+    /// Number of the current process start, to which a new connection would belong; `None` if
+    /// connections are refused.
+    pub(super) fn start_number_unless_refusing(&self) -> Option<u32> {
         (self.reachability != Reachability::Refusing).then_some(self.start_number)
     }
 
-    /// Opens a connection and returns its start number; `None` if it is refused.
+    /// Opens a connection and returns the start number that it belongs to; `None` if it is refused.
     pub(super) fn try_connect(&mut self) -> Option<u32> {
         let accepted = self.reachability == Reachability::Open && self.model.try_connect();
         accepted.then_some(self.start_number)
     }
 
-    /// Closes a connection that was opened in the start of this number. Those of earlier starts
-    /// ended with their process.
+    /// Closes a connection to the process of this start number. Connections to earlier processes
+    /// ended with them.
     pub(super) fn close_connection(&mut self, start_number: u32) {
         if start_number == self.start_number {
             self.model.on_disconnected();
@@ -180,9 +183,8 @@
         }
     }
 
-    /// Checks whether the model's next event has changed since it was scheduled. If so, returns the
-    /// generation and time of the new event, which the caller schedules; `None` also if there is no
-    /// next event.
+    /// Returns the generation and time of the model's next event for the caller to schedule. `None`
+    /// if the event is scheduled already, or if there is no next event.
     pub(super) fn reschedule(&mut self, now: Micros) -> Option<(u32, Micros)> {
         let next = self.model.next_event_at();
         if next == self.next_event_at && next.is_none_or(|at| at > now) {
--- a/crates/testbed/src/simulator/run.rs
+++ b/crates/testbed/src/simulator/run.rs
@@ -12,7 +12,7 @@
 pub struct RunStatistics {
     /// Events processed.
     pub events_processed: u64,
-    /// Arrivals dropped because too many requests were open.
+    /// Arrivals skipped because too many requests were open.
     pub not_played: u64,
 }
 
@@ -29,7 +29,7 @@
     let mut readers = Tee {
         first: &mut auditor,
         second: &mut statistics,
-        further: extra_log,
+        third: extra_log,
     };
     let mut simulator = Simulator::new(scenario, &mut readers)?;
     simulator.run_to_completion();
--- a/crates/testbed/src/simulator/sidecars/endpoints.rs
+++ b/crates/testbed/src/simulator/sidecars/endpoints.rs
@@ -1,13 +1,13 @@
 //! A sidecar's copy of the endpoint list, and the delivery of its changes to the balancer.
 //!
-//! Owns the cached list and the state of poll and watch. The list itself belongs to `discovery`.
+//! Polls and watches the list of `discovery`, and caches it across restarts of the sidecar.
 
 use std::collections::BTreeMap;
 
 use arrowstand_balancer::{Endpoint, EndpointStatus, Event as BalancerEvent, ServerId, UpdateKind};
 use arrowstand_control::stable_hash;
 
-use super::environment::Environment;
+use super::dependencies::Dependencies;
 use super::sidecar::Sidecar;
 use crate::event_log::{ListedStatus, LogEvent};
 use crate::index::ServerIndex;
@@ -20,7 +20,7 @@
 
 /// The last endpoint list that a sidecar received, which survives its restarts.
 pub(super) struct CachedEndpoints {
-    version: u64,
+    revision: u64,
     endpoints: BTreeMap<ServerIndex, ListedEndpoint>,
 }
 
@@ -29,7 +29,7 @@
     pub(super) fn new(discovery: &Discovery) -> Self {
         let current = discovery.current_endpoints();
         Self {
-            version: discovery.version(),
+            revision: discovery.revision(),
             endpoints: current
                 .map(|endpoint| (endpoint.server, endpoint))
                 .collect(),
@@ -83,110 +83,108 @@
         self.subscription.is_watching
     }
 
-    /// Whether a poll is the last one of the running process, whose result, or the end of the watch
-    /// that followed, still matters.
+    /// Whether a poll is the latest one of the running process. The results of other polls, and the
+    /// ends of the watches that followed them, are ignored.
     pub(super) fn awaits_poll(&self, poll: EndpointPoll) -> bool {
         self.is_running(poll.process) && self.subscription.poll_count == poll.number
     }
 
     /// Polls the list; a watch follows once the poll is answered.
-    pub(super) fn poll_endpoints(&mut self, environment: &mut Environment<'_, '_>) {
+    pub(super) fn poll_endpoints(&mut self, deps: &mut Dependencies<'_, '_>) {
         let sidecar = self.index;
-        environment
-            .context
-            .record(LogEvent::DiscoveryPolled { sidecar });
+        deps.context.record(LogEvent::DiscoveryPolled { sidecar });
         let poll = EndpointPoll {
             process: self.process(),
             number: self.subscription.on_poll_started(),
         };
-        environment.discovery.on_poll(poll, environment.context);
+        deps.discovery.on_poll(poll, deps.context);
     }
 
     /// Handles the result of the last poll: applies the changes and starts the watch, or tells the
     /// balancer that the poll has failed.
-    pub(super) fn on_poll_result(&mut self, failed: bool, environment: &mut Environment<'_, '_>) {
-        if failed || !environment.discovery.is_up() {
-            self.on_endpoints_lost(environment);
+    pub(super) fn on_poll_result(&mut self, failed: bool, deps: &mut Dependencies<'_, '_>) {
+        if failed || !deps.discovery.is_up() {
+            self.on_endpoints_lost(deps);
         } else {
             self.subscription.is_watching = true;
-            self.apply_changes(environment);
+            self.apply_changes(deps);
         }
     }
 
     /// Handles a notification of a change of the list.
-    pub(super) fn on_watch_notification(&mut self, environment: &mut Environment<'_, '_>) {
-        let discovery = &*environment.discovery;
-        let has_changes = self.subscription.cached.version < discovery.version();
+    pub(super) fn on_watch_notification(&mut self, deps: &mut Dependencies<'_, '_>) {
+        let discovery = &*deps.discovery;
+        let has_changes = self.subscription.cached.revision < discovery.revision();
         if self.subscription.is_watching && discovery.is_up() && has_changes {
-            self.apply_changes(environment);
+            self.apply_changes(deps);
         }
     }
 
-    /// Ends the watch from discovery's side, which the sidecar notices after a delay.
-    pub(super) fn end_watch(&mut self, notice_delay: Micros, context: &mut Context<'_>) {
+    /// Ends the watch from discovery's side, which the sidecar detects after a delay.
+    pub(super) fn end_watch(&mut self, detection_delay: Micros, context: &mut Context<'_>) {
         if std::mem::take(&mut self.subscription.is_watching) {
             let poll = EndpointPoll {
                 process: self.process(),
                 number: self.subscription.poll_count,
             };
             let result = PollResult { poll, failed: true };
-            context.schedule_after(notice_delay, SimulatorEvent::PollResult(result));
+            context.schedule_after(detection_delay, SimulatorEvent::PollResult(result));
         }
     }
 
     /// Delivers the cached list to a new balancer.
-    pub(super) fn restore_endpoints(&mut self, environment: &mut Environment<'_, '_>) {
+    pub(super) fn restore_endpoints(&mut self, deps: &mut Dependencies<'_, '_>) {
         let cached = &self.subscription.cached;
-        let version = cached.version;
+        let revision = cached.revision;
         let entries: Vec<_> = cached.endpoints.values().copied().collect();
-        self.deliver_endpoints(UpdateKind::Cached, version, &entries, environment);
+        self.deliver_endpoints(UpdateKind::Cached, revision, &entries, deps);
     }
 
-    /// Applies all changes since the version of the cached list; there may be none.
-    fn apply_changes(&mut self, environment: &mut Environment<'_, '_>) {
-        let discovery = &*environment.discovery;
-        let version = discovery.version();
-        let changes = discovery.changes_since(self.subscription.cached.version);
-        self.deliver_endpoints(UpdateKind::Incremental, version, &changes, environment);
+    /// Applies all changes since the revision of the cached list; there may be none.
+    fn apply_changes(&mut self, deps: &mut Dependencies<'_, '_>) {
+        let discovery = &*deps.discovery;
+        let revision = discovery.revision();
+        let changes = discovery.changes_since(self.subscription.cached.revision);
+        self.deliver_endpoints(UpdateKind::Incremental, revision, &changes, deps);
     }
 
     /// Tells the balancer that updates of the endpoint list have stopped.
-    fn on_endpoints_lost(&mut self, environment: &mut Environment<'_, '_>) {
+    fn on_endpoints_lost(&mut self, deps: &mut Dependencies<'_, '_>) {
         self.subscription.on_watch_ended();
         let lost = BalancerEvent::EndpointsUpdated {
             kind: UpdateKind::Lost,
             version: 0,
             endpoints: Vec::new(),
         };
-        self.handle_balancer_event(lost, environment);
+        self.handle_balancer_event(lost, deps);
     }
 
     fn deliver_endpoints(
         &mut self,
         kind: UpdateKind,
-        version: u64,
+        revision: u64,
         listed: &[ListedEndpoint],
-        environment: &mut Environment<'_, '_>,
+        deps: &mut Dependencies<'_, '_>,
     ) {
-        let scenario = environment.context.scenario();
+        let scenario = deps.context.scenario();
         let mut endpoints = Vec::with_capacity(listed.len());
         for &endpoint in listed {
-            environment.context.record(LogEvent::EndpointListed {
+            deps.context.record(LogEvent::EndpointListed {
                 sidecar: self.index,
                 server: endpoint.server,
                 status: endpoint.status,
                 incarnation: endpoint.incarnation,
             });
             self.subscription.cached.apply(endpoint);
-            endpoints.push(balancer_endpoint(endpoint, environment.fleet, scenario));
+            endpoints.push(balancer_endpoint(endpoint, deps.fleet, scenario));
         }
-        self.subscription.cached.version = version;
+        self.subscription.cached.revision = revision;
         let update = BalancerEvent::EndpointsUpdated {
             kind,
-            version,
+            version: revision,
             endpoints,
         };
-        self.handle_balancer_event(update, environment);
+        self.handle_balancer_event(update, deps);
     }
 }
 
