--- a/crates/balancer/src/policy/load_shedder.rs
+++ b/crates/balancer/src/policy/load_shedder.rs
@@ -1,15 +1,16 @@
 //! Load shedding: rejects some requests so that others are served within their objective.
 //!
-//! On arrival, a request is shed if it could not meet its latency objective even on an idle server
-//! and late responses of its class have no value. After server selection, the rule depends on the
-//! source of load information:
+//! On arrival, a request whose client no longer waits is shed. So is one that could not meet its
+//! latency objective even on an idle server, if late responses of its class have no value. After
+//! server selection, the rule depends on the source of load information:
 //!
 //! - load checks: with the fullness `F` of the fleet and the value density `v` of the request, shed
 //!   if requests are queued ahead and
-//!   `expected > (1 - F * max(0, 1 - (0.6 - 0.25 * missed) * v)) * time left`;
-//! - load reports in responses: shed if the response is expected after the objective, unless a late
-//!   response still has value, is expected before the deadline, and less than 5 % of requests miss
-//!   their objective;
+//!   `expected > (1 - F * max(0, 1 - (0.6 - 0.25 * missed) * v)) * time left`.
+//!   Classes whose late responses have value are exempt;
+//! - load reports in responses: shed if the response is expected after the objective. A late
+//!   response is accepted if it still has value, is expected before the deadline, less than 5 % of
+//!   requests miss their objective, and the server is not in slow start;
 //! - none, or load checks that are not trusted: shed at random with the probability
 //!   `2 * (saturation - 0.32) / 0.35 - rank`, where the rank is 0 for the lowest and 1 for the
 //!   highest priority weight. Classes whose late responses have value are exempt.
@@ -31,28 +32,28 @@
 use crate::{IncomingRequest, Micros, RequestClass};
 
 /// Work assumed on arrival for a request without a work hint, as a fraction of the mean service
-/// time. The request is shed if its latency objective or its time left is shorter than this and a
-/// late response has no value.
+/// time. If a late response has no value, the request is shed when its latency objective or its
+/// time left is shorter than the assumed work.
 const DEFAULT_WORK_FRACTION: f64 = 0.5;
-/// Fraction of the time left within which the response to a request of average value must be
-/// expected when the fleet is full and no request misses its objective. A full fleet serves more
+/// Highest expected response time of a request of average value density, as a fraction of the time
+/// left, when the fleet is full and no request misses its objective. A full fleet serves more
 /// requests in time if it accepts only those that it can serve reliably. The value holds for loads
 /// from 0.7 to 1.2 of capacity.
 const TIME_LEFT_FRACTION_WHEN_FULL: f64 = 0.6;
 /// Reduction of [`TIME_LEFT_FRACTION_WHEN_FULL`] when all requests miss their objective: 0.35 of
 /// the time left remains. The value holds for loads from 0.7 to 1.2 of capacity.
 const TIME_LEFT_FRACTION_MISS_PENALTY: f64 = 0.25;
-/// Minimum number of requests ahead that counts as a queue. Below it, the number is only a
-/// fractional remainder of the estimate.
-const MIN_REQUESTS_AHEAD: f64 = 0.5;
+/// Minimum load of the requests ahead that counts as a queue. A lower load is only a fractional
+/// remainder of the estimate.
+const MIN_LOAD_AHEAD: f64 = 0.5;
 /// Late responses are no longer accepted once this fraction of requests is expected to miss the
 /// latency objective: the capacity they take is needed for responses in time (docs/deployments.md).
 const MAX_MISS_RATE_FOR_LATE_RESPONSES: f64 = 0.05;
 /// Saturation above which requests of the lowest priority are shed; below it, none are. With 100
-/// balancers, a threshold of 0.25 sheds requests at moderate load (docs/fleet.md).
+/// balancers, a threshold of 0.25 already sheds requests at moderate load (docs/fleet.md).
 const SHEDDING_THRESHOLD: f64 = 0.32;
-/// Excess of the saturation over the threshold at which all requests are shed. A smaller range
-/// sheds more steeply (docs/fleet.md).
+/// All requests are shed once the saturation exceeds [`SHEDDING_THRESHOLD`] by this. With a smaller
+/// range, the shedding probability rises more steeply (docs/fleet.md).
 const SHEDDING_RANGE: f64 = 0.35;
 /// Increase of the shedding probability over the range. The range covers all priorities: with 2,
 /// all requests of the lowest priority are shed at its midpoint, where shedding of the highest
@@ -190,7 +191,7 @@
         request: &RequestState,
         server: &ServerState,
     ) -> bool {
-        if forecast.requests_ahead(server) < MIN_REQUESTS_AHEAD {
+        if forecast.load_ahead(server) < MIN_LOAD_AHEAD {
             return false;
         }
         let max_fraction_when_full = TIME_LEFT_FRACTION_WHEN_FULL
@@ -201,8 +202,9 @@
         forecast.expected_response_time(server) > fraction * time_left
     }
 
-    /// Sheds at random in proportion to the saturation, which is derived from response times: a
-    /// queue that all balancers fill together does not show in the few requests of this one.
+    /// Decides at random, with a probability that rises with the saturation. The saturation is
+    /// derived from response times: a queue that all balancers fill together does not show in the
+    /// few requests of this one.
     fn is_shed_by_saturation(
         &self,
         fleet: &Fleet,
