--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -50,7 +50,8 @@
     }
 
     /// Handles an event and appends the resulting actions to `actions`. `now` is in microseconds;
-    /// if it is before the time of an earlier event, that time is used instead.
+    /// if it is less than at an earlier call, the greatest `now` of all earlier calls is used
+    /// instead.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         self.fleet.now = self.fleet.now.max(now);
         if !self.started {
@@ -109,14 +110,16 @@
         }
     }
 
-    /// Checks the next server of the schedule and sends a gossip datagram if one is queued.
+    /// Checks the next server of the schedule, and sends a gossip datagram if suspicions are
+    /// queued. As gossip is sent only along with scheduled checks, it needs no schedule of its own,
+    /// and its rate is limited by theirs.
     fn run_scheduled_health_check(&mut self, actions: &mut Actions) {
         let target = self.policies.health_checker.next_target(&self.fleet);
         let server = match target {
             CheckTarget::Server(server) => Some(server),
             CheckTarget::RandomCandidate => {
                 let fleet = &mut self.fleet;
-                let candidates = self.policies.trusted_candidates(fleet, &mut self.rng);
+                let candidates = self.policies.check_candidates(fleet, &mut self.rng);
                 self.rng.choice(candidates)
             }
         };
@@ -124,7 +127,7 @@
             self.start_health_check(server, actions);
             self.fleet.servers[server]
                 .health_check
-                .on_full_check_requested();
+                .on_scheduled_check_requested();
         }
         let datagram = self
             .policies
@@ -144,8 +147,8 @@
         }
     }
 
-    /// Starts an unscheduled health check. Its failure is not confirmed but makes the server the
-    /// next one to be checked by the schedule.
+    /// Starts an unscheduled health check. If it fails, the server is not suspected, and no second
+    /// or indirect check confirms the failure. Instead, a scheduled check of it is brought forward.
     fn start_unscheduled_health_check(&mut self, server: ServerIndex, actions: &mut Actions) {
         self.fleet.servers[server]
             .health_check
--- a/crates/balancer/src/balancer/membership.rs
+++ b/crates/balancer/src/balancer/membership.rs
@@ -39,13 +39,13 @@
         }
         if kind != UpdateKind::Cached {
             self.policies.endpoint_poller.on_list_received();
-            self.fleet.servers.on_list_received();
+            self.fleet.servers.clear_possible_drains();
         }
         if !self.fleet.servers.accept_version(version) {
             return;
         }
         if kind != UpdateKind::Incremental {
-            self.fleet.servers.on_full_list(&endpoints);
+            self.fleet.servers.mark_unlisted_as_removed(&endpoints);
         }
         self.merge_endpoints(endpoints, actions);
         self.fleet.remove_obsolete_servers();
--- a/crates/balancer/src/balancer/policies.rs
+++ b/crates/balancer/src/balancer/policies.rs
@@ -44,8 +44,9 @@
         }
     }
 
-    /// Returns the trusted servers of the subset that slow start admits, or, if there are none, all
-    /// ready servers that it admits.
+    /// Returns the candidates for an attempt: the trusted servers of the subset that slow start
+    /// admission admits. If there are none, also suspected and possibly draining servers are
+    /// candidates, as far as they are ready and admitted.
     pub(super) fn candidates(
         &self,
         fleet: &mut Fleet,
@@ -63,8 +64,10 @@
         self.admit(fleet, ready, rng)
     }
 
-    /// Returns the trusted servers of the subset that slow start admits.
-    pub(super) fn trusted_candidates(
+    /// Returns the candidates for a load check or a random scheduled check: the trusted servers of
+    /// the subset that slow start admission admits. Unlike for attempts, there is no fallback to
+    /// other servers.
+    pub(super) fn check_candidates(
         &self,
         fleet: &mut Fleet,
         rng: &mut fastrand::Rng,
@@ -75,8 +78,8 @@
         self.admit(fleet, trusted, rng)
     }
 
-    /// Retains the servers that slow start admits, and ends the slow start of servers with full
-    /// capacity.
+    /// Retains the servers that slow start admission admits, and ends the slow start of those that
+    /// have reached their full capacity.
     fn admit(
         &self,
         fleet: &mut Fleet,
--- a/crates/balancer/src/balancer/requests.rs
+++ b/crates/balancer/src/balancer/requests.rs
@@ -45,11 +45,11 @@
         }
     }
 
-    /// Starts load checks for a request. It is dispatched once all of them have ended or a timer
-    /// expires.
+    /// Starts load checks for a request. The request is dispatched once all of them have ended or a
+    /// timer expires, or at once if no server can be checked.
     fn start_load_checks(&mut self, id: RequestId, actions: &mut Actions) {
         let policies = &self.policies;
-        let candidates = policies.trusted_candidates(&mut self.fleet, &mut self.rng);
+        let candidates = policies.check_candidates(&mut self.fleet, &mut self.rng);
         let servers = LoadChecker::choose_servers(&self.fleet, candidates, &mut self.rng);
         let ids: Vec<ServerId> = servers
             .iter()
--- a/crates/balancer/src/fleet.rs
+++ b/crates/balancer/src/fleet.rs
@@ -44,7 +44,7 @@
 
     /// Returns whether the results of health checks are trusted at present.
     pub(crate) fn health_check_trust(&self) -> HealthCheckTrust {
-        let failed = self.servers.failed_health_checks();
+        let failed = self.servers.servers_with_failed_check();
         HealthCheckTrust::assess(failed, || self.subset_size())
     }
 
--- a/crates/balancer/src/policy/failure_detector.rs
+++ b/crates/balancer/src/policy/failure_detector.rs
@@ -1,9 +1,9 @@
 //! Detects failed servers and decides when they are suspected, readmitted or declared dead.
 //!
 //! A server is suspected (ejected) if one of these holds:
-//! - A full health check fails and none succeeds within 150 ms. Without peers, a second check then
-//!   decides. With peers, the suspicion is sent to all balancers, or kept local if another balancer
-//!   has reached the server.
+//! - A scheduled health check fails and none succeeds within 150 ms. Without peers, a second check
+//!   then decides. With peers, the suspicion is sent to all balancers, or kept local if another
+//!   balancer has reached the server.
 //! - Its attempts in flight have gone without a response for so long that `-ln P > 14`. `P` is the
 //!   probability of such a wait at a healthy server if the fleet's latencies are log-normal, as in
 //!   an accrual failure detector.
@@ -44,9 +44,9 @@
 /// requires more.
 const CONSECUTIVE_FAILURE_THRESHOLD_NATS: f64 = 9.0;
 /// A suspicion of another balancer is not adopted if the server has served an attempt of this
-/// balancer within this time, in microseconds. With a longer window a server that has just failed
-/// is used for longer; with a shorter one a single mistaken balancer makes busy ones eject a
-/// healthy server.
+/// balancer within this time, in microseconds. With a longer window, a server that has just failed
+/// is used for longer; with a shorter one, a single mistaken balancer makes even balancers with
+/// much traffic eject a healthy server.
 const RECENT_SUCCESS_WINDOW: Micros = 500_000;
 
 /// What to do about a server.
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Handles a successful health check. If attempts raised the suspicion, it ends only after its
+    /// Handles a successful health check. A suspicion raised by attempts ends only after its
     /// ejection time.
     pub(crate) fn evaluate_successful_check(now: Micros, server: &ServerState) -> HealthAction {
         match server.suspicion.current() {
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Handles a failed full health check.
+    /// Handles a failed scheduled health check.
     pub(crate) fn evaluate_failed_check(fleet: &Fleet, server: &ServerState) -> HealthAction {
         let is_already_handled =
             server.suspicion.is_suspected() || server.health_check.is_confirming();
@@ -202,8 +202,9 @@
     suspicion.cause != EjectionCause::Attempts || suspicion.ejection_time_elapsed(now)
 }
 
-/// Concludes the confirmation of a failed health check. With peers, the server is ejected, only
-/// locally if another balancer has reached it. Without peers, it is checked a second time.
+/// Concludes the confirmation of a failed health check. With peers, the server is ejected; if
+/// another balancer has reached it, the suspicion is kept local. Without peers, the server is
+/// checked a second time.
 fn confirm_failed_check(fleet: &Fleet, server: &ServerState) -> HealthAction {
     if !fleet.settings.has_peers() {
         return HealthAction::CheckAgain;
--- a/crates/balancer/src/state/endpoint_table.rs
+++ b/crates/balancer/src/state/endpoint_table.rs
@@ -15,7 +15,7 @@
 pub(crate) struct MergeResult {
     /// Index of the server.
     pub(crate) server_index: ServerIndex,
-    /// True if the server was known and has restarted since.
+    /// True if the server was already known and the entry shows that it has restarted.
     pub(crate) restarted: bool,
 }
 
@@ -25,7 +25,7 @@
     servers: Vec<ServerState>,
     index_by_id: BTreeMap<ServerId, ServerIndex>,
     version: u64,
-    failed_health_checks: usize,
+    servers_with_failed_check: usize,
 }
 
 impl EndpointTable {
@@ -56,8 +56,8 @@
     }
 
     /// Returns the number of servers whose last health check failed.
-    pub(crate) fn failed_health_checks(&self) -> usize {
-        self.failed_health_checks
+    pub(crate) fn servers_with_failed_check(&self) -> usize {
+        self.servers_with_failed_check
     }
 
     /// Records the version of an endpoint list; returns false if a newer one has been received.
@@ -67,16 +67,16 @@
         is_current
     }
 
-    /// Records that a current endpoint list was received, so that no server counts as possibly
-    /// draining any more.
-    pub(crate) fn on_list_received(&mut self) {
+    /// Clears all possible drains, as a current endpoint list was received: it shows which servers
+    /// drain.
+    pub(crate) fn clear_possible_drains(&mut self) {
         self.servers
             .iter_mut()
             .for_each(ServerState::on_endpoint_list_received);
     }
 
-    /// Marks servers that a full endpoint list omits as removed.
-    pub(crate) fn on_full_list(&mut self, endpoints: &[Endpoint]) {
+    /// Marks the servers that are missing from a full endpoint list as removed.
+    pub(crate) fn mark_unlisted_as_removed(&mut self, endpoints: &[Endpoint]) {
         let listed: BTreeSet<ServerId> = endpoints.iter().map(|endpoint| endpoint.server).collect();
         let unlisted = |server: &&mut ServerState| !listed.contains(&server.id());
         self.servers
@@ -114,7 +114,7 @@
     pub(crate) fn retain(&mut self, keep: impl Fn(&ServerState) -> bool) {
         self.servers.retain(keep);
         let failed = |server: &&ServerState| server.health_check.last_failed();
-        self.failed_health_checks = self.servers.iter().filter(failed).count();
+        self.servers_with_failed_check = self.servers.iter().filter(failed).count();
         self.index_by_id = self
             .servers
             .iter()
@@ -130,9 +130,9 @@
         outcome: Outcome,
     ) -> HealthCheckKind {
         let health_check = &mut self.servers[server_index.0].health_check;
-        self.failed_health_checks -= usize::from(health_check.last_failed());
+        self.servers_with_failed_check -= usize::from(health_check.last_failed());
         let kind = health_check.on_ended(outcome);
-        self.failed_health_checks += usize::from(health_check.last_failed());
+        self.servers_with_failed_check += usize::from(health_check.last_failed());
         kind
     }
 }
--- a/crates/balancer/src/state/endpoint_table/tests.rs
+++ b/crates/balancer/src/state/endpoint_table/tests.rs
@@ -48,7 +48,7 @@
 #[test]
 fn full_list_marks_servers_it_omits_as_removed() {
     let mut table = table(3);
-    table.on_full_list(&[Endpoint::ready(ServerId(1), 1)]);
+    table.mark_unlisted_as_removed(&[Endpoint::ready(ServerId(1), 1)]);
     let removed: Vec<bool> = table
         .iter()
         .map(super::super::server_state::ServerState::is_removed)
@@ -62,15 +62,15 @@
     table.on_health_check_ended(ServerIndex(0), Outcome::TimedOut);
     table.on_health_check_ended(ServerIndex(2), Outcome::TimedOut);
     table.on_health_check_ended(ServerIndex(2), Outcome::TimedOut);
-    assert_eq!(table.failed_health_checks(), 2);
+    assert_eq!(table.servers_with_failed_check(), 2);
     table.retain(|server| server.id() != ServerId(0));
-    assert_eq!(table.failed_health_checks(), 1);
+    assert_eq!(table.servers_with_failed_check(), 1);
     assert_eq!(
         [0, 1, 2].map(|n| table.find(ServerId(n))),
         [None, Some(ServerIndex(0)), Some(ServerIndex(1))]
     );
     table.on_health_check_ended(ServerIndex(1), Outcome::Served);
-    assert_eq!(table.failed_health_checks(), 0);
+    assert_eq!(table.servers_with_failed_check(), 0);
 }
 
 #[test]
--- a/crates/balancer/src/state/health_check_record.rs
+++ b/crates/balancer/src/state/health_check_record.rs
@@ -8,9 +8,9 @@
     /// A scheduled check, or the repetition of a failed one; a failure is evidence that the server
     /// has failed.
     #[default]
-    Full,
-    /// A load check, or an indirect check for another balancer; a failure only expedites a full
-    /// check.
+    Scheduled,
+    /// A load check, or an indirect check for another balancer; a failure only expedites a
+    /// scheduled check.
     Unscheduled,
 }
 
@@ -32,7 +32,7 @@
             started_at: None,
             last_started_at: 0,
             last_failed: false,
-            kind: HealthCheckKind::Full,
+            kind: HealthCheckKind::Scheduled,
             confirm_at: None,
             confirmed_alive: true,
             indirect_check_requesters: Vec::new(),
@@ -61,7 +61,7 @@
         self.confirm_at.is_some()
     }
 
-    /// Returns false from a failed full health check until the server answers this balancer or
+    /// Returns false from a failed scheduled health check until the server answers this balancer or
     /// another one.
     pub(crate) fn is_confirmed_alive(&self) -> bool {
         self.confirmed_alive
@@ -85,9 +85,10 @@
         }
     }
 
-    /// Makes the health check in progress count as a full one.
-    pub(crate) fn on_full_check_requested(&mut self) {
-        self.kind = HealthCheckKind::Full;
+    /// Makes the health check in progress count as a scheduled one, even if it was started as an
+    /// unscheduled one.
+    pub(crate) fn on_scheduled_check_requested(&mut self) {
+        self.kind = HealthCheckKind::Scheduled;
     }
 
     /// Records another balancer that waits for the result of an indirect check.
@@ -118,7 +119,7 @@
         self.confirmed_alive = true;
     }
 
-    /// Records a failed full health check.
+    /// Records a failed scheduled health check.
     pub(crate) fn on_failed(&mut self) {
         self.confirmed_alive = false;
     }
--- a/crates/balancer/src/state/server_state.rs
+++ b/crates/balancer/src/state/server_state.rs
@@ -119,7 +119,8 @@
         self.is_removed() && self.in_flight.is_empty() && !may_be_tried
     }
 
-    /// Updates the entry in the endpoint list; returns true if the server has restarted since.
+    /// Updates the entry in the endpoint list; returns true if it shows that the server has
+    /// restarted.
     pub(crate) fn on_listed(&mut self, endpoint: Endpoint) -> bool {
         let restarted = endpoint.incarnation.unwrap_or(0) > self.incarnation();
         let incarnation = if restarted {
@@ -144,7 +145,7 @@
         self.endpoint.status = EndpointStatus::Removed;
     }
 
-    /// Clears a possible drain once a current endpoint list is received.
+    /// Clears a possible drain, as a current endpoint list was received.
     pub(crate) fn on_endpoint_list_received(&mut self) {
         self.possibly_draining = false;
     }
@@ -199,8 +200,8 @@
         self.load.on_rejected(queue_depth, now);
     }
 
-    /// Marks the server as possibly draining: it rejected an attempt, and no current endpoint list
-    /// shows whether it drains.
+    /// Marks the server as possibly draining: it rejected an attempt, and without a subscription
+    /// the endpoint list may not show a drain.
     pub(crate) fn on_possible_drain(&mut self) {
         self.possibly_draining = true;
     }
