--- a/crates/balancer/src/policy/ejection.rs
+++ b/crates/balancer/src/policy/ejection.rs
@@ -38,9 +38,9 @@
 /// window each ejection doubles the ejection time, and a restart alone does not clear the suspicion
 /// of a server that was ejected repeatedly.
 const EJECTION_HISTORY_WINDOW: Micros = 20_000_000;
-/// Age of a suspicion that was not raised by attempts, in microseconds, above which the server may
-/// have restarted without an endpoint list update, so that it is readmitted in slow start. Equals
-/// two check intervals of a suspected server.
+/// Age of a suspicion, in microseconds, above which the server may have restarted without an
+/// endpoint list update. The server is then readmitted in slow start, unless attempts raised the
+/// suspicion. Equals twice the minimum interval between checks of a suspected server.
 const UNDETECTED_RESTART_THRESHOLD: Micros = 2 * MIN_SUSPECT_CHECK_INTERVAL;
 
 /// Whether a server is ejected.
--- a/crates/balancer/src/policy/endpoint_poller.rs
+++ b/crates/balancer/src/policy/endpoint_poller.rs
@@ -23,7 +23,7 @@
 /// The maximum backoff is the maximum poll interval divided by this.
 const MAX_BACKOFF_DIVISOR: Micros = 2;
 /// Numerator of the poll timeout as a fraction of the maximum poll interval. The timeout is shorter
-/// than the interval so that the repeated poll can complete within it.
+/// than the interval so that the repeated poll can complete within the interval.
 const POLL_TIMEOUT_NUMERATOR: Micros = 3;
 /// Denominator of the poll timeout as a fraction of the maximum poll interval.
 const POLL_TIMEOUT_DENOMINATOR: Micros = 4;
@@ -37,7 +37,7 @@
     PollFailed,
 }
 
-/// State of the endpoint list subscription, and the poll backoff while there is none.
+/// State of the endpoint list subscription, and the poll backoff while there is no subscription.
 #[derive(Default)]
 pub(crate) struct EndpointPoller {
     subscribed: bool,
--- a/crates/balancer/src/policy/gossip_protocol.rs
+++ b/crates/balancer/src/policy/gossip_protocol.rs
@@ -7,7 +7,8 @@
 //! records to a random balancer. A record is dropped from the queue after `floor(log2 N) + 2`
 //! datagrams, which spread it to all `N` balancers with high probability. A suspicion of an older
 //! incarnation of the server is ignored. Unlike in the paper, a server cannot refute a suspicion
-//! itself; instead a balancer ignores it while the server serves its attempts.
+//! itself; instead, a balancer ignores the suspicion while the server serves that balancer's
+//! attempts.
 
 #[cfg(test)]
 mod tests;
@@ -20,9 +21,9 @@
 /// more are queued, they are sent in rotation.
 const MAX_SUSPICIONS_PER_DATAGRAM: usize = 15;
 /// Number of balancers that are asked to confirm a failed health check, and the maximum number of
-/// balancers that wait for an indirect check of one server at a time. A larger fanout, such as
-/// five, gets around partial network failures more often, at the cost of as many more health
-/// checks.
+/// balancers that wait for an indirect check of one server at a time. With a larger fanout, such as
+/// five, it is more likely that one of the balancers is not affected by a partial network failure,
+/// but each failed check causes that many more health checks.
 const INDIRECT_CHECK_FANOUT: usize = 3;
 
 /// A gossip datagram and the balancer it is sent to.
@@ -68,8 +69,8 @@
 }
 
 impl GossipProtocol {
-    /// Requests indirect checks of a server from random balancers. Draws with replacement, so that
-    /// one balancer may be asked twice.
+    /// Requests indirect checks of a server from random balancers. Draws with replacement: the same
+    /// balancer may be asked more than once.
     pub(crate) fn request_indirect_checks(
         settings: &Settings,
         server: &ServerState,
--- a/crates/balancer/src/policy/health_check_trust.rs
+++ b/crates/balancer/src/policy/health_check_trust.rs
@@ -1,15 +1,16 @@
 //! Decides whether the results of health checks are trusted.
 //!
 //! Health checks can fail although the servers serve requests. If the last check of more than 30 %
-//! of the servers failed, the health checks themselves are assumed to be faulty: only attempts are
-//! then used to detect failures, and load reports are ignored. Servers that have really failed also
-//! fail attempts, so they are still detected.
+//! of the servers failed, the health checks themselves are assumed to be faulty. A load check
+//! then counts only if it shows an idle server, and only attempts are used to detect failures.
+//! Servers that have really failed also fail attempts, so they are still detected.
 
 #[cfg(test)]
 mod tests;
 
-/// Fraction of failed servers up to which health checks are trusted: the number of failed servers
-/// divided by the sum of that number and the subset size.
+/// Maximum fraction of servers with a failed last check at which health checks are still trusted.
+/// The fraction is the number of these servers divided by the sum of that number and the subset
+/// size.
 const MAX_FAILED_FRACTION: f64 = 0.3;
 
 /// Whether the results of health checks are trusted.
--- a/crates/balancer/src/policy/health_checker.rs
+++ b/crates/balancer/src/policy/health_checker.rs
@@ -10,8 +10,10 @@
 //! and a quarter of that while any server is suspected.
 //!
 //! Every other check goes to the suspected server whose last check is the oldest. The remaining
-//! checks go to servers whose attempt or load check failed, the most recent one first, or else to a
-//! random candidate, as in SWIM.
+//! checks, and those for which no suspected server is due, go to expedited servers, the most
+//! recently expedited one first. A server is expedited after a failed attempt, a failed unscheduled
+//! check, or a suspicion of another balancer. If there is none, the check goes to a random
+//! candidate, as in SWIM.
 
 #[cfg(test)]
 mod tests;
@@ -20,11 +22,12 @@
 use crate::state::{CheckSource, HealthCheckSchedule, ServerIndex, ServerState};
 use crate::{Micros, ServerId, Settings};
 
-/// Shortest check interval, in microseconds, and the range of the random delay of the first check,
-/// which spreads the checks of balancers that start together. A shorter interval detects failures
-/// sooner than attempts do, at a higher cost.
+/// Shortest check interval while no server is suspected, in microseconds. With a shorter one,
+/// health checks would detect failures sooner than attempts do, but cost more. Also the range of
+/// the random delay of the first check, which spreads the checks of balancers that start together.
 const MIN_INTERVAL: Micros = 1_000_000;
-/// Longest check interval, in microseconds. However costly a check, one is sent at least every 5 s.
+/// Longest check interval, in microseconds: a check is sent at least every 5 s, however costly it
+/// is.
 const MAX_INTERVAL: Micros = 5_000_000;
 /// Cost limit of the scheduled checks, in units of the deployment's result ([`Fees`](crate::Fees)).
 /// The interval is lengthened to stay within it.
@@ -65,7 +68,7 @@
     pub(crate) fn next_target(&mut self, fleet: &Fleet) -> CheckTarget {
         self.schedule
             .on_scheduled_check_started(fleet.now, interval(fleet));
-        let suspect = longest_waiting_suspect(fleet);
+        let suspect = least_recently_checked_suspect(fleet);
         let source = self.schedule.next_source();
         if let Some(suspect) = suspect.filter(|_| source == CheckSource::Suspected) {
             return CheckTarget::Server(suspect);
@@ -77,8 +80,8 @@
         expedited.map_or(CheckTarget::RandomCandidate, CheckTarget::Server)
     }
 
-    /// Puts a server whose attempt or load check failed first in the queue of expedited servers,
-    /// and brings the next scheduled check forward.
+    /// Adds a server that may have failed to the expedited servers, unless it is already one of
+    /// them, and brings the next scheduled check forward.
     pub(crate) fn expedite(&mut self, id: ServerId, now: Micros) {
         self.schedule
             .expedite(id, MIN_INTERVAL / SUSPECTED_INTERVAL_DIVISOR, now);
@@ -91,9 +94,10 @@
 }
 
 fn interval(fleet: &Fleet) -> Micros {
-    let cost_per_interval = MAX_CHECK_COST * fleet.request_rate();
-    let affordable = (fleet.settings.fees.health_check / cost_per_interval) as Micros;
-    let interval = affordable.clamp(MIN_INTERVAL, MAX_INTERVAL);
+    let max_cost_per_microsecond = MAX_CHECK_COST * fleet.request_rate();
+    let affordable_interval =
+        (fleet.settings.fees.health_check / max_cost_per_microsecond) as Micros;
+    let interval = affordable_interval.clamp(MIN_INTERVAL, MAX_INTERVAL);
     if fleet
         .servers
         .iter()
@@ -105,7 +109,7 @@
     }
 }
 
-fn longest_waiting_suspect(fleet: &Fleet) -> Option<ServerIndex> {
+fn least_recently_checked_suspect(fleet: &Fleet) -> Option<ServerIndex> {
     let last_started_at =
         |index: &ServerIndex| fleet.servers[*index].health_check.last_started_at();
     fleet
--- a/crates/balancer/src/policy/load_source.rs
+++ b/crates/balancer/src/policy/load_source.rs
@@ -1,16 +1,17 @@
 //! The source of load information: how a balancer learns the number of requests in flight at each
 //! server, depending on the settings.
 //!
-//! If health checks return load reports and cost little, servers are checked before each send. If
-//! they are costly, their reports would be seconds old; load reports in responses are then used if
-//! available. Otherwise queues are unknown, and response times are used in place of reports.
+//! If health checks return load reports and cost little, a few servers are checked for each
+//! request. If the checks are costly, they are too rare: their reports would be seconds old. In
+//! this case, or if health checks return no reports, load reports in responses are used if there
+//! are any. Otherwise queues are unknown, and response times are used in place of reports.
 
 #[cfg(test)]
 mod tests;
 
 use crate::Settings;
 
-/// Highest fee for one health check per request at which servers are checked before each send, in
+/// Highest fee for one health check per request at which servers are checked for each request, in
 /// units of the deployment's result ([`Fees`](crate::Fees)). Above it, the checks cost more than
 /// the better choice of servers gains.
 const MAX_LOAD_CHECK_FEE: f64 = 0.005;
--- a/crates/balancer/src/policy/retry_budget.rs
+++ b/crates/balancer/src/policy/retry_budget.rs
@@ -17,8 +17,8 @@
 const TOKENS_PER_REQUEST: f64 = 0.05;
 /// Cost of a retry, in tokens.
 const RETRY_COST: f64 = 1.0;
-/// Cost of a retry if no earlier attempt can have executed, so that the servers have done little
-/// work for the request.
+/// Cost of a retry if no earlier attempt can have executed. It is lower because the servers have
+/// then done little work for the request.
 const RETRY_COST_IF_NEVER_EXECUTED: f64 = 0.25;
 /// Maximum number of tokens: bounds the burst of retries after a time without failures.
 const MAX_TOKENS: f64 = 10.0;
--- a/crates/balancer/src/policy/retry_policy.rs
+++ b/crates/balancer/src/policy/retry_policy.rs
@@ -14,8 +14,8 @@
 use crate::state::{Attempt, RequestState, RetryScope, ServerState};
 use crate::{DeduplicationScope, Idempotency, Micros, RequestClass};
 
-/// Time before the end of the deduplication window from which no more retries are sent, in
-/// microseconds: the attempt still has to reach the server.
+/// Retries are sent only while more than this time is left of the deduplication window, in
+/// microseconds: the attempt still has to reach the server within the window.
 const DEDUPLICATION_MARGIN: Micros = 50_000;
 /// Time before the latency objective at which an attempt times out if a late response has no value,
 /// in multiples of [`Settings::min_call_interval`](crate::Settings::min_call_interval). With fewer,
@@ -133,8 +133,9 @@
         }
     }
 
-    /// Timeout of an attempt sent now, in microseconds. If a late response has no value, it ends
-    /// before the objective, so that the request still gets its final response in time.
+    /// Timeout of an attempt sent now, in microseconds. If a late response has no value, the
+    /// attempt ends before the objective, so that the request still gets its final response in
+    /// time.
     pub(crate) fn attempt_timeout(fleet: &Fleet, request: &RequestState) -> Micros {
         let class = fleet.settings.class(request.class());
         let deadline_at = request.deadline_at();
--- a/crates/balancer/src/policy/server_selector.rs
+++ b/crates/balancer/src/policy/server_selector.rs
@@ -1,9 +1,10 @@
 //! Server selection with the power of two choices.
 //!
 //! Two servers are drawn at random from the candidates, and the one with the lower load is
-//! selected. Load is the queue depth times the server's relative service time, an exponentially
-//! decaying mean as in peak EWMA. Candidates that are expected to respond in time take precedence
-//! over all others. Without load checks, servers are drawn with the weight
+//! selected. Load is the queue depth times the server's relative service time. The service time is
+//! derived from exponentially decaying means, as in peak EWMA. Candidates that are expected to
+//! respond in time take precedence over all others. Without load checks, servers are drawn with the
+//! weight
 //!
 //! ```text
 //! cores * (1 - failure rate)^3 / latency factor
--- a/crates/balancer/src/policy/subset_size.rs
+++ b/crates/balancer/src/policy/subset_size.rs
@@ -40,8 +40,9 @@
 const COSTLY_HANDSHAKE_FEE: f64 = 0.005;
 /// Requests that this balancer sends to each server of the subset within the idle timeout if
 /// handshakes are costly. More requests keep connections in use but concentrate the load; with
-/// fewer, connections are closed before they are reused. With 100 balancers, of 1.2 to 9 requests
-/// within 3.75 s, 9 (12 within 5 s) give the best result (docs/fleet.md, "At 100 sidecars").
+/// fewer, connections are closed before they are reused. From 1.2 to 9 requests within 3.75 s were
+/// compared with 100 balancers: 9 gave the best result, the same rate as 12 within 5 s
+/// (docs/fleet.md, "At 100 sidecars").
 const REQUESTS_PER_IDLE_TIMEOUT: f64 = 12.0;
 /// Minimum number of servers if handshakes are costly: with three, one slow server is a third of
 /// the subset.
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -21,11 +21,11 @@
     /// Minimum time between two calls of the balancer, in microseconds: events and timers may be
     /// handled late by up to this time.
     pub min_call_interval: Micros,
-    /// Capabilities of the host.
+    /// Capabilities of the program that embeds the balancer.
     pub host: HostCapabilities,
     /// Limits on the attempts of a request.
     pub retries: RetrySettings,
-    /// Costs of the balancer's own traffic.
+    /// Fees for the traffic that a balancer causes.
     pub fees: Fees,
     /// Time after which an idle connection to a server is closed, in microseconds.
     pub idle_timeout: Micros,
--- a/crates/balancer/src/settings/groups.rs
+++ b/crates/balancer/src/settings/groups.rs
@@ -24,7 +24,8 @@
     }
 }
 
-/// Capabilities of the host.
+/// Capabilities of the host: the program that embeds the balancer, passes events to it and carries
+/// out its actions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HostCapabilities {
     /// The host can cancel attempts.
@@ -37,7 +38,7 @@
     pub retry_after: bool,
     /// Responses to health checks carry load reports.
     pub load_reports_in_health_checks: bool,
-    /// Responses to requests carry load reports, which are out of date by some time.
+    /// Responses to requests carry load reports, each out of date by some time when it arrives.
     pub load_reports_in_responses: bool,
 }
 
@@ -84,17 +85,21 @@
     }
 }
 
-/// Costs of the balancer's own traffic, which are deducted from the deployment's result. The result
-/// is the value of the served requests as a fraction of the value of all requests, from 0 to 1.
+/// Fees for the traffic that a balancer causes: health checks, connections, and attempts to servers
+/// in other zones. They are deducted from the deployment's result, which is the value of the served
+/// requests as a fraction of the value of all requests, from 0 to 1.
+///
+/// Each fee is for the quantity that its field names, and is proportional to it: half the quantity
+/// costs half the fee. Quantities per request are averages over all requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fees {
-    /// Fee for an average of one health check per request.
+    /// Fee for one health check per request.
     pub health_check: f64,
-    /// Fee for an average of one new connection per request.
+    /// Fee for one new connection per request.
     pub handshake: f64,
-    /// Fee for an average of 100 open connections to each server.
+    /// Fee for 100 open connections to each server.
     pub connection: f64,
-    /// Fee for an average of one attempt per request that crosses zones.
+    /// Fee for one attempt per request to a server outside the balancer's zone.
     pub cross_zone: f64,
 }
 
@@ -127,9 +132,11 @@
 /// Polling of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PollingSettings {
-    /// If true, the endpoint list is received only in response to a poll; otherwise it is pushed.
+    /// If true, the endpoint list must be polled for: a poll returns it and subscribes to its
+    /// changes. Otherwise the host passes on the list and its changes without a first poll.
     pub required: bool,
-    /// Maximum time between two polls while there is no subscription, in microseconds; above zero.
+    /// Maximum time between two polls while there is no subscription to changes of the endpoint
+    /// list, in microseconds; above zero.
     pub max_interval: Micros,
 }
 
@@ -154,15 +161,17 @@
 /// Capacity of servers that have just started.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStartSettings {
-    /// Minimum fraction of its capacity that a server has when it starts; above 0 and at most 1.
+    /// Fraction of its full capacity that any server has at least when it starts; above 0 and at
+    /// most 1. The balancer assumes that a server starts with this fraction.
     pub initial_capacity: f64,
-    /// Time from the start until a server has its full capacity, in microseconds.
+    /// Time from the start of a server until it has its full capacity, in microseconds.
     pub duration: Micros,
-    /// A server in slow start fails if all balancers together send it more than this multiple of
-    /// its capacity within [`overload_window`](Self::overload_window).
+    /// A server in slow start fails if all balancers together send it too much work within
+    /// [`overload_window`](Self::overload_window): more than this multiple of the work that it can
+    /// do in that time with its current capacity.
     pub overload_factor: f64,
-    /// Length of the window in which a server in slow start must not be overloaded, in
-    /// microseconds.
+    /// Length of the sliding window over which the work sent to a server in slow start is summed
+    /// up, in microseconds.
     pub overload_window: Micros,
 }
 
