--- a/crates/sidecar/src/downstream/bounded_stream.rs
+++ b/crates/sidecar/src/downstream/bounded_stream.rs
@@ -4,8 +4,8 @@
 //! While actix-http runs, the socket is read continuously, every byte is reported to the
 //! [`ClientConnection`] before actix-http sees it, and actix-http buffers little more than one
 //! request. Input that can no longer belong to a valid request is discarded instead of being left
-//! in the socket: the end of file comes after it, and a disconnect is detected only by reading that
-//! far. After the last response actix-http sees the end of file, whatever the socket holds.
+//! in the socket: a disconnect is detected only by reading the end of file, which comes after that
+//! input. After the last response actix-http sees the end of file, whatever the socket holds.
 //! However actix-http ends, the socket is returned to the connection, and only `lingering_close`
 //! closes it.
 //!
@@ -23,8 +23,8 @@
 //!   report "connection reset" where the sidecar counts a response. An actix-http release that
 //!   closes sockets by itself would cause this, so `poll_shutdown` does nothing.
 //!
-//! `tests/floods.rs` and the recordings of pipelined requests and of disconnecting clients cover
-//! this.
+//! The invariant is tested by `tests/floods.rs` and by the recordings in `tests/exchanges` of
+//! pipelined requests and of disconnecting clients.
 
 use std::io;
 use std::pin::Pin;
--- a/crates/sidecar/src/downstream/client_permits.rs
+++ b/crates/sidecar/src/downstream/client_permits.rs
@@ -1,5 +1,5 @@
-//! Limits the number of client connections, and selects the idle connection to close when a new
-//! client needs its permit.
+//! Limits the number of client connections. When a new client needs a permit and all are taken,
+//! selects an idle connection that is closed and whose permit the new client gets.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -23,22 +23,24 @@
 }
 
 impl ClientPermits {
-    /// True while no further connection may be accepted until one closes.
+    /// True if the limit on accepted connections is reached: the next may be accepted only after
+    /// one has closed.
     pub(super) fn is_accept_limit_reached(&self, limits: &ClientLimits) -> bool {
         self.open_connections.get() >= limits.max_accepted_connections
     }
 
-    /// Counts a newly accepted connection and gives it a permit if one is free or can be freed.
+    /// Counts a newly accepted connection. Gives it a permit if one is free or can be revoked from
+    /// an idle connection.
     pub(super) fn register(
         self: &Rc<Self>,
         client: &Rc<ClientConnection>,
         limits: &ClientLimits,
     ) -> AcceptedConnection {
-        let has_permit = self.ensure_free_permit(limits);
+        let got_permit = self.ensure_free_permit(limits);
         let connection_id = self.next_connection_id.get();
         self.next_connection_id.set(connection_id + 1);
         self.open_connections.set(self.open_connections.get() + 1);
-        if has_permit {
+        if got_permit {
             self.permitted
                 .borrow_mut()
                 .insert(connection_id, Rc::clone(client));
@@ -46,23 +48,24 @@
         AcceptedConnection {
             permits: Rc::clone(self),
             connection_id,
-            has_permit,
+            got_permit,
         }
     }
 
-    /// Returns whether a permit is free for a new client. If all are taken, takes the permit of the
-    /// idle connection with the lowest [`IdleRank`](super::connection::IdleRank), if any, and
-    /// requests that it close.
+    /// Returns whether a permit is free for a new client. If all are taken, revokes the permit of
+    /// the idle connection with the lowest [`IdleState`](super::connection::IdleState) and requests
+    /// a close of that connection; returns false if no connection is idle.
     fn ensure_free_permit(&self, limits: &ClientLimits) -> bool {
         let mut permitted = self.permitted.borrow_mut();
-        if permitted.len() < limits.max_connections {
+        if permitted.len() < limits.max_permitted_connections {
             return true;
         }
-        let idlest = permitted
+        let first_to_close = permitted
             .iter()
-            .filter_map(|(&connection_id, client)| Some((client.idle_rank()?, connection_id)))
+            .filter_map(|(&connection_id, client)| Some((client.idle_state()?, connection_id)))
             .min();
-        let Some(client) = idlest.and_then(|(_, connection_id)| permitted.remove(&connection_id))
+        let Some(client) =
+            first_to_close.and_then(|(_, connection_id)| permitted.remove(&connection_id))
         else {
             return false;
         };
@@ -70,12 +73,13 @@
         true
     }
 
-    /// Closes the connections that have no request begun and no response left to write.
+    /// Requests a close of each idle connection that has a permit. A connection is idle if no
+    /// request has begun on it and no response is left to write.
     pub(super) fn close_idle(&self) {
         self.permitted
             .borrow()
             .values()
-            .filter(|client| client.idle_rank().is_some())
+            .filter(|client| client.idle_state().is_some())
             .for_each(|client| client.close_state().request_close());
     }
 
@@ -92,21 +96,24 @@
     }
 }
 
-/// An accepted client connection, with or without a permit; counts as open until this is dropped.
+/// An accepted client connection, with or without a permit. It counts as open until this value is
+/// dropped.
 pub(super) struct AcceptedConnection {
     permits: Rc<ClientPermits>,
     connection_id: u64,
-    has_permit: bool,
+    got_permit: bool,
 }
 
 impl AcceptedConnection {
-    /// True if the connection got a permit, so that its requests are served; false if its request
-    /// is only rejected as over capacity.
-    pub(super) fn has_permit(&self) -> bool {
-        self.has_permit
+    /// True if the connection got a permit when it was accepted, even if it has lost the permit
+    /// since: its requests are served. The requests of the other connections are rejected as over
+    /// capacity.
+    pub(super) fn got_permit(&self) -> bool {
+        self.got_permit
     }
 
-    /// Releases the permit, if any, for another client: the connection takes no more requests.
+    /// Releases the permit for another client, if the connection still has it. To be called only
+    /// once no further request is read from the connection.
     pub(super) fn release_permit(&self) {
         self.permits
             .permitted
--- a/crates/sidecar/src/downstream/connection.rs
+++ b/crates/sidecar/src/downstream/connection.rs
@@ -39,13 +39,15 @@
     socket: SocketSlot,
 }
 
-/// The order in which idle connections are closed when all permits are taken: lowest rank first.
+/// The state of an idle connection. When all permits are taken, the idle connection with the lowest
+/// state is closed.
 ///
 /// Connections that have had a response come first, since such a client sends its next request on a
-/// new connection. A client that has connected and not yet sent its first request would lose that
-/// request with its permit. Within each group the connection that is idle for longest comes first.
+/// new connection. A client that has not sent its first request yet would lose that request if its
+/// connection were closed. Within each group the connection that has been idle for longest comes
+/// first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct IdleRank {
+pub(super) struct IdleState {
     /// No response was ready on the connection yet.
     pub awaits_first_request: bool,
     /// When the client connected or its last response was ready.
@@ -95,9 +97,10 @@
         self.lifecycle.set(lifecycle.after_input());
     }
 
-    /// Records that a request was read completely, waits until the socket is drained, and returns
-    /// whether it was. A client's end of file follows all bytes that it sent, so a request must not
-    /// start before the socket is drained: work would be started for a disconnected client.
+    /// Records that a request was read completely, and waits until the socket is drained. Returns
+    /// false if the client disconnects or sends too much before that. A client's end of file
+    /// follows all bytes that it sent: if a request started before the socket is drained, work
+    /// could be started for a disconnected client.
     pub(super) async fn on_request_read(&self, limits: &Limits) -> bool {
         self.lifecycle.set(Lifecycle::InFlight);
         self.input.on_request_read();
@@ -121,8 +124,8 @@
         }
     }
 
-    /// False if no byte was received since the last response was ready: a request that is parsed
-    /// then was sent before that response, but a client must send one request at a time.
+    /// False if no byte was received since the last response was ready. A request that is parsed in
+    /// this state was sent before that response, although a client must send one request at a time.
     pub(super) fn has_received_since_response(&self) -> bool {
         self.lifecycle.get().has_input()
     }
@@ -134,21 +137,21 @@
             && self.input.pipelined_bytes() >= limits.client.max_pipelined_bytes
     }
 
-    /// True if no request has begun but the socket holds unread bytes: they arrived while the
+    /// True if the connection is idle and its socket holds unread bytes, which arrived while the
     /// connection was being selected for closing.
     pub(super) fn has_unread_request(&self) -> bool {
-        self.idle_rank().is_some()
+        self.idle_state().is_some()
             && !self.close_state.is_last_response_ready()
             && !self.presence.is_disconnected()
             && self.socket.has_unread_bytes()
     }
 
-    /// The connection's rank among the idle ones; none while a request has begun or a response is
-    /// unwritten.
-    pub(super) fn idle_rank(&self) -> Option<IdleRank> {
+    /// The state of the connection if it is idle. It is not idle if a request has begun, or if a
+    /// response is not completely written; the result is then `None`.
+    pub(super) fn idle_state(&self) -> Option<IdleState> {
         match self.lifecycle.get() {
             Lifecycle::Idle { since } if !self.close_state.is_response_unwritten() => {
-                Some(IdleRank {
+                Some(IdleState {
                     awaits_first_request: !self.has_responded.get(),
                     idle_since: since,
                 })
--- a/crates/sidecar/src/downstream/connection/tests.rs
+++ b/crates/sidecar/src/downstream/connection/tests.rs
@@ -89,15 +89,15 @@
     );
     assert_eq!(client.presence().is_disconnected(), model.disconnected);
     let free = model.request_started.is_none() && !model.response_unwritten;
-    let rank = client.idle_rank();
-    let rank_set_by = model.idle_since.filter(|_| free);
+    let idle = client.idle_state();
+    let idle_set_by = model.idle_since.filter(|_| free);
     assert_set_by(
-        rank.map(|rank| rank.idle_since),
-        rank_set_by,
+        idle.map(|idle| idle.idle_since),
+        idle_set_by,
         Duration::ZERO,
         times,
     );
-    assert!(rank.is_none_or(|rank| rank.awaits_first_request != model.has_responded));
+    assert!(idle.is_none_or(|idle| idle.awaits_first_request != model.has_responded));
     let (set_by, timeout) = match model.request_started {
         None => (model.idle_since, limits.client.idle_timeout),
         started if model.has_responded => (started, limits.client.request_read_timeout),
@@ -178,7 +178,10 @@
     let limits = limits();
     let client = ClientConnection::new(None);
     client.on_response_ready(Persistence::KeepAlive);
-    assert!(client.idle_rank().is_none(), "idle, its response unwritten");
+    assert!(
+        client.idle_state().is_none(),
+        "idle, its response unwritten"
+    );
     client.on_received(RECEIVED_BYTES);
     assert!(client.deadline(&limits).is_some(), "reading");
     client.input().on_drained();
--- a/crates/sidecar/src/downstream/connection_timeout.rs
+++ b/crates/sidecar/src/downstream/connection_timeout.rs
@@ -5,8 +5,8 @@
 use super::connection::ClientConnection;
 use crate::limits::Limits;
 
-/// While a request is in flight there is no deadline; whether there is one again is checked this
-/// many times per idle timeout.
+/// A connection has no deadline while a request is in flight on it. Meanwhile, whether it has one
+/// again is checked this many times per idle timeout.
 const DEADLINE_CHECKS_PER_IDLE_TIMEOUT: u32 = 4;
 
 /// Waits until the connection must end: its deadline has passed, or a close is requested and it is
@@ -32,11 +32,11 @@
     }
 }
 
-/// True if the connection is still idle after the sockets were polled once more: the operating
-/// system may hold a request that was not read yet, and it must still get its response.
+/// Polls the sockets once more and returns whether the connection is still idle. The operating
+/// system may hold a request that was not read yet, and that request must still get its response.
 async fn is_still_idle(client: &ClientConnection) -> bool {
     tokio::task::yield_now().await;
-    client.idle_rank().is_some()
+    client.idle_state().is_some()
 }
 
 fn is_past_deadline(client: &ClientConnection, limits: &Limits) -> bool {
--- a/crates/sidecar/src/downstream/lingering_close.rs
+++ b/crates/sidecar/src/downstream/lingering_close.rs
@@ -31,8 +31,8 @@
     }
 }
 
-/// Reads until the end of file, or until more than `max_bytes` were read: a client that floods the
-/// connection is not read until the timeout.
+/// Reads until the end of file, or until more than `max_bytes` were read. Without this limit, the
+/// input of a client that floods the connection would be read for the whole timeout.
 async fn discard_input(socket: &mut TcpStream, max_bytes: usize) {
     let mut remaining_bytes = max_bytes;
     let mut buffer = vec![0; DISCARD_BUFFER_BYTES];
--- a/crates/sidecar/src/downstream/listener.rs
+++ b/crates/sidecar/src/downstream/listener.rs
@@ -144,7 +144,7 @@
         let listener = Rc::clone(self);
         let services = Rc::clone(services);
         actix_rt::spawn(async move {
-            if connection.has_permit() {
+            if connection.got_permit() {
                 listener.serve(&services.permitted, &client).await;
             } else {
                 listener.serve(&services.over_capacity, &client).await;
--- a/crates/sidecar/src/limits/client.rs
+++ b/crates/sidecar/src/limits/client.rs
@@ -46,7 +46,7 @@
 pub(crate) struct ClientLimits {
     /// Maximum number of connections that are served; requests on further ones are rejected as over
     /// capacity.
-    pub(crate) max_connections: usize,
+    pub(crate) max_permitted_connections: usize,
     /// Maximum number of connections that are accepted, including those that are only rejected.
     pub(crate) max_accepted_connections: usize,
     /// Maximum length of a request id or an idempotency key.
@@ -87,12 +87,12 @@
         let body_memory_bytes = inputs.memory_mib * BYTES_PER_MIB / 2;
         let max_by_memory = (body_memory_bytes / (BODIES_PER_CONNECTION * MAX_BODY_BYTES))
             .max(MIN_CONNECTIONS_BY_MEMORY);
-        let max_connections = (inputs.sockets * 3 / 8)
+        let max_permitted_connections = (inputs.sockets * 3 / 8)
             .min(max_by_memory)
             .max(MIN_CONNECTIONS);
         Self {
-            max_connections,
-            max_accepted_connections: max_connections + inputs.sockets / 8,
+            max_permitted_connections,
+            max_accepted_connections: max_permitted_connections + inputs.sockets / 8,
             max_token_chars: MAX_TOKEN_CHARS,
             max_target_chars: MAX_TARGET_CHARS,
             idle_timeout: IDLE_TIMEOUT,
