--- a/crates/control/src/list_freshness/mod.rs
+++ b/crates/control/src/list_freshness/mod.rs
@@ -138,14 +138,14 @@
     }
 
     /// Time from which no attempt may be sent to a server, or `None` while the list is current.
-    /// `last_served_start` is the start of the server's latest served attempt, which proves that
-    /// the server was not draining at that time.
-    pub fn trusted_until(&self, last_served_start: Option<Micros>) -> Option<Micros> {
+    /// `last_served_sent_at` is the latest send time of the attempts that the server has served,
+    /// which proves that the server was not draining at that time.
+    pub fn trusted_until(&self, last_served_sent_at: Option<Micros>) -> Option<Micros> {
         let expiry = [self.silence_expiry, self.poll_expiry]
             .into_iter()
             .flatten()
             .min()?;
-        Some(last_served_start.map_or(expiry, |start| expiry.max(start + self.bounds.drain_slack)))
+        Some(last_served_sent_at.map_or(expiry, |at| expiry.max(at + self.bounds.drain_slack)))
     }
 
     fn lower_silence_expiry(&mut self, expiry: Micros) {
--- a/crates/sidecar/src/host/endpoint_list_freshness.rs
+++ b/crates/sidecar/src/host/endpoint_list_freshness.rs
@@ -67,17 +67,17 @@
     }
 
     /// True if discovery must be polled before the balancer's backoff ends, because the list may
-    /// become stale during it.
+    /// become stale during the backoff.
     pub(crate) fn needs_early_poll(&self) -> bool {
         self.freshness.get().needs_early_poll()
     }
 
     /// True if the list is so old that the server may be draining without the list showing it.
     pub(crate) fn is_stale_for(&self, server: &Server) -> bool {
-        let last_served_start = server.last_served_start();
+        let last_served_sent_at = server.last_served_sent_at();
         self.freshness
             .get()
-            .trusted_until(last_served_start)
+            .trusted_until(last_served_sent_at)
             .is_some_and(|until| self.clock.now() >= until)
     }
 
--- a/crates/sidecar/src/host/server.rs
+++ b/crates/sidecar/src/host/server.rs
@@ -1,4 +1,5 @@
-//! One server of the endpoint list: its address, its availability and its latest served request.
+//! One server of the endpoint list: its address, its availability, and the send time of the latest
+//! request that it served.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -12,35 +13,39 @@
 enum Availability {
     /// Neither draining nor removed.
     Ready,
-    /// Draining, first listed as such at `notified_at`.
-    Draining { notified_at: Instant },
-    /// Listed as removed, or missing from a full list. If the server was already draining,
-    /// `notified_at` is the time of the drain.
-    Removed { notified_at: Instant },
+    /// Listed as draining. `not_ready_since` is when the server stopped being ready, according to
+    /// the lists; a removal or drain that follows does not change this time.
+    Draining { not_ready_since: Instant },
+    /// Listed as removed, or missing from a full list. `not_ready_since` is the same as for a
+    /// draining server.
+    Removed { not_ready_since: Instant },
 }
 
 impl Availability {
-    /// When the drain or the removal became known, whichever was first.
-    fn drain_notified_at(self) -> Option<Instant> {
+    /// When the server stopped being ready, according to the lists; `None` while it is ready.
+    fn not_ready_since(self) -> Option<Instant> {
         match self {
             Self::Ready => None,
-            Self::Draining { notified_at } | Self::Removed { notified_at } => Some(notified_at),
+            Self::Draining { not_ready_since } | Self::Removed { not_ready_since } => {
+                Some(not_ready_since)
+            }
         }
     }
 
-    /// The availability after a list entry with this status. Only a newer incarnation, or a removal
-    /// in between, ends a drain: an old list that still contains the server as ready must not
-    /// revert the drain while a connection to the server is being opened.
+    /// The availability after a list has given the server this status. A draining server becomes
+    /// ready again only with a newer incarnation or after a removal. Otherwise an old list that
+    /// still shows the server as ready would end the drain, and an attempt whose connection is
+    /// being opened at that time would then be sent to the draining server.
     fn after_list_entry(self, status: EndpointStatus, is_newer_incarnation: bool) -> Self {
-        let notified_at = || self.drain_notified_at().unwrap_or_else(Instant::now);
+        let not_ready_since = || self.not_ready_since().unwrap_or_else(Instant::now);
         match (self, status) {
             (Self::Draining { .. }, EndpointStatus::Ready) if !is_newer_incarnation => self,
             (_, EndpointStatus::Ready) => Self::Ready,
             (_, EndpointStatus::Draining) => Self::Draining {
-                notified_at: notified_at(),
+                not_ready_since: not_ready_since(),
             },
             (_, EndpointStatus::Removed) => Self::Removed {
-                notified_at: notified_at(),
+                not_ready_since: not_ready_since(),
             },
         }
     }
@@ -53,9 +58,9 @@
     address: Cell<SocketAddr>,
     availability: Cell<Availability>,
     /// The latest start time in any list, in Unix microseconds; `None` if no list had one.
-    incarnation: Cell<Option<Micros>>,
-    /// When the latest request that the server served was sent, on the balancer's clock.
-    last_served_start: Cell<Option<Micros>>,
+    latest_started_at: Cell<Option<Micros>>,
+    /// The latest send time of the requests that the server has served, on the balancer's clock.
+    last_served_sent_at: Cell<Option<Micros>>,
 }
 
 impl Server {
@@ -65,8 +70,8 @@
             id,
             address: Cell::new(address),
             availability: Cell::new(Availability::Ready),
-            incarnation: Cell::new(None),
-            last_served_start: Cell::new(None),
+            latest_started_at: Cell::new(None),
+            last_served_sent_at: Cell::new(None),
         }
     }
 
@@ -80,22 +85,24 @@
         matches!(self.availability.get(), Availability::Removed { .. })
     }
 
-    /// How long the server's drain or removal has been known; `None` while it is ready.
-    pub(crate) fn drain_age(&self) -> Option<Duration> {
-        let notified_at = self.availability.get().drain_notified_at();
-        notified_at.map(|at| at.elapsed())
+    /// Time since the server stopped being ready, that is, since the first list that showed it as
+    /// draining or removed; `None` while it is ready.
+    pub(crate) fn time_not_ready(&self) -> Option<Duration> {
+        let not_ready_since = self.availability.get().not_ready_since();
+        not_ready_since.map(|since| since.elapsed())
     }
 
-    /// Records that the server served a request sent at `started` (on the balancer's clock), so it
-    /// accepted requests at that time.
-    pub(crate) fn on_request_served(&self, started: Micros) {
-        let latest = self.last_served_start.get().max(Some(started));
-        self.last_served_start.set(latest);
+    /// Records that the server has served a request whose first byte was written at `sent_at` on
+    /// the balancer's clock. The server was not draining at that time.
+    pub(crate) fn on_request_served(&self, sent_at: Micros) {
+        let latest = self.last_served_sent_at.get().max(Some(sent_at));
+        self.last_served_sent_at.set(latest);
     }
 
-    /// When the latest request that the server served was sent, on the balancer's clock.
-    pub(crate) fn last_served_start(&self) -> Option<Micros> {
-        self.last_served_start.get()
+    /// The latest send time of the requests that the server has served, on the balancer's clock;
+    /// `None` if it has served none.
+    pub(crate) fn last_served_sent_at(&self) -> Option<Micros> {
+        self.last_served_sent_at.get()
     }
 
     /// Records the server's address in a new list.
@@ -103,12 +110,13 @@
         self.address.set(address);
     }
 
-    /// Records the server's status and start time in a new list. `started_at` is in Unix
-    /// microseconds, `None` if the list states no start time.
-    pub(crate) fn on_listed(&self, status: EndpointStatus, started_at: Option<Micros>) {
-        let known_incarnation = self.incarnation.get();
-        let is_newer_incarnation = started_at > known_incarnation;
-        self.incarnation.set(started_at.max(known_incarnation));
+    /// Applies the status and the start time that a new list gives the server. A full list without
+    /// the server gives it the status `Removed`. `started_at` is in Unix microseconds; `None` if
+    /// the list states no start time.
+    pub(crate) fn apply_status(&self, status: EndpointStatus, started_at: Option<Micros>) {
+        let known_started_at = self.latest_started_at.get();
+        let is_newer_incarnation = started_at > known_started_at;
+        self.latest_started_at.set(started_at.max(known_started_at));
         let before = self.availability.get();
         self.availability
             .set(before.after_list_entry(status, is_newer_incarnation));
--- a/crates/sidecar/src/host/server/tests.rs
+++ b/crates/sidecar/src/host/server/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// The expected state after a list entry, and since when the drain or the removal was known if it
-/// was known before.
+/// The expected state after a list entry. If the server is not ready after the entry and was not
+/// ready before it either, also the time at which it stopped being ready, which must not change.
 fn expected(
     before: Availability,
     status: EndpointStatus,
@@ -9,8 +9,8 @@
 ) -> (&'static str, Option<Instant>) {
     let known_since = match before {
         Availability::Ready => None,
-        Availability::Draining { notified_at } | Availability::Removed { notified_at } => {
-            Some(notified_at)
+        Availability::Draining { not_ready_since } | Availability::Removed { not_ready_since } => {
+            Some(not_ready_since)
         }
     };
     match (before, status) {
@@ -23,18 +23,18 @@
     }
 }
 
-const INCARNATIONS: [Option<Micros>; 3] = [None, Some(1), Some(2)];
+const START_TIMES: [Option<Micros>; 3] = [None, Some(1), Some(2)];
 const STATUSES: [EndpointStatus; 3] = [
     EndpointStatus::Ready,
     EndpointStatus::Draining,
     EndpointStatus::Removed,
 ];
 
-/// Every combination of status and incarnation that a list entry can have.
+/// Every combination of status and start time that a list entry can have.
 fn list_entries() -> Vec<(EndpointStatus, Option<Micros>)> {
     STATUSES
         .into_iter()
-        .flat_map(|status| INCARNATIONS.map(|incarnation| (status, incarnation)))
+        .flat_map(|status| START_TIMES.map(|started_at| (status, started_at)))
         .collect()
 }
 
@@ -52,31 +52,35 @@
             "before any list"
         );
         let mut rest = sequence;
-        let mut highest_incarnation = None;
+        let mut latest_started_at = None;
         for _ in 0..SEQUENCE_LENGTH {
-            let (status, incarnation) = entries[rest % entries.len()];
+            let (status, started_at) = entries[rest % entries.len()];
             rest /= entries.len();
             let before = server.availability.get();
             let earliest = Instant::now();
-            server.on_listed(status, incarnation);
+            server.apply_status(status, started_at);
             let latest = Instant::now();
-            let (state, known_since) = expected(before, status, incarnation > highest_incarnation);
-            highest_incarnation = highest_incarnation.max(incarnation);
-            let is_correct = |notified_at: Instant| match known_since {
-                Some(known_since) => notified_at == known_since,
-                None => (earliest..=latest).contains(&notified_at),
+            let (state, known_since) = expected(before, status, started_at > latest_started_at);
+            latest_started_at = latest_started_at.max(started_at);
+            let is_correct = |at: Instant| match known_since {
+                Some(known_since) => at == known_since,
+                None => (earliest..=latest).contains(&at),
             };
             match server.availability.get() {
                 Availability::Ready => assert_eq!(state, "ready", "sequence {sequence}"),
-                Availability::Draining { notified_at } => {
-                    assert!(state == "draining" && is_correct(notified_at), "{sequence}");
+                Availability::Draining {
+                    not_ready_since: at,
+                } => {
+                    assert!(state == "draining" && is_correct(at), "{sequence}");
                 }
-                Availability::Removed { notified_at } => {
-                    assert!(state == "removed" && is_correct(notified_at), "{sequence}");
+                Availability::Removed {
+                    not_ready_since: at,
+                } => {
+                    assert!(state == "removed" && is_correct(at), "{sequence}");
                 }
             }
             assert_eq!(server.is_removed(), state == "removed");
-            assert_eq!(server.drain_age().is_some(), state != "ready");
+            assert_eq!(server.time_not_ready().is_some(), state != "ready");
         }
     }
 }
--- a/crates/sidecar/src/host/server_registry.rs
+++ b/crates/sidecar/src/host/server_registry.rs
@@ -21,16 +21,16 @@
     next_id: u32,
     /// Zone names by index: the configured ones, then others in the order in which lists name them.
     zones: Vec<String>,
-    machines: MachineCatalogue,
+    machine_types: MachineCatalogue,
     has_seen_ready_server: bool,
 }
 
 impl ServerRegistry {
     /// Creates a registry without servers, with the configured zones and machine types.
-    pub(crate) fn new(zones: Vec<String>, machines: MachineCatalogue) -> Self {
+    pub(crate) fn new(zones: Vec<String>, machine_types: MachineCatalogue) -> Self {
         Self {
             zones,
-            machines,
+            machine_types,
             ..Self::default()
         }
     }
@@ -45,8 +45,8 @@
         self.by_id.get(&id).cloned()
     }
 
-    /// Applies a list and returns its entries in the balancer's form. Discards removed servers
-    /// whose removal, or the drain before it, has been known for `retention`.
+    /// Applies a list and returns its entries in the balancer's form. Before that, discards each
+    /// removed server whose [`time_not_ready`](Server::time_not_ready) is `retention` or more.
     pub(super) fn apply_update(
         &mut self,
         kind: UpdateKind,
@@ -62,7 +62,7 @@
             self.has_seen_ready_server |= entry.status == EndpointStatus::Ready;
             let server = self.find_or_add(&entry.id, entry.address);
             server.on_address_listed(entry.address);
-            server.on_listed(entry.status, entry.started_at);
+            server.apply_status(entry.status, entry.started_at);
             endpoints.push(Endpoint {
                 server: server.id,
                 stable_hash: stable_hash(&entry.id),
@@ -70,17 +70,18 @@
                 incarnation: entry.started_at,
                 zone: self.zone_index(&entry.zone),
                 cell: entry.cell,
-                machine_type: self.machines.lookup(&entry.machine_type),
+                machine_type: self.machine_types.lookup(&entry.machine_type),
             });
         }
         endpoints
     }
 
-    /// Discards the servers that were removed long enough ago. Without this, the registry would
-    /// grow without bound in a deployment that keeps replacing servers.
+    /// Discards each removed server whose [`time_not_ready`](Server::time_not_ready) is `retention`
+    /// or more. Without this, the registry would grow without bound in a deployment that keeps
+    /// replacing servers.
     fn discard_removed(&mut self, retention: Duration) {
         self.by_name.retain(|_, server| {
-            let is_expired = server.drain_age().is_some_and(|age| age >= retention);
+            let is_expired = server.time_not_ready().is_some_and(|age| age >= retention);
             !(server.is_removed() && is_expired)
         });
         // A server that is still referenced, by an attempt for example, keeps its entry.
@@ -91,7 +92,7 @@
     fn mark_unlisted_removed(&self, list: &EndpointList) {
         let is_listed = |name: &str| list.endpoints.iter().any(|entry| entry.id == name);
         for (_, server) in self.by_name.iter().filter(|(name, _)| !is_listed(name)) {
-            server.on_listed(EndpointStatus::Removed, None);
+            server.apply_status(EndpointStatus::Removed, None);
         }
     }
 
--- a/crates/sidecar/src/limits/upstream.rs
+++ b/crates/sidecar/src/limits/upstream.rs
@@ -44,8 +44,9 @@
     pub(crate) reuse_delay: Duration,
     /// Timeout of a health check.
     pub(crate) health_check_timeout: Duration,
-    /// How long after the notice of its drain a server may still get new attempts.
-    pub(crate) max_drain_age: Duration,
+    /// How long a server may still get new attempts after it stopped being ready, because it is
+    /// draining or removed.
+    pub(crate) max_time_not_ready: Duration,
     /// How long a removed server is kept: longer than any attempt to it can run.
     pub(crate) server_retention: Duration,
     /// A retry with an idempotency key must start at least this long before its deduplication
@@ -69,7 +70,7 @@
             idle_reuse_timeout,
             reuse_delay: REUSE_DELAY,
             health_check_timeout: inputs.connect_timeout * 5 / 4,
-            max_drain_age: inputs.drain_grace / 2,
+            max_time_not_ready: inputs.drain_grace / 2,
             server_retention: longest_attempt + SERVER_RETENTION_MARGIN,
             deduplication_margin: DEDUPLICATION_MARGIN,
         }
--- a/crates/sidecar/src/upstream/send_conditions.rs
+++ b/crates/sidecar/src/upstream/send_conditions.rs
@@ -17,8 +17,9 @@
     pub attempt_time_left: Duration,
     /// Time until the retry window of a retry expires; `None` if it has no retry window.
     pub retry_window_left: Option<Duration>,
-    /// Time since the notification that the server is draining or removed; `None` if it is ready.
-    pub drain_age: Option<Duration>,
+    /// Time since the server stopped being ready, because it is draining or removed; `None` while
+    /// it is ready.
+    pub time_not_ready: Option<Duration>,
     /// The server's address has changed since the attempt was created: the old address may belong
     /// to another server now.
     pub server_address_changed: bool,
@@ -27,13 +28,13 @@
 }
 
 /// Checks every condition that may change between the balancer's decision and the first byte. An
-/// attempt is blocked if the server's `drain_age` is `max_drain_age` or more.
+/// attempt is blocked if `time_not_ready` is `max_time_not_ready` or more.
 ///
 /// # Errors
 /// The first condition that blocks the attempt.
 pub(super) fn check_conditions(
     conditions: &SendConditions,
-    max_drain_age: Duration,
+    max_time_not_ready: Duration,
 ) -> Result<(), SendBlocked> {
     if conditions.client_disconnected {
         Err(SendBlocked::ClientDisconnected)
@@ -44,7 +45,10 @@
         .is_some_and(|left| left.is_zero())
     {
         Err(SendBlocked::RetryWindowExpired)
-    } else if conditions.drain_age.is_some_and(|age| age >= max_drain_age) {
+    } else if conditions
+        .time_not_ready
+        .is_some_and(|age| age >= max_time_not_ready)
+    {
         Err(SendBlocked::ServerDraining)
     } else if conditions.server_address_changed {
         Err(SendBlocked::ServerAddressChanged)
--- a/crates/sidecar/src/upstream/send_guard.rs
+++ b/crates/sidecar/src/upstream/send_guard.rs
@@ -34,7 +34,10 @@
     /// # Errors
     /// The first condition that blocks the attempt.
     pub(super) fn check(&self, limits: &Limits) -> Result<(), SendBlocked> {
-        check_conditions(&self.current_conditions(), limits.upstream.max_drain_age)
+        check_conditions(
+            &self.current_conditions(),
+            limits.upstream.max_time_not_ready,
+        )
     }
 
     fn current_conditions(&self) -> SendConditions {
@@ -44,7 +47,7 @@
             client_disconnected: self.presence.is_disconnected(),
             attempt_time_left: time_until(self.attempt_deadline),
             retry_window_left: self.start_before.map(time_until),
-            drain_age: self.server.drain_age(),
+            time_not_ready: self.server.time_not_ready(),
             server_address_changed: self.server.address() != self.address,
             endpoint_list_stale: self.list_freshness.is_stale_for(&self.server),
         }
--- a/crates/sidecar/src/upstream/server_directory.rs
+++ b/crates/sidecar/src/upstream/server_directory.rs
@@ -39,9 +39,9 @@
         Rc::clone(&self.freshness)
     }
 
-    /// Records that a server has served a request whose first byte was written at `started_at`.
-    pub(super) fn on_request_served(&self, server: &Server, started_at: Instant) {
-        server.on_request_served(self.clock.micros_at(started_at));
+    /// Records that a server has served a request whose first byte was written at `sent_at`.
+    pub(super) fn on_request_served(&self, server: &Server, sent_at: Instant) {
+        server.on_request_served(self.clock.micros_at(sent_at));
     }
 
     /// Reports the result of a health check to the balancer.
--- a/crates/sidecar/src/upstream/write_progress/tests.rs
+++ b/crates/sidecar/src/upstream/write_progress/tests.rs
@@ -61,7 +61,7 @@
     let blocked = fixture.progress_to(&server);
     let started = fixture.progress_to(&server);
     started.on_written(b"POST / HTTP/1.1\r\n\r");
-    server.on_listed(EndpointStatus::Draining, None);
+    server.apply_status(EndpointStatus::Draining, None);
     assert_eq!(
         blocked.check_first_byte(&fixture.limits),
         Err(SendBlocked::ServerDraining)
@@ -73,13 +73,13 @@
     );
     started.on_written(b"\nab");
     assert!(started.is_fully_written() && !started.is_not_sent());
-    server.on_listed(EndpointStatus::Ready, None);
+    server.apply_status(EndpointStatus::Ready, None);
     assert_eq!(
         blocked.check_first_byte(&fixture.limits),
         Err(SendBlocked::ServerDraining),
         "a list without a newer incarnation ends no drain"
     );
-    server.on_listed(EndpointStatus::Ready, Some(1_000));
+    server.apply_status(EndpointStatus::Ready, Some(1_000));
     assert_eq!(
         fixture
             .progress_to(&server)
@@ -195,12 +195,12 @@
     let fixture = Fixture::new(Duration::ZERO);
     let server = server(0);
     let progress = fixture.progress_to(&server);
-    server.on_listed(EndpointStatus::Draining, None);
+    server.apply_status(EndpointStatus::Draining, None);
     assert!(progress.check_first_byte(&fixture.limits).is_err());
     assert_eq!(observed_state(&progress), NOT_SENT);
     progress.on_connection_ended();
     assert_eq!(observed_state(&progress), NOT_SENT);
-    server.on_listed(EndpointStatus::Ready, Some(1_000));
+    server.apply_status(EndpointStatus::Ready, Some(1_000));
     assert_eq!(progress.check_first_byte(&fixture.limits), Ok(()));
     assert_eq!(
         observed_state(&progress),
