--- a/crates/sidecar/src/counters.rs
+++ b/crates/sidecar/src/counters.rs
@@ -74,7 +74,7 @@
 
 impl Counters {
     /// Counts an attempt that is not sent, by the reason.
-    pub(crate) fn on_attempt_blocked(&self, blocked: SendBlocked) {
+    pub(crate) fn count_blocked_attempt(&self, blocked: SendBlocked) {
         let counter = match blocked {
             SendBlocked::ClientDisconnected => &self.attempts_blocked_client_left,
             SendBlocked::AttemptTimedOut => &self.attempts_blocked_no_time,
@@ -88,7 +88,7 @@
     }
 
     /// Counts an attempt that has ended, by its outcome.
-    pub(crate) fn on_attempt_ended(&self, outcome: Outcome) {
+    pub(crate) fn count_ended_attempt(&self, outcome: Outcome) {
         let counter = match outcome {
             Outcome::Served => &self.attempts_served,
             Outcome::ServerError => &self.attempts_error,
--- a/crates/sidecar/src/downstream/listener.rs
+++ b/crates/sidecar/src/downstream/listener.rs
@@ -22,7 +22,8 @@
 use super::service_context::ServiceContext;
 use crate::proxy::Proxy;
 
-/// Delay after a failed accept: while file descriptors are exhausted, each accept fails at once.
+/// Delay after a failed accept. While file descriptors are exhausted, each accept fails at once, so
+/// without the delay the listener would retry without pause.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 /// Accepts and serves the sidecar's clients.
--- a/crates/sidecar/src/host/action_dispatch.rs
+++ b/crates/sidecar/src/host/action_dispatch.rs
@@ -48,8 +48,8 @@
         self.action_queues.borrow_mut().remove(&id);
     }
 
-    /// Queues an action for its request. Drops the action if the request has ended: its attempts in
-    /// flight were reported when it was dropped.
+    /// Queues an action for its request. Drops the action if the request has ended: the attempts in
+    /// flight were reported when the request was dropped.
     pub(super) fn dispatch_to_request(&self, id: RequestId, action: RequestAction) {
         let action_queues = self.action_queues.borrow();
         let Some(sender) = action_queues.get(&id) else {
--- a/crates/sidecar/src/host/class_table.rs
+++ b/crates/sidecar/src/host/class_table.rs
@@ -17,8 +17,8 @@
 pub(crate) struct ClassTable(Vec<ClassConfig>);
 
 impl ClassTable {
-    /// Creates the table from the configuration. A class without an entry in a per-class list
-    /// requires no idempotency key, or has a duration of zero.
+    /// Creates the table from the configuration. A class for which a per-class list has no entry
+    /// gets the default of that list: no idempotency key is required, or the duration is zero.
     pub(crate) fn new(deployment: &DeploymentMetadata) -> Self {
         let classes = deployment.class_names.iter().enumerate();
         let class = |(index, name): (usize, &String)| ClassConfig {
--- a/crates/sidecar/src/host/endpoint_list_freshness.rs
+++ b/crates/sidecar/src/host/endpoint_list_freshness.rs
@@ -40,7 +40,8 @@
         self.update(ListFreshness::on_poll_refused);
     }
 
-    /// Records that a poll was abandoned without a response, after its timeout or for a new poll.
+    /// Records that a poll was abandoned without a response, because it timed out or because a new
+    /// poll was requested.
     pub(crate) fn on_poll_abandoned(&self) {
         self.update(|freshness, _| freshness.on_poll_abandoned());
     }
--- a/crates/sidecar/src/host/in_flight_request.rs
+++ b/crates/sidecar/src/host/in_flight_request.rs
@@ -89,8 +89,9 @@
         self.report_attempt_ended(&ended, outcome, load_report);
     }
 
-    /// Ends a request that the balancer has not decided by the response deadline or before the
-    /// process ends. Reported as a disconnect, so that the balancer ends the request too.
+    /// Ends a request for which the balancer has decided no final response by the response deadline
+    /// or by the end of the process. Reports to the balancer that the client has disconnected, so
+    /// that the balancer ends the request too.
     pub(crate) fn on_overdue(&mut self) {
         self.host.counters().responses_overdue.inc();
         self.report_client_disconnected();
@@ -118,7 +119,7 @@
         outcome: Outcome,
         load_report: Option<LoadReport>,
     ) {
-        self.host.counters().on_attempt_ended(outcome);
+        self.host.counters().count_ended_attempt(outcome);
         self.host.handle_event(Event::AttemptEnded(AttemptEnd {
             request: self.id,
             attempt: ended.attempt,
--- a/crates/sidecar/src/upstream/connection_pool.rs
+++ b/crates/sidecar/src/upstream/connection_pool.rs
@@ -68,8 +68,8 @@
         }
     }
 
-    /// Returns a connection to its pool after the reuse delay. The body of its response has been
-    /// read; its end has not been polled yet.
+    /// Returns the connection of `response` to its pool after the reuse delay. The body of the
+    /// response has been read, but the end of the body has not been polled yet.
     pub(super) fn return_connection_after_delay(&self, response: AwcResponse) {
         self.reuse_delay_queue.push(response);
     }
--- a/crates/sidecar/src/upstream/health_check.rs
+++ b/crates/sidecar/src/upstream/health_check.rs
@@ -85,7 +85,7 @@
     async fn check(&self, server: &Server) -> HealthCheckResult {
         let uri = format!("http://{}{LOAD_PATH}", server.address());
         let request = self.pools.client_for(server).get(uri);
-        // No guard: a health check is no work for the server, and may go to a draining one.
+        // No guard: a health check is no work for the server, and may go to a draining server.
         let progress = WriteProgress::new(None, 0);
         let limits = &self.limits;
         let max_body_bytes = limits.max_body_bytes;
--- a/crates/sidecar/src/upstream/response_framing.rs
+++ b/crates/sidecar/src/upstream/response_framing.rs
@@ -16,10 +16,10 @@
 //!   and the attempt counts as `attempts_reset` although its server has responded. If awc ends it
 //!   first, the connection returns to the pool without its reuse delay, as if more of the body were
 //!   still expected.
-//! - A server whose responses are refused here ([`MalformedResponse`]) shows in `attempts_reset`,
-//!   and in `health_checks_failed` if its health check responses are malformed too, although it
-//!   reports that it has served. Individual responses are not logged: capture the traffic of one
-//!   exchange and inspect the response head.
+//! - The responses of a server are refused here ([`MalformedResponse`]): `attempts_reset` rises,
+//!   although the server reports that it has served the requests. If its responses to health checks
+//!   are malformed too, `health_checks_failed` also rises. Individual responses are not logged:
+//!   capture the traffic of one exchange and inspect the response head.
 //! - If the end of a response is missed, its remaining bytes are read as the next response. See
 //!   `tracked_stream` for what a client then gets.
 //!
--- a/crates/sidecar/src/upstream/response_reader.rs
+++ b/crates/sidecar/src/upstream/response_reader.rs
@@ -66,9 +66,9 @@
     ///
     /// After a body without `Content-Length` it is unknown whether more bytes followed, and within
     /// the reuse delay a second response may still arrive: either would be read as the response to
-    /// the next request. A connection that has been idle for too long may be closing at the server
-    /// at this moment; the pool does not detect that, since it measures idle time from the return
-    /// of the connection.
+    /// the next request. The server may be closing a connection that has been idle for too long.
+    /// The pool does not detect such a connection, since it measures the idle time from the return
+    /// of the connection to the pool instead of from the end of the response.
     fn is_reusable(&self) -> bool {
         let upstream = &self.limits.upstream;
         let is_outside_reuse_window = self.response_ended_at.is_some_and(|ended_at| {
@@ -109,8 +109,8 @@
         }
     }
 
-    /// Reads part of the head; closes the connection if it has ended, or if bytes follow its
-    /// response.
+    /// Reads part of the head. Closes the connection if the read returns end of file, or bytes past
+    /// the end of the response.
     fn poll_head(&mut self, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         let Some(stream) = &mut self.stream else {
             return Poll::Ready(Ok(()));
--- a/crates/sidecar/src/upstream/reuse_delay_queue.rs
+++ b/crates/sidecar/src/upstream/reuse_delay_queue.rs
@@ -1,9 +1,9 @@
 //! Holds each connection whose response has been read for the reuse delay before it returns to the
 //! pool.
 //!
-//! Some servers send a second response to the same request some milliseconds later. On a connection
-//! that is already in use again it would be read as the response to the next request. The limits
-//! define the length of the delay.
+//! Some servers send a second response to the same request some milliseconds later. If the
+//! connection were in use again by then, the second response would be read as the response to the
+//! next request. The limits define the length of the delay.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -46,7 +46,7 @@
             .push_back((Instant::now(), response));
     }
 
-    /// Returns all connections whose delay has passed to the pool.
+    /// Returns to the pool all connections whose delay is over.
     pub(super) fn release_due(&self, now: Instant) {
         while let Some(mut response) = self.pop_due(now) {
             // The end of the body is available without a read from the socket; otherwise the
--- a/crates/sidecar/src/upstream/send_conditions.rs
+++ b/crates/sidecar/src/upstream/send_conditions.rs
@@ -1,8 +1,8 @@
 //! The check before an attempt's first byte: whether the attempt may still be sent.
 //!
-//! The balancer decided earlier: a slow connect or a busy event loop may delay the first write
-//! after its decision. The check is a pure function of conditions that `send_guard` collects. An
-//! attempt that is blocked here counts as not sent.
+//! Time may pass between the balancer's decision to send the attempt and this check: a slow connect
+//! or a busy event loop may delay the first write. The check is a pure function of conditions that
+//! `send_guard` collects. An attempt that is blocked here counts as not sent.
 
 use std::time::Duration;
 
--- a/crates/sidecar/src/upstream/send_guard.rs
+++ b/crates/sidecar/src/upstream/send_guard.rs
@@ -12,7 +12,7 @@
 use crate::message::{ClientPresence, SendBlocked};
 
 /// Decides whether an attempt's first byte may be written. Health checks have no guard: they are no
-/// work for the server, and may go to a draining one.
+/// work for the server, and may go to a draining server.
 pub(super) struct SendGuard {
     /// Whether the endpoint list is recent enough to show a drain.
     pub list_freshness: Rc<EndpointListFreshness>,
--- a/crates/sidecar/src/upstream/tracked_stream.rs
+++ b/crates/sidecar/src/upstream/tracked_stream.rs
@@ -1,20 +1,28 @@
-//! The stream type that awc uses for a connection to a server: one socket that records what is
-//! written of each request and passes on nothing but its response.
+//! The stream type that awc, the HTTP client, uses for a connection to a server. The stream records
+//! how much of each request the socket has accepted, and limits what awc reads to the response to
+//! that request.
 //!
 //! # Invariant
-//! Every byte that awc reads belongs to the response to the request that the current task sends,
-//! and every byte that the socket accepts is recorded in that request's `WriteProgress` before
-//! awc's write returns. A connection on which other bytes may still arrive is not reused: the read
-//! that awc makes before the next request finds it closed, and the pool uses another connection.
-//! The permit is held for at least as long as the descriptor.
+//! Every byte that awc takes as part of a response belongs to the response to the request that the
+//! current task sends. Every byte that the socket accepts is recorded in that request's
+//! `WriteProgress` before awc's write returns.
+//!
+//! A connection on which other bytes may still arrive is not reused. awc reads from a pooled
+//! connection before it writes the next request to it; on such a connection this read drops the
+//! socket and returns end of file, so that awc uses another connection.
+//!
+//! Each connection holds a permit of the [`connection_limiter`](super::connection_limiter) for at
+//! least as long as the file descriptor of its socket is open.
 //!
 //! # Failure modes and symptoms
-//! - A connection is reused while a second response is still arriving, because the reuse delay is
-//!   too short or [`ResponseReader::close_unless_reusable`] is not called: a client gets the body
-//!   of another request. No counter shows this, only the client's complaint; ask for both request
-//!   ids, and compare the delay with the time at which the server sends its second response
-//!   (`reuse_delay_queue`).
-//! - A write is not recorded: a request that was sent and got no response counts as never sent.
+//! - A connection is reused although a second response may still arrive on it, because the reuse
+//!   delay is too short or [`ResponseReader::close_unless_reusable`] is not called: the client of
+//!   the next request gets a response to the previous one. No counter shows this, so it becomes
+//!   known only if a client reports it. Find out the ids of both requests and how long after its
+//!   first response the server sends the second, and compare this time with the reuse delay (see
+//!   `reuse_delay_queue`).
+//! - A write is not recorded: a request that was sent and got no response counts as one that was
+//!   not fully written.
 //!   `attempts_connect_failed` rises in place of `attempts_reset`, and requests that must not be
 //!   repeated are retried. This would happen if awc moved a connection to a task of its own, where
 //!   [`CURRENT_WRITE_PROGRESS`] is not set: check this first after an upgrade of awc.
@@ -23,7 +31,8 @@
 //! - A connection is reused after the server's idle timeout: `attempts_reset` rises for requests
 //!   that follow an idle period.
 //!
-//! The recordings of second, late and trailing responses and of reused connections test this.
+//! The invariant is tested by the recordings in `tests/exchanges` of second and late responses, of
+//! bytes after the end of a response, and of reused connections.
 
 use std::io;
 use std::pin::Pin;
@@ -39,8 +48,8 @@
 use crate::counters::Counters;
 use crate::limits::Limits;
 
-/// A connection that records what is written of the current task's request, and passes on nothing
-/// but its response.
+/// A connection to a server. Records how much of the current task's request the socket has
+/// accepted, and limits what awc reads to the response to that request.
 pub(super) struct TrackedStream {
     reader: ResponseReader,
     limits: Rc<Limits>,
@@ -55,7 +64,8 @@
 }
 
 impl TrackedStream {
-    /// Wraps a newly established connection, which counts as open until it is dropped.
+    /// Wraps the socket of a newly established connection. The connection counts as open until the
+    /// stream is dropped.
     pub(super) fn new(
         stream: TcpStream,
         permit: ConnectionPermit,
@@ -71,8 +81,8 @@
     }
 }
 
-/// True if the current task has a request of which nothing has been written. awc then reads from
-/// the connection to find out whether it is still open.
+/// True if the current task has a request and the socket has not accepted any byte of it. A read at
+/// this time is awc's check whether a pooled connection is still open.
 fn is_request_unwritten() -> bool {
     CURRENT_WRITE_PROGRESS
         .try_with(|progress| progress.started_at().is_none())
@@ -106,8 +116,8 @@
     ) -> Poll<io::Result<usize>> {
         let progress = CURRENT_WRITE_PROGRESS.try_with(Rc::clone).ok();
         if let Some(progress) = &progress {
-            if let Err(blocked) = progress.check_first_byte(&self.limits) {
-                self.counters.on_attempt_blocked(blocked);
+            if let Err(blocked) = progress.check_may_send(&self.limits) {
+                self.counters.count_blocked_attempt(blocked);
                 return Poll::Ready(Err(io::Error::other(blocked.reason())));
             }
             if progress.started_at().is_none() {
--- a/crates/sidecar/src/upstream/write_progress.rs
+++ b/crates/sidecar/src/upstream/write_progress.rs
@@ -134,11 +134,12 @@
         }
     }
 
-    /// Checks whether the request's first byte may be written. Later bytes are always allowed.
+    /// Checks whether bytes of the request may be written: the first byte only if the guard allows
+    /// it, later bytes always.
     ///
     /// # Errors
     /// The reason why the request is not sent.
-    pub(super) fn check_first_byte(&self, limits: &Limits) -> Result<(), SendBlocked> {
+    pub(super) fn check_may_send(&self, limits: &Limits) -> Result<(), SendBlocked> {
         if self.started_at().is_some() {
             return Ok(());
         }
--- a/crates/sidecar/src/upstream/write_progress/tests.rs
+++ b/crates/sidecar/src/upstream/write_progress/tests.rs
@@ -63,27 +63,25 @@
     started.on_written(b"POST / HTTP/1.1\r\n\r");
     server.apply_status(EndpointStatus::Draining, None);
     assert_eq!(
-        blocked.check_first_byte(&fixture.limits),
+        blocked.check_may_send(&fixture.limits),
         Err(SendBlocked::ServerDraining)
     );
     assert!(
         blocked.is_not_sent()
-            && started.check_first_byte(&fixture.limits).is_ok()
+            && started.check_may_send(&fixture.limits).is_ok()
             && !started.is_fully_written()
     );
     started.on_written(b"\nab");
     assert!(started.is_fully_written() && !started.is_not_sent());
     server.apply_status(EndpointStatus::Ready, None);
     assert_eq!(
-        blocked.check_first_byte(&fixture.limits),
+        blocked.check_may_send(&fixture.limits),
         Err(SendBlocked::ServerDraining),
         "a list without a newer incarnation ends no drain"
     );
     server.apply_status(EndpointStatus::Ready, Some(1_000));
     assert_eq!(
-        fixture
-            .progress_to(&server)
-            .check_first_byte(&fixture.limits),
+        fixture.progress_to(&server).check_may_send(&fixture.limits),
         Ok(())
     );
 }
@@ -96,9 +94,7 @@
     let server = server(0);
     fixture.list_freshness.on_watch_silent(Instant::now());
     assert_eq!(
-        fixture
-            .progress_to(&server)
-            .check_first_byte(&fixture.limits),
+        fixture.progress_to(&server).check_may_send(&fixture.limits),
         Ok(()),
         "the list is not stale yet"
     );
@@ -107,23 +103,19 @@
     let drain_slack = fixture.limits.discovery.staleness.drain_slack;
     server.on_request_served(fixture.clock.now() - drain_slack);
     assert_eq!(
-        fixture
-            .progress_to(&server)
-            .check_first_byte(&fixture.limits),
+        fixture.progress_to(&server).check_may_send(&fixture.limits),
         Err(SendBlocked::EndpointListStale)
     );
     server.on_request_served(fixture.clock.now());
     assert_eq!(
-        fixture
-            .progress_to(&server)
-            .check_first_byte(&fixture.limits),
+        fixture.progress_to(&server).check_may_send(&fixture.limits),
         Ok(())
     );
     fixture.list_freshness.on_watch_event();
     assert_eq!(
         fixture
             .progress_to(&self::server(1))
-            .check_first_byte(&fixture.limits),
+            .check_may_send(&fixture.limits),
         Ok(())
     );
 }
@@ -180,7 +172,7 @@
     progress.on_connection_ended();
     assert_eq!(observed_state(&progress), NOT_SENT);
     assert_eq!(
-        progress.check_first_byte(&Fixture::new(Duration::ZERO).limits),
+        progress.check_may_send(&Fixture::new(Duration::ZERO).limits),
         Ok(())
     );
     assert_eq!(
@@ -196,12 +188,12 @@
     let server = server(0);
     let progress = fixture.progress_to(&server);
     server.apply_status(EndpointStatus::Draining, None);
-    assert!(progress.check_first_byte(&fixture.limits).is_err());
+    assert!(progress.check_may_send(&fixture.limits).is_err());
     assert_eq!(observed_state(&progress), NOT_SENT);
     progress.on_connection_ended();
     assert_eq!(observed_state(&progress), NOT_SENT);
     server.apply_status(EndpointStatus::Ready, Some(1_000));
-    assert_eq!(progress.check_first_byte(&fixture.limits), Ok(()));
+    assert_eq!(progress.check_may_send(&fixture.limits), Ok(()));
     assert_eq!(
         observed_state(&progress),
         NOT_SENT,
