--- a/crates/testbed/src/audit/cold_server.rs
+++ b/crates/testbed/src/audit/cold_server.rs
@@ -142,7 +142,7 @@
         }
         server.reported = true;
         Some(format!(
-            "{:.0} ms of work within the window, above the limit of {:.0} ms",
+            "{:.0} ms of work in its window, of {:.0} ms",
             total / MICROS_PER_MS,
             limit / MICROS_PER_MS
         ))
--- a/crates/testbed/src/audit/execution.rs
+++ b/crates/testbed/src/audit/execution.rs
@@ -24,12 +24,10 @@
         Idempotency::IdempotencyKey
             if class.deduplication_scope == DeduplicationScope::Zone && !same_zone =>
         {
-            Some(format!(
-                "its idempotency key was first used at {server} in another zone"
-            ))
+            Some(format!("its key is known at {server} in another zone"))
         }
         Idempotency::IdempotencyKey if now > first.at + from_ms(class.deduplication_window_ms) => {
-            Some(format!("its idempotency key had expired at {server}"))
+            Some(format!("its key at {server} had expired by then"))
         }
         Idempotency::IdempotencyKey => None,
     }
--- a/crates/testbed/src/audit/response.rs
+++ b/crates/testbed/src/audit/response.rs
@@ -16,9 +16,7 @@
 /// Describes the violation by the end of a request; `None` if it keeps the rule.
 pub(super) fn violation(end: &RequestEnd) -> Option<&'static str> {
     match end.outcome {
-        RequestOutcome::Mismatched => {
-            Some("the response is not one that a server sent for this request")
-        }
+        RequestOutcome::Mismatched => Some("a response that no server made for it"),
         RequestOutcome::ConnectionLost | RequestOutcome::Unanswered if end.exempt => None,
         RequestOutcome::ConnectionLost => {
             Some("the sidecar closed the connection without a response")
--- a/crates/testbed/src/emulator/schedule_lag.rs
+++ b/crates/testbed/src/emulator/schedule_lag.rs
@@ -52,7 +52,7 @@
         let late = lags.count_between(LATE_THRESHOLD, lags.high());
         (f64_from_u64(late) > MAX_LATE_SHARE * f64_from_u64(lags.len())).then(|| {
             let worst = ms_from_micros(lags.value_at_quantile(1.0 - MAX_LATE_SHARE));
-            format!("the machine ran late: 1 % of the events ran {worst:.0} ms late or more")
+            format!("the machine ran late: 1 % of what was due was done {worst:.0} ms late or more")
         })
     }
 }
--- a/crates/testbed/src/report/mod.rs
+++ b/crates/testbed/src/report/mod.rs
@@ -184,7 +184,7 @@
                     missed.push(format!("recovered_s is {recovered:.1}, above {limit:.1}"));
                 }
                 None => missed.push(format!(
-                    "recovered_s: no recovery during the run, expected at most {limit:.1}"
+                    "recovered_s: not recovered, {limit:.1} were expected"
                 )),
             }
         }
