--- a/crates/testbed/src/scenario/set_key.rs
+++ b/crates/testbed/src/scenario/set_key.rs
@@ -8,46 +8,57 @@
 use super::key_path::{KeyPath, parse_index};
 use super::renamed_keys::current_path;
 
-/// Why a key cannot be set. Messages use the names of the given path.
+/// Why a key cannot be set. The messages use the names that the given path uses.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum SetKeyError {
     /// The path has no segments.
-    #[error("is empty")]
+    #[error("the path is empty")]
     Empty,
     /// The index is beyond the end of the list.
-    #[error("there is no {list}[{index}]")]
-    NoSuchItem { list: String, index: usize },
+    #[error("there is no {list_name}[{index}]")]
+    NoSuchItem { list_name: String, index: usize },
     /// The list's item is not a table.
-    #[error("{list}[{index}] is not a table")]
-    ItemNotTable { list: String, index: usize },
-    /// A key on the path is not a table, is a list without an index, or has an index but is not a
-    /// list.
+    #[error("{list_name}[{index}] is not a table")]
+    ItemNotTable { list_name: String, index: usize },
+    /// A key on the path is not a table, and the path gives no index into it.
     #[error("{key} is not a table")]
     NotTable { key: String },
+    /// A key on the path is not a list, but the path gives an index into it.
+    #[error("{key} is not a list")]
+    NotList { key: String },
 }
 
-/// Sets the key at a path under current or former names; missing tables on the path are added.
+/// Sets the value of the key at a path, and adds the tables on the path that are missing. The path
+/// may use current and former names of keys; `table` has the current names.
 ///
 /// # Errors
-/// If an item on the path is not a table. Tables may already have been added by then.
+/// Returns an error if the path is empty, gives an index beyond the end of a list, or leads through
+/// a value that is not a table. Tables that were added before the error was found stay.
 pub(super) fn set_key(table: &mut Table, path: &KeyPath, value: Value) -> Result<(), SetKeyError> {
-    let current = current_path(path);
-    let (last, parents) = current.segments().split_last().ok_or(SetKeyError::Empty)?;
+    let translated_path = current_path(path);
+    let (last, parents) = translated_path
+        .segments()
+        .split_last()
+        .ok_or(SetKeyError::Empty)?;
     let mut parent = table;
     let mut segments = parents.iter().zip(path.segments()).peekable();
-    while let Some((segment, given)) = segments.next() {
+    while let Some((current_name, given_name)) = segments.next() {
         let child = parent
-            .entry(segment.clone())
+            .entry(current_name.clone())
             .or_insert_with(|| Value::Table(Table::new()));
         let index = segments.peek().and_then(|(next, _)| parse_index(next));
         parent = match (child, index) {
             (Value::Array(items), Some(index)) => {
                 segments.next();
-                table_in_list(items, given, index)?
+                table_in_list(items, given_name, index)?
             }
             (Value::Table(child), None) => child,
-            _ => {
-                let key = given.clone();
+            (_, Some(_)) => {
+                let key = given_name.clone();
+                return Err(SetKeyError::NotList { key });
+            }
+            (_, None) => {
+                let key = given_name.clone();
                 return Err(SetKeyError::NotTable { key });
             }
         };
@@ -58,13 +69,13 @@
 
 fn table_in_list<'a>(
     items: &'a mut [Value],
-    list: &str,
+    list_name: &str,
     index: usize,
 ) -> Result<&'a mut Table, SetKeyError> {
-    let list = list.to_owned();
+    let list_name = list_name.to_owned();
     match items.get_mut(index) {
         Some(Value::Table(table)) => Ok(table),
-        Some(_) => Err(SetKeyError::ItemNotTable { list, index }),
-        None => Err(SetKeyError::NoSuchItem { list, index }),
+        Some(_) => Err(SetKeyError::ItemNotTable { list_name, index }),
+        None => Err(SetKeyError::NoSuchItem { list_name, index }),
     }
 }
