--- a/crates/testbed/src/emulator/emulated_server/process.rs
+++ b/crates/testbed/src/emulator/emulated_server/process.rs
@@ -172,8 +172,8 @@
         })
     }
 
-    /// Draws the actual work. The random number is drawn even if there is no noise, so that noise
-    /// does not shift later draws.
+    /// Draws the actual work. A random number is drawn even if there is no noise: later draws must
+    /// not depend on the noise.
     fn draw_work(&mut self, expected: f64, noise: f64) -> f64 {
         let factor = noise * self.random.normal() - noise * noise / 2.0;
         if noise > 0.0 {
--- a/crates/testbed/src/simulator/clients/mod.rs
+++ b/crates/testbed/src/simulator/clients/mod.rs
@@ -1,8 +1,9 @@
 //! The simulator's clients: they send requests, time out, disconnect and retry.
 //!
-//! Tracks the open arrivals and the requests that clients wait for, and checks each arrival against
-//! the tenants' quotas and the limit of open requests. `responses` handles the end of a request at
-//! its client, `sidecars` the request at its sidecar.
+//! An arrival is a client's first request with all its retries. If `load.max_open_requests`
+//! requests are open when it starts, it is not played: no request is sent for it. It takes from its
+//! tenant's quota in either case. `responses` handles the end of a request at its client, and
+//! `sidecars` handles a request at its sidecar.
 
 mod responses;
 
@@ -19,12 +20,13 @@
 use crate::scenario::{Micros, Scenario, from_ms};
 use crate::workload::{Arrival, ArrivalStream, TenantQuota, tenant_quotas, traffic_shares};
 
-/// Offset of the indexes of the random streams for requests, which keeps them apart from those for
-/// arrivals.
+/// Added to a sidecar's index for the random stream of its clients' requests. The stream at the
+/// index itself belongs to `ArrivalStream`.
 const RANDOM_STREAM_OFFSET: usize = 1 << 30;
 
-/// An arrival that has not ended, with the state of its requests.
+/// An arrival whose client waits for a response, or for the time of a retry.
 struct OpenArrival {
+    /// Number in the event log.
     number: ArrivalNumber,
     sidecar: SidecarIndex,
     class: ClassIndex,
@@ -58,13 +60,14 @@
     }
 }
 
-/// When the client of a request times out, and when it disconnects if it does so earlier.
-struct RequestTimeout {
+/// How long the client of a request waits for the response: until its timeout, or until it
+/// disconnects.
+struct WaitLimits {
     times_out_at: Micros,
     disconnects_at: Option<Micros>,
 }
 
-impl RequestTimeout {
+impl WaitLimits {
     /// Schedules the timeout and the disconnect, which apply if no response comes before.
     fn schedule(&self, request: RequestKey, context: &mut Context<'_>) {
         context.schedule_at(self.times_out_at, SimulatorEvent::ClientTimeout(request));
@@ -80,14 +83,14 @@
     quotas: Vec<TenantQuota>,
     arrivals: SlotMap<ArrivalKey, OpenArrival>,
     requests: SlotMap<RequestKey, Request>,
-    /// The number of the next arrival or request.
+    /// The next number in the sequence that arrivals and requests share.
     next_number: u64,
-    /// Number of arrivals that were skipped because too many requests were open.
+    /// Count of the arrivals that were not played.
     not_played: u64,
 }
 
 impl Clients {
-    /// The clients of a scenario before their first arrival.
+    /// Creates a scenario's clients, without any arrival.
     pub(super) fn new(scenario: &Scenario) -> Self {
         let shares = traffic_shares(scenario);
         let indexed = SidecarIndex::all(shares.len()).zip(shares);
@@ -107,12 +110,12 @@
         self.arrivals.is_empty()
     }
 
-    /// Number of arrivals that were skipped because too many requests were open.
+    /// Returns the count of the arrivals that were not played.
     pub(super) fn not_played(&self) -> u64 {
         self.not_played
     }
 
-    /// The request of this key, if its client still waits for it.
+    /// Returns a request, or `None` if its client no longer waits for the response.
     pub(super) fn request(&self, key: RequestKey) -> Option<Request> {
         self.requests.get(key).copied()
     }
@@ -151,14 +154,14 @@
         sidecar: SidecarIndex,
         context: &mut Context<'_>,
     ) -> ArrivalKey {
-        let number = ArrivalNumber::new(self.allocate_number());
+        let number = ArrivalNumber::new(self.take_next_number());
         let now = context.now();
         context.record(LogEvent::ArrivalStarted {
             arrival: number,
             sidecar,
             class: arrival.class,
             tenant: arrival.tenant,
-            within_quota: self.within_quota(arrival.tenant, now),
+            within_quota: self.try_take_quota(arrival.tenant, now),
             work: arrival.work,
         });
         let class = &context.scenario().class[arrival.class.index()];
@@ -174,8 +177,9 @@
         })
     }
 
-    /// Whether an arrival is within its tenant's quota; always true without tenants.
-    fn within_quota(&mut self, tenant: TenantIndex, now: Micros) -> bool {
+    /// Takes one arrival from the tenant's quota; returns false if the quota is used up. Without
+    /// tenants, there is no quota and the result is true.
+    fn try_take_quota(&mut self, tenant: TenantIndex, now: Micros) -> bool {
         let quota = self.quotas.get_mut(tenant.index());
         quota.is_none_or(|quota| quota.try_acquire(now))
     }
@@ -188,13 +192,13 @@
         process: SidecarProcess,
         context: &mut Context<'_>,
     ) {
-        let number = RequestNumber::new(self.allocate_number());
+        let number = RequestNumber::new(self.take_next_number());
         let Some(arrival) = self.arrivals.get_mut(key) else {
             return;
         };
         arrival.requests += 1;
         let random = &mut self.by_sidecar[process.sidecar.index()].random;
-        let request_timeout = draw_request_timeout(arrival, random, context);
+        let wait_limits = draw_wait_limits(arrival, random, context);
         let client_delay = from_ms(context.scenario().network.client_ms);
         let request = self.requests.insert(Request {
             number,
@@ -205,13 +209,13 @@
             work: arrival.work,
             work_hint: arrival.work_hint,
             arrives_at: context.now() + client_delay,
-            deadline: request_timeout.times_out_at,
+            deadline: wait_limits.times_out_at,
         });
         context.schedule_after(client_delay, SimulatorEvent::RequestAtSidecar(request));
-        request_timeout.schedule(request, context);
+        wait_limits.schedule(request, context);
     }
 
-    fn allocate_number(&mut self) -> u64 {
+    fn take_next_number(&mut self) -> u64 {
         let number = self.next_number;
         self.next_number += 1;
         number
@@ -220,21 +224,21 @@
 
 /// Draws when the client of a request that is sent now times out, and whether and when it
 /// disconnects.
-fn draw_request_timeout(
+fn draw_wait_limits(
     arrival: &OpenArrival,
     random: &mut RandomStream,
     context: &Context<'_>,
-) -> RequestTimeout {
+) -> WaitLimits {
     let scenario = context.scenario();
     let now = context.now();
     let class = &scenario.class[arrival.class.index()];
     let [shortest, longest] = scenario.clients.timeout_share;
     let deadline = from_ms(class.deadline_ms);
     let timeout = scaled_micros(deadline, random.uniform_in(shortest, longest));
-    // Drawn even if the client stays connected, so that the share doesn't shift later draws.
     let disconnects = random.bernoulli(scenario.clients.disconnect_share);
+    // Drawn even if the client stays connected: later draws must not depend on that.
     let disconnects_at = now + scaled_micros(timeout, random.uniform());
-    RequestTimeout {
+    WaitLimits {
         times_out_at: (now + timeout).min(arrival.deadline),
         disconnects_at: disconnects.then_some(disconnects_at),
     }
--- a/crates/testbed/src/simulator/clients/responses.rs
+++ b/crates/testbed/src/simulator/clients/responses.rs
@@ -66,7 +66,7 @@
         };
         let random = &mut self.by_sidecar[arrival.sidecar.index()].random;
         let [shortest, longest] = scenario.clients.backoff_ms;
-        // Drawn even if it is not used, so that the outcome doesn't shift later draws.
+        // Drawn even if it is not used: later draws must not depend on the outcome.
         let backoff = from_ms(random.uniform_in(shortest, longest));
         let wait = if arrival.honours_retry_after && outcome == RequestOutcome::Rejected {
             retry_after.max(1)
--- a/crates/testbed/src/simulator/fleet/attempts.rs
+++ b/crates/testbed/src/simulator/fleet/attempts.rs
@@ -108,8 +108,7 @@
             return;
         };
         attempt.on_work_done(server.model.response_load_report(context.now()));
-        // Drawn even if the connection is reset, so that one fault doesn't shift the draws of
-        // another.
+        // Drawn even if the connection is reset: later draws must not depend on that.
         let malformed = self.random.bernoulli(server.malformed_share());
         context.record(LogEvent::WorkDone {
             request: attempt.details.request,
--- a/crates/testbed/src/simulator/request.rs
+++ b/crates/testbed/src/simulator/request.rs
@@ -10,9 +10,11 @@
 use crate::scenario::Micros;
 
 new_key_type! {
-    /// Key of an arrival, which finds nothing once the arrival is closed.
+    /// Key by which `Clients` finds an open arrival; it finds nothing once the arrival is closed.
+    /// The event log has the arrival's number instead.
     pub(super) struct ArrivalKey;
-    /// Key of a request, which finds nothing once the client no longer waits for a response.
+    /// Key by which `Clients` finds a request; it finds nothing once the client no longer waits
+    /// for a response. The event log and the sidecar have the request's number instead.
     pub(super) struct RequestKey;
 }
 
--- a/crates/testbed/src/simulator/run.rs
+++ b/crates/testbed/src/simulator/run.rs
@@ -12,7 +12,7 @@
 pub struct RunStatistics {
     /// Events processed.
     pub events_processed: u64,
-    /// Arrivals skipped because too many requests were open.
+    /// Arrivals for which no request was sent, because too many requests were open.
     pub not_played: u64,
 }
 
