--- a/crates/testbed/src/simulator/context.rs
+++ b/crates/testbed/src/simulator/context.rs
@@ -47,7 +47,8 @@
         self.scheduler.schedule_after(delay, event);
     }
 
-    /// Advances the clock to the next event and returns it, or `None` if there is none until `end`.
+    /// Advances the clock to the next event and returns the event. Returns `None` if the queue is
+    /// empty, or if the next event is later than `end`; that event is dropped.
     pub(super) fn next_event(&mut self, end: Micros) -> Option<SimulatorEvent> {
         self.scheduler.next_event(end)
     }
--- a/crates/testbed/src/simulator/event_handlers.rs
+++ b/crates/testbed/src/simulator/event_handlers.rs
@@ -1,5 +1,5 @@
-//! Handlers of the events that involve several components. A handler calls these in turn, passes
-//! each the components that it uses, and hands the results of one on to the next.
+//! Handlers of the events that involve several components. A handler calls these components in
+//! turn, passes each of them the others that it uses, and passes results on to the next one.
 
 use super::Simulator;
 use super::attempts::AttemptKey;
@@ -7,7 +7,7 @@
 use super::event::{Cancellation, ClientResponse, HealthCheck, SimulatorEvent};
 use super::faults::FaultEffect;
 use super::request::{ArrivalKey, RequestKey};
-use super::sidecars::{Dependencies, Sidecars};
+use super::sidecars::{Components, Sidecars};
 use crate::event_log::{LogEvent, RequestOutcome};
 use crate::index::{ServerIndex, SidecarIndex};
 use crate::scenario::Micros;
@@ -18,22 +18,22 @@
 
 impl<'a> Simulator<'a> {
     /// Borrows the sidecars, and the components that they use, at the same time.
-    pub(super) fn sidecars_and_dependencies(&mut self) -> (&mut Sidecars, Dependencies<'_, 'a>) {
-        let deps = Dependencies {
+    pub(super) fn sidecars_and_components(&mut self) -> (&mut Sidecars, Components<'_, 'a>) {
+        let components = Components {
             context: &mut self.context,
             network: &mut self.network,
             attempts: &mut self.attempts,
             fleet: &mut self.fleet,
             discovery: &mut self.discovery,
         };
-        (&mut self.sidecars, deps)
+        (&mut self.sidecars, components)
     }
 
     /// Starts all sidecars and schedules their clients' first arrivals, then the faults.
     pub(super) fn start(&mut self) {
         for index in self.sidecars.indexes() {
-            let (sidecars, mut deps) = self.sidecars_and_dependencies();
-            sidecars.get_mut(index).start(&mut deps);
+            let (sidecars, mut components) = self.sidecars_and_components();
+            sidecars.get_mut(index).start(&mut components);
             let context = &mut self.context;
             self.clients.schedule_next_arrival(index, context);
         }
@@ -66,10 +66,10 @@
         let Some(request) = self.clients.request(key) else {
             return;
         };
-        if self.sidecars.is_running(request.process) {
-            let (sidecars, mut deps) = self.sidecars_and_dependencies();
+        if self.sidecars.is_process_running(request.process) {
+            let (sidecars, mut components) = self.sidecars_and_components();
             let sidecar = sidecars.get_mut(request.process.sidecar);
-            sidecar.accept_request(key, request, &mut deps);
+            sidecar.accept_request(key, request, &mut components);
         } else {
             let unreachable = ClientResponse {
                 request: key,
@@ -85,10 +85,13 @@
         let Some(request) = self.clients.request(key) else {
             return;
         };
-        if self.sidecars.awaits_response(&request, self.context.now()) {
-            let (sidecars, mut deps) = self.sidecars_and_dependencies();
+        if self
+            .sidecars
+            .has_yet_to_respond(&request, self.context.now())
+        {
+            let (sidecars, mut components) = self.sidecars_and_components();
             let sidecar = sidecars.get_mut(request.process.sidecar);
-            sidecar.abandon_request(request.number, &mut deps);
+            sidecar.abandon_request(request.number, &mut components);
             self.clients.on_timed_out(key, &mut self.context);
         }
     }
@@ -98,13 +101,16 @@
         let Some(request) = self.clients.request(key) else {
             return;
         };
-        if self.sidecars.awaits_response(&request, self.context.now()) {
+        if self
+            .sidecars
+            .has_yet_to_respond(&request, self.context.now())
+        {
             self.context.record(LogEvent::ClientDisconnected {
                 request: request.number,
             });
-            let (sidecars, mut deps) = self.sidecars_and_dependencies();
+            let (sidecars, mut components) = self.sidecars_and_components();
             let sidecar = sidecars.get_mut(request.process.sidecar);
-            sidecar.abandon_request(request.number, &mut deps);
+            sidecar.abandon_request(request.number, &mut components);
             self.clients.on_disconnected(key, &mut self.context);
         }
     }
@@ -148,12 +154,12 @@
     /// Handles a health check that reaches its server. If the server answers, the sidecar keeps the
     /// connection for reuse.
     pub(super) fn on_health_check_at_server(&mut self, check: &HealthCheck) {
-        let is_running = self.sidecars.is_running(check.process);
+        let process_is_running = self.sidecars.is_process_running(check.process);
         let attempts = &mut self.attempts;
         let context = &mut self.context;
         let kept = self
             .fleet
-            .on_health_check(check, is_running, attempts, context);
+            .on_health_check(check, process_is_running, attempts, context);
         if let Some(server_start_number) = kept {
             let idle_since = self.context.now() + check.delay;
             let sidecar = self.sidecars.get_mut(check.process.sidecar);
--- a/crates/testbed/src/simulator/mod.rs
+++ b/crates/testbed/src/simulator/mod.rs
@@ -111,40 +111,40 @@
     /// involves several.
     fn handle(&mut self, event: SimulatorEvent) {
         use SimulatorEvent as Event;
-        let (sidecars, deps) = &mut self.sidecars_and_dependencies();
+        let (sidecars, rest) = &mut self.sidecars_and_components();
         match event {
             Event::Arrival(sidecar, arrival) => self.on_arrival(sidecar, &arrival),
             Event::RetryDue(sidecar, arrival) => self.on_retry_due(sidecar, arrival),
             Event::RequestAtSidecar(request) => self.on_request_at_sidecar(request),
-            Event::BalancerTimer(timer) => sidecars.on_balancer_timer(&timer, deps),
+            Event::BalancerTimer(timer) => sidecars.on_balancer_timer(&timer, rest),
             Event::ResponseDeadline(sidecar, number) => {
-                sidecars.get_mut(sidecar).on_response_deadline(number, deps);
+                sidecars.get_mut(sidecar).on_response_deadline(number, rest);
             }
             Event::ClientTimeout(request) => self.on_client_timeout(request),
             Event::ClientDisconnect(request) => self.on_client_disconnect(request),
             Event::ResponseAtClient(response) => self.on_response_at_client(&response),
             Event::ConnectAtServer(attempt) => self.on_connect_at_server(attempt),
             Event::ConnectionOpen(sidecar, attempt) => {
-                sidecars.get_mut(sidecar).on_connection_open(attempt, deps);
+                sidecars.get_mut(sidecar).on_connection_open(attempt, rest);
             }
             Event::AttemptAtServer(attempt) => self.on_attempt_at_server(attempt),
             Event::AttemptResultAtSidecar(sidecar, attempt, outcome) => {
                 let sidecar = sidecars.get_mut(sidecar);
-                sidecar.on_attempt_result(attempt, outcome, deps);
+                sidecar.on_attempt_result(attempt, outcome, rest);
             }
             Event::AttemptTimeout(sidecar, attempt) => {
-                sidecars.get_mut(sidecar).on_attempt_timeout(attempt, deps);
+                sidecars.get_mut(sidecar).on_attempt_timeout(attempt, rest);
             }
             Event::CancellationAtServer(cancellation) => self.on_cancellation(&cancellation),
             Event::ServerTimer(server, generation) => self.on_server_timer(server, generation),
             Event::HealthCheckAtServer(check) => self.on_health_check_at_server(&check),
-            Event::HealthCheckResult(result) => sidecars.on_health_check_result(&result, deps),
-            Event::PollResult(result) => sidecars.on_poll_result(&result, deps),
-            Event::WatchNotification(process) => sidecars.on_watch_notification(process, deps),
+            Event::HealthCheckResult(result) => sidecars.on_health_check_result(&result, rest),
+            Event::PollResult(result) => sidecars.on_poll_result(&result, rest),
+            Event::WatchNotification(process) => sidecars.on_watch_notification(process, rest),
             Event::ListChange(endpoint) => self.on_list_change(endpoint),
             Event::Fault { index, starts } => self.on_fault(index, starts),
-            Event::SidecarRestart(restart) => sidecars.on_restart(&restart, deps),
-            Event::SidecarUp(sidecar) => sidecars.get_mut(sidecar).start(deps),
+            Event::SidecarRestart(restart) => sidecars.on_restart(&restart, rest),
+            Event::SidecarUp(sidecar) => sidecars.get_mut(sidecar).start(rest),
             Event::GaugeTick => self.on_gauge_tick(),
         }
     }
--- a/crates/testbed/src/simulator/sidecars/attempts.rs
+++ b/crates/testbed/src/simulator/sidecars/attempts.rs
@@ -1,7 +1,7 @@
-//! The sidecar's side of attempts: how they are sent, end, time out and are cancelled.
+//! The sidecar's side of attempts: sending, ending, timeouts and cancellation.
 //!
-//! Their connections are handled in `attempt_connections`, and their processing at servers in
-//! `fleet`.
+//! `attempt_connections` handles the connections of attempts, and `fleet` their processing at
+//! servers.
 
 use std::collections::VecDeque;
 
@@ -10,7 +10,7 @@
 };
 
 use super::attempt_connections::{close_connection, schedule_attempt};
-use super::dependencies::Dependencies;
+use super::components::Components;
 use super::requests::OpenRequest;
 use super::sidecar::Sidecar;
 use crate::conversion::u32_from_count;
@@ -27,29 +27,29 @@
         server: ServerIndex,
         timeout: Option<Micros>,
         events: &mut VecDeque<BalancerEvent>,
-        deps: &mut Dependencies<'_, '_>,
+        components: &mut Components<'_, '_>,
     ) {
         let Some(open) = self.open_requests.get(&number) else {
             return;
         };
         let class = open.request.class;
-        let now = deps.context.now();
+        let now = components.context.now();
         let mut details = attempt_details(open, server, timeout, now);
-        let server_exists = deps.fleet.contains(server);
-        deps.draw_attempt(&mut details, class, server_exists);
+        let server_exists = components.fleet.contains(server);
+        components.draw_attempt(&mut details, class, server_exists);
         let reused_connection = if server_exists {
-            self.reuse_connection(server, deps)
+            self.reuse_connection(server, components)
         } else {
             None
         };
-        let key = deps.attempts.start(details, reused_connection);
+        let key = components.attempts.start(details, reused_connection);
         if let Some(open) = self.open_requests.get_mut(&number) {
             open.attempts.push(key);
         }
         if server_exists {
-            schedule_attempt(key, deps);
+            schedule_attempt(key, components);
         } else {
-            self.end_attempt(key, Outcome::NotSent, events, deps);
+            self.end_attempt(key, Outcome::NotSent, events, components);
         }
     }
 
@@ -58,37 +58,37 @@
         &mut self,
         key: AttemptKey,
         outcome: Outcome,
-        deps: &mut Dependencies<'_, '_>,
+        components: &mut Components<'_, '_>,
     ) {
-        let Some(attempt) = deps.attempts.get_mut(key) else {
+        let Some(attempt) = components.attempts.get_mut(key) else {
             return;
         };
         if !attempt.has_ended() {
             let server = attempt.details.server;
             if let Some(start) = attempt.take_connection() {
                 if is_complete_response(outcome) {
-                    let idle_since = deps.context.now();
-                    self.keep_connection(server, idle_since, start, deps.fleet);
+                    let idle_since = components.context.now();
+                    self.keep_connection(server, idle_since, start, components.fleet);
                 } else {
-                    deps.fleet.close_connection(server, start);
+                    components.fleet.close_connection(server, start);
                 }
             }
-            self.on_attempt_ended(key, outcome, deps);
+            self.on_attempt_ended(key, outcome, components);
         }
-        deps.attempts.remove(key);
+        components.attempts.remove(key);
     }
 
     /// Handles the timeout of an attempt or of opening its connection.
     pub(in crate::simulator) fn on_attempt_timeout(
         &mut self,
         key: AttemptKey,
-        deps: &mut Dependencies<'_, '_>,
+        components: &mut Components<'_, '_>,
     ) {
-        let Some(attempt) = deps.attempts.get(key) else {
+        let Some(attempt) = components.attempts.get(key) else {
             return;
         };
         // This is the connect timeout, and the connection has opened in the meantime.
-        let is_stale = attempt.is_written() && deps.context.now() < attempt.details.deadline;
+        let is_stale = attempt.is_written() && components.context.now() < attempt.details.deadline;
         if attempt.has_ended() || is_stale {
             return;
         }
@@ -99,10 +99,10 @@
         } else {
             Outcome::ConnectFailed
         };
-        close_connection(key, deps);
-        self.on_attempt_ended(key, outcome, deps);
-        if outcome == Outcome::ConnectFailed && !deps.fleet.has_job(server, job) {
-            deps.attempts.remove(key);
+        close_connection(key, components);
+        self.on_attempt_ended(key, outcome, components);
+        if outcome == Outcome::ConnectFailed && !components.fleet.has_job(server, job) {
+            components.attempts.remove(key);
         }
     }
 
@@ -111,12 +111,12 @@
         &mut self,
         key: AttemptKey,
         events: &mut VecDeque<BalancerEvent>,
-        deps: &mut Dependencies<'_, '_>,
+        components: &mut Components<'_, '_>,
     ) {
-        let attempt = deps.attempts.get(key);
+        let attempt = components.attempts.get(key);
         if attempt.is_some_and(|attempt| !attempt.has_ended()) {
-            close_connection(key, deps);
-            self.end_attempt(key, Outcome::Cancelled, events, deps);
+            close_connection(key, components);
+            self.end_attempt(key, Outcome::Cancelled, events, components);
         }
     }
 
@@ -125,11 +125,11 @@
         &mut self,
         key: AttemptKey,
         outcome: Outcome,
-        deps: &mut Dependencies<'_, '_>,
+        components: &mut Components<'_, '_>,
     ) {
         let mut events = VecDeque::new();
-        self.end_attempt(key, outcome, &mut events, deps);
-        self.handle_balancer_events(events, deps);
+        self.end_attempt(key, outcome, &mut events, components);
+        self.handle_balancer_events(events, components);
     }
 
     /// Ends an attempt and reports it to the balancer; a served attempt completes its request.
@@ -138,9 +138,9 @@
         key: AttemptKey,
         outcome: Outcome,
         events: &mut VecDeque<BalancerEvent>,
-        deps: &mut Dependencies<'_, '_>,
+        components: &mut Components<'_, '_>,
     ) {
-        let attempt = deps.attempts.get_mut(key);
+        let attempt = components.attempts.get_mut(key);
         let Some(attempt) = attempt.filter(|attempt| !attempt.has_ended()) else {
             return;
         };
@@ -148,10 +148,10 @@
         let number = attempt.details.request;
         let is_served = outcome == Outcome::Served;
         let finished = is_served || !self.has_open_request(number);
-        let end = attempt_end(attempt, outcome, finished, deps.context.now());
+        let end = attempt_end(attempt, outcome, finished, components.context.now());
         events.push_back(BalancerEvent::AttemptEnded(end));
         if is_served {
-            self.respond(number, RequestOutcome::Served, 0, events, deps);
+            self.respond(number, RequestOutcome::Served, 0, events, components);
         }
     }
 }
--- a/crates/testbed/src/simulator/sidecars/dependencies.rs
+++ b/crates/testbed/src/simulator/sidecars/components.rs
@@ -1,4 +1,4 @@
-//! The dependencies of a sidecar: the components of the simulator that its methods use.
+//! The components of the simulator that a sidecar's methods use.
 
 use crate::index::{ClassIndex, ServerIndex, SidecarIndex};
 use crate::scenario::Micros;
@@ -8,9 +8,9 @@
 use crate::simulator::fleet::Fleet;
 use crate::simulator::network::Network;
 
-/// The components that a sidecar's methods read or change. Clients are not among them, as a sidecar
-/// responds to them through events.
-pub(in crate::simulator) struct Dependencies<'r, 'a> {
+/// Borrows the components that a sidecar's methods read or change, and the context. The clients are
+/// not among them: a sidecar responds to clients through events.
+pub(in crate::simulator) struct Components<'r, 'a> {
     pub(in crate::simulator) context: &'r mut Context<'a>,
     pub(in crate::simulator) network: &'r mut Network,
     pub(in crate::simulator) attempts: &'r mut Attempts,
@@ -18,7 +18,7 @@
     pub(in crate::simulator) discovery: &'r mut Discovery,
 }
 
-impl Dependencies<'_, '_> {
+impl Components<'_, '_> {
     /// Draws the one-way delay from a sidecar to a server, in microseconds.
     pub(super) fn draw_delay(&mut self, sidecar: SidecarIndex, server: ServerIndex) -> Micros {
         let zone = self.fleet.zone(server);
@@ -26,7 +26,8 @@
             .draw_delay(sidecar, zone, self.context.scenario())
     }
 
-    /// Draws an attempt's delay, if its server exists, and its work from the request's work.
+    /// Draws the work of an attempt around the work of its request. If the attempt's server exists,
+    /// also draws the delay to it.
     pub(super) fn draw_attempt(
         &mut self,
         details: &mut AttemptDetails,
--- a/crates/testbed/src/simulator/sidecars/endpoints.rs
+++ b/crates/testbed/src/simulator/sidecars/endpoints.rs
@@ -7,7 +7,7 @@
 use arrowstand_balancer::{Endpoint, EndpointStatus, Event as BalancerEvent, ServerId, UpdateKind};
 use arrowstand_control::stable_hash;
 
-use super::dependencies::Dependencies;
+use super::components::Components;
 use super::sidecar::Sidecar;
 use crate::event_log::{ListedStatus, LogEvent};
 use crate::index::ServerIndex;
@@ -86,37 +86,39 @@
     /// Whether a poll is the latest one of the running process. The results of other polls, and the
     /// ends of the watches that followed them, are ignored.
     pub(super) fn awaits_poll(&self, poll: EndpointPoll) -> bool {
-        self.is_running(poll.process) && self.subscription.poll_count == poll.number
+        self.is_process_running(poll.process) && self.subscription.poll_count == poll.number
     }
 
     /// Polls the list; a watch follows once the poll is answered.
-    pub(super) fn poll_endpoints(&mut self, deps: &mut Dependencies<'_, '_>) {
+    pub(super) fn poll_endpoints(&mut self, components: &mut Components<'_, '_>) {
         let sidecar = self.index;
-        deps.context.record(LogEvent::DiscoveryPolled { sidecar });
+        components
+            .context
+            .record(LogEvent::DiscoveryPolled { sidecar });
         let poll = EndpointPoll {
             process: self.process(),
             number: self.subscription.on_poll_started(),
         };
-        deps.discovery.on_poll(poll, deps.context);
+        components.discovery.on_poll(poll, components.context);
     }
 
     /// Handles the result of the last poll: applies the changes and starts the watch, or tells the
     /// balancer that the poll has failed.
-    pub(super) fn on_poll_result(&mut self, failed: bool, deps: &mut Dependencies<'_, '_>) {
-        if failed || !deps.discovery.is_up() {
-            self.on_endpoints_lost(deps);
+    pub(super) fn on_poll_result(&mut self, failed: bool, components: &mut Components<'_, '_>) {
+        if failed || !components.discovery.is_up() {
+            self.on_endpoints_lost(components);
         } else {
             self.subscription.is_watching = true;
-            self.apply_changes(deps);
+            self.apply_changes(components);
         }
     }
 
     /// Handles a notification of a change of the list.
-    pub(super) fn on_watch_notification(&mut self, deps: &mut Dependencies<'_, '_>) {
-        let discovery = &*deps.discovery;
+    pub(super) fn on_watch_notification(&mut self, components: &mut Components<'_, '_>) {
+        let discovery = &*components.discovery;
         let has_changes = self.subscription.cached.revision < discovery.revision();
         if self.subscription.is_watching && discovery.is_up() && has_changes {
-            self.apply_changes(deps);
+            self.apply_changes(components);
         }
     }
 
@@ -133,30 +135,30 @@
     }
 
     /// Delivers the cached list to a new balancer.
-    pub(super) fn restore_endpoints(&mut self, deps: &mut Dependencies<'_, '_>) {
+    pub(super) fn restore_endpoints(&mut self, components: &mut Components<'_, '_>) {
         let cached = &self.subscription.cached;
         let revision = cached.revision;
         let entries: Vec<_> = cached.endpoints.values().copied().collect();
-        self.deliver_endpoints(UpdateKind::Cached, revision, &entries, deps);
+        self.deliver_endpoints(UpdateKind::Cached, revision, &entries, components);
     }
 
     /// Applies all changes since the revision of the cached list; there may be none.
-    fn apply_changes(&mut self, deps: &mut Dependencies<'_, '_>) {
-        let discovery = &*deps.discovery;
+    fn apply_changes(&mut self, components: &mut Components<'_, '_>) {
+        let discovery = &*components.discovery;
         let revision = discovery.revision();
         let changes = discovery.changes_since(self.subscription.cached.revision);
-        self.deliver_endpoints(UpdateKind::Incremental, revision, &changes, deps);
+        self.deliver_endpoints(UpdateKind::Incremental, revision, &changes, components);
     }
 
     /// Tells the balancer that updates of the endpoint list have stopped.
-    fn on_endpoints_lost(&mut self, deps: &mut Dependencies<'_, '_>) {
+    fn on_endpoints_lost(&mut self, components: &mut Components<'_, '_>) {
         self.subscription.on_watch_ended();
         let lost = BalancerEvent::EndpointsUpdated {
             kind: UpdateKind::Lost,
             version: 0,
             endpoints: Vec::new(),
         };
-        self.handle_balancer_event(lost, deps);
+        self.handle_balancer_event(lost, components);
     }
 
     fn deliver_endpoints(
@@ -164,19 +166,19 @@
         kind: UpdateKind,
         revision: u64,
         listed: &[ListedEndpoint],
-        deps: &mut Dependencies<'_, '_>,
+        components: &mut Components<'_, '_>,
     ) {
-        let scenario = deps.context.scenario();
+        let scenario = components.context.scenario();
         let mut endpoints = Vec::with_capacity(listed.len());
         for &endpoint in listed {
-            deps.context.record(LogEvent::EndpointListed {
+            components.context.record(LogEvent::EndpointListed {
                 sidecar: self.index,
                 server: endpoint.server,
                 status: endpoint.status,
                 incarnation: endpoint.incarnation,
             });
             self.subscription.cached.apply(endpoint);
-            endpoints.push(balancer_endpoint(endpoint, deps.fleet, scenario));
+            endpoints.push(balancer_endpoint(endpoint, components.fleet, scenario));
         }
         self.subscription.cached.revision = revision;
         let update = BalancerEvent::EndpointsUpdated {
@@ -184,7 +186,7 @@
             version: revision,
             endpoints,
         };
-        self.handle_balancer_event(update, deps);
+        self.handle_balancer_event(update, components);
     }
 }
 
--- a/crates/testbed/src/simulator/sidecars/health_checks.rs
+++ b/crates/testbed/src/simulator/sidecars/health_checks.rs
@@ -2,7 +2,7 @@
 
 use arrowstand_balancer::{Event as BalancerEvent, LoadReport, ServerId};
 
-use super::dependencies::Dependencies;
+use super::components::Components;
 use super::sidecar::Sidecar;
 use crate::event_log::LogEvent;
 use crate::index::ServerIndex;
@@ -18,14 +18,14 @@
     pub(super) fn send_health_check(
         &mut self,
         server: ServerIndex,
-        deps: &mut Dependencies<'_, '_>,
+        components: &mut Components<'_, '_>,
     ) {
-        deps.context.record(LogEvent::HealthChecked {
+        components.context.record(LogEvent::HealthChecked {
             sidecar: self.index,
             server,
         });
-        let delay = deps.draw_delay(self.index, server);
-        let new_connection = self.reuse_connection(server, deps).is_none();
+        let delay = components.draw_delay(self.index, server);
+        let new_connection = self.reuse_connection(server, components).is_none();
         let arrives_after = if new_connection {
             NEW_CONNECTION_ONE_WAY_DELAYS * delay
         } else {
@@ -37,14 +37,14 @@
             delay,
             new_connection,
         });
-        deps.context.schedule_after(arrives_after, check);
+        components.context.schedule_after(arrives_after, check);
     }
 
     /// Reports the result of a health check to the balancer.
     pub(super) fn on_health_check_result(
         &mut self,
         result: &HealthCheckResult,
-        deps: &mut Dependencies<'_, '_>,
+        components: &mut Components<'_, '_>,
     ) {
         let load_report = result.load.map(|load| LoadReport {
             in_flight: load.in_flight as f64,
@@ -55,6 +55,6 @@
             outcome: result.outcome,
             load_report,
         };
-        self.handle_balancer_event(ended, deps);
+        self.handle_balancer_event(ended, components);
     }
 }
--- a/crates/testbed/src/simulator/sidecars/host.rs
+++ b/crates/testbed/src/simulator/sidecars/host.rs
@@ -7,7 +7,7 @@
 
 use arrowstand_balancer::{Action, Event as BalancerEvent, RequestId};
 
-use super::dependencies::Dependencies;
+use super::components::Components;
 use super::sidecar::Sidecar;
 use crate::event_log::RequestOutcome;
 use crate::index::{RequestNumber, ServerIndex};
@@ -22,9 +22,9 @@
     pub(super) fn handle_balancer_event(
         &mut self,
         event: BalancerEvent,
-        deps: &mut Dependencies<'_, '_>,
+        components: &mut Components<'_, '_>,
     ) {
-        let now = EPOCH + deps.context.now();
+        let now = EPOCH + components.context.now();
         let mut events = VecDeque::from([event]);
         while let Some(event) = events.pop_front() {
             let Some(balancer) = &mut self.balancer else {
@@ -33,7 +33,7 @@
             let mut actions = std::mem::take(&mut self.actions);
             balancer.handle(now, event, &mut actions);
             for action in actions.drain(..) {
-                self.execute_action(action, &mut events, deps);
+                self.execute_action(action, &mut events, components);
             }
             self.actions = actions;
         }
@@ -44,10 +44,10 @@
     pub(super) fn handle_balancer_events(
         &mut self,
         events: VecDeque<BalancerEvent>,
-        deps: &mut Dependencies<'_, '_>,
+        components: &mut Components<'_, '_>,
     ) {
         for event in events {
-            self.handle_balancer_event(event, deps);
+            self.handle_balancer_event(event, components);
         }
     }
 
@@ -56,7 +56,7 @@
         &mut self,
         action: Action,
         events: &mut VecDeque<BalancerEvent>,
-        deps: &mut Dependencies<'_, '_>,
+        components: &mut Components<'_, '_>,
     ) {
         match action {
             Action::Send {
@@ -65,25 +65,25 @@
                 timeout,
             } => {
                 let server = ServerIndex::new(server.0);
-                self.send_attempt(request_number(request), server, timeout, events, deps);
+                self.send_attempt(request_number(request), server, timeout, events, components);
             }
             Action::Cancel { request, attempt } => {
                 if let Some(key) = self.attempt_key(request_number(request), attempt) {
-                    self.cancel_attempt(key, events, deps);
+                    self.cancel_attempt(key, events, components);
                 }
             }
             Action::Reject {
                 request,
                 retry_after,
-            } => self.reject_request(request_number(request), retry_after, events, deps),
+            } => self.reject_request(request_number(request), retry_after, events, components),
             Action::Fail { request } => {
-                self.fail_request(request_number(request), events, deps);
+                self.fail_request(request_number(request), events, components);
             }
-            Action::SetTimer { token, after } => self.set_timer(token, after, deps),
+            Action::SetTimer { token, after } => self.set_timer(token, after, components),
             Action::HealthCheck { server } => {
-                self.send_health_check(ServerIndex::new(server.0), deps);
+                self.send_health_check(ServerIndex::new(server.0), components);
             }
-            Action::PollEndpoints => self.poll_endpoints(deps),
+            Action::PollEndpoints => self.poll_endpoints(components),
             Action::SendGossip { .. } | Action::Record(_) => {}
         }
     }
@@ -93,11 +93,11 @@
         number: RequestNumber,
         retry_after: Option<Micros>,
         events: &mut VecDeque<BalancerEvent>,
-        deps: &mut Dependencies<'_, '_>,
+        components: &mut Components<'_, '_>,
     ) {
-        let retry_after = retry_after.unwrap_or(max_retry_after(deps.context));
+        let retry_after = retry_after.unwrap_or(max_retry_after(components.context));
         let outcome = RequestOutcome::Rejected;
-        self.respond(number, outcome, retry_after, events, deps);
+        self.respond(number, outcome, retry_after, events, components);
     }
 
     /// Responds to a request that is open with an error and the longest Retry-After.
@@ -105,22 +105,22 @@
         &mut self,
         number: RequestNumber,
         events: &mut VecDeque<BalancerEvent>,
-        deps: &mut Dependencies<'_, '_>,
+        components: &mut Components<'_, '_>,
     ) {
-        let retry_after = max_retry_after(deps.context);
+        let retry_after = max_retry_after(components.context);
         let outcome = RequestOutcome::Failed;
-        self.respond(number, outcome, retry_after, events, deps);
+        self.respond(number, outcome, retry_after, events, components);
     }
 
-    fn set_timer(&self, token: u64, after: Micros, deps: &mut Dependencies<'_, '_>) {
+    fn set_timer(&self, token: u64, after: Micros, components: &mut Components<'_, '_>) {
         let process = self.process();
         let timer = SimulatorEvent::BalancerTimer(BalancerTimer { process, token });
-        deps.context.schedule_after(after, timer);
+        components.context.schedule_after(after, timer);
     }
 
     /// Passes a timer that has fired to the balancer.
-    pub(super) fn on_balancer_timer(&mut self, token: u64, deps: &mut Dependencies<'_, '_>) {
-        self.handle_balancer_event(BalancerEvent::TimerFired { token }, deps);
+    pub(super) fn on_balancer_timer(&mut self, token: u64, components: &mut Components<'_, '_>) {
+        self.handle_balancer_event(BalancerEvent::TimerFired { token }, components);
     }
 }
 
--- a/crates/testbed/src/simulator/sidecars/idle_connections.rs
+++ b/crates/testbed/src/simulator/sidecars/idle_connections.rs
@@ -4,7 +4,7 @@
 
 use rustc_hash::FxHashMap;
 
-use super::dependencies::Dependencies;
+use super::components::Components;
 use super::sidecar::Sidecar;
 use crate::conversion::scaled_micros;
 use crate::index::ServerIndex;
@@ -77,14 +77,15 @@
     pub(super) fn reuse_connection(
         &mut self,
         server: ServerIndex,
-        deps: &mut Dependencies<'_, '_>,
+        components: &mut Components<'_, '_>,
     ) -> Option<u32> {
-        let current_start_number = deps.fleet.start_number_unless_refusing(server);
+        let current_start_number = components.fleet.start_number_unless_refusing(server);
         let connection = self.connections.take(server, current_start_number)?;
-        if connection.idle_since + reuse_timeout(deps.context) > deps.context.now() {
+        if connection.idle_since + reuse_timeout(components.context) > components.context.now() {
             return Some(connection.server_start_number);
         }
-        deps.fleet
+        components
+            .fleet
             .close_connection(server, connection.server_start_number);
         None
     }
--- a/crates/testbed/src/simulator/sidecars/mod.rs
+++ b/crates/testbed/src/simulator/sidecars/mod.rs
@@ -1,15 +1,15 @@
-//! The simulator's sidecars, each of which hosts one balancer like the real program.
+//! The simulator's sidecars. Like a process of the real program, a sidecar hosts one balancer.
 //!
 //! Passes each event to its sidecar, and ignores events for earlier processes of a sidecar.
-//! `sidecar` has the state, start and restarts of one sidecar; `host` executes its balancer's
-//! actions. `requests`, `attempts` and `health_checks` handle the sidecar's side of requests,
-//! attempts and health checks, `attempt_connections` the connections of attempts,
-//! `idle_connections` the pool of idle connections, and `endpoints` the sidecar's copy of the
-//! endpoint list. `fleet` simulates the servers.
+//! `sidecar` keeps the state of one sidecar, and starts and restarts it. `host` passes events to
+//! the balancer and executes its actions. `requests`, `attempts` and `health_checks` handle the
+//! sidecar's side of requests, attempts and health checks. `attempt_connections` opens and closes
+//! the connections of attempts, `idle_connections` keeps the pool of idle connections, and
+//! `endpoints` keeps the sidecar's copy of the endpoint list. `fleet` simulates the servers.
 
 mod attempt_connections;
 mod attempts;
-mod dependencies;
+mod components;
 mod endpoints;
 mod health_checks;
 mod host;
@@ -32,7 +32,7 @@
 use settings::balancer_settings;
 use sidecar::Sidecar;
 
-pub(super) use dependencies::Dependencies;
+pub(super) use components::Components;
 
 /// All sidecars of a run.
 pub(super) struct Sidecars {
@@ -64,19 +64,19 @@
         &mut self.sidecars[sidecar.index()]
     }
 
-    /// Returns the current process of a sidecar.
+    /// Returns the current process of a sidecar; while it is down, the one that starts next.
     pub(super) fn process(&self, sidecar: SidecarIndex) -> SidecarProcess {
         self.sidecars[sidecar.index()].process()
     }
 
-    /// Whether a process is the current one of its sidecar, and up.
-    pub(super) fn is_running(&self, process: SidecarProcess) -> bool {
-        self.sidecars[process.sidecar.index()].is_running(process)
+    /// Whether a process has started and was not killed.
+    pub(super) fn is_process_running(&self, process: SidecarProcess) -> bool {
+        self.sidecars[process.sidecar.index()].is_process_running(process)
     }
 
-    /// Whether a request is still on its way to the sidecar or open there. Otherwise the sidecar's
-    /// response is already on its way, and reaches the client within the response grace.
-    pub(super) fn awaits_response(&self, request: &Request, now: Micros) -> bool {
+    /// Whether a request is on its way to the sidecar, or open there. Otherwise the sidecar has
+    /// responded, and its response reaches the client at most `network.client_ms` from now.
+    pub(super) fn has_yet_to_respond(&self, request: &Request, now: Micros) -> bool {
         let has_arrived = request.arrives_at <= now;
         let sidecar = &self.sidecars[request.process.sidecar.index()];
         !has_arrived || sidecar.has_open_request(request.number)
@@ -106,11 +106,11 @@
     pub(super) fn on_balancer_timer(
         &mut self,
         timer: &BalancerTimer,
-        deps: &mut Dependencies<'_, '_>,
+        components: &mut Components<'_, '_>,
     ) {
         let sidecar = self.get_mut(timer.process.sidecar);
-        if sidecar.is_current(timer.process) {
-            sidecar.on_balancer_timer(timer.token, deps);
+        if sidecar.is_current_process(timer.process) {
+            sidecar.on_balancer_timer(timer.token, components);
         }
     }
 
@@ -118,19 +118,23 @@
     pub(super) fn on_health_check_result(
         &mut self,
         result: &HealthCheckResult,
-        deps: &mut Dependencies<'_, '_>,
+        components: &mut Components<'_, '_>,
     ) {
         let sidecar = self.get_mut(result.process.sidecar);
-        if sidecar.is_current(result.process) {
-            sidecar.on_health_check_result(result, deps);
+        if sidecar.is_current_process(result.process) {
+            sidecar.on_health_check_result(result, components);
         }
     }
 
     /// Handles the result of a poll, unless it belongs to an earlier process or poll.
-    pub(super) fn on_poll_result(&mut self, result: &PollResult, deps: &mut Dependencies<'_, '_>) {
+    pub(super) fn on_poll_result(
+        &mut self,
+        result: &PollResult,
+        components: &mut Components<'_, '_>,
+    ) {
         let sidecar = self.get_mut(result.poll.process.sidecar);
         if sidecar.awaits_poll(result.poll) {
-            sidecar.on_poll_result(result.failed, deps);
+            sidecar.on_poll_result(result.failed, components);
         }
     }
 
@@ -138,19 +142,23 @@
     pub(super) fn on_watch_notification(
         &mut self,
         process: SidecarProcess,
-        deps: &mut Dependencies<'_, '_>,
+        components: &mut Components<'_, '_>,
     ) {
         let sidecar = self.get_mut(process.sidecar);
-        if sidecar.is_current(process) {
-            sidecar.on_watch_notification(deps);
+        if sidecar.is_current_process(process) {
+            sidecar.on_watch_notification(components);
         }
     }
 
     /// Restarts a sidecar; one that is already down is not affected.
-    pub(super) fn on_restart(&mut self, restart: &SidecarRestart, deps: &mut Dependencies<'_, '_>) {
+    pub(super) fn on_restart(
+        &mut self,
+        restart: &SidecarRestart,
+        components: &mut Components<'_, '_>,
+    ) {
         let sidecar = self.get_mut(restart.sidecar);
         if sidecar.is_up() {
-            sidecar.on_restart(restart, deps);
+            sidecar.on_restart(restart, components);
         }
     }
 }
--- a/crates/testbed/src/simulator/sidecars/requests.rs
+++ b/crates/testbed/src/simulator/sidecars/requests.rs
@@ -5,7 +5,7 @@
 use arrowstand_balancer::{ClassId, Event as BalancerEvent, IncomingRequest, RequestId};
 
 use super::attempt_connections::close_connection;
-use super::dependencies::Dependencies;
+use super::components::Components;
 use super::settings::RESPONSE_MARGIN;
 use super::sidecar::Sidecar;
 use crate::event_log::{LogEvent, RequestOutcome};
@@ -27,12 +27,12 @@
 impl OpenRequest {
     /// Closes the request's connections when the sidecar's process is killed. The client detects
     /// the loss of its own connection.
-    pub(super) fn on_process_killed(self, deps: &mut Dependencies<'_, '_>) {
+    pub(super) fn on_process_killed(self, components: &mut Components<'_, '_>) {
         for attempt in self.attempts {
-            close_connection(attempt, deps);
+            close_connection(attempt, components);
         }
         let outcome = RequestOutcome::ConnectionLost;
-        send_response(self.key, outcome, 0, deps.context);
+        send_response(self.key, outcome, 0, components.context);
     }
 }
 
@@ -42,9 +42,9 @@
         &mut self,
         key: RequestKey,
         request: Request,
-        deps: &mut Dependencies<'_, '_>,
+        components: &mut Components<'_, '_>,
     ) {
-        let context = &mut *deps.context;
+        let context = &mut *components.context;
         context.record(LogEvent::RequestAccepted {
             request: request.number,
             arrival: request.arrival_number,
@@ -62,7 +62,7 @@
         let deadline = SimulatorEvent::ResponseDeadline(self.index, request.number);
         context.schedule_at(respond_by, deadline);
         let arrived = request_arrived(&request, context.now());
-        self.handle_balancer_event(arrived, deps);
+        self.handle_balancer_event(arrived, components);
     }
 
     /// Whether the sidecar has accepted a request and not yet responded to it.
@@ -74,25 +74,25 @@
     pub(in crate::simulator) fn on_response_deadline(
         &mut self,
         number: RequestNumber,
-        deps: &mut Dependencies<'_, '_>,
+        components: &mut Components<'_, '_>,
     ) {
         if !self.has_open_request(number) {
             return;
         }
         let mut events = VecDeque::from([client_disconnected(number)]);
-        self.fail_request(number, &mut events, deps);
-        self.handle_balancer_events(events, deps);
+        self.fail_request(number, &mut events, components);
+        self.handle_balancer_events(events, components);
     }
 
     /// Cancels the outstanding attempts of a request that its client no longer waits for.
     pub(in crate::simulator) fn abandon_request(
         &mut self,
         number: RequestNumber,
-        deps: &mut Dependencies<'_, '_>,
+        components: &mut Components<'_, '_>,
     ) {
         let mut events = VecDeque::from([client_disconnected(number)]);
-        self.close_request(number, &mut events, deps);
-        self.handle_balancer_events(events, deps);
+        self.close_request(number, &mut events, components);
+        self.handle_balancer_events(events, components);
     }
 
     /// Sends the final response to a request if it is open, and cancels its outstanding attempts.
@@ -102,10 +102,10 @@
         outcome: RequestOutcome,
         retry_after: Micros,
         events: &mut VecDeque<BalancerEvent>,
-        deps: &mut Dependencies<'_, '_>,
+        components: &mut Components<'_, '_>,
     ) {
-        if let Some(key) = self.close_request(number, events, deps) {
-            send_response(key, outcome, retry_after, deps.context);
+        if let Some(key) = self.close_request(number, events, components) {
+            send_response(key, outcome, retry_after, components.context);
         }
     }
 
@@ -114,11 +114,11 @@
         &mut self,
         number: RequestNumber,
         events: &mut VecDeque<BalancerEvent>,
-        deps: &mut Dependencies<'_, '_>,
+        components: &mut Components<'_, '_>,
     ) -> Option<RequestKey> {
         let open = self.open_requests.remove(&number)?;
         for attempt in open.attempts {
-            self.cancel_attempt(attempt, events, deps);
+            self.cancel_attempt(attempt, events, components);
         }
         Some(open.key)
     }
--- a/crates/testbed/src/simulator/sidecars/sidecar.rs
+++ b/crates/testbed/src/simulator/sidecars/sidecar.rs
@@ -5,7 +5,7 @@
 use arrowstand_balancer::Action;
 use arrowstand_control::WorkAwareBalancer;
 
-use super::dependencies::Dependencies;
+use super::components::Components;
 use super::endpoints::{CachedEndpoints, Subscription};
 use super::idle_connections::IdleConnections;
 use super::requests::OpenRequest;
@@ -55,20 +55,21 @@
     }
 
     /// Starts a new process, whose only earlier state is the cached endpoint list.
-    pub(in crate::simulator) fn start(&mut self, deps: &mut Dependencies<'_, '_>) {
-        let settings = balancer_settings(deps.context.scenario(), self.index);
+    pub(in crate::simulator) fn start(&mut self, components: &mut Components<'_, '_>) {
+        let settings = balancer_settings(components.context.scenario(), self.index);
         let seed = self.seeds.next_u64();
         self.balancer = WorkAwareBalancer::new(settings, seed).ok();
         self.subscription.on_watch_ended();
-        self.record_state(ProcessState::Up, deps);
-        self.restore_endpoints(deps);
+        self.record_state(ProcessState::Up, components);
+        self.restore_endpoints(components);
     }
 
+    /// Whether the sidecar has a running process.
     pub(super) fn is_up(&self) -> bool {
         self.balancer.is_some()
     }
 
-    /// Returns the current process.
+    /// Returns the current process; while the sidecar is down, the one that starts next.
     pub(super) fn process(&self) -> SidecarProcess {
         SidecarProcess {
             sidecar: self.index,
@@ -76,52 +77,59 @@
         }
     }
 
-    /// Whether a process is the current one, running or not.
-    pub(super) fn is_current(&self, process: SidecarProcess) -> bool {
+    /// Whether a process is the current one, which does not run while the sidecar is down.
+    pub(super) fn is_current_process(&self, process: SidecarProcess) -> bool {
         self.process() == process
     }
 
-    /// Whether a process is the current one, and up.
-    pub(super) fn is_running(&self, process: SidecarProcess) -> bool {
-        self.is_current(process) && self.is_up()
+    /// Whether a process is the current one and runs: it has started and was not killed.
+    pub(super) fn is_process_running(&self, process: SidecarProcess) -> bool {
+        self.is_current_process(process) && self.is_up()
     }
 
     /// Restarts the sidecar: kills it, which loses its open requests, or shuts it down, which gives
     /// it `SHUTDOWN_GRACE` to respond to them before it is killed.
-    pub(super) fn on_restart(&mut self, restart: &SidecarRestart, deps: &mut Dependencies<'_, '_>) {
+    pub(super) fn on_restart(
+        &mut self,
+        restart: &SidecarRestart,
+        components: &mut Components<'_, '_>,
+    ) {
         if restart.kill {
-            self.kill(restart.downtime, deps);
+            self.kill(restart.downtime, components);
             return;
         }
-        self.record_state(ProcessState::ShuttingDown, deps);
+        self.record_state(ProcessState::ShuttingDown, components);
         let kill = SimulatorEvent::SidecarRestart(SidecarRestart {
             sidecar: self.index,
             downtime: restart.downtime.saturating_sub(SHUTDOWN_GRACE),
             kill: true,
         });
-        deps.context.schedule_after(SHUTDOWN_GRACE, kill);
+        components.context.schedule_after(SHUTDOWN_GRACE, kill);
     }
 
-    fn kill(&mut self, downtime: Micros, deps: &mut Dependencies<'_, '_>) {
-        self.record_state(ProcessState::Killed, deps);
+    fn kill(&mut self, downtime: Micros, components: &mut Components<'_, '_>) {
+        self.record_state(ProcessState::Killed, components);
         self.balancer = None;
         self.incarnation += 1;
         self.subscription.on_watch_ended();
         let connections = std::mem::take(&mut self.connections);
         for (server, server_start_number) in connections.into_connections() {
-            deps.fleet.close_connection(server, server_start_number);
+            components
+                .fleet
+                .close_connection(server, server_start_number);
         }
         let open_requests = std::mem::take(&mut self.open_requests);
         for request in open_requests.into_values() {
-            request.on_process_killed(deps);
+            request.on_process_killed(components);
         }
         let up = SimulatorEvent::SidecarUp(self.index);
-        deps.context.schedule_after(downtime, up);
+        components.context.schedule_after(downtime, up);
     }
 
-    fn record_state(&self, state: ProcessState, deps: &mut Dependencies<'_, '_>) {
+    fn record_state(&self, state: ProcessState, components: &mut Components<'_, '_>) {
         let sidecar = self.index;
-        deps.context
+        components
+            .context
             .record(LogEvent::SidecarStateChanged { sidecar, state });
     }
 }
