--- a/crates/testbed/src/emulator/client/arrival.rs
+++ b/crates/testbed/src/emulator/client/arrival.rs
@@ -90,7 +90,8 @@
         }
     }
 
-    /// Draws when the client times out, and whether and when it disconnects before that.
+    /// Creates the next request of an arrival with a new number. Draws when its client times out,
+    /// and whether and when it disconnects before that.
     fn draw_request(
         &self,
         random: &mut RandomStream,
--- a/crates/testbed/src/emulator/client/exchange.rs
+++ b/crates/testbed/src/emulator/client/exchange.rs
@@ -92,7 +92,7 @@
                 Ok(message) => return self.on_response(acquired.connection, &message, request),
                 Err(error) => error,
             };
-            self.sidecars.wait_until_killed(self.sidecar).await;
+            self.sidecars.wait_for_kill_in_progress(self.sidecar).await;
             let same_process = self.sidecars.incarnation(self.sidecar) == incarnation;
             if !(acquired.reused && is_connection_closed(&error) && same_process) {
                 return Response::without_response(if accepted {
--- a/crates/testbed/src/emulator/discovery/endpoint_list.rs
+++ b/crates/testbed/src/emulator/discovery/endpoint_list.rs
@@ -1,7 +1,7 @@
 //! The revisions of the emulated endpoint list.
 //!
-//! Each entry carries the revision that last changed it, from which the list or a delta for a
-//! sidecar follows. The platform's `EndpointList` formats them for the wire.
+//! Each entry carries the revision that last changed it, so that the changes since any revision can
+//! be selected. The platform's `EndpointList` formats lists and deltas for the wire.
 
 #[cfg(test)]
 mod tests;
@@ -34,7 +34,7 @@
 }
 
 impl EndpointList {
-    /// A list of ready servers, from their start times in the order of their positions.
+    /// Creates a list of ready servers with these start times, in the order of their positions.
     pub(super) fn new_ready(started_at: impl Iterator<Item = Micros>) -> Self {
         let entry = |(position, started_at)| {
             let entry = ListEntry {
@@ -55,8 +55,8 @@
         self.revision
     }
 
-    /// Sets the status of a server's incarnation and raises the revision; returns false, without a
-    /// change, if a later incarnation of the server is listed.
+    /// Sets the status of a server's incarnation, raises the revision and returns true. If a later
+    /// incarnation of the server is listed, changes nothing and returns false.
     pub(super) fn set_status(
         &mut self,
         server: ServerIndex,
@@ -79,8 +79,8 @@
         true
     }
 
-    /// The entries that changed after a revision; without one, those of all servers that are not
-    /// gone.
+    /// Returns the entries that changed after a revision. Without a revision, returns the entries
+    /// of all servers that are not gone.
     pub(super) fn changed_since(
         &self,
         revision: Option<u64>,
--- a/crates/testbed/src/emulator/discovery/mod.rs
+++ b/crates/testbed/src/emulator/discovery/mod.rs
@@ -141,8 +141,8 @@
         (list, notifications)
     }
 
-    /// The delta since a revision, or the full list without one; with the revision that it leads to
-    /// and the notifications that it contains.
+    /// Returns the delta since a revision, or the full list if there is no revision. Also returns
+    /// the revision that the message leads to, and the notifications that it contains.
     fn list_or_delta(
         &self,
         sidecar: SidecarIndex,
--- a/crates/testbed/src/emulator/emulated_server/faults.rs
+++ b/crates/testbed/src/emulator/emulated_server/faults.rs
@@ -12,9 +12,9 @@
 use crate::event_log::ServerState;
 use crate::index::ServerIndex;
 
-/// Number of times that a restart tries to listen on the server's addresses: a sidecar process that
-/// was being started when the listener closed may have inherited its socket, which keeps the
-/// address in use for a while. If all of them fail, the server stays unreachable.
+/// Number of times that a restart tries to listen on the server's addresses. An address may stay in
+/// use for a while: a sidecar process that was being started when the listener closed may have
+/// inherited the listener's socket. If all tries fail, the server stays unreachable.
 const MAX_LISTEN_TRIES: usize = 50;
 /// Time between two tries.
 const LISTEN_RETRY_INTERVAL: Duration = Duration::from_millis(20);
@@ -31,8 +31,8 @@
 }
 
 impl EmulatedServer {
-    /// Stops the process, or the whole machine if `reachability` is `Silent`; all executions are
-    /// lost.
+    /// Stops the process, or the whole machine if `reachability` is `Silent`. All executions are
+    /// lost in either case.
     pub(in crate::emulator) async fn stop(self: &Arc<Self>, reachability: Reachability) {
         self.network.send_modify(|network| {
             network.reachability = reachability;
@@ -48,7 +48,8 @@
         }
     }
 
-    /// Starts the server again, cold; a replacement of it has a new index.
+    /// Starts the server again, cold. If a replacement takes over its addresses, the server gets
+    /// the replacement's index.
     pub(in crate::emulator) async fn restart(self: &Arc<Self>, replacement: Option<ServerIndex>) {
         if let Some(index) = replacement {
             self.index.store(index.value(), Ordering::Relaxed);
--- a/crates/testbed/src/emulator/ports.rs
+++ b/crates/testbed/src/emulator/ports.rs
@@ -17,11 +17,11 @@
 /// First port of the first block. All blocks lie below the system's ephemeral port range: while an
 /// emulated server is down, no outgoing connection may take its port.
 const FIRST_PORT: u16 = 12_000;
-/// Ports of a block, with the first one, which marks the block as claimed.
+/// Number of ports in a block, including the first, which marks the block as claimed.
 const BLOCK_SIZE: u16 = 1_000;
 /// Number of blocks that fit below the ephemeral port range.
 const BLOCK_COUNT: u16 = 20;
-/// Ports of a block that can be allocated.
+/// Number of ports in a block that can be allocated.
 const ALLOCATABLE_PER_BLOCK: u16 = BLOCK_SIZE - 1;
 
 /// A block of ports that this process has claimed.
@@ -72,9 +72,9 @@
 }
 
 impl PortAllocator {
-    /// The next candidate address, which may be in use. Claims a new block once the present ones
-    /// are used up, and starts over at the first block once no block is left to claim; `None` if
-    /// this process has no block at all.
+    /// Returns the next candidate address, which may be in use. Claims a new block once the present
+    /// ones are used up. If no block is left to claim, starts over at this process's first block;
+    /// returns `None` if it has no block at all.
     fn next_candidate(&mut self) -> Option<SocketAddr> {
         let per_block = usize::from(ALLOCATABLE_PER_BLOCK);
         if self.next_index / per_block >= self.blocks.len() {
--- a/crates/testbed/src/emulator/sidecars/mod.rs
+++ b/crates/testbed/src/emulator/sidecars/mod.rs
@@ -1,8 +1,8 @@
 //! Manages the sidecar processes: configures, starts, restarts and stops them, and reads their
 //! counters.
 //!
-//! This module handles the set of all sidecars; `process` is one sidecar, `settings` its
-//! configuration and `counters` the counters that it printed.
+//! This module handles the set of all sidecars. `process` handles one sidecar, `settings` builds
+//! its configuration, and `counters` parses the counters that it printed.
 
 mod counters;
 mod process;
@@ -116,10 +116,12 @@
         self.sidecars[index.index()].incarnation()
     }
 
-    /// Waits while a kill of the sidecar is in progress, so that a connection that the kill closed
-    /// is not taken for one that the sidecar closed itself.
-    pub(super) async fn wait_until_killed(&self, index: SidecarIndex) {
-        self.sidecars[index.index()].wait_until_killed().await;
+    /// Waits until no kill of the sidecar is in progress. Without this, a connection that the kill
+    /// closed would be taken for one that the sidecar closed itself.
+    pub(super) async fn wait_for_kill_in_progress(&self, index: SidecarIndex) {
+        self.sidecars[index.index()]
+            .wait_for_kill_in_progress()
+            .await;
     }
 
     fn record_state(&self, index: SidecarIndex, state: ProcessState) {
--- a/crates/testbed/src/emulator/sidecars/process.rs
+++ b/crates/testbed/src/emulator/sidecars/process.rs
@@ -86,8 +86,8 @@
         self.incarnation.fetch_add(1, Ordering::SeqCst);
     }
 
-    /// Waits while a kill is in progress.
-    pub(super) async fn wait_until_killed(&self) {
+    /// Waits until no kill is in progress; returns at once if none is.
+    pub(super) async fn wait_for_kill_in_progress(&self) {
         while self.being_killed.load(Ordering::SeqCst) {
             tokio::time::sleep(KILL_POLL_INTERVAL).await;
         }
--- a/crates/testbed/src/emulator/sidecars/restart.rs
+++ b/crates/testbed/src/emulator/sidecars/restart.rs
@@ -13,10 +13,10 @@
 use crate::index::SidecarIndex;
 use crate::scenario::{Micros, from_ms};
 
-/// Lower bound on the time that a sidecar has to respond to its open requests during a graceful
-/// shutdown, in milliseconds; the scenario's longest deadline applies if it is longer.
+/// Time that a sidecar has to respond to its open requests during a graceful shutdown, in
+/// milliseconds, unless a request class of the scenario has a longer deadline.
 const MIN_SHUTDOWN_TIMEOUT_MS: f64 = 3_000.0;
-/// Added to that time before a sidecar that has not exited is killed, in microseconds.
+/// Time that a sidecar has to exit after that, in microseconds; it is killed if it has not.
 const SHUTDOWN_MARGIN: Micros = 900_000;
 /// Time limit for a process to exit after SIGKILL.
 const KILL_TIMEOUT: Duration = READINESS_TIMEOUT;
--- a/crates/testbed/src/emulator/sidecars/settings.rs
+++ b/crates/testbed/src/emulator/sidecars/settings.rs
@@ -22,8 +22,8 @@
 
 /// CPU cores of a sidecar's container, for which a scenario has no key.
 const CORES: f64 = 1.0;
-/// The emulator supports none of the features that only the simulator's channels have; its sidecars
-/// poll discovery.
+/// Of the features that only a simulator may have, the emulator's sidecars use one: they poll
+/// discovery.
 const POLLED_DISCOVERY: SimulatorFeatures = SimulatorFeatures {
     gossip: false,
     retry_after: false,
--- a/crates/testbed/src/scenario/capacity.rs
+++ b/crates/testbed/src/scenario/capacity.rs
@@ -26,8 +26,8 @@
             .find(|machine_type| machine_type.name == group.machine_type)
     }
 
-    /// A machine type as balancers see it: its id, cores and speed if sidecars know machine types,
-    /// otherwise the unknown type.
+    /// A machine type as balancers see it. If sidecars know machine types, it has an id, cores and
+    /// speed; otherwise it is the unknown type.
     pub fn advertised_machine_type(
         &self,
         machine_type: &MachineType,
@@ -79,8 +79,8 @@
     }
 }
 
-/// A position in a list of zones or machine types as the integer used by balancers. No file has
-/// enough items for the cast to truncate.
+/// A position in a list of zones or machine types as the integer that balancers use. The cast does
+/// not truncate, since no list is long enough.
 fn to_u32(position: usize) -> u32 {
     position as u32
 }
--- a/crates/testbed/src/scenario/check/faults.rs
+++ b/crates/testbed/src/scenario/check/faults.rs
@@ -7,7 +7,8 @@
 use crate::scenario::{Fault, FaultKind, Scenario};
 
 impl Scenario {
-    /// Checks each fault, and then the faults for overlaps if no check has found an error so far.
+    /// Checks each fault. If no check of the scenario has found an error so far, also checks
+    /// whether faults overlap.
     pub(super) fn check_faults(&self, checker: &mut Checker) {
         for (i, fault) in self.fault.iter().enumerate() {
             self.check_fault(checker, fault, &format!("fault[{i}]"));
--- a/crates/testbed/src/scenario/check/mod.rs
+++ b/crates/testbed/src/scenario/check/mod.rs
@@ -1,5 +1,5 @@
-//! Validates what the types of the keys do not: ranges, references by name, and conflicts in the
-//! fault schedule.
+//! Validates what the types of the keys do not ensure: ranges, references by name, and conflicts in
+//! the fault schedule.
 //!
 //! Errors use the current names of keys; `read` adds lines and the names in the file. Errors on the
 //! same line are reported in the order of the checks, so changing the order changes the output.
--- a/crates/testbed/src/scenario/faults.rs
+++ b/crates/testbed/src/scenario/faults.rs
@@ -59,8 +59,8 @@
     pub for_s: f64,
     /// Servers by name (`s0`, `s1` ...).
     pub servers: Vec<String>,
-    /// Share of the servers that are drawn as targets if none are named; for rolling restarts,
-    /// share of the sidecars. 0 for all of them.
+    /// Share of the servers, drawn at random, that a fault affects unless it names its servers. For
+    /// a rolling restart, the share of the sidecars. 0 stands for all servers or sidecars.
     pub target_share: f64,
     /// Zone from which servers are drawn; all zones if absent.
     pub zone: Option<String>,
--- a/crates/testbed/src/scenario/read.rs
+++ b/crates/testbed/src/scenario/read.rs
@@ -1,6 +1,7 @@
 //! Reads a scenario from text and validates it.
 //!
-//! The text is kept to find the lines of errors, and the table to create variants for experiments.
+//! Keeps the text to find the lines of errors, and keeps the table to create variants for
+//! experiments.
 //! The steps are in separate modules: `renamed_keys` translates former names, `check` validates
 //! ranges and references, and `source_lines` finds keys in the text.
 
--- a/crates/testbed/src/scenario/traffic.rs
+++ b/crates/testbed/src/scenario/traffic.rs
@@ -157,7 +157,8 @@
     /// Whether the weight of a request is its class's weight times its work divided by the class's
     /// mean work.
     pub weight_by_work: bool,
-    /// Maximum number of open requests; arrivals beyond it are skipped.
+    /// Maximum number of open requests. No request is sent for an arrival that starts while so many
+    /// are open.
     pub max_open_requests: usize,
 }
 
--- a/crates/testbed/src/simulator/faults/mod.rs
+++ b/crates/testbed/src/simulator/faults/mod.rs
@@ -1,5 +1,5 @@
-//! Selects the targets of a scenario's faults, and the times of rolling restarts. The simulator and
-//! the emulator use the same ones.
+//! Selects the targets of a scenario's faults, and the times of rolling restarts. The targets and
+//! times are the same in the simulator and the emulator.
 //!
 //! `schedule` schedules the faults in the simulator; each component implements their effects.
 
@@ -11,8 +11,9 @@
 use crate::random::{RandomStream, StreamId};
 use crate::scenario::{Fault, Micros, Scenario, from_s};
 
-/// The servers that the fault of this index affects: those that it names, or a random sample of the
-/// servers in its zone. `zones` has each server's zone. Empty if the fault doesn't target servers.
+/// Returns the servers that a fault affects: the servers that it names, or a random sample of the
+/// servers in its zone. `zones` has each server's zone. A fault that doesn't target servers affects
+/// none.
 pub fn target_servers(scenario: &Scenario, index: usize, zones: &[u32]) -> Vec<ServerIndex> {
     let fault = &scenario.fault[index];
     if !fault.targets_servers() {
@@ -41,8 +42,8 @@
     draw_sample(scenario, index, &mut servers, count)
 }
 
-/// When each sidecar restarts in a rolling restart, in microseconds from the start of the restart.
-/// Batches are spread evenly over its length.
+/// When each sidecar restarts in a rolling restart, in microseconds from the start of the fault.
+/// The batches are spread evenly over the duration of the fault.
 pub fn rolling_restart_times(scenario: &Scenario, index: usize) -> Vec<(SidecarIndex, Micros)> {
     let fault = &scenario.fault[index];
     let total = scenario.sidecars.count;
@@ -59,7 +60,8 @@
         .collect()
 }
 
-/// The fraction of the candidates that a fault affects; 1 if the scenario gives none.
+/// The fraction of the candidates that a fault affects. A `target_share` of 0 stands for all of
+/// them.
 fn target_share(fault: &Fault) -> f64 {
     if fault.target_share > 0.0 {
         fault.target_share
--- a/crates/testbed/src/simulator/faults/schedule.rs
+++ b/crates/testbed/src/simulator/faults/schedule.rs
@@ -1,7 +1,7 @@
 //! Schedules the start and end of the simulator's faults, and routes each to its component.
 //!
-//! `fleet` implements the effects on servers and `sidecars` the restarts; `workload` includes
-//! bursts and expensive requests in the arrivals.
+//! `fleet` implements the effects on servers, and `sidecars` implements restarts. `workload` draws
+//! the arrivals with the bursts and expensive requests.
 
 use super::{rolling_restart_times, target_servers};
 use crate::index::{ServerIndex, SidecarIndex};
--- a/crates/testbed/src/simulator/fleet/health_checks.rs
+++ b/crates/testbed/src/simulator/fleet/health_checks.rs
@@ -23,7 +23,7 @@
     ) -> Option<u32> {
         let delay = check.delay;
         let server = self.server_mut(check.server);
-        if server.refuses_health_check(check) {
+        if server.fails_to_connect_health_check(check) {
             let refused = result(check, Outcome::ConnectFailed, None);
             context.schedule_after(delay, refused);
             return None;
--- a/crates/testbed/src/simulator/fleet/mod.rs
+++ b/crates/testbed/src/simulator/fleet/mod.rs
@@ -1,9 +1,9 @@
 //! The simulator's servers: they handle attempts, health checks and faults.
 //!
-//! Creates the servers, and records their states and gauges. `attempts` handles attempts at a
-//! server, `health_checks` health checks, `model_events` the events of a server's model, and
-//! `faults` the effects of faults. `sidecars` handles the results of attempts and health checks,
-//! and `discovery` decides when a server is listed.
+//! Creates the servers, and records their states and gauges. `attempts` and `health_checks` handle
+//! what sidecars send to a server, `model_events` applies the events of a server's model, and
+//! `faults` applies the effects of faults. `sidecars` handles the results of attempts and health
+//! checks, and `discovery` decides when a server is listed.
 
 mod attempts;
 mod faults;
@@ -104,7 +104,7 @@
         self.servers.iter().filter(was_slowed).count()
     }
 
-    /// Maximum number of requests in flight at one server.
+    /// Maximum number of requests that were in flight at one server at the same time.
     pub(super) fn max_in_flight(&self) -> usize {
         let max_in_flight = |server: &Server| server.model.counters.max_in_flight;
         self.servers.iter().map(max_in_flight).max().unwrap_or(0)
--- a/crates/testbed/src/simulator/fleet/server/mod.rs
+++ b/crates/testbed/src/simulator/fleet/server/mod.rs
@@ -52,8 +52,8 @@
 }
 
 impl Server {
-    /// Creates a server with a drawn speed. A cold server starts now, a warm one started before the
-    /// run.
+    /// Creates a server with a drawn speed. A cold server starts now; a warm server started before
+    /// the run.
     pub(super) fn new(
         scenario: &Scenario,
         machine_type: &MachineType,
@@ -162,9 +162,9 @@
         self.blackholed.push(key);
     }
 
-    /// Whether the connection of a health check is refused. A new connection that is accepted is
-    /// opened.
-    pub(super) fn refuses_health_check(&mut self, check: &HealthCheck) -> bool {
+    /// Opens a new connection for a health check that has none. Returns true if the server refuses
+    /// the connection, or has reset the open one.
+    pub(super) fn fails_to_connect_health_check(&mut self, check: &HealthCheck) -> bool {
         match self.reachability {
             Reachability::Refusing => true,
             Reachability::Open => check.new_connection && !self.model.try_connect(),
