--- a/crates/testbed/src/cli/arguments.rs
+++ b/crates/testbed/src/cli/arguments.rs
@@ -46,9 +46,9 @@
     Experiment(ExperimentArguments),
     /// Prints two reports side by side.
     Compare {
-        /// First report, as written by --json.
+        /// First report, as JSON.
         a: PathBuf,
-        /// Second report, as written by --json.
+        /// Second report, as JSON.
         b: PathBuf,
     },
     /// Checks scenario files and prints every error in them.
